--- /dev/null
+++ b/tests/golden/__init__.py
@@ -0,0 +1,1 @@
+"""Recorded external forms of the program: stored data, wires, JSON answers and decisions."""
--- /dev/null
+++ b/tests/golden/test_exchanges.py
@@ -0,0 +1,125 @@
+"""What the node sends to runtime, vault, catalog, workers and callers, byte for byte."""
+
+import re
+from collections.abc import Iterator
+from random import Random
+from typing import Any
+
+import parties
+import pytest
+import scenario
+from helpers import soon
+
+from golden.recordings import load
+from reelusher.backends.runtime import RuntimeLink
+from reelusher.core.counters import Counters
+from reelusher.core.model import Request
+from reelusher.wire.lines import JsonLines
+
+GOLDEN = "exchanges.json"
+SCENARIO = """
+c1 send 1 slot-search body=first
+runtime expect start * slot-search first as X
+runtime send wants $X ask-1
+vault expect ask * ask-1 as V
+vault send $V yes reply-1
+runtime expect * * reply-1
+runtime send end $X ok done-1
+c1 expect 1 ok done-1
+c1 send 2 book-visit key=K1 body=second
+runtime expect start * book-visit second as Y
+c1 send 3 book-visit key=K1 body=second
+runtime send end $Y ok done-2
+c1 expect 2 ok done-2
+c1 expect 3 ok done-2
+c1 send 4 day-view body=third
+runtime expect start * day-view third as Z
+runtime send end $Z failed text
+c1 expect 4 * *
+c1 send 5 health
+c1 expect 5 ok *
+c1 send 6 no-such-class body=x
+c1 expect 6 * *
+a1 send POST /visits key=K2 body=fourth host=single
+w1 expect POST /visits fourth
+w1 send 201 made
+a1 expect 201 made reuse=1 retry=-
+a1 send GET /none host=nobody
+a1 expect * * * *
+catalog expect PUT * passing
+"""
+VARYING = (
+    (re.compile(r'\{"msg":"gauges","cookie":"t\d+"\}\n'), ""),  # asked for by the clock
+    (re.compile(r"(?<=ask )([0-9a-f]{16}) \d+"), r"\1 TIME"),  # milliseconds left
+    (re.compile(r"(?<=Host: 127\.0\.0\.1:)\d+"), "PORT"),
+)
+
+
+class Recorder:
+    """A decoder that keeps what it is fed."""
+
+    def __init__(self, decoder: Any, data: bytearray) -> None:
+        self.decoder, self.data = decoder, data
+
+    def feed(self, data: bytes) -> Iterator[Any]:
+        self.data += data
+        made: Iterator[Any] = self.decoder.feed(data)
+        return made
+
+
+def played() -> dict[str, str]:
+    """Play the scenario; return what each kind of stand-in read, as text of one character a byte."""
+    read: dict[str, bytearray] = {}
+    original = parties.Party.read
+
+    def recorded(self: parties.Party, decoder: Any, note: Any, sock: Any) -> None:
+        data = read.setdefault(type(self).__name__, bytearray())
+        original(self, Recorder(decoder, data), note, sock)
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(parties.Party, "read", recorded)
+        scenario.play(SCENARIO)
+    texts = {name: data.decode("latin-1") for name, data in read.items() if data}
+    for pattern, instead in VARYING:
+        texts = {name: pattern.sub(instead, text) for name, text in texts.items()}
+    # the catalog may be reported to again before the end
+    texts["CatalogParty"] = texts["CatalogParty"][: texts["CatalogParty"].index("}") + 1]
+    return texts
+
+
+def commands() -> str:
+    """Return what the runtime reads of one command of each kind, and of a second link's greeting."""
+    stand_in = parties.Runtime({})
+    link = RuntimeLink(stand_in.address, lambda message: None, Counters(), Random(1))
+    data = bytearray()
+    stand_in.codec = lambda: (Recorder(JsonLines(), data), stand_in.note)  # type: ignore[method-assign]
+    link.connect()
+    assert soon(lambda: link.up)
+    request = Request("00000000000000aa", 0, b"body \x01", 0, lambda answer: None)
+    link.start(request, "day-view")
+    link.stop(request.call)
+    link.resume(request.call)
+    link.give(request.call, b"reply")
+    link.omit(request.call, 7)
+    link.ask_gauges("t9")
+    assert soon(lambda: data.count(b"\n") == 8)
+    link.close()
+    stand_in.close(["listener"])
+    return data.decode("latin-1")
+
+
+def observed() -> dict[str, Any]:
+    """Return all that is sent."""
+    return {"scenario": played(), "commands": commands()}
+
+
+def test_a_recorded_exchange_is_the_same_byte_for_byte() -> None:
+    recorded = load(GOLDEN)["scenario"]
+    made = played()
+    assert made.keys() == recorded.keys()
+    for name, text in made.items():
+        assert text == recorded[name], name
+
+
+def test_commands_to_the_runtime_are_the_recorded_ones() -> None:
+    assert commands() == load(GOLDEN)["commands"]
--- /dev/null
+++ b/tests/golden/test_messages.py
@@ -0,0 +1,205 @@
+"""The bytes that nodes of one fleet exchange: nodes of two builds are one fleet."""
+
+from random import Random
+from typing import Any
+
+import msgspec
+import pytest
+
+from golden.recordings import as_json, load
+from reelusher.fleet.learning.facts import donors
+from reelusher.fleet.membership import messages as membership
+from reelusher.fleet.membership.messages import (
+    Fact,
+    FactsReply,
+    FactsRequest,
+    Kind,
+    Message,
+    Seal,
+    State,
+    Update,
+)
+from reelusher.fleet.membership.table import Table, bucket_of, mark_of
+from reelusher.fleet.replication import messages as replication
+from reelusher.fleet.replication.messages import Entry, Piece
+from reelusher.fleet.replication.streams import (
+    Position,
+    control_digest,
+    first_epoch,
+    holder_of,
+    next_epoch,
+    pack,
+    stream_of,
+)
+
+GOLDEN, AGREEMENTS = "messages.json", "agreements.json"
+SECRET = b"a secret of sixteen or more"
+OWN, OTHER, THIRD = "127.0.0.1:7001", "127.0.0.1:7002", "10.20.30.40:65535"
+PROCESS_START = 1_700_000_000_123_456_789
+CONTROL = ("c1", "c2", "c3")
+
+UPDATES = [
+    Update(place=OTHER, name="n2", zone="zone-a", region="region-1", incarnation=3, state=State.ALIVE),
+    Update(
+        place=THIRD,
+        name="n3",
+        zone="",
+        region="region-2",
+        incarnation=1 << 40,
+        state=State.SUSPECT,
+        accuser=OWN,
+    ),
+    Update(place="127.0.0.1:7004", name="n4-é", zone="zone-b", region="", incarnation=0, state=State.DEAD),
+    Update(place="127.0.0.1:7005", name="n5", zone="z", region="r", incarnation=70_000, state=State.LEFT),
+]
+ENTRIES = [
+    Entry(
+        number=41,
+        name="clinic",
+        at_ms=1_700_000_000_000,
+        who="operator",
+        state="active",
+        tenant=b'{"name":"clinic"}',
+        key="key-1",
+        epoch=17,
+    ),
+    Entry(number=42, name="removed", at_ms=1_700_000_000_001, who="c2", state="", tenant=b""),
+    Entry(
+        number=43,
+        name="held",
+        at_ms=1_700_000_000_002,
+        who="",
+        state="suspended",
+        tenant=b'{"name":"held"}',
+        key="",
+        epoch=25,
+    ),
+]
+PIECE = Piece(
+    stream="c1",
+    epoch=17,
+    bases=((9, 3), (17, 40)),
+    since=40,
+    upto=43,
+    entries=ENTRIES,
+    more=True,
+    horizon=12,
+    covered=40,
+    goal=44,
+)
+FACTS = [Fact(about="run:search", value=0.75, seen_s=1.7e9), Fact(about="away:w1", value=1.0, seen_s=1.8e9)]
+
+MESSAGES: dict[str, tuple[Any, Any]] = {
+    **{
+        f"datagram {kind.name.lower()}": (
+            Message,
+            Message(
+                kind=kind,
+                sender=OWN,
+                seq=7 + kind,
+                target=THIRD,
+                updates=UPDATES[:kind],
+                vector=[1, 2, 1 << 62],
+            ),
+        )
+        for kind in Kind
+    },
+    "datagram without a vector": (Message, Message(kind=Kind.GOSSIP, sender=OWN, updates=UPDATES)),
+    "state request": (membership.StateRequest, membership.StateRequest(sender=OWN, updates=UPDATES)),
+    "state reply": (membership.StateReply, membership.StateReply(updates=UPDATES, instead=[OTHER, THIRD])),
+    "digest request": (membership.DigestRequest, membership.DigestRequest(sender=OWN, whole=1 << 61)),
+    "digest reply": (membership.DigestReply, membership.DigestReply(digests=[0, 1, 1 << 61])),
+    "buckets request": (
+        membership.BucketsRequest,
+        membership.BucketsRequest(sender=OWN, buckets=[0, 255], updates=UPDATES),
+    ),
+    "facts request": (FactsRequest, FactsRequest(sender=OWN)),
+    "facts reply": (FactsReply, FactsReply(warm=True, facts=FACTS)),
+    "entries request": (
+        replication.EntriesRequest,
+        replication.EntriesRequest(
+            sender=OWN, control=control_digest(CONTROL), vector=[1, 2, 3], covered=[40, 41]
+        ),
+    ),
+    "entries reply": (
+        replication.EntriesReply,
+        replication.EntriesReply(pieces=[PIECE], instead=[OTHER]),
+    ),
+    "change request": (
+        replication.ChangeRequest,
+        replication.ChangeRequest(
+            sender=OWN,
+            method="PATCH",
+            target="/v1/tenants/clinic?dry_run=true",
+            headers={"if-match": '"4"'},
+            body=b'{"prefix":"/x"}',
+            who="operator",
+        ),
+    ),
+    "change reply": (
+        replication.ChangeReply,
+        replication.ChangeReply(status=200, value=b'{"a":1}', headers={"ETag": '"5"'}),
+    ),
+}
+
+
+def sealed(name: str) -> bytes:
+    """Return the bytes of a message from a member that has sent nothing before."""
+    return Seal(SECRET, "fleet-1", OWN, PROCESS_START).close(MESSAGES[name][1])
+
+
+def observed() -> dict[str, str]:
+    """Return the bytes of one message of each kind."""
+    return {name: sealed(name).hex() for name in MESSAGES}
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_message_is_encoded_and_decoded_byte_for_byte(name: str) -> None:
+    recorded = bytes.fromhex(load(GOLDEN)[name])
+    assert sealed(name) == recorded
+    kind, message = MESSAGES[name]
+    assert Seal(SECRET, "fleet-1", OTHER, 1).open(recorded, kind, 1 << 19) == (OWN, message)
+
+
+def test_every_kind_of_message_is_recorded() -> None:
+    kinds = {
+        kind
+        for module in (membership, replication)
+        for kind in vars(module).values()
+        if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and kind.__module__ == module.__name__
+    }
+    parts = {Update, Fact, Entry, Piece, *(kind for kind in kinds if kind.__name__ == "Enveloped")}
+    assert kinds - parts == {kind for kind, _ in MESSAGES.values()}
+
+
+def test_requests_are_told_apart_by_their_recorded_tags() -> None:
+    kinds = [kind for kind, message in MESSAGES.values() if kind.__struct_config__.tag]
+    every: Any = membership.StateRequest
+    for kind in kinds:
+        every = every | kind
+    for name, (kind, message) in MESSAGES.items():
+        if kind in kinds:
+            recorded = bytes.fromhex(load(GOLDEN)[name])
+            assert Seal(SECRET, "fleet-1", OTHER, 1).open(recorded, every, 1 << 19) == (OWN, message)
+
+
+def agreements() -> dict[str, Any]:
+    """Return values by which members agree without a message: buckets, digests, owners of names, donors."""
+    table = Table(Random(1))
+    for update in UPDATES:
+        table.take(update, 0.0)
+    vector = {member: Position(first_epoch(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
+    return {
+        "buckets": [bucket_of(update.place) for update in UPDATES],
+        "marks": [mark_of(update) for update in UPDATES],
+        "digests": [[at, digest] for at, digest in enumerate(table.digests) if digest],
+        "owners": "".join(stream_of(f"tenant-{number}", CONTROL)[1] for number in range(60)),
+        "control digest": control_digest(CONTROL),
+        "vector": pack(vector, CONTROL),
+        "epochs": [first_epoch("c2", CONTROL), next_epoch(9, "c3", CONTROL), holder_of(18, CONTROL)],
+        "donors": donors(OWN, [f"127.0.0.1:{port}" for port in range(7001, 7020)]),
+    }
+
+
+def test_members_agree_on_the_recorded_hashes() -> None:
+    assert as_json(agreements()) == load(AGREEMENTS)
