--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -31,6 +31,7 @@
 OPERATOR = "operator"  # name of the token that stands in clear text, in the audit trail
 TIMEOUT_S = 30.0  # for the next request on a connection, and for one answer to be taken
 
+
 @dataclass(slots=True, frozen=True)
 class Parts:
     """What the API administers."""
@@ -53,25 +54,35 @@
         if config.token:
             self._tokens.append(Token(OPERATOR, digest(config.token), ""))
         self._parts = parts
-        self._listener = Listener("admin", config.listen, parts.core.counters, self._serve,
-                                  most=MOST_CONNECTIONS)
+        self._listener = Listener(
+            "admin", config.listen, parts.core.counters, self._serve, most=MOST_CONNECTIONS
+        )
         self.address = self._listener.address
         self._routes: dict[tuple[str, str, bool], Handler] = {
-            ("GET", "workers", False): self._workers, ("GET", "workers", True): self._worker,
+            ("GET", "workers", False): self._workers,
+            ("GET", "workers", True): self._worker,
             ("PUT", "workers", True): self._activate,
-            ("GET", "status", False): self._status, ("GET", "counters", False): self._counters,
+            ("GET", "status", False): self._status,
+            ("GET", "counters", False): self._counters,
             ("GET", "openapi.json", False): lambda asked: Reply(200, openapi.document()),
             ("POST", "drain", False): self._drain,
-            ("GET", "fleet", False): self._fleet, ("POST", "fleet/forget", True): self._forget,
+            ("GET", "fleet", False): self._fleet,
+            ("POST", "fleet/forget", True): self._forget,
             ("GET", "fleet/changes", False): self._no_replication,
             ("POST", "fleet/take-over", True): self._no_replication,
-            **(parts.calls or TenantApi(parts.core, parts.tenants, parts.table)).routes}
+            **(parts.calls or TenantApi(parts.core, parts.tenants, parts.table)).routes,
+        }
 
     def routes(self) -> set[tuple[str, str]]:
         """Return what is answered, as method and path."""
-        return {(method, f"/v1/{kind.replace('tenants/', 'tenants/{name}/')}"
-                 + "/{name}" * (named and not kind.startswith("tenants/")))
-                for method, kind, named in self._routes}
+        return {
+            (
+                method,
+                f"/v1/{kind.replace('tenants/', 'tenants/{name}/')}"
+                + "/{name}" * (named and not kind.startswith("tenants/")),
+            )
+            for method, kind, named in self._routes
+        }
 
     def start(self) -> None:
         """Start to listen."""
@@ -141,7 +152,9 @@
             case _:
                 raise Refused(404, "no such resource")
         if token.tenant and (method, kind, name) not in {
-                ("GET", "tenants", token.tenant), ("GET", "tenants/usage", token.tenant)}:
+            ("GET", "tenants", token.tenant),
+            ("GET", "tenants/usage", token.tenant),
+        }:
             self._parts.core.counters.add("admin.forbidden")
             raise Refused(403, f"this token may only look at {token.tenant!r}")
         react = self._routes.get((method, kind, bool(name)))
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -14,8 +14,7 @@
 
 from loguru import logger
 
-from reelusher.admin.tenant_api import (
-    Asked, Handler, Refused, Reply, TenantApi, etag, refusing)
+from reelusher.admin.tenant_api import Asked, Handler, Refused, Reply, TenantApi, etag, refusing
 from reelusher.config.operator import Tenant
 from reelusher.core.owner import Core
 from reelusher.fleet.membership.messages import Update
@@ -55,18 +54,21 @@
 class ReplicatedTenantApi(TenantApi):
     """The calls that have to do with tenants, where they are kept in the replicated table."""
 
-    def __init__(self, core: Core, tenants: Tenants, table: ReplicatedTable, fleet: Fleet | None,
-                 random: Random) -> None:
+    def __init__(
+        self, core: Core, tenants: Tenants, table: ReplicatedTable, fleet: Fleet | None, random: Random
+    ) -> None:
         super().__init__(core, tenants, table)
         self._replicated, self._fleet = table, fleet
         self._counters, self._random = core.counters, random
         self._waits = threading.BoundedSemaphore(MOST_WAITS)
         self._sends = threading.BoundedSemaphore(MOST_SENT)
         self._makes: dict[Key, Handler] = {
-            key: react for key, react in self.routes.items() if key[0] != "GET"}
+            key: react for key, react in self.routes.items() if key[0] != "GET"
+        }
         self.routes |= {key: self._sender(key) for key in self._makes} | {
             ("GET", "fleet/changes", False): self._changes,
-            ("POST", "fleet/take-over", True): self._take_over}
+            ("POST", "fleet/take-over", True): self._take_over,
+        }
         self.routes = {key: self._readable(react) for key, react in self.routes.items()}
 
     # Looking, at this node's copy
@@ -96,21 +98,48 @@
         for stream in table.replica.control:
             state, further = table.replica.states[stream], table.lacks(stream)
             holder = table.holder(stream)
-            streams.append({
-                "stream": stream, "holder": holder, "holder_at": places.get(holder, []),
-                "position": told(table.position(stream)), "heard_of": told(further) if further else None,
-                "refilling": state.cursor >= 0, "lost": state.lost, "put_back": state.put_back,
-                "counted": counted.get(stream),
-                "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases]})
-        return Reply(200, {
-            "own": table.own_name, "control": list(table.replica.control), "tenants": table.copy.count(),
-            "guaranteed": table.copy.guaranteed(), "streams": streams,
-            "unreadable": {"count": table.copy.unreadable_count(), "tenants": [
-                {"name": name, "why": why} for name, why in table.copy.unreadable(MOST_LISTED)]},
-            "orphans": [{"number": one["number"], "stream": one["stream"],
-                         "version": f"{one['epoch']}.{one['revision']}", "tenant": one["name"],
-                         "who": one["who"], "at_ms": one["at_ms"], "state": one["state"]}
-                        for one in table.copy.orphans(asked.whole("after", 0, 1 << 53), MOST_LISTED)]})
+            streams.append(
+                {
+                    "stream": stream,
+                    "holder": holder,
+                    "holder_at": places.get(holder, []),
+                    "position": told(table.position(stream)),
+                    "heard_of": told(further) if further else None,
+                    "refilling": state.cursor >= 0,
+                    "lost": state.lost,
+                    "put_back": state.put_back,
+                    "counted": counted.get(stream),
+                    "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases],
+                }
+            )
+        return Reply(
+            200,
+            {
+                "own": table.own_name,
+                "control": list(table.replica.control),
+                "tenants": table.copy.count(),
+                "guaranteed": table.copy.guaranteed(),
+                "streams": streams,
+                "unreadable": {
+                    "count": table.copy.unreadable_count(),
+                    "tenants": [
+                        {"name": name, "why": why} for name, why in table.copy.unreadable(MOST_LISTED)
+                    ],
+                },
+                "orphans": [
+                    {
+                        "number": one["number"],
+                        "stream": one["stream"],
+                        "version": f"{one['epoch']}.{one['revision']}",
+                        "tenant": one["name"],
+                        "who": one["who"],
+                        "at_ms": one["at_ms"],
+                        "state": one["state"],
+                    }
+                    for one in table.copy.orphans(asked.whole("after", 0, 1 << 53), MOST_LISTED)
+                ],
+            },
+        )
 
     # Changing
 
@@ -159,9 +188,13 @@
                 position = self._replicated.position(stream)
                 have = self._replicated.replication.wait(stream, position, copies, COPIES_S)
                 if have < copies:
-                    raise Refused(504, f"made, and {have} other members have it so far, not {copies}",
-                                  "copies", reply.headers,
-                                  {"made": True, "copies": have, "value": reply.value})
+                    raise Refused(
+                        504,
+                        f"made, and {have} other members have it so far, not {copies}",
+                        "copies",
+                        reply.headers,
+                        {"made": True, "copies": have, "value": reply.value},
+                    )
         except Busy as error:
             raise self._later(f"{error}: nothing was changed") from None
         finally:
@@ -194,20 +227,34 @@
             further = max(filter(None, (further, self._asked_holder(stream, holder))), default=None)
             further = None if further is not None and further <= position else further
         found = {
-            "stream": stream, "holder": holder, "has": told(position), "holder_lives": lives,
-            "heard_of": told(further) if further else None, "lost": _changes_past(position, further)}
+            "stream": stream,
+            "holder": holder,
+            "has": told(position),
+            "holder_lives": lives,
+            "heard_of": told(further) if further else None,
+            "lost": _changes_past(position, further),
+        }
         if asked.dry:
             return Reply(200, {"dry_run": True, **found})
         if further is not None and not force:
-            raise self._later(f"others have stream {stream!r} up to {told(further)}, this member up to "
-                              f"{told(position)}: wait for them, or lose them by force=true", **found)
+            raise self._later(
+                f"others have stream {stream!r} up to {told(further)}, this member up to "
+                f"{told(position)}: wait for them, or lose them by force=true",
+                **found,
+            )
         try:
             begun = table.take_over(stream, force)
         except Busy as error:
             raise self._later(f"{error}: nothing was changed") from None
         self._counters.add("replication.taken_over")
-        logger.warning("replication: {} writes stream {} from {} on, as {} ordered; others had heard of {}",
-                       own, stream, told(begun), asked.who, found["heard_of"] or "no more")
+        logger.warning(
+            "replication: {} writes stream {} from {} on, as {} ordered; others had heard of {}",
+            own,
+            stream,
+            told(begun),
+            asked.who,
+            found["heard_of"] or "no more",
+        )
         return Reply(200, {**found, "begins": told(begun)})
 
     def _counted(self) -> list[dict[str, Any]]:
@@ -251,21 +298,25 @@
 
     def _readable(self, react: Handler) -> Handler:
         """Return what answers the same, and 503 where this node's copy can't be read."""
+
         def answer(asked: Asked) -> Reply:
             try:
                 return react(asked)
             except Broken as error:
                 raise self._later(f"this node's copy can't be read: {error}: nothing was changed") from None
+
         return answer
 
     def _sender(self, key: Key) -> Handler:
         """Return what makes a change here or sends it on to its holder."""
+
         def react(asked: Asked) -> Reply:
             stream = self._replicated.stream_of(self._name(asked))
             holder = self._replicated.holder(stream)
             if holder == self._replicated.own_name:
                 return self._make(key, asked)
             return self._send_on(key, asked, holder)
+
         return react
 
     def _send_on(self, key: Key, asked: Asked, holder: str) -> Reply:
@@ -273,17 +324,22 @@
         place = self._sole(holder)
         if not place or self._fleet is None:
             self._counters.add("replication.holder_away")
-            raise self._later(f"{holder!r} makes the changes of {self._name(asked)!r} and is not there: "
-                              "nothing was changed")
+            raise self._later(
+                f"{holder!r} makes the changes of {self._name(asked)!r} and is not there: nothing was changed"
+            )
         path = f"/v1/tenants{'/' * bool(asked.name)}{quote(asked.name, '')}{kind.removeprefix('tenants')}"
         target = f"{path}?{urlencode(asked.query)}"
         body = b"" if asked.value is None else json.dumps(asked.value).encode()
         if len(target) > MOST_TARGET or len(body) > MOST_CHANGE:
             raise Refused(413, "it is too long to be carried to the member that makes the change")
         request = ChangeRequest(
-            self._live()[0].place, method, target,
-            {name: asked.headers[name] for name in HEADERS if name in asked.headers}, body,
-            asked.who[:MOST_WHO])
+            self._live()[0].place,
+            method,
+            target,
+            {name: asked.headers[name] for name in HEADERS if name in asked.headers},
+            body,
+            asked.who[:MOST_WHO],
+        )
         if not self._sends.acquire(blocking=False):
             raise self._later("too many calls are on their way to other members: nothing was changed")
         try:
@@ -291,12 +347,17 @@
             reply = self._fleet.ask_once(place, request, ChangeReply, within_s)
         except Unreached:
             self._counters.add("replication.holder_away")
-            raise self._later(f"{holder!r} makes the changes of {self._name(asked)!r} and can't be reached: "
-                              "nothing was changed") from None
+            raise self._later(
+                f"{holder!r} makes the changes of {self._name(asked)!r} and can't be reached: "
+                "nothing was changed"
+            ) from None
         except Unanswered:
             self._counters.add("replication.answers_lost")
-            raise Refused(504, f"{holder!r} was asked and did not answer: it may have been made; the same "
-                               "Idempotency-Key, or If-Match, tells") from None
+            raise Refused(
+                504,
+                f"{holder!r} was asked and did not answer: it may have been made; the same "
+                "Idempotency-Key, or If-Match, tells",
+            ) from None
         finally:
             self._sends.release()
         self._counters.add("replication.calls_sent_on")
@@ -309,8 +370,9 @@
             with refusing(request.method, request.target):
                 reply = self._carried(request)
         except Broken as error:
-            later = self._later(f"the copy of {self._replicated.own_name!r} can't be read: {error}: "
-                                "nothing was changed")
+            later = self._later(
+                f"the copy of {self._replicated.own_name!r} can't be read: {error}: nothing was changed"
+            )
             reply = Reply(later.status, later.value, later.headers)
         except Refused as error:
             reply = Reply(error.status, error.value, error.headers)
@@ -323,8 +385,13 @@
         path, _, query = request.target.partition("?")
         match path.strip("/").split("/"):
             case ["positions"]:
-                return Reply(200, {stream: self._replicated.position(stream)
-                                   for stream in self._replicated.replica.control})
+                return Reply(
+                    200,
+                    {
+                        stream: self._replicated.position(stream)
+                        for stream in self._replicated.replica.control
+                    },
+                )
             case ["counted"]:
                 return Reply(200, self._replicated.replication.changes())
             case ["v1", "tenants"]:
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -28,8 +28,14 @@
 class Refused(Exception):
     """A request that is answered with an error."""
 
-    def __init__(self, status: int, text: str, field: str = "", headers: dict[str, str] | None = None,
-                 more: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self,
+        status: int,
+        text: str,
+        field: str = "",
+        headers: dict[str, str] | None = None,
+        more: dict[str, Any] | None = None,
+    ) -> None:
         """`more` goes into the answer's body beside the text."""
         super().__init__(text)
         self.status, self.field, self.headers, self.more = status, field, headers or {}, more or {}
@@ -117,11 +123,17 @@
         self._tenants = tenants
         self._table = table
         self.routes: dict[tuple[str, str, bool], Handler] = {
-            ("GET", "tenants", False): self._list, ("POST", "tenants", False): self._create,
-            ("GET", "tenants", True): self._show, ("PUT", "tenants", True): self._replace,
-            ("PATCH", "tenants", True): self._patch, ("DELETE", "tenants", True): self._delete,
-            ("POST", "tenants/suspend", True): self._suspend, ("POST", "tenants/resume", True): self._resume,
-            ("GET", "tenants/usage", True): self._usage, ("GET", "audit", False): self._audit}
+            ("GET", "tenants", False): self._list,
+            ("POST", "tenants", False): self._create,
+            ("GET", "tenants", True): self._show,
+            ("PUT", "tenants", True): self._replace,
+            ("PATCH", "tenants", True): self._patch,
+            ("DELETE", "tenants", True): self._delete,
+            ("POST", "tenants/suspend", True): self._suspend,
+            ("POST", "tenants/resume", True): self._resume,
+            ("GET", "tenants/usage", True): self._usage,
+            ("GET", "audit", False): self._audit,
+        }
 
     # Looking
 
@@ -149,9 +161,24 @@
         trail = self._table.audit(after, limit + 1)
         page = trail[:limit]
         more = {"next": page[-1].number} if len(trail) > limit else {}
-        return Reply(200, {"changes": [{
-            "number": one.number, "at_ms": one.at_ms, "who": one.who, "change": one.op, "tenant": one.name,
-            "before": one.before, "after": one.after} for one in page], **more})
+        return Reply(
+            200,
+            {
+                "changes": [
+                    {
+                        "number": one.number,
+                        "at_ms": one.at_ms,
+                        "who": one.who,
+                        "change": one.op,
+                        "tenant": one.name,
+                        "before": one.before,
+                        "after": one.after,
+                    }
+                    for one in page
+                ],
+                **more,
+            },
+        )
 
     # Changing
 
@@ -259,8 +286,9 @@
 
     def _would(self, before: Standing | None, after: Standing | None) -> Reply:
         """Say what a change would do."""
-        return Reply(200, {"dry_run": True, "before": shown(before), "after": self._told(after)},
-                     etag(before))
+        return Reply(
+            200, {"dry_run": True, "before": shown(before), "after": self._told(after)}, etag(before)
+        )
 
     @staticmethod
     def _nobody(name: str) -> Refused:
--- a/reelusher/backends/catalog.py
+++ b/reelusher/backends/catalog.py
@@ -32,8 +32,9 @@
 class Catalog:
     """Reports the state of the node, through outages of the catalog."""
 
-    def __init__(self, address: Address, name: str, healthy: Callable[[], bool], counters: Counters,
-                 random: Random) -> None:
+    def __init__(
+        self, address: Address, name: str, healthy: Callable[[], bool], counters: Counters, random: Random
+    ) -> None:
         """`healthy` is asked at each report; `random` spreads them, so each node needs a seed of its own."""
         self._address = address
         self._path = PATH + quote(name, safe="")
@@ -90,8 +91,11 @@
                 logger.warning("catalog: no report: {}", error)
             self._failing = True
             lost = isinstance(error, (TimeoutError, http1.Malformed))
-            return self._cadence.lost(Loss.SILENCE if lost else Loss.AWAY, time.monotonic(),
-                                      error.advised_s if isinstance(error, Troubled) else 0.0)
+            return self._cadence.lost(
+                Loss.SILENCE if lost else Loss.AWAY,
+                time.monotonic(),
+                error.advised_s if isinstance(error, Troubled) else 0.0,
+            )
         self._counters.add("catalog.reports")
         if self._failing:
             logger.info("catalog: it answers again")
@@ -101,8 +105,9 @@
 
     def _put(self) -> None:
         """Send one report; a kept connection that has gone stale is opened anew, once."""
-        body = json.dumps({"status": "passing" if self._healthy() else "critical"},
-                          separators=(",", ":")).encode()
+        body = json.dumps(
+            {"status": "passing" if self._healthy() else "critical"}, separators=(",", ":")
+        ).encode()
         address = self._address
         if address != self._connected:
             self._drop()
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -25,8 +25,12 @@
 MOST_MARKS = 64  # gauges asked for and not answered that are remembered; ten are asked for each second
 LOST_S = 0.06  # a break may take commands along that went out so shortly before: 50 ms, and the way
 RESTART_S = 5.0  # a start later than the known one by this is another start: clocks and pauses blur less
-ENDS = {"ok": io.Outcome.OK, "failed": io.Outcome.ERROR, "halted": io.Outcome.CANCELLED,
-        "void": io.Outcome.MOOT}
+ENDS = {
+    "ok": io.Outcome.OK,
+    "failed": io.Outcome.ERROR,
+    "halted": io.Outcome.CANCELLED,
+    "void": io.Outcome.MOOT,
+}
 
 
 class Unproved:
@@ -96,8 +100,9 @@
     the notices that were missed have come: `sync` is followed by gauges, whose answer comes behind them.
     """
 
-    def __init__(self, address: Address, post: Callable[[Message], None], counters: Counters,
-                 random: Random) -> None:
+    def __init__(
+        self, address: Address, post: Callable[[Message], None], counters: Counters, random: Random
+    ) -> None:
         """`random` spreads the tries to connect, so each node needs a seed of its own."""
         self._random = random
         self._address = address  # where the link is to lead
@@ -115,8 +120,13 @@
         self._closed = False
         self._began = 0.0  # when the runtime started, by the monotonic clock
         self._tells: dict[str, Callable[[dict[str, Any]], None]] = {
-            "ready": self._on_ready, "end": self._on_end, "wants": self._on_wants, "load": self._on_load,
-            "nack": self._on_nack, "info": lambda message: None}
+            "ready": self._on_ready,
+            "end": self._on_end,
+            "wants": self._on_wants,
+            "load": self._on_load,
+            "nack": self._on_nack,
+            "info": lambda message: None,
+        }
 
     def connect(self) -> None:
         """Start to hold the link open."""
@@ -275,8 +285,11 @@
             if not isinstance(serial, int) or self._spoilt != serial:
                 self._spoilt = serial  # it may have been spoilt on its way: the next link brings it again
                 raise lines.Malformed(f"a notice {word} with a bad field: {error!r}") from None
-            self._counters.warn("runtime.spoilt_twice",
-                                "runtime: the notice {} can't be read, its run counts as failed", serial)
+            self._counters.warn(
+                "runtime.spoilt_twice",
+                "runtime: the notice {} can't be read, its run counts as failed",
+                serial,
+            )
             if isinstance(call := message.get("call"), str):
                 self._post(RunOver(call, io.Outcome.ERROR))
         if isinstance(serial, int):
--- a/reelusher/backends/vault.py
+++ b/reelusher/backends/vault.py
@@ -23,8 +23,13 @@
 BACKLOG_BYTES = 1 << 20
 MOST_LINES = 24  # connections at once, each with a descriptor
 MOST_SERVED = 500  # calls that one connection remembers, after which it is replaced
-WORDS = {"yes": io.Outcome.OK, "notnow": io.Outcome.REJECTED, "failed": io.Outcome.ERROR,
-         "overdue": io.Outcome.TIMEOUT, "pointless": io.Outcome.REJECTED}
+WORDS = {
+    "yes": io.Outcome.OK,
+    "notnow": io.Outcome.REJECTED,
+    "failed": io.Outcome.ERROR,
+    "overdue": io.Outcome.TIMEOUT,
+    "pointless": io.Outcome.REJECTED,
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,8 +59,13 @@
 
     def usable(self, wanted: Wanted, address: Address) -> bool:
         """Tell whether an idle connection may carry this call."""
-        return (not self.over and self.address == address and wanted.call not in self.served
-                and len(self.served) < MOST_SERVED and time.monotonic() - self.used < IDLE_S)
+        return (
+            not self.over
+            and self.address == address
+            and wanted.call not in self.served
+            and len(self.served) < MOST_SERVED
+            and time.monotonic() - self.used < IDLE_S
+        )
 
 
 class Vault:
@@ -64,8 +74,14 @@
     The owner sends; each connection has a thread that opens and reads it.
     """
 
-    def __init__(self, address: Address, post: Callable[[Message], None], counters: Counters,
-                 clock: Clock, most_lines: int = MOST_LINES) -> None:
+    def __init__(
+        self,
+        address: Address,
+        post: Callable[[Message], None],
+        counters: Counters,
+        clock: Clock,
+        most_lines: int = MOST_LINES,
+    ) -> None:
         self._address = address
         self._post = post
         self._counters = counters
--- a/reelusher/backends/workers.py
+++ b/reelusher/backends/workers.py
@@ -87,8 +87,12 @@
 
     def usable(self, now: float) -> bool:
         """Tell whether new requests may go here."""
-        return (self.busy < self.config.connections and now >= self.down_until and not self.probed
-                and self.activation != "stopped")
+        return (
+            self.busy < self.config.connections
+            and now >= self.down_until
+            and not self.probed
+            and self.activation != "stopped"
+        )
 
     def open(self) -> Channel:
         """Return a connection that is proved to work, if CPing is on; raise `NotSent` where there is none."""
@@ -145,17 +149,32 @@
     def status(self) -> dict[str, Any]:
         """Return what operators want to know of it."""
         now = time.monotonic()
-        return {"name": self.config.name, "address": f"{self.config.host}:{self.config.port}",
-                "activation": self.activation, "state": "ok" if now >= self.down_until else "error",
-                "factor": self.config.factor, "busy": self.busy, "sent": self.sent, "errors": self.errors}
+        return {
+            "name": self.config.name,
+            "address": f"{self.config.host}:{self.config.port}",
+            "activation": self.activation,
+            "state": "ok" if now >= self.down_until else "error",
+            "factor": self.config.factor,
+            "busy": self.busy,
+            "sent": self.sent,
+            "errors": self.errors,
+        }
 
 
 class Pool:
     """All workers of a node, and the threads that wait for them."""
 
-    def __init__(self, workers: tuple[Worker, ...], balancers: tuple[Balancer, ...], cores: int,
-                 post: Callable[[Message], None], counters: Counters, most_response: int,
-                 connections: Callable[[], int], random: Random) -> None:
+    def __init__(
+        self,
+        workers: tuple[Worker, ...],
+        balancers: tuple[Balancer, ...],
+        cores: int,
+        post: Callable[[Message], None],
+        counters: Counters,
+        most_response: int,
+        connections: Callable[[], int],
+        random: Random,
+    ) -> None:
         """`random` spreads the tries at workers that are away, so each node needs a seed of its own."""
         self.members = {worker.name: Member(worker, Random(random.random())) for worker in workers}
         self.post = post
@@ -169,7 +188,8 @@
         self._runners: dict[str, BalancedRunner] = {}
         for balancer in balancers:
             self._runners[balancer.name] = BalancedRunner(
-                self, [self.members[name] for name in balancer.members], balancer.sticky, balancer.method)
+                self, [self.members[name] for name in balancer.members], balancer.sticky, balancer.method
+            )
         for name, member in self.members.items():
             self._runners[name] = BalancedRunner(self, [member], False, "requests")
 
@@ -187,8 +207,9 @@
             fresh = own or [m for m in usable if m.activation == "active"]
             if not fresh:
                 return None
-            chosen = min(fresh, key=lambda m: ((m.busy / m.config.factor) if method == "busyness" else m.debt,
-                                               m.debt))
+            chosen = min(
+                fresh, key=lambda m: ((m.busy / m.config.factor) if method == "busyness" else m.debt, m.debt)
+            )
             chosen.busy += 1
             chosen.sent += 1
             chosen.probed = chosen.doubted
@@ -218,8 +239,11 @@
     def seen(self) -> dict[str, tuple[float, float]]:
         """Return which workers are away, 1 or 0, and when that was seen."""
         now = time.monotonic()
-        return {f"away:{name}": (float(now < member.down_until), member.seen_s)
-                for name, member in self.members.items() if member.seen_s}
+        return {
+            f"away:{name}": (float(now < member.down_until), member.seen_s)
+            for name, member in self.members.items()
+            if member.seen_s
+        }
 
     def doubt(self, name: str) -> None:
         """Pass a worker by at first that others can't reach, unless something was seen of it here."""
@@ -309,8 +333,9 @@
                 member.failed()
                 self._pool.release(member)
                 self._pool.counters.add("workers.unreachable")
-                logger.warning("workers: {} can't be reached, nothing was sent: {}", member.config.name,
-                               error)
+                logger.warning(
+                    "workers: {} can't be reached, nothing was sent: {}", member.config.name, error
+                )
                 continue
             member.reached()
             try:
@@ -320,28 +345,35 @@
         self._pool.counters.add("workers.none_left")
         return Outcome.MOOT, None
 
-    def _exchange(self, member: Member, channel: Channel, forward: ajp13.Forward, request: Request
-                  ) -> tuple[Outcome, Result | None]:
+    def _exchange(
+        self, member: Member, channel: Channel, forward: ajp13.Forward, request: Request
+    ) -> tuple[Outcome, Result | None]:
         """Send the request and read the response. From here on it may have run."""
         self._open[request.call] = channel
         reuse = False
         try:
             channel.sock.settimeout(member.config.reply_timeout_ms / 1000)
-            result, reuse = _converse(channel, member.config.secret, forward, request.body,
-                                      self._pool.most_response)
+            result, reuse = _converse(
+                channel, member.config.secret, forward, request.body, self._pool.most_response
+            )
             return Outcome.OK, result
         except (OSError, ajp13.Malformed, ValueError) as error:
             member.errors += 1
             self._pool.counters.add("workers.broken")
-            logger.warning("workers: {} broke under request {}, which may have run: {}",
-                           member.config.name, request.call, error)
+            logger.warning(
+                "workers: {} broke under request {}, which may have run: {}",
+                member.config.name,
+                request.call,
+                error,
+            )
             return Outcome.ERROR, None
         finally:
             member.give_back(channel, reuse)
 
 
-def _converse(channel: Channel, secret: str, forward: ajp13.Forward, body: bytes, most: int
-              ) -> tuple[Result, bool]:
+def _converse(
+    channel: Channel, secret: str, forward: ajp13.Forward, body: bytes, most: int
+) -> tuple[Result, bool]:
     """Carry one request and its response; also tell whether the connection may be used again."""
     if secret:
         forward.attributes["secret"] = secret
@@ -353,7 +385,7 @@
     while True:
         match channel.reply():
             case ajp13.BodyWanted(size):
-                data = body[at:at + min(size, piece)]
+                data = body[at : at + min(size, piece)]
                 at += len(data)
                 channel.sock.sendall(ajp13.write_body(data))
             case ajp13.ResponseHead() as read if read.status >= 200:
@@ -365,8 +397,9 @@
             case ajp13.ResponseEnd(reuse):
                 if head is None:
                     raise ajp13.Malformed("an end without a head")
-                headers = tuple((name, value) for name, value in head.headers
-                                if name.lower() not in HOP_BY_HOP)
+                headers = tuple(
+                    (name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP
+                )
                 return Result(bytes(made), head.status, headers), reuse
             case _:
                 pass
@@ -377,14 +410,26 @@
     came = request.head
     if not isinstance(came, ajp13.Forward):
         came = ajp13.Forward("POST", f"/{class_name}", headers=[("content-type", "application/octet-stream")])
-    headers = [(name, value) for name, value in came.headers
-               if name not in HOP_BY_HOP and name != "content-length"]
+    headers = [
+        (name, value) for name, value in came.headers if name not in HOP_BY_HOP and name != "content-length"
+    ]
     if request.body or came.header("content-length") is not None:
         headers.append(("content-length", str(len(request.body))))
     attributes = {name: value for name, value in came.attributes.items() if name != "secret"}
-    return ajp13.Forward(came.method, came.uri, came.protocol, came.remote_addr, came.remote_host,
-                         came.server_name, came.server_port, came.is_ssl, headers, attributes,
-                         list(came.named), came.ssl_key_size)
+    return ajp13.Forward(
+        came.method,
+        came.uri,
+        came.protocol,
+        came.remote_addr,
+        came.remote_host,
+        came.server_name,
+        came.server_port,
+        came.is_ssl,
+        headers,
+        attributes,
+        list(came.named),
+        came.ssl_key_size,
+    )
 
 
 def _route_of(forward: ajp13.Forward) -> str:
@@ -394,5 +439,3 @@
         if found:
             return found.group(1)
     return ""
-
-
--- a/reelusher/benchlink.py
+++ b/reelusher/benchlink.py
@@ -37,8 +37,14 @@
 SIGNAL = struct.Struct("<BIf15x")
 
 OUTCOMES = {
-    100: io.Outcome.OK, 301: io.Outcome.ERROR, 302: io.Outcome.REJECTED, 303: io.Outcome.TIMEOUT,
-    304: io.Outcome.UNREACHABLE, 305: io.Outcome.CUT_OFF, 306: io.Outcome.CANCELLED, 307: io.Outcome.MOOT,
+    100: io.Outcome.OK,
+    301: io.Outcome.ERROR,
+    302: io.Outcome.REJECTED,
+    303: io.Outcome.TIMEOUT,
+    304: io.Outcome.UNREACHABLE,
+    305: io.Outcome.CUT_OFF,
+    306: io.Outcome.CANCELLED,
+    307: io.Outcome.MOOT,
 }
 SIMPLE = {io.Run: 3, io.Pause: 12, io.Skip: 4, io.Fail: 2, io.Join: 14, io.Forget: 6}
 
@@ -73,7 +79,7 @@
                     raise Malformed(f"{where}: settings reach past the end of the frame")
                 events[instance] = []
                 try:
-                    settings, names = settings_of(body[tail + offset:tail + offset + length])
+                    settings, names = settings_of(body[tail + offset : tail + offset + length])
                     self.controllers[instance], self.gauges[instance] = Controller(settings, seed), names
                 except (Missing, ValueError, TypeError, AttributeError) as error:
                     failed[instance] = str(error)
@@ -100,10 +106,22 @@
 
 def read_knock(body: bytes, start: int, _names: list[str]) -> io.Event:
     """Translate a request."""
-    (_, _, ref, kind, tenant, subject, left, hint, held_kb, _rank, bits, caller, waited,
-     original) = KNOCK.unpack_from(body, start)
-    return io.Request(ref, kind, caller, subject, tenant, held_kb, hint if bits & 1 else 0, left, waited,
-                      original, bool(bits & 2))
+    (_, _, ref, kind, tenant, subject, left, hint, held_kb, _rank, bits, caller, waited, original) = (
+        KNOCK.unpack_from(body, start)
+    )
+    return io.Request(
+        ref,
+        kind,
+        caller,
+        subject,
+        tenant,
+        held_kb,
+        hint if bits & 1 else 0,
+        left,
+        waited,
+        original,
+        bool(bits & 2),
+    )
 
 
 def read_done(body: bytes, start: int, _names: list[str]) -> io.Event:
--- a/reelusher/choice.py
+++ b/reelusher/choice.py
@@ -13,9 +13,36 @@
 from typing import Any
 
 from reelusher.interface import (
-    Action, Advise, Call, CallEnded, CallNeeded, CloseIdle, Decline, Drain, Effect, Event, Fail, Forget,
-    Gone, Halt, Health, Join, Keep, Learnt, Outcome, Pause, Request, Run, RunEnded, Say, Settings, Skip,
-    Standing, Tick, Timer)
+    Action,
+    Advise,
+    Call,
+    CallEnded,
+    CallNeeded,
+    CloseIdle,
+    Decline,
+    Drain,
+    Effect,
+    Event,
+    Fail,
+    Forget,
+    Gone,
+    Halt,
+    Health,
+    Join,
+    Keep,
+    Learnt,
+    Outcome,
+    Pause,
+    Request,
+    Run,
+    RunEnded,
+    Say,
+    Settings,
+    Skip,
+    Standing,
+    Tick,
+    Timer,
+)
 
 PERIOD_US = 100_000  # of the one timer: loop, cap, sweep; an answer is at most this late for its margin
 MARGIN_US = 60_000  # answers are given this long, a period and two ticks before they are due
@@ -61,8 +88,18 @@
     """A request that is not over."""
 
     __slots__ = (
-        "request", "kind", "state", "kb", "arrived_us", "aim_us", "due_us", "answered", "ran", "until_us",
-        "asked_again")
+        "request",
+        "kind",
+        "state",
+        "kb",
+        "arrived_us",
+        "aim_us",
+        "due_us",
+        "answered",
+        "ran",
+        "until_us",
+        "asked_again",
+    )
 
     def __init__(self, request: Request, settings: Settings, now: int) -> None:
         self.request = request
@@ -71,8 +108,9 @@
         self.kb = 0.0  # memory that it takes as it stands
         self.arrived_us = now - request.waited_us
         self.aim_us = self.arrived_us + (self.kind.aim_us or self.kind.deadline_us)
-        self.due_us = max(now, now + request.left_us if request.left_us
-                          else self.arrived_us + self.kind.deadline_us)
+        self.due_us = max(
+            now, now + request.left_us if request.left_us else self.arrived_us + self.kind.deadline_us
+        )
         self.answered = self.ran = False
         self.asked_again = 0  # calls made again since they never ran
         self.until_us = 0  # at a call: not made before then; calling: given up then
@@ -121,9 +159,15 @@
         self.stop_us = self.grace_us = NEVER  # draining: the stop, and the last arrival that may run
         self.retune(settings, range(len(settings.classes)))
         self.react: dict[type, Callable[[Any], None]] = {
-            Request: self._arrive, Gone: self._gone, CallNeeded: self._stand_at_call,
-            CallEnded: self._call_ended, RunEnded: self._run_ended, Drain: self._drain, Tick: self._period,
-            Learnt: self._learn}
+            Request: self._arrive,
+            Gone: self._gone,
+            CallNeeded: self._stand_at_call,
+            CallEnded: self._call_ended,
+            RunEnded: self._run_ended,
+            Drain: self._drain,
+            Tick: self._period,
+            Learnt: self._learn,
+        }
 
     def retune(self, settings: Settings, current: Collection[int]) -> None:
         """Go by these settings from now on. Classes keep their numbers; those not `current` come no more."""
@@ -160,8 +204,10 @@
         """Run the loop once, then sweep. Readings that are no numbers are left out."""
         gauges = event.gauges
         self.out.append(Timer(PERIOD_US, 0))
-        busy, runnable, connections = (x if x is not None and math.isfinite(x) else None
-                                       for x in (gauges.busy, gauges.runnable, gauges.connections))
+        busy, runnable, connections = (
+            x if x is not None and math.isfinite(x) else None
+            for x in (gauges.busy, gauges.runnable, gauges.connections)
+        )
         if busy is not None:
             self._steer(min(max(busy, 0.0), 1.0))
         if runnable is not None:
@@ -175,7 +221,7 @@
             self._set_idle(connections)
         if len(self.last_heard) > CALLERS_MOST:  # callers come and go: the longest unheard half is forgotten
             order = sorted(self.last_heard.items(), key=lambda item: item[1])
-            self.last_heard = dict(order[CALLERS_MOST // 2:])
+            self.last_heard = dict(order[CALLERS_MOST // 2 :])
         self.kept = {key: end for key, end in self.kept.items() if end > self.now}
         if self.standing:
             self.standing.period(self.now)
@@ -261,8 +307,9 @@
             self.room, callers = min(self.room, self._crowd()), max(callers, self.settings.callers)
         if say is not Say.NONE:
             part = self.room / most
-            self.out.append(Advise(self.room / callers if say is Say.TOKENS
-                                   else part if say is Say.BIAS else 1 - part))
+            self.out.append(
+                Advise(self.room / callers if say is Say.TOKENS else part if say is Say.BIAS else 1 - part)
+            )
 
     def _set_idle(self, connections: float) -> None:
         """Keep the table from filling, which turns callers away. Harm: who comes back pays a handshake."""
@@ -337,8 +384,11 @@
                 self.out.append(Forget(work.request.id))
                 if self.standing:
                     self.standing.forgets(work.request.id, self.settings.entry_kb)
-        elif (work.state is State.RUNNING and self.settings.halt is not Halt.NONE
-                and work.kind.effect is Effect.SAFE):
+        elif (
+            work.state is State.RUNNING
+            and self.settings.halt is not Halt.NONE
+            and work.kind.effect is Effect.SAFE
+        ):
             self.out.append(Pause(work.request.id))
 
     def _gone(self, event: Gone) -> None:
@@ -487,8 +537,11 @@
         for work in waiting:
             if work.until_us > self.now:
                 continue
-            longest = min(spare, max(CALL_MOST * self.call_us, CALL_PART * spare),
-                          work.due_us - self.margin_us - self.now)
+            longest = min(
+                spare,
+                max(CALL_MOST * self.call_us, CALL_PART * spare),
+                work.due_us - self.margin_us - self.now,
+            )
             if self.debt <= ahead and longest > CALL_TIMES * self.call_us:
                 spare -= int(longest) + self.settings.linger_us
                 work.until_us = self.now + int(longest)
--- a/reelusher/config/load.py
+++ b/reelusher/config/load.py
@@ -31,15 +31,34 @@
     if own and own.replication and not own.fleet and own.replication.control != (name,):
         raise ConfigError("replication.control", f"without [fleet] it can name this node only, {name}")
     if told is not None:
-        return Config(told, own, told.name, told.seed, told.stop_ms, told.limits.memory_mb,
-                      told.limits.sockets, told.settings,
-                      told.gauges, told.class_names)
+        return Config(
+            told,
+            own,
+            told.name,
+            told.seed,
+            told.stop_ms,
+            told.limits.memory_mb,
+            told.limits.sockets,
+            told.settings,
+            told.gauges,
+            told.class_names,
+        )
     if own is None:
         raise ConfigError("PROXY_CONFIG", "not set, and neither is REELUSHER_OPERATOR: one of them is needed")
     if own.settings is None:
         raise ConfigError("classes", "at least one is needed where no platform tells them")
-    return Config(None, own, own.name, own.seed, own.stop_ms, own.memory_mb, own.sockets, own.settings,
-                  operator.GAUGES, list(own.class_names))
+    return Config(
+        None,
+        own,
+        own.name,
+        own.seed,
+        own.stop_ms,
+        own.memory_mb,
+        own.sockets,
+        own.settings,
+        operator.GAUGES,
+        list(own.class_names),
+    )
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
--- a/reelusher/config/operator.py
+++ b/reelusher/config/operator.py
@@ -46,8 +46,9 @@
 
     def to_json(self) -> dict[str, Any]:
         """Return what differs from the standard share."""
-        made = {key: value for key in SHARE_KEYS
-                if (value := getattr(self, key)) != getattr(STANDARD_SHARE, key)}
+        made = {
+            key: value for key in SHARE_KEYS if (value := getattr(self, key)) != getattr(STANDARD_SHARE, key)
+        }
         return made | ({"classes": dict(self.classes)} if self.classes else {})
 
 
@@ -198,16 +199,26 @@
 
 
 def _read_ajp(table: Table) -> Ajp:
-    table.only("listen", "secret", "packet_size", "max_body_kb", "max_response_kb", "max_connections",
-               "idle_ms", "allowed_attributes")
+    table.only(
+        "listen",
+        "secret",
+        "packet_size",
+        "max_body_kb",
+        "max_response_kb",
+        "max_connections",
+        "idle_ms",
+        "allowed_attributes",
+    )
     made = Ajp(
-        listen=table.address("listen"), secret=table.text("secret", " ").strip(),
+        listen=table.address("listen"),
+        secret=table.text("secret", " ").strip(),
         packet_size=table.whole("packet_size", DEFAULT_PACKET, DEFAULT_PACKET, MOST_PACKET),
         max_body_kb=table.whole("max_body_kb", 64, 1, 65536),
         max_response_kb=table.whole("max_response_kb", 1024, 1, 65536),
         max_connections=table.whole("max_connections", 400, 1, 10_000),
         idle_ms=table.whole("idle_ms", 60_000, 100),
-        allowed_attributes=KNOWN_NAMES | set(table.texts("allowed_attributes", ())))
+        allowed_attributes=KNOWN_NAMES | set(table.texts("allowed_attributes", ())),
+    )
     if not made.secret and not is_loopback(made.listen[0]):
         raise ConfigError(table.path("secret"), "required when listening beyond loopback")
     return made
@@ -218,9 +229,14 @@
     old = table.text("state_file", " ").strip()
     tokens = tuple(map(_read_token, table.tables("tokens")))
     _distinct(table.path("tokens"), [token.name for token in tokens])
-    made = Admin(table.address("listen"), table.text("token", "" if tokens else None), tokens, old,
-                 table.flag("durable_keys", False),
-                 table.text("state_dir", old + ".d" if old else " ").strip())
+    made = Admin(
+        table.address("listen"),
+        table.text("token", "" if tokens else None),
+        tokens,
+        old,
+        table.flag("durable_keys", False),
+        table.text("state_dir", old + ".d" if old else " ").strip(),
+    )
     if made.durable_keys and not made.state_dir:
         raise ConfigError(table.path("durable_keys"), "state_dir is needed for them")
     if not is_loopback(made.listen[0]):
@@ -233,14 +249,18 @@
 def _read_fleet(table: Table) -> Fleet:
     table.only("name", "listen", "advertise", "seeds", "zone", "region", "secret_file")
     listen = _ip(table.address("listen"), table.path("listen"))
-    labels = [table.text(key, default).strip() for key, default in
-              (("name", "reelusher"), ("zone", " "), ("region", " "))]
+    labels = [
+        table.text(key, default).strip()
+        for key, default in (("name", "reelusher"), ("zone", " "), ("region", " "))
+    ]
     for key, label in zip(("name", "zone", "region"), labels, strict=True):
         if len(label) > LONGEST_LABEL:
             raise ConfigError(table.path(key), f"at most {LONGEST_LABEL} characters are wanted")
     advertise = _ip(table.address("advertise"), table.path("advertise")) if "advertise" in table else listen
-    seeds = tuple(_ip(address_of(seed, f"{table.path('seeds')}[{place}]"), f"{table.path('seeds')}[{place}]")
-                  for place, seed in enumerate(table.texts("seeds", ())))
+    seeds = tuple(
+        _ip(address_of(seed, f"{table.path('seeds')}[{place}]"), f"{table.path('seeds')}[{place}]")
+        for place, seed in enumerate(table.texts("seeds", ()))
+    )
     return Fleet(labels[0], listen, advertise, seeds, labels[1], labels[2], table.text("secret_file"))
 
 
@@ -251,8 +271,10 @@
         raise ConfigError(table.path("control"), f"1 to {MOST_CONTROL} names are wanted")
     for place, name in enumerate(made.control):
         if len(name) > LONGEST_LABEL or "/" in name:  # it stands in paths of the administration API
-            raise ConfigError(f"{table.path('control')}[{place}]",
-                              f"a member's name of at most {LONGEST_LABEL} characters is wanted, without /")
+            raise ConfigError(
+                f"{table.path('control')}[{place}]",
+                f"a member's name of at most {LONGEST_LABEL} characters is wanted, without /",
+            )
     _distinct(table.path("control"), list(made.control))
     return made
 
@@ -287,65 +309,117 @@
 
 
 def _read_worker(table: Table) -> Worker:
-    table.only("name", "host", "port", "secret", "route", "factor", "connections", "connect_timeout_ms",
-               "cping_timeout_ms", "reply_timeout_ms", "recover_ms", "activation")
+    table.only(
+        "name",
+        "host",
+        "port",
+        "secret",
+        "route",
+        "factor",
+        "connections",
+        "connect_timeout_ms",
+        "cping_timeout_ms",
+        "reply_timeout_ms",
+        "recover_ms",
+        "activation",
+    )
     name = table.text("name")
     if name == RUNTIME:
         raise ConfigError(table.path("name"), f"{RUNTIME} names the platform's runtime")
     return Worker(
-        name=name, host=table.text("host", "127.0.0.1"), port=table.whole("port", 8009, 1, 65535),
-        secret=table.text("secret", " ").strip(), route=table.text("route", name),
-        factor=table.whole("factor", 1, 1, 1000), connections=table.whole("connections", 32, 1, 1000),
+        name=name,
+        host=table.text("host", "127.0.0.1"),
+        port=table.whole("port", 8009, 1, 65535),
+        secret=table.text("secret", " ").strip(),
+        route=table.text("route", name),
+        factor=table.whole("factor", 1, 1, 1000),
+        connections=table.whole("connections", 32, 1, 1000),
         connect_timeout_ms=table.whole("connect_timeout_ms", 1000, 1),
         cping_timeout_ms=table.whole("cping_timeout_ms", 1000),
         reply_timeout_ms=table.whole("reply_timeout_ms", 30_000, 1),
         recover_ms=table.whole("recover_ms", 10_000),
-        activation=table.word("activation", ACTIVATIONS, "active"))
+        activation=table.word("activation", ACTIVATIONS, "active"),
+    )
 
 
 def _read_balancer(table: Table) -> Balancer:
     table.only("name", "members", "sticky", "method")
-    return Balancer(table.text("name"), table.texts("members"), table.flag("sticky", True),
-                    table.word("method", ("requests", "busyness"), "requests"))
+    return Balancer(
+        table.text("name"),
+        table.texts("members"),
+        table.flag("sticky", True),
+        table.word("method", ("requests", "busyness"), "requests"),
+    )
 
 
 def read_tenant(table: Table, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
     """Check one tenant, from the operator's file or the administration API."""
-    table.only("name", "backend", "hosts", "prefix", "key_header", "default_class", "max_open",
-               "held_kb", "routes", "share")
+    table.only(
+        "name",
+        "backend",
+        "hosts",
+        "prefix",
+        "key_header",
+        "default_class",
+        "max_open",
+        "held_kb",
+        "routes",
+        "share",
+    )
     routes = []
     for route in table.tables("routes"):
         route.only("method", "path", "class")
-        routes.append(Route(route.text("method", "*").upper(), _path(route, "path"),
-                            route.word("class", class_names)))
+        routes.append(
+            Route(route.text("method", "*").upper(), _path(route, "path"), route.word("class", class_names))
+        )
     name = table.text("name")
     if len(name) > 64 or not all(char.isalnum() or char in "-_." for char in name):
         raise ConfigError(table.path("name"), "1 to 64 letters, digits, dots, dashes, underlines are wanted")
     return Tenant(
-        name=name, backend=table.word("backend", backends),
-        hosts=tuple(host.lower() for host in table.texts("hosts", ())), prefix=_path(table, "prefix"),
+        name=name,
+        backend=table.word("backend", backends),
+        hosts=tuple(host.lower() for host in table.texts("hosts", ())),
+        prefix=_path(table, "prefix"),
         key_header=table.text("key_header", "X-Request-Key").lower(),
         default_class=table.word("default_class", class_names) if "default_class" in table else "",
         max_open=table.whole("max_open", 0),
-        held_kb=table.number("held_kb", 16.0, 0.0, 1e6), routes=tuple(routes),
-        share=_read_share(table.table("share"), class_names))
+        held_kb=table.number("held_kb", 16.0, 0.0, 1e6),
+        routes=tuple(routes),
+        share=_read_share(table.table("share"), class_names),
+    )
 
 
 def _read_share(table: Table, class_names: tuple[str, ...]) -> ShareOf:
     if table.empty:  # as of most of many tenants
         return STANDARD_SHARE
-    table.only("weight", "guarantee", "ceiling", "burst_ms", "held", "running", "memory_kb", "keys",
-               "connections", "classes")
+    table.only(
+        "weight",
+        "guarantee",
+        "ceiling",
+        "burst_ms",
+        "held",
+        "running",
+        "memory_kb",
+        "keys",
+        "connections",
+        "classes",
+    )
     classes = table.table("classes")
     classes.only(*class_names)
     return ShareOf(
-        weight=table.number("weight", 1.0, 0.001, 1e6), guarantee=table.number("guarantee", 0.0, 0.0, 1.0),
-        ceiling=table.number("ceiling", 1.0, 0.001, 1.0), burst_ms=table.whole("burst_ms", 200, 0, 3_600_000),
-        held=table.whole("held", 0), running=table.whole("running", 0),
-        memory_kb=table.number("memory_kb", 0.0), keys=table.whole("keys", 0),
+        weight=table.number("weight", 1.0, 0.001, 1e6),
+        guarantee=table.number("guarantee", 0.0, 0.0, 1.0),
+        ceiling=table.number("ceiling", 1.0, 0.001, 1.0),
+        burst_ms=table.whole("burst_ms", 200, 0, 3_600_000),
+        held=table.whole("held", 0),
+        running=table.whole("running", 0),
+        memory_kb=table.number("memory_kb", 0.0),
+        keys=table.whole("keys", 0),
         connections=table.whole("connections", 0),
-        classes=tuple((name, classes.number(name, None, 0.001, 1e6)) for name in class_names
-                      if name in classes))
+        classes=tuple(
+            (name, classes.number(name, None, 0.001, 1e6)) for name in class_names if name in classes
+        ),
+    )
 
 
 def _units(part: float) -> int:
@@ -382,29 +456,62 @@
         if names[-1] in names[:-1]:
             raise ConfigError(entry.path("name"), "two classes have this name")
         keyed = effect is io.Effect.KEYED
-        classes.append(io.RequestClass(
-            deadline_us=entry.whole("deadline_ms", least=1) * 1000, aim_us=entry.whole("aim_ms", 0) * 1000,
-            worth=entry.number("worth", 1.0, 0.0, 1e6), late_share=entry.number("late_share", 0.0, 0.0, 1.0),
-            effect=effect, window_us=entry.whole("window_ms", None if keyed else 0, least=int(keyed)) * 1000))
+        classes.append(
+            io.RequestClass(
+                deadline_us=entry.whole("deadline_ms", least=1) * 1000,
+                aim_us=entry.whole("aim_ms", 0) * 1000,
+                worth=entry.number("worth", 1.0, 0.0, 1e6),
+                late_share=entry.number("late_share", 0.0, 0.0, 1.0),
+                effect=effect,
+                window_us=entry.whole("window_ms", None if keyed else 0, least=int(keyed)) * 1000,
+            )
+        )
     if not classes:
         return None, ()
     part = table.table("capacity")
-    part.only("cores", "memory_kb", "run_factor", "crowd_per_core", "entry_kb", "drain_grace_ms", "idle_ms",
-              "retry_after_ms")
+    part.only(
+        "cores",
+        "memory_kb",
+        "run_factor",
+        "crowd_per_core",
+        "entry_kb",
+        "drain_grace_ms",
+        "idle_ms",
+        "retry_after_ms",
+    )
     return io.Settings(
-        classes=classes, cores=part.whole("cores", 4, 1, 1024),
-        memory_kb=part.number("memory_kb", 65_536.0, 1), run_factor=part.number("run_factor", 4.0, 1.0),
-        crowd_per_core=part.number("crowd_per_core", 6.0, 1.0), crowd_over_us=2_000_000, cold_from=1.0,
-        cold_us=0, grace_us=part.whole("drain_grace_ms", 2500) * 1000, slack_us=80_000, tick_us=5_000,
-        entry_kb=part.number("entry_kb", 16.0), idle_us=part.whole("idle_ms", 60_000) * 1000,
-        retry_after_us=part.whole("retry_after_ms", 10_000) * 1000), tuple(names)
+        classes=classes,
+        cores=part.whole("cores", 4, 1, 1024),
+        memory_kb=part.number("memory_kb", 65_536.0, 1),
+        run_factor=part.number("run_factor", 4.0, 1.0),
+        crowd_per_core=part.number("crowd_per_core", 6.0, 1.0),
+        crowd_over_us=2_000_000,
+        cold_from=1.0,
+        cold_us=0,
+        grace_us=part.whole("drain_grace_ms", 2500) * 1000,
+        slack_us=80_000,
+        tick_us=5_000,
+        entry_kb=part.number("entry_kb", 16.0),
+        idle_us=part.whole("idle_ms", 60_000) * 1000,
+        retry_after_us=part.whole("retry_after_ms", 10_000) * 1000,
+    ), tuple(names)
 
 
 def parse(value: Any, class_names: tuple[str, ...] = (), has_runtime: bool = False) -> Operator:
     """Check an operator's file. The class names are the platform's, which go before the file's own."""
     table = Table(value)
-    table.only("node", "ajp", "admin", "fleet", "replication", "classes", "capacity", "workers", "balancers",
-               "tenants")
+    table.only(
+        "node",
+        "ajp",
+        "admin",
+        "fleet",
+        "replication",
+        "classes",
+        "capacity",
+        "workers",
+        "balancers",
+        "tenants",
+    )
     node = table.table("node")
     node.only("name", "seed", "stop_ms", "memory_mb", "sockets")
     settings, own_names = _read_settings(table)
@@ -429,15 +536,21 @@
     if replication:
         _alone_in(replication, admin, tenants)
     return Operator(
-        name=node.text("name", "reelusher"), seed=seed_of(node.text("seed", "1"), "node.seed"),
-        stop_ms=node.whole("stop_ms", 10_000, least=100), memory_mb=node.number("memory_mb", 192.0, 16),
+        name=node.text("name", "reelusher"),
+        seed=seed_of(node.text("seed", "1"), "node.seed"),
+        stop_ms=node.whole("stop_ms", 10_000, least=100),
+        memory_mb=node.number("memory_mb", 192.0, 16),
         sockets=node.whole("sockets", 1024, 64, 1 << 20),
         ajp=_read_ajp(table.table("ajp")) if "ajp" in table else None,
         admin=admin,
         fleet=_read_fleet(table.table("fleet")) if "fleet" in table else None,
         replication=replication,
-        workers=workers, balancers=balancers, tenants=tenants, settings=None if class_names else settings,
-        class_names=names)
+        workers=workers,
+        balancers=balancers,
+        tenants=tenants,
+        settings=None if class_names else settings,
+        class_names=names,
+    )
 
 
 def _distinct(key: str, names: list[str]) -> None:
@@ -448,11 +561,15 @@
         seen.add(name)
 
 
-def backend_names(workers: tuple[Worker, ...], balancers: tuple[Balancer, ...],
-                  has_runtime: bool) -> frozenset[str]:
+def backend_names(
+    workers: tuple[Worker, ...], balancers: tuple[Balancer, ...], has_runtime: bool
+) -> frozenset[str]:
     """Return what tenants may name as their backend."""
-    return frozenset({one.name for one in workers} | {one.name for one in balancers}
-                     | ({RUNTIME} if has_runtime else set()))
+    return frozenset(
+        {one.name for one in workers}
+        | {one.name for one in balancers}
+        | ({RUNTIME} if has_runtime else set())
+    )
 
 
 def read(path: str, class_names: tuple[str, ...], has_runtime: bool) -> Operator:
--- a/reelusher/config/platform.py
+++ b/reelusher/config/platform.py
@@ -88,14 +88,24 @@
         runtime=table.address("runtime"),
         directory=table.address("directory") if "directory" in table else None,
         vault=table.address("vault") if "vault" in table else None,
-        operator=address_of(operator, "PROXY_OPERATOR") if operator else
-        table.address("operator") if "operator" in table else None,
+        operator=address_of(operator, "PROXY_OPERATOR")
+        if operator
+        else table.address("operator")
+        if "operator" in table
+        else None,
         seed=seed_of(table.text("seed", "0"), "seed"),
         stop_ms=table.whole("stop_ms", 3000, least=100),
-        limits=Limits(limits.number("cores", 1.0, least=0.01), limits.number("memory_mb", 192.0, least=16),
-                      limits.whole("sockets", 1024, least=32)),
-        settings=settings, gauges=gauges, class_names=names,
-        folder=environ.get("TMPDIR", "") if operator or "operator" in table else "", paths=paths_of(value))
+        limits=Limits(
+            limits.number("cores", 1.0, least=0.01),
+            limits.number("memory_mb", 192.0, least=16),
+            limits.whole("sockets", 1024, least=32),
+        ),
+        settings=settings,
+        gauges=gauges,
+        class_names=names,
+        folder=environ.get("TMPDIR", "") if operator or "operator" in table else "",
+        paths=paths_of(value),
+    )
 
 
 def read(path: str, environ: Mapping[str, str]) -> Platform:
--- a/reelusher/config/table.py
+++ b/reelusher/config/table.py
@@ -67,8 +67,9 @@
             raise self._wrong(key, "one of " + ", ".join(told))
         return value
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0,
-               most: float = float("inf")) -> float:
+    def number(
+        self, key: str, default: float | None = None, least: float = 0.0, most: float = float("inf")
+    ) -> float:
         """Read a number within bounds."""
         if default is not None and key not in self:
             return default
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -21,8 +21,20 @@
 class Attempt:
     """A request in hand."""
 
-    __slots__ = ("id", "request", "runner", "stage", "answered", "ran", "due_us", "ticket", "wanted",
-                 "serial", "since_us", "waits")
+    __slots__ = (
+        "id",
+        "request",
+        "runner",
+        "stage",
+        "answered",
+        "ran",
+        "due_us",
+        "ticket",
+        "wanted",
+        "serial",
+        "since_us",
+        "waits",
+    )
 
     def __init__(self, number: int, request: Request, runner: Runner, due_us: int) -> None:
         self.id = number
--- a/reelusher/core/clock.py
+++ b/reelusher/core/clock.py
@@ -13,8 +13,9 @@
     was stepped. Held flat instead, a step back of an hour stopped every timer for that hour.
     """
 
-    def __init__(self, unix_ns: Callable[[], int] = time.time_ns,
-                 monotonic_ns: Callable[[], int] = time.monotonic_ns) -> None:
+    def __init__(
+        self, unix_ns: Callable[[], int] = time.time_ns, monotonic_ns: Callable[[], int] = time.monotonic_ns
+    ) -> None:
         self._unix_ns, self._monotonic_ns = unix_ns, monotonic_ns
         self._began_ns = unix_ns() - monotonic_ns()
         self._ahead_us = 0
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -57,8 +57,11 @@
     def snapshot(self) -> dict[str, int]:
         """Return all counts, by name."""
         with self._lock:
-            told = {f"tenant.{tenant}.{what}": count for tenant, counts in self._of_tenants.items()
-                    for what, count in counts.items()}
+            told = {
+                f"tenant.{tenant}.{what}": count
+                for tenant, counts in self._of_tenants.items()
+                for what, count in counts.items()
+            }
             return dict(sorted({**self._counts, **told}.items()))
 
     def summary(self) -> dict[str, int]:
@@ -99,8 +102,13 @@
                 del self._often[line]
         for line, often in over:
             if often.left_out:
-                logger.warning("{} more in {:.0f} s like «{}», the last: {}", often.left_out,
-                               now - often.since, line, often.last)
+                logger.warning(
+                    "{} more in {:.0f} s like «{}», the last: {}",
+                    often.left_out,
+                    now - often.since,
+                    line,
+                    often.last,
+                )
 
     def must(self, holds: bool, what: str) -> bool:
         """State what must hold: asserted in debug builds, counted and logged in release builds."""
--- a/reelusher/core/figures.py
+++ b/reelusher/core/figures.py
@@ -50,5 +50,9 @@
     def told(self) -> dict[str, Any]:
         """Return all of it, as operators are told."""
         with self._lock:
-            return {**{word: dict(counts) for word, counts in self._counts.items()},
-                    "forwards": self._forwards, "outstanding": self._taken - self._ended, **self._reloads}
+            return {
+                **{word: dict(counts) for word, counts in self._counts.items()},
+                "forwards": self._forwards,
+                "outstanding": self._taken - self._ended,
+                **self._reloads,
+            }
--- a/reelusher/core/keys.py
+++ b/reelusher/core/keys.py
@@ -124,7 +124,10 @@
 
     def sweep(self, now_us: int, in_hand: Callable[[int], bool]) -> None:
         """Drop entries that no try can meet any more. One whose holder is in hand stays."""
-        old = [e.holder for e in self if e.until_us + self._tail_us < now_us and not e.waiting
-               and not in_hand(e.holder)]
+        old = [
+            e.holder
+            for e in self
+            if e.until_us + self._tail_us < now_us and not e.waiting and not in_hand(e.holder)
+        ]
         for holder in old:
             self.forget(holder)
--- a/reelusher/core/model.py
+++ b/reelusher/core/model.py
@@ -157,8 +157,9 @@
 class KeyKeeper(Protocol):
     """Makes keys durable before what they name is run. Nothing here may block."""
 
-    def keep(self, key: tuple[str, int, str], until_us: int, digest: bytes, done: Callable[[bool], None]
-             ) -> None:
+    def keep(
+        self, key: tuple[str, int, str], until_us: int, digest: bytes, done: Callable[[bool], None]
+    ) -> None:
         """Make a key durable; `done` hears whether it is, from another thread."""
 
     def forget(self, key: tuple[str, int, str]) -> None:
@@ -207,5 +208,6 @@
     done: "Future[Any]" = field(default_factory=Future)
 
 
-Message = (Arrived | Left | RunOver | CallWanted | CallOver | GaugesRead | RunsLost | DrainOrder | KeyKept
-           | Ask)
+Message = (
+    Arrived | Left | RunOver | CallWanted | CallOver | GaugesRead | RunsLost | DrainOrder | KeyKept | Ask
+)
--- a/reelusher/core/owner.py
+++ b/reelusher/core/owner.py
@@ -20,8 +20,27 @@
 from reelusher.core.figures import Figures
 from reelusher.core.keys import Entry, Key, KeyTable
 from reelusher.core.model import (
-    Answer, Arrived, Ask, CallOver, CallWanted, Claim, Dependency, DrainOrder, GaugesRead, KeyClaims,
-    KeyKeeper, KeyKept, Left, Message, Request, Result, Runner, RunOver, RunsLost, Verdict)
+    Answer,
+    Arrived,
+    Ask,
+    CallOver,
+    CallWanted,
+    Claim,
+    Dependency,
+    DrainOrder,
+    GaugesRead,
+    KeyClaims,
+    KeyKeeper,
+    KeyKept,
+    Left,
+    Message,
+    Request,
+    Result,
+    Runner,
+    RunOver,
+    RunsLost,
+    Verdict,
+)
 from reelusher.core.pace import Pace
 from reelusher.core.timers import Timers
 
@@ -61,10 +80,19 @@
 class Core:
     """Queue, clock, timers, attempts and keys round one controller."""
 
-    def __init__(self, settings: io.Settings, gauges: list[str], seed: int, runner: Runner,
-                 dependency: Dependency | None = None, class_names: list[str] | None = None,
-                 clock: Clock | None = None, counters: Counters | None = None,
-                 most_result_bytes: int = 48 << 20, standing: io.Standing | None = None) -> None:
+    def __init__(
+        self,
+        settings: io.Settings,
+        gauges: list[str],
+        seed: int,
+        runner: Runner,
+        dependency: Dependency | None = None,
+        class_names: list[str] | None = None,
+        clock: Clock | None = None,
+        counters: Counters | None = None,
+        most_result_bytes: int = 48 << 20,
+        standing: io.Standing | None = None,
+    ) -> None:
         self.settings = settings
         self.gauges = gauges
         self.class_names = class_names or [str(number) for number in range(len(settings.classes))]
@@ -97,14 +125,32 @@
         self._seen_s: dict[str, float] = {}  # when a run of a class, or a call, last ended well, Unix time
         self._armed = 0  # timers of the module that are set, or wait for their gauges
         self._handlers: dict[type, Callable[[Any], None]] = {
-            Arrived: self._arrived, Left: self._left, RunOver: self._run_over, CallWanted: self._call_wanted,
-            CallOver: self._call_over, GaugesRead: self._gauges_read, RunsLost: self._runs_lost,
-            DrainOrder: self._drain, KeyKept: self._key_kept, Ask: self._ask}
+            Arrived: self._arrived,
+            Left: self._left,
+            RunOver: self._run_over,
+            CallWanted: self._call_wanted,
+            CallOver: self._call_over,
+            GaugesRead: self._gauges_read,
+            RunsLost: self._runs_lost,
+            DrainOrder: self._drain,
+            KeyKept: self._key_kept,
+            Ask: self._ask,
+        }
         self._actions: dict[type, Callable[[Any], None]] = {
-            io.Run: self._do_run, io.Pause: self._do_pause, io.Call: self._do_call, io.Skip: self._do_skip,
-            io.Decline: self._do_decline, io.Fail: self._do_fail, io.Join: self._do_join,
-            io.Keep: self._do_keep, io.Forget: self._do_forget, io.Health: self._do_health,
-            io.Advise: self._do_advise, io.CloseIdle: self._do_close_idle, io.Timer: self._do_timer}
+            io.Run: self._do_run,
+            io.Pause: self._do_pause,
+            io.Call: self._do_call,
+            io.Skip: self._do_skip,
+            io.Decline: self._do_decline,
+            io.Fail: self._do_fail,
+            io.Join: self._do_join,
+            io.Keep: self._do_keep,
+            io.Forget: self._do_forget,
+            io.Health: self._do_health,
+            io.Advise: self._do_advise,
+            io.CloseIdle: self._do_close_idle,
+            io.Timer: self._do_timer,
+        }
 
     # The thread
 
@@ -250,8 +296,12 @@
     def decisions(self) -> dict[str, float]:
         """Return what the module steers by at present; called by the owner."""
         made = self._controller
-        return {"G": round(made.degraded, 3), "cap": made.cap, "refusal": round(made.refusal, 3),
-                "room": round(made.room, 1)}
+        return {
+            "G": round(made.degraded, 3),
+            "cap": made.cap,
+            "refusal": round(made.refusal, 3),
+            "room": round(made.room, 1),
+        }
 
     # What comes in
 
@@ -264,8 +314,9 @@
         self.counters.add("requests.read")
         self.figures.taken()
         if self.attempts.named(request.call):  # two runs under one name could not be told apart
-            self.counters.warn("requests.name_taken", "request refused: its id {} is in hand already",
-                               request.call)
+            self.counters.warn(
+                "requests.name_taken", "request refused: its id {} is in hand already", request.call
+            )
             self._turn_down(request, Verdict.FAILED)
             return
         if self.admits is not None and request.tenant_no and not self.admits(request.tenant_no):
@@ -282,17 +333,29 @@
             self._new_keys.add(key)
             # whoever knows a key but not the body that goes with it is not served what was kept
             if self.keys.other_body(key, request.door_us, digest_of(request)):
-                self.counters.warn("requests.key_taken",
-                                   "request refused: its key came with another body: {}", request.call)
+                self.counters.warn(
+                    "requests.key_taken", "request refused: its key came with another body: {}", request.call
+                )
                 self._turn_down(request, Verdict.FAILED)
                 return
             original = self.keys.original(key, request.door_us)
         due = max(self.now, request.door_us + kind.deadline_us)
         attempt = self.attempts.add(request, self.runner_of(request.tenant), due)
         self._set_guard(attempt)
-        self._events.append(io.Request(
-            attempt.id, request.kind, request.caller, request.subject, request.tenant_no, request.held_kb,
-            request.hint_us, 0, max(0, self.now - request.door_us), original))
+        self._events.append(
+            io.Request(
+                attempt.id,
+                request.kind,
+                request.caller,
+                request.subject,
+                request.tenant_no,
+                request.held_kb,
+                request.hint_us,
+                0,
+                max(0, self.now - request.door_us),
+                original,
+            )
+        )
 
     def _turn_down(self, request: Request, verdict: Verdict) -> None:
         """Answer a request that the module is not to hear of."""
@@ -338,8 +401,11 @@
         if not attempt.answered:
             served = message.outcome is io.Outcome.OK and message.result is not None
             never = message.outcome is io.Outcome.MOOT  # proved never to have started
-            self._give_answer(attempt, Verdict.SERVED if served else Verdict.REFUSED if never
-                              else Verdict.FAILED, message.result if served else None)
+            self._give_answer(
+                attempt,
+                Verdict.SERVED if served else Verdict.REFUSED if never else Verdict.FAILED,
+                message.result if served else None,
+            )
         self.counters.add("runs." + message.outcome.value)
         self._events.append(io.RunEnded(attempt.id, message.outcome, message.took_us))
         self.attempts.drop(attempt)
@@ -434,8 +500,12 @@
 
         def claimed(well: bool) -> None:
             if well and keeper is not None:
-                keeper.keep(entry.key, entry.until_us + ahead_us, entry.digest,
-                            lambda kept: self.post(KeyKept(number, kept)))
+                keeper.keep(
+                    entry.key,
+                    entry.until_us + ahead_us,
+                    entry.digest,
+                    lambda kept: self.post(KeyKept(number, kept)),
+                )
             else:
                 self.post(KeyKept(number, well))
 
@@ -446,9 +516,17 @@
         if self.claims is None:
             claimed(True)
         else:
-            self.claims.keep(Claim(
-                entry.key, request.door_us + ahead_us, entry.until_us + ahead_us, attempt.due_us + ahead_us,
-                entry.digest.hex(), claimed, elsewhere))
+            self.claims.keep(
+                Claim(
+                    entry.key,
+                    request.door_us + ahead_us,
+                    entry.until_us + ahead_us,
+                    attempt.due_us + ahead_us,
+                    entry.digest.hex(),
+                    claimed,
+                    elsewhere,
+                )
+            )
 
     def _start(self, attempt: Attempt) -> None:
         self.counters.add("runs.started")
@@ -544,8 +622,9 @@
     def _do_keep(self, action: io.Keep) -> None:
         attempt = self.attempts.get(action.id)
         if attempt and attempt.request.key:
-            self.keys.keep(self._key(attempt.request), action.id, self.now + action.span_us,
-                           digest_of(attempt.request))
+            self.keys.keep(
+                self._key(attempt.request), action.id, self.now + action.span_us, digest_of(attempt.request)
+            )
 
     def _do_forget(self, action: io.Forget) -> None:
         entry = self.keys.of(action.id)
@@ -591,12 +670,19 @@
 
     # Answers
 
-    def _answer_of(self, verdict: Verdict, result: Result | None = None, away_us: int = 0,
-                   no_retry: bool = False) -> Answer:
+    def _answer_of(
+        self, verdict: Verdict, result: Result | None = None, away_us: int = 0, no_retry: bool = False
+    ) -> Answer:
         return Answer(verdict, result, away_us, no_retry, self.told.feedback)
 
-    def _give_answer(self, attempt: Attempt, verdict: Verdict, result: Result | None = None, away_us: int = 0,
-                     no_retry: bool = False) -> None:
+    def _give_answer(
+        self,
+        attempt: Attempt,
+        verdict: Verdict,
+        result: Result | None = None,
+        away_us: int = 0,
+        no_retry: bool = False,
+    ) -> None:
         """Give the one final answer."""
         if not self.counters.must(not attempt.answered, "one answer a request"):
             return
@@ -672,8 +758,9 @@
         self._settle(attempt)
 
     def _guard(self, attempt: Attempt) -> None:
-        self.counters.warn("answers.by_guard", "request {} was due with no answer: answered as failed",
-                           attempt.request.call)
+        self.counters.warn(
+            "answers.by_guard", "request {} was due with no answer: answered as failed", attempt.request.call
+        )
         self._end_now(attempt, Verdict.FAILED)
 
     def _sweep_keys(self) -> None:
--- a/reelusher/drain/ending.py
+++ b/reelusher/drain/ending.py
@@ -66,8 +66,12 @@
     """Return what is owed on several connections together."""
     total = Facts(0, 0, 0)
     for one in facts:
-        total = replace(total, open=total.open + one.open, backlog=total.backlog + one.backlog,
-                        unread=total.unread + one.unread)
+        total = replace(
+            total,
+            open=total.open + one.open,
+            backlog=total.backlog + one.backlog,
+            unread=total.unread + one.unread,
+        )
     return total
 
 
--- a/reelusher/drain/leave.py
+++ b/reelusher/drain/leave.py
@@ -23,8 +23,14 @@
         """Count the connections."""
 
 
-def lead(fronts: Collection[Drained], order: Callable[[float, float], None], late: Callable[[], float],
-         signal_s: float, span_s: float, grace_s: float) -> Stages:
+def lead(
+    fronts: Collection[Drained],
+    order: Callable[[float, float], None],
+    late: Callable[[], float],
+    signal_s: float,
+    span_s: float,
+    grace_s: float,
+) -> Stages:
     """Drain from a signal at `signal_s` by the monotonic clock; return the plan that was gone by.
 
     The owner hears by `order(left, since)`: how many seconds are left until its stop, and how many have
--- a/reelusher/drain/plan.py
+++ b/reelusher/drain/plan.py
@@ -48,14 +48,27 @@
 
     def over_at(self, now_s: float) -> "Stages":
         """Return the plan where nothing is owed any more: all connections are shut now."""
-        return Stages(self.signal_s, min(self.tell_s, now_s), now_s, now_s, now_s,
-                      min(self.leave_s, now_s + SHUT_S), self.stop_s)
+        return Stages(
+            self.signal_s,
+            min(self.tell_s, now_s),
+            now_s,
+            now_s,
+            now_s,
+            min(self.leave_s, now_s + SHUT_S),
+            self.stop_s,
+        )
 
     def no_later_than(self, other: "Stages") -> "Stages":
         """Return the earlier of each: what was brought forward stays there, since callers act on it."""
-        return Stages(self.signal_s, min(self.tell_s, other.tell_s), min(self.refuse_s, other.refuse_s),
-                      min(self.answer_s, other.answer_s), min(self.shut_s, other.shut_s),
-                      min(self.leave_s, other.leave_s), self.stop_s)
+        return Stages(
+            self.signal_s,
+            min(self.tell_s, other.tell_s),
+            min(self.refuse_s, other.refuse_s),
+            min(self.answer_s, other.answer_s),
+            min(self.shut_s, other.shut_s),
+            min(self.leave_s, other.leave_s),
+            self.stop_s,
+        )
 
 
 def stages(signal_s: float, span_s: float, grace_s: float, late_s: float) -> Stages:
@@ -67,8 +80,9 @@
     room = TELL_PART * span_s - (LEAVE_S + SHUT_S + ANSWER_S + REFUSE_S)
     late = max(0.0, min(late_s, LAG_MOST_PART * span_s, room / 3))
     shrink = min(1.0, 1 + room / (TELL_PART * span_s - room))
-    leave, shut, answer, refuse = (part * shrink for part in (
-        LEAVE_S + late, SHUT_S + late, ANSWER_S, REFUSE_S + late))
+    leave, shut, answer, refuse = (
+        part * shrink for part in (LEAVE_S + late, SHUT_S + late, ANSWER_S, REFUSE_S + late)
+    )
     stop_s = signal_s + span_s
     leave_s = stop_s - leave
     shut_s = leave_s - shut
@@ -105,8 +119,12 @@
     owed = facts.open or facts.backlog
     if step is Step.SERVED and now_s >= plan.tell_s:
         return Step.TOLD
-    if step is Step.TOLD and now_s >= plan.shut_s and not facts.unread and (
-            not owed or now_s >= plan.leave_s):
+    if (
+        step is Step.TOLD
+        and now_s >= plan.shut_s
+        and not facts.unread
+        and (not owed or now_s >= plan.leave_s)
+    ):
         return Step.SHUT
     if step is Step.SHUT and now_s >= plan.leave_s:
         return Step.ENDED
--- a/reelusher/drain/signals.py
+++ b/reelusher/drain/signals.py
@@ -28,8 +28,12 @@
     Make it before other threads start, so that they inherit what it blocks.
     """
 
-    def __init__(self, wanted: Collection[signal.Signals], clock: Callable[[], float] = time.monotonic,
-                 pending: Callable[[], Collection[signal.Signals]] = signal.sigpending) -> None:
+    def __init__(
+        self,
+        wanted: Collection[signal.Signals],
+        clock: Callable[[], float] = time.monotonic,
+        pending: Callable[[], Collection[signal.Signals]] = signal.sigpending,
+    ) -> None:
         self._wanted = frozenset(wanted)
         self._clock = clock
         self._pending = pending
--- a/reelusher/fleet/learning/facts.py
+++ b/reelusher/fleet/learning/facts.py
@@ -17,8 +17,10 @@
 
 def donors(own: str, members: Iterable[str], count: int = DONORS) -> list[str]:
     """Return whom a node asks, by rendezvous hashing: many that start together ask different ones."""
+
     def rank(member: str) -> bytes:
         return blake2b(f"{own} {member}".encode(), digest_size=8).digest()
+
     return sorted(members, key=rank, reverse=True)[:count]
 
 
@@ -55,5 +57,8 @@
             weight = trust(fact, now_s)
             if weight > 0:
                 found.setdefault(about, []).append((fact.value, weight))
-    return {about: median(values) for about, values in found.items()
-            if sum(weight for _, weight in values) >= LEAST_TRUST}
+    return {
+        about: median(values)
+        for about, values in found.items()
+        if sum(weight for _, weight in values) >= LEAST_TRUST
+    }
--- a/reelusher/fleet/learning/learner.py
+++ b/reelusher/fleet/learning/learner.py
@@ -21,8 +21,13 @@
 class Learner:
     """What one node learns at its start."""
 
-    def __init__(self, members: Membership, random: Random, counters: Counters,
-                 take: Callable[[dict[str, float]], None]) -> None:
+    def __init__(
+        self,
+        members: Membership,
+        random: Random,
+        counters: Counters,
+        take: Callable[[dict[str, float]], None],
+    ) -> None:
         """`take` is told what is believed, by what it is about, in a thread of this one's."""
         self._members, self._random, self._counters, self._take = members, random, counters, take
         self._stop = threading.Event()
--- a/reelusher/fleet/membership/messages.py
+++ b/reelusher/fleet/membership/messages.py
@@ -138,8 +138,11 @@
 
 def update_size(said: Update) -> int:
     """Return the most bytes that a piece of news takes on the wire."""
-    return 2 + number_size(said.incarnation) + sum(map(text_size, (
-        said.place, said.name, said.zone, said.region, said.accuser)))
+    return (
+        2
+        + number_size(said.incarnation)
+        + sum(map(text_size, (said.place, said.name, said.zone, said.region, said.accuser)))
+    )
 
 
 class Refused(Exception):
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -18,8 +18,23 @@
 from reelusher.config.table import Address, ConfigError, address_of
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import (
-    BUCKETS, LEAST_SECRET, MOST_DATAGRAM, MOST_STATE, BucketsRequest, DigestReply, DigestRequest, FactsReply,
-    FactsRequest, Message, Refused, Seal, State, StateReply, StateRequest, Update)
+    BUCKETS,
+    LEAST_SECRET,
+    MOST_DATAGRAM,
+    MOST_STATE,
+    BucketsRequest,
+    DigestReply,
+    DigestRequest,
+    FactsReply,
+    FactsRequest,
+    Message,
+    Refused,
+    Seal,
+    State,
+    StateReply,
+    StateRequest,
+    Update,
+)
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.membership.table import Change
 from reelusher.net import Listener, connect, spawn
@@ -105,8 +120,11 @@
         self.facts: Callable[[], FactsReply] = lambda: FactsReply(False, [])  # what this node has seen
         # Who answers which kind of request, by a thread of its own each; set before `start`. None: no answer.
         self.serve: dict[type, Callable[[Any], Any]] = {
-            StateRequest: self._state_for, DigestRequest: self._digests_for,
-            BucketsRequest: self._buckets_for, FactsRequest: lambda asked: self.facts()}
+            StateRequest: self._state_for,
+            DigestRequest: self._digests_for,
+            BucketsRequest: self._buckets_for,
+            FactsRequest: lambda asked: self.facts(),
+        }
 
     def _bound(self, address: Address) -> tuple[socket.socket, Listener]:
         """Take an address for datagrams and connections; of port 0, one that is free for both."""
@@ -114,8 +132,9 @@
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
                 sock.bind(address)
-                return sock, Listener("fleet", sock.getsockname(), self._counters, self._serve,
-                                      most=MOST_ASKERS)
+                return sock, Listener(
+                    "fleet", sock.getsockname(), self._counters, self._serve, most=MOST_ASKERS
+                )
             except OSError:
                 sock.close()
                 if not left:
@@ -156,9 +175,13 @@
             members = [_told(member.said, now - member.since_s) for member in swim.table.members.values()]
             own, health, size, joined = swim.own, swim.health, swim.size(), self.joined
             namesakes = self._namesakes()
-        return {"fleet": self._config.name, "own": _told(own, None) | {"health": health, "joined": joined},
-                "live": size, "namesakes": namesakes,
-                "members": sorted(members, key=lambda member: (member["name"], member["address"]))}
+        return {
+            "fleet": self._config.name,
+            "own": _told(own, None) | {"health": health, "joined": joined},
+            "live": size,
+            "namesakes": namesakes,
+            "members": sorted(members, key=lambda member: (member["name"], member["address"])),
+        }
 
     def ride(self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]) -> None:
         """Have each datagram carry what `vector` returns; tell `heard` the sender, its vector and the time.
@@ -181,8 +204,7 @@
         now = time.monotonic()
         with self._lock:
             found = [place for place, member in self._swim.table.members.items() if member.said.name == name]
-            if name == self._swim.own.name or any(
-                    self._swim.table.members[place].here for place in found):
+            if name == self._swim.own.name or any(self._swim.table.members[place].here for place in found):
                 return False
             all_said = [self._swim.forget(place, now) for place in found]
         for said in all_said:
@@ -272,14 +294,18 @@
         more = sum(changes.values()) - len(names)
         logger.info("fleet: {} live; {}{}", size, ", ".join(names), f" and {more} more" if more > 0 else "")
         for name, places in namesakes.items():
-            self._counters.warn("fleet.namesakes", "fleet: two live members have one name, {}: {}", name,
-                                ", ".join(places))
+            self._counters.warn(
+                "fleet.namesakes", "fleet: two live members have one name, {}: {}", name, ", ".join(places)
+            )
 
     def _namesakes(self) -> dict[str, list[str]]:
         found, own = self._swim.table.namesakes(), self._swim.own
         if own.state is State.ALIVE:
-            others = [place for place, member in self._swim.table.members.items()
-                      if member.here and member.said.name == own.name]
+            others = [
+                place
+                for place, member in self._swim.table.members.items()
+                if member.here and member.said.name == own.name
+            ]
             if others:
                 found[own.name] = sorted([own.place, *others])
         return found
@@ -317,8 +343,11 @@
         with self._lock:
             said = self._swim.merge(asked.updates, now)
             gives = self._states.take(now)
-            reply = StateReply(known()) if gives else StateReply(
-                [self._swim.own], self._swim.table.some(INSTEAD, asked.sender))
+            reply = (
+                StateReply(known())
+                if gives
+                else StateReply([self._swim.own], self._swim.table.some(INSTEAD, asked.sender))
+            )
         self._counters.add("fleet.states_given" if gives else "fleet.states_denied")
         self._carry_out(said)
         return reply
@@ -435,8 +464,14 @@
 
 
 def _told(said: Update, since_s: float | None) -> dict[str, Any]:
-    told = {"name": said.name, "address": said.place, "zone": said.zone, "region": said.region,
-            "incarnation": said.incarnation, "state": said.state.name.lower()}
+    told = {
+        "name": said.name,
+        "address": said.place,
+        "zone": said.zone,
+        "region": said.region,
+        "incarnation": said.incarnation,
+        "state": said.state.name.lower(),
+    }
     return told if since_s is None else told | {"since_s": round(since_s, 1)}
 
 
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -14,8 +14,7 @@
 
 from msgspec.structs import replace
 
-from reelusher.fleet.membership.messages import (
-    Kind, Message, State, Update, number_size, update_size)
+from reelusher.fleet.membership.messages import Kind, Message, State, Update, number_size, update_size
 from reelusher.fleet.membership.table import Change, Table, bucket_of, mark_of
 
 PERIOD_S = 0.4  # between probes of one node; each member is probed by someone about that often
@@ -180,8 +179,11 @@
 
     def differing(self, digests: list[int]) -> list[int]:
         """Return the buckets in which the other knows something else."""
-        return [bucket for bucket, (own, other) in enumerate(zip(self.digests(), digests, strict=True))
-                if own != other]
+        return [
+            bucket
+            for bucket, (own, other) in enumerate(zip(self.digests(), digests, strict=True))
+            if own != other
+        ]
 
     def in_buckets(self, buckets: Iterable[int]) -> list[Update]:
         """Return all that is known of the members in these buckets, the gone among them."""
@@ -362,8 +364,11 @@
     def _confirm(self, place: str, now: float) -> None:
         """Join a suspicion of one that has not answered here either; it begins none by itself."""
         member = self.table.members.get(place)
-        if member is not None and member.said.state is State.SUSPECT and (
-                now - self._unheard.get(place, -inf) < UNHEARD_S and self.own.place not in member.accusers):
+        if (
+            member is not None
+            and member.said.state is State.SUSPECT
+            and (now - self._unheard.get(place, -inf) < UNHEARD_S and self.own.place not in member.accusers)
+        ):
             self._learn(replace(member.said, accuser=self.own.place), now)
 
     def _reconnect(self) -> None:
@@ -382,8 +387,9 @@
     def _spread(self, said: Update) -> None:
         news = self._news[said.place] = News(said, update_size(said))
         if len(self._least_told) > 2 * len(self._news) + MOST_NEWS:
-            self._least_told = [one for one in self._least_told
-                                if self._news.get(one[2].said.place) is one[2]]
+            self._least_told = [
+                one for one in self._least_told if self._news.get(one[2].said.place) is one[2]
+            ]
             heapify(self._least_told)
         self._queue(news)
 
@@ -456,9 +462,15 @@
             self._hear_of_self(said, now)
             return
         member = self.table.members.get(said.place)
-        if member is not None and said.state is State.SUSPECT is member.said.state and (
-                said.incarnation == member.said.incarnation and said.accuser not in member.accusers
-                and len(member.accusers) <= CONFIRM):
+        if (
+            member is not None
+            and said.state is State.SUSPECT is member.said.state
+            and (
+                said.incarnation == member.said.incarnation
+                and said.accuser not in member.accusers
+                and len(member.accusers) <= CONFIRM
+            )
+        ):
             self.table.accuse(said.place, said.accuser)  # one more who does not hear from it
             self._set_suspicion(said.place)
             self._spread(said)
@@ -542,8 +554,12 @@
                 self._seq += 1
                 slower = 1 + self.health
                 self._relayed[self._seq] = Relayed(
-                    message.sender, message.target, message.seq, now + DIRECT_S * NACK_PART,
-                    now + PERIOD_S * slower)
+                    message.sender,
+                    message.target,
+                    message.seq,
+                    now + DIRECT_S * NACK_PART,
+                    now + PERIOD_S * slower,
+                )
                 self._send(message.target, Kind.PING, self._seq)
             case Kind.ACK:
                 self._acked(message, now)
@@ -574,8 +590,12 @@
             hearsay = State.ALIVE < said.state < State.LEFT
             if hearsay and member is not None and member.here and said.beats(member.said):
                 self._tells.append(said)
-            elif member is not None and member.said.state is State.DEAD and said.place != self.own.place and (
-                    not said.state and said.incarnation <= member.said.incarnation):
+            elif (
+                member is not None
+                and member.said.state is State.DEAD
+                and said.place != self.own.place
+                and (not said.state and said.incarnation <= member.said.incarnation)
+            ):
                 self._tells.append(member.said)  # live over there, dead here: if it lives, it will say so
             else:
                 self._learn(said, now)
--- a/reelusher/fleet/membership/table.py
+++ b/reelusher/fleet/membership/table.py
@@ -105,8 +105,7 @@
         member = self.members.get(said.place)
         accusers = (said.accuser,) if said.accuser else ()
         if member is None:
-            if len(self.members) >= MOST_MEMBERS and not (
-                    said.state < State.DEAD and self._drop_oldest(1)):
+            if len(self.members) >= MOST_MEMBERS and not (said.state < State.DEAD and self._drop_oldest(1)):
                 self.refused += 1
                 return None
             self._set(None, Member(said, now, accusers))
--- a/reelusher/fleet/replication/census.py
+++ b/reelusher/fleet/replication/census.py
@@ -41,7 +41,8 @@
         self._vectors: dict[str, list[int]] = {}  # of members, by place; equal ones are one list
         self._heard_s: dict[str, float] = {}
         self._made: dict[str, deque[tuple[Position, float]]] = {
-            stream: deque(maxlen=MOST_MADE) for stream in replica.control}
+            stream: deque(maxlen=MOST_MADE) for stream in replica.control
+        }
         self._everywhere: dict[str, Everywhere] = {}
         self._waiting: list[tuple[str, Position, int]] = []
         self._calls = Allowance((CALLS_PER_S, CALLS_PER_S))
@@ -95,16 +96,25 @@
 
     def _held(self) -> list[tuple[str, Position]]:
         states = self._replica.states
-        return [(stream, Position(states[stream].epoch, states[stream].number))
-                for stream in self._replica.control if self._replica.holds(stream, self._own_name)]
+        return [
+            (stream, Position(states[stream].epoch, states[stream].number))
+            for stream in self._replica.control
+            if self._replica.holds(stream, self._own_name)
+        ]
 
     # The service's thread
 
     def wants(self, now: float) -> bool:
         """Tell whether `tick` is wanted now: live members are listed for it."""
-        return bool(self._waiting) or now - self._looked_s >= LOOK_S and any(
-            self._everywhere[stream].position != position if stream in self._everywhere else True
-            for stream, position in self._held() if position.number)
+        return (
+            bool(self._waiting)
+            or now - self._looked_s >= LOOK_S
+            and any(
+                self._everywhere[stream].position != position if stream in self._everywhere else True
+                for stream, position in self._held()
+                if position.number
+            )
+        )
 
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
         """Return the places of members to call now; `live` are all live ones."""
@@ -125,12 +135,12 @@
             for stream, position, wanted in self._waiting:
                 lack = [place for place in places if not self._has(place, stream, position)]
                 lack.sort(key=lambda place: self._called_s.get(place, 0.0))
-                called += lack[:WAIT_CALLS * wanted]
+                called += lack[: WAIT_CALLS * wanted]
             self._called_s = {place: at for place, at in self._called_s.items() if now - at < 60.0}
             for place in behind:
                 behind[place] = max(self._heard_s.get(place, 0.0), self._called_s.get(place, 0.0))
         allowed = self._quick if now < self._quick_until_s else self._calls
-        called += sorted(behind, key=lambda place: behind[place])[:max(0, int(allowed.left(now)))]
+        called += sorted(behind, key=lambda place: behind[place])[: max(0, int(allowed.left(now)))]
         called = list(dict.fromkeys(called))
         allowed.take(len(called))
         self._called_s |= dict.fromkeys(called, now)
@@ -153,19 +163,31 @@
                 lack.sort(key=lambda said: self._heard_s.get(said.place, 0.0))
                 newest = dict(self._made[stream]).get(position)
                 everywhere = self._everywhere.get(stream)
-                made.append({
-                    "stream": stream, "position": f"{position.epoch}.{position.number}",
-                    "members": len(others), "have": len(others) - len(lack),
-                    "made_s": None if newest is None else round(now - newest, 1),
-                    "slowest": [self._slow(said, stream, now) for said in lack[:MOST_SLOWEST]],
-                    "everywhere": None if everywhere is None else {
-                        "position": "{}.{}".format(*everywhere.position),
-                        "since_s": round(now - everywhere.at_s, 1), "took_s": round(everywhere.took_s, 1)}})
+                made.append(
+                    {
+                        "stream": stream,
+                        "position": f"{position.epoch}.{position.number}",
+                        "members": len(others),
+                        "have": len(others) - len(lack),
+                        "made_s": None if newest is None else round(now - newest, 1),
+                        "slowest": [self._slow(said, stream, now) for said in lack[:MOST_SLOWEST]],
+                        "everywhere": None
+                        if everywhere is None
+                        else {
+                            "position": "{}.{}".format(*everywhere.position),
+                            "since_s": round(now - everywhere.at_s, 1),
+                            "took_s": round(everywhere.took_s, 1),
+                        },
+                    }
+                )
         return made
 
     def _slow(self, said: Update, stream: str, now: float) -> dict[str, object]:
         vector, at = self._vectors.get(said.place), self._at[stream]
         heard_s = self._heard_s.get(said.place)
-        return {"name": said.name, "address": said.place,
-                "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
-                "heard_s": None if heard_s is None else round(now - heard_s, 1)}
+        return {
+            "name": said.name,
+            "address": said.place,
+            "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
+            "heard_s": None if heard_s is None else round(now - heard_s, 1),
+        }
--- a/reelusher/fleet/replication/copy.py
+++ b/reelusher/fleet/replication/copy.py
@@ -76,8 +76,10 @@
     at_ms INTEGER, before_state TEXT, before BLOB, after_state TEXT, after BLOB);
 CREATE TABLE keys(id INTEGER PRIMARY KEY, key TEXT NOT NULL UNIQUE, name TEXT NOT NULL);
 """
-ROW = ("rows.name, rows.id, rows.state, rows.tenant, rows.epoch, rows.number, rows.stream,"
-       " coalesce((SELECT reason FROM unreadable WHERE unreadable.name = rows.name), '')")
+ROW = (
+    "rows.name, rows.id, rows.state, rows.tenant, rows.epoch, rows.number, rows.stream,"
+    " coalesce((SELECT reason FROM unreadable WHERE unreadable.name = rows.name), '')"
+)
 
 
 class Damaged(Broken):
@@ -175,9 +177,14 @@
 class LocalCopy:
     """One node's copy."""
 
-    def __init__(self, path: Path, fleet: str, control: Sequence[str],
-                 readable: Callable[[str, bytes], str] = lambda name, tenant: "",
-                 wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000) -> None:
+    def __init__(
+        self,
+        path: Path,
+        fleet: str,
+        control: Sequence[str],
+        readable: Callable[[str, bytes], str] = lambda name, tenant: "",
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
         """Open the copy, or begin one; one that is damaged is put aside first. Raises `Broken`.
 
         `readable` returns "" or why this node can't serve a tenant.
@@ -221,8 +228,9 @@
     # Opening and closing
 
     def _connected(self, cache_kb: int) -> sqlite3.Connection:
-        made = sqlite3.connect(self.path, BUSY_MS / 1000, isolation_level=None, check_same_thread=False,
-                               cached_statements=48)
+        made = sqlite3.connect(
+            self.path, BUSY_MS / 1000, isolation_level=None, check_same_thread=False, cached_statements=48
+        )
         made.execute(f"PRAGMA cache_size = -{cache_kb}")
         made.execute("PRAGMA mmap_size = 0")
         return made
@@ -258,10 +266,18 @@
                 if statement.strip():
                     conn.execute(statement)
             # local numbers go on from the clock: those of a file that was put aside are not used again
-            conn.executemany("INSERT INTO meta VALUES(?, ?)", [
-                ("fleet", self._fleet), ("control", " ".join(self._control)),
-                ("next", self._wall_ms() * 1000), ("count", 0), ("guarantee", 0), ("checked_by", ""),
-                ("checked_upto", "")])
+            conn.executemany(
+                "INSERT INTO meta VALUES(?, ?)",
+                [
+                    ("fleet", self._fleet),
+                    ("control", " ".join(self._control)),
+                    ("next", self._wall_ms() * 1000),
+                    ("count", 0),
+                    ("guarantee", 0),
+                    ("checked_by", ""),
+                    ("checked_upto", ""),
+                ],
+            )
             if lost:
                 for stream in self._control:
                     self._store(conn, stream, StreamState(first_epoch(stream, self._control), lost=True))
@@ -283,8 +299,9 @@
         except (KeyError, TypeError, ValueError) as error:
             raise Damaged(f"{self.path}: totals: {error}") from None
         for stream, state in self._read_states(conn).items():
-            last = conn.execute("SELECT max(number) FROM rows WHERE stream = ?",
-                                (self._ids[stream],)).fetchone()[0]
+            last = conn.execute(
+                "SELECT max(number) FROM rows WHERE stream = ?", (self._ids[stream],)
+            ).fetchone()[0]
             if (last or 0) > max(state.number, state.cursor):
                 raise Damaged(f"{self.path}: a row of {stream} is numbered {last}, past its position")
 
@@ -310,8 +327,11 @@
                     old.rename(self.path.with_name(self.path.name + mark + end))
             self.path.with_name(self.path.name + "-shm").unlink(missing_ok=True)
             self.put_aside.append(self.path.with_name(self.path.name + mark))
-            known = sorted(one for one in self.path.parent.glob(self.path.name + ".damaged-*")
-                           if not one.name.endswith("-wal"))
+            known = sorted(
+                one
+                for one in self.path.parent.glob(self.path.name + ".damaged-*")
+                if not one.name.endswith("-wal")
+            )
             for one in known[:-MOST_ASIDE]:
                 one.unlink(missing_ok=True)
                 one.with_name(one.name + "-wal").unlink(missing_ok=True)
@@ -401,21 +421,43 @@
     def _read_states(self, conn: sqlite3.Connection, stream: str = "") -> dict[str, StreamState]:
         made = {}
         for at, epoch, number, bases, horizon, covered, goal, generation, cursor, doubt in conn.execute(
-                "SELECT * FROM streams WHERE ? < 0 OR stream = ?", (self._ids.get(stream, -1),) * 2):
+            "SELECT * FROM streams WHERE ? < 0 OR stream = ?", (self._ids.get(stream, -1),) * 2
+        ):
             try:
                 told = tuple((one, base) for one, base in msgspec.json.decode(bases))
-                made[self._control[at]] = StreamState(epoch, number, told, horizon, covered, goal, generation,
-                                                      cursor, bool(doubt & LOST), bool(doubt & PUT_BACK))
+                made[self._control[at]] = StreamState(
+                    epoch,
+                    number,
+                    told,
+                    horizon,
+                    covered,
+                    goal,
+                    generation,
+                    cursor,
+                    bool(doubt & LOST),
+                    bool(doubt & PUT_BACK),
+                )
             except (msgspec.MsgspecError, IndexError, TypeError, ValueError) as error:
                 self.damaged = self.damaged or str(error)
                 raise Damaged(f"{self.path}: streams: {error}") from None
         return made
 
     def _store(self, conn: sqlite3.Connection, stream: str, state: StreamState) -> None:
-        conn.execute("INSERT OR REPLACE INTO streams VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)", (
-            self._ids[stream], state.epoch, state.number, msgspec.json.encode(state.bases).decode(),
-            state.horizon, state.covered, state.goal, state.generation, state.cursor,
-            LOST * state.lost | PUT_BACK * state.put_back))
+        conn.execute(
+            "INSERT OR REPLACE INTO streams VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
+            (
+                self._ids[stream],
+                state.epoch,
+                state.number,
+                msgspec.json.encode(state.bases).decode(),
+                state.horizon,
+                state.covered,
+                state.goal,
+                state.generation,
+                state.cursor,
+                LOST * state.lost | PUT_BACK * state.put_back,
+            ),
+        )
 
     def given(self, stream: str, since: int, most_bytes: int = MOST_PIECE) -> Given | None:
         """Return entries past a number, and where the stream stands at that instant."""
@@ -427,9 +469,10 @@
                     return None
                 entries: list[Entry] = []
                 for number, name, at_ms, who, standing, tenant, key, epoch in conn.execute(
-                        "SELECT number, name, at_ms, who, state, tenant, key, epoch FROM rows"
-                        " WHERE stream = ? AND number > ? AND number <= ? ORDER BY number",
-                        (self._ids[stream], since, state.number)):
+                    "SELECT number, name, at_ms, who, state, tenant, key, epoch FROM rows"
+                    " WHERE stream = ? AND number > ? AND number <= ? ORDER BY number",
+                    (self._ids[stream], since, state.number),
+                ):
                     entry = Entry(number, name, at_ms, who, standing, tenant, key, epoch)
                     most_bytes -= entry.size
                     if most_bytes < 0 and entries:
@@ -440,16 +483,24 @@
                 with contextlib.suppress(sqlite3.Error):
                     conn.execute("ROLLBACK")
 
-    def apply(self, stream: str, entries: Sequence[Entry], state: StreamState, drop: bool = False,
-              durable: bool = False, trail: bool = True) -> list[str]:
+    def apply(
+        self,
+        stream: str,
+        entries: Sequence[Entry],
+        state: StreamState,
+        drop: bool = False,
+        durable: bool = False,
+        trail: bool = True,
+    ) -> list[str]:
         """Take entries and the state."""
         with self._changing(durable) as conn:
             names, now_ms, at = [], self._wall_ms(), self._ids[stream]
             given = conn.execute("SELECT value FROM meta WHERE key = 'next'").fetchone()[0]
             next_id = given
             for entry in entries:
-                before = conn.execute("SELECT id, number, state, tenant, guarantee FROM rows WHERE name = ?",
-                                      (entry.name,)).fetchone()
+                before = conn.execute(
+                    "SELECT id, number, state, tenant, guarantee FROM rows WHERE name = ?", (entry.name,)
+                ).fetchone()
                 if before is None or entry.number > before[1]:
                     if before is None or not before[2] and entry.state:
                         next_id += 1
@@ -468,8 +519,17 @@
             self._store(conn, stream, state)
             return names
 
-    def _replace(self, conn: sqlite3.Connection, at: int, entry: Entry, generation: int, before: Any,
-                 next_id: int, now_ms: int, trail: bool) -> None:
+    def _replace(
+        self,
+        conn: sqlite3.Connection,
+        at: int,
+        entry: Entry,
+        generation: int,
+        before: Any,
+        next_id: int,
+        now_ms: int,
+        trail: bool,
+    ) -> None:
         """Put an entry in the place of the row of its name, if there is one."""
         old_state, old_tenant = (before[2], before[3]) if before else ("", b"")
         if before:
@@ -479,17 +539,30 @@
         if placed is not None and entry.state and trail:  # of a fill, each is checked later, see `recheck`
             reason = self._reason(entry.name, entry.tenant)
         guarantee = 0 if placed is None else placed[2]
-        kept = (at, entry.number, entry.epoch, generation, entry.state, entry.tenant, entry.at_ms, entry.who,
-                entry.key, now_ms, guarantee)
+        kept = (
+            at,
+            entry.number,
+            entry.epoch,
+            generation,
+            entry.state,
+            entry.tenant,
+            entry.at_ms,
+            entry.who,
+            entry.key,
+            now_ms,
+            guarantee,
+        )
         if before is None:
-            conn.execute("INSERT INTO rows VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
-                         (next_id, entry.name, *kept))
+            conn.execute(
+                "INSERT INTO rows VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)", (next_id, entry.name, *kept)
+            )
         else:
             number = next_id if entry.state and not old_state else before[0]
             conn.execute(
                 "UPDATE rows SET id = ?, stream = ?, number = ?, epoch = ?, generation = ?, state = ?,"
                 " tenant = ?, at_ms = ?, who = ?, key = ?, taken_ms = ?, guarantee = ? WHERE id = ?",
-                (number, *kept, before[0]))
+                (number, *kept, before[0]),
+            )
         if entry.state:
             self._made.count += 1
             self._made.guarantee += guarantee
@@ -498,9 +571,21 @@
             if placed is not None:  # also where it can't be served: its requests are no other tenant's
                 self._place(conn, entry.name, placed[0], placed[1])
         if trail:
-            conn.execute("INSERT INTO audit VALUES(NULL, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)", (
-                at, entry.epoch, entry.number, entry.name, entry.who, entry.at_ms, old_state,
-                old_tenant if old_state else b"", entry.state, entry.tenant))
+            conn.execute(
+                "INSERT INTO audit VALUES(NULL, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
+                (
+                    at,
+                    entry.epoch,
+                    entry.number,
+                    entry.name,
+                    entry.who,
+                    entry.at_ms,
+                    old_state,
+                    old_tenant if old_state else b"",
+                    entry.state,
+                    entry.tenant,
+                ),
+            )
             if entry.key:
                 conn.execute("DELETE FROM keys WHERE key = ?", (entry.key,))
                 conn.execute("INSERT INTO keys VALUES(NULL, ?, ?)", (entry.key, entry.name))
@@ -516,12 +601,15 @@
         self._made.add_length(len(prefix), 1)
 
     def _displace(self, conn: sqlite3.Connection, name: str, hosts: tuple[str, ...], prefix: str) -> None:
-        conn.executemany("DELETE FROM hosts WHERE host = ? AND prefix = ? AND name = ?",
-                         [(host, prefix, name) for host in hosts])
+        conn.executemany(
+            "DELETE FROM hosts WHERE host = ? AND prefix = ? AND name = ?",
+            [(host, prefix, name) for host in hosts],
+        )
         self._made.add_length(len(prefix), -1)
 
-    def _unplace(self, conn: sqlite3.Connection, name: str, state: str, tenant: bytes,
-                 guarantee: int) -> None:
+    def _unplace(
+        self, conn: sqlite3.Connection, name: str, state: str, tenant: bytes, guarantee: int
+    ) -> None:
         """Take a row out of what is looked up, and out of the totals."""
         if not state:
             return
@@ -534,8 +622,10 @@
 
     def _drop(self, conn: sqlite3.Connection, at: int, generation: int) -> list[str]:
         """Let rows go that a refill did not meet."""
-        old = conn.execute("SELECT name, id, state, tenant, guarantee FROM rows"
-                           " WHERE stream = ? AND generation < ?", (at, generation)).fetchall()
+        old = conn.execute(
+            "SELECT name, id, state, tenant, guarantee FROM rows WHERE stream = ? AND generation < ?",
+            (at, generation),
+        ).fetchall()
         for name, number, state, tenant, guarantee in old:
             self._unplace(conn, name, state, tenant, guarantee)
             conn.execute("DELETE FROM rows WHERE id = ?", (number,))
@@ -544,10 +634,14 @@
     def _write_totals(self, conn: sqlite3.Connection) -> None:
         made, before = self._made, self._totals
         if (made.count, made.guarantee) != (before.count, before.guarantee):
-            conn.executemany("UPDATE meta SET value = ? WHERE key = ?",
-                             [(made.count, "count"), (made.guarantee, "guarantee")])
-        conn.executemany("INSERT OR REPLACE INTO lengths VALUES(?, ?)",
-                         [(length, made.lengths[length]) for length in made.touched])
+            conn.executemany(
+                "UPDATE meta SET value = ? WHERE key = ?",
+                [(made.count, "count"), (made.guarantee, "guarantee")],
+            )
+        conn.executemany(
+            "INSERT OR REPLACE INTO lengths VALUES(?, ?)",
+            [(length, made.lengths[length]) for length in made.touched],
+        )
 
     @staticmethod
     def _bound(conn: sqlite3.Connection) -> None:
@@ -563,7 +657,8 @@
                 "INSERT INTO orphans"
                 " SELECT NULL, stream, epoch, ?, number, name, at_ms, who, state, tenant, ?"
                 " FROM rows WHERE stream = ? AND number > ?",
-                (state.epoch, self._wall_ms(), at, past)).rowcount
+                (state.epoch, self._wall_ms(), at, past),
+            ).rowcount
             conn.execute("UPDATE rows SET number = 0 WHERE stream = ? AND number > ?", (at, past))
             self._bound(conn)
             self._store(conn, stream, state)
@@ -572,11 +667,24 @@
     def orphans(self, after: int = 0, limit: int = 100) -> list[dict[str, Any]]:
         """Return rows that were kept aside, oldest first."""
         with self._reading() as conn:
-            return [{"number": number, "stream": self._control[stream], "epoch": epoch, "past_by": past_by,
-                     "revision": revision, "name": name, "at_ms": at_ms, "who": who, "state": state,
-                     "tenant": tenant, "kept_ms": kept_ms}
-                    for number, stream, epoch, past_by, revision, name, at_ms, who, state, tenant, kept_ms
-                    in conn.execute("SELECT * FROM orphans WHERE id > ? ORDER BY id LIMIT ?", (after, limit))]
+            return [
+                {
+                    "number": number,
+                    "stream": self._control[stream],
+                    "epoch": epoch,
+                    "past_by": past_by,
+                    "revision": revision,
+                    "name": name,
+                    "at_ms": at_ms,
+                    "who": who,
+                    "state": state,
+                    "tenant": tenant,
+                    "kept_ms": kept_ms,
+                }
+                for number, stream, epoch, past_by, revision, name, at_ms, who, state, tenant, kept_ms in conn.execute(
+                    "SELECT * FROM orphans WHERE id > ? ORDER BY id LIMIT ?", (after, limit)
+                )
+            ]
 
     def collect(self, stream: str, before_ms: int, spare: int = SPARE) -> int:
         """Forget old tombstones."""
@@ -584,9 +692,11 @@
             state = self._read_states(conn, stream).get(stream)
             if state is None:
                 return 0
-            old = conn.execute("SELECT id, number FROM rows WHERE stream = ? AND state = '' AND number > 0"
-                               " AND number <= ? AND taken_ms < ?",
-                               (self._ids[stream], state.number - spare, before_ms)).fetchall()
+            old = conn.execute(
+                "SELECT id, number FROM rows WHERE stream = ? AND state = '' AND number > 0"
+                " AND number <= ? AND taken_ms < ?",
+                (self._ids[stream], state.number - spare, before_ms),
+            ).fetchall()
             if old:
                 conn.executemany("DELETE FROM rows WHERE id = ?", [(number,) for number, _ in old])
                 highest = max(number for _, number in old)
@@ -613,11 +723,13 @@
         with self._reading() as conn:
             for place in ("=" + host.lower(), ANY):
                 for at in range(0, len(found), CHUNK):
-                    some = found[at:at + CHUNK]
+                    some = found[at : at + CHUNK]
                     row = conn.execute(
                         f"SELECT {ROW} FROM hosts JOIN rows ON rows.name = hosts.name WHERE hosts.host = ?"
                         f" AND hosts.prefix IN ({','.join('?' * len(some))})"
-                        " ORDER BY length(hosts.prefix) DESC, hosts.name LIMIT 1", (place, *some)).fetchone()
+                        " ORDER BY length(hosts.prefix) DESC, hosts.name LIMIT 1",
+                        (place, *some),
+                    ).fetchone()
                     if row is not None:
                         return self._row(row)
         return None
@@ -625,30 +737,41 @@
     def get(self, name: str) -> Row | None:
         """Return one tenant; None where there is none, or it was removed."""
         with self._reading() as conn:
-            return self._row(conn.execute(
-                f"SELECT {ROW} FROM rows WHERE name = ? AND state <> ''", (name,)).fetchone())
+            return self._row(
+                conn.execute(f"SELECT {ROW} FROM rows WHERE name = ? AND state <> ''", (name,)).fetchone()
+            )
 
     def page(self, after: str = "", limit: int = 100) -> list[Row]:
         """Return tenants by name, past one."""
         with self._reading() as conn:
-            made = [self._row(found) for found in conn.execute(
-                f"SELECT {ROW} FROM rows WHERE name > ? AND state <> '' ORDER BY name LIMIT ?",
-                (after, limit))]
+            made = [
+                self._row(found)
+                for found in conn.execute(
+                    f"SELECT {ROW} FROM rows WHERE name > ? AND state <> '' ORDER BY name LIMIT ?",
+                    (after, limit),
+                )
+            ]
             return [row for row in made if row is not None]
 
     def prefixes(self, host: str, most: int) -> list[tuple[bool, str, str]] | None:
         """Return who takes requests of a host: is it named, prefix and tenant. None: more than so many."""
         with self._reading() as conn:
-            found = conn.execute("SELECT host, prefix, name FROM hosts WHERE host IN (?, ?) LIMIT ?",
-                                 ("=" + host.lower(), ANY, most + 1)).fetchall()
+            found = conn.execute(
+                "SELECT host, prefix, name FROM hosts WHERE host IN (?, ?) LIMIT ?",
+                ("=" + host.lower(), ANY, most + 1),
+            ).fetchall()
         return None if len(found) > most else [(place != ANY, prefix, name) for place, prefix, name in found]
 
     def sharing(self, host: str, prefix: str) -> list[str]:
         """Return the names of tenants with a host ("": without any) and just this prefix; the first wins."""
         with self._reading() as conn:
-            return [name for name, in conn.execute(
-                "SELECT name FROM hosts WHERE host = ? AND prefix = ? ORDER BY name LIMIT 100",
-                ("=" + host.lower() if host else ANY, prefix))]
+            return [
+                name
+                for (name,) in conn.execute(
+                    "SELECT name FROM hosts WHERE host = ? AND prefix = ? ORDER BY name LIMIT 100",
+                    ("=" + host.lower() if host else ANY, prefix),
+                )
+            ]
 
     def count(self) -> int:
         """Return how many tenants there are."""
@@ -661,8 +784,12 @@
     def audit(self, after: int = 0, limit: int = 100) -> list[Trail]:
         """Return the trail past a number, oldest first."""
         with self._reading() as conn:
-            return [Trail(number, self._control[stream], *more) for number, stream, *more in conn.execute(
-                "SELECT * FROM audit WHERE id > ? ORDER BY id LIMIT ?", (after, limit))]
+            return [
+                Trail(number, self._control[stream], *more)
+                for number, stream, *more in conn.execute(
+                    "SELECT * FROM audit WHERE id > ? ORDER BY id LIMIT ?", (after, limit)
+                )
+            ]
 
     def key(self, text: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key changed."""
@@ -673,8 +800,12 @@
     def unreadable(self, limit: int = 100) -> list[tuple[str, str]]:
         """Return names of rows that this node can't serve, and why."""
         with self._reading() as conn:
-            return [(name, reason) for name, reason in conn.execute(
-                "SELECT name, reason FROM unreadable ORDER BY name LIMIT ?", (limit,))]
+            return [
+                (name, reason)
+                for name, reason in conn.execute(
+                    "SELECT name, reason FROM unreadable ORDER BY name LIMIT ?", (limit,)
+                )
+            ]
 
     def unreadable_count(self) -> int:
         """Return how many there are."""
@@ -694,8 +825,10 @@
                 kept = {"checked_by": by, "checked_upto": ""}
             elif kept["checked_upto"] is None:
                 return False
-            rows = conn.execute("SELECT name, state, tenant FROM rows WHERE name > ? ORDER BY name LIMIT ?",
-                                (kept["checked_upto"], limit)).fetchall()
+            rows = conn.execute(
+                "SELECT name, state, tenant FROM rows WHERE name > ? ORDER BY name LIMIT ?",
+                (kept["checked_upto"], limit),
+            ).fetchall()
             names = []
             for name, state, tenant in rows:
                 placed = _placed(state, tenant)
@@ -711,8 +844,9 @@
                 if reason:
                     conn.execute("INSERT INTO unreadable VALUES(?, ?)", (name, reason))
             upto = rows[-1][0] if len(rows) == limit else None
-            conn.executemany("UPDATE meta SET value = ? WHERE key = ?",
-                             [(by, "checked_by"), (upto, "checked_upto")])
+            conn.executemany(
+                "UPDATE meta SET value = ? WHERE key = ?", [(by, "checked_by"), (upto, "checked_upto")]
+            )
         self.changed(names)
         return upto is not None
 
--- a/reelusher/fleet/replication/rows.py
+++ b/reelusher/fleet/replication/rows.py
@@ -55,8 +55,15 @@
     def given(self, stream: str, since: int, most_bytes: int) -> Given | None:
         """Return entries numbered past `since` and up to the position; None for a stream never written."""
 
-    def apply(self, stream: str, entries: Sequence[Entry], state: StreamState, drop: bool = False,
-              durable: bool = False, trail: bool = True) -> list[str]:
+    def apply(
+        self,
+        stream: str,
+        entries: Sequence[Entry],
+        state: StreamState,
+        drop: bool = False,
+        durable: bool = False,
+        trail: bool = True,
+    ) -> list[str]:
         """Take entries that are newer than the rows of their names, and the state.
 
         `drop`: rows of an older generation go, a refill is over. `durable`: on the disk before it returns.
@@ -126,8 +133,15 @@
             entries.append(entry)
         return Given(kept.state, entries, False)
 
-    def apply(self, stream: str, entries: Sequence[Entry], state: StreamState, drop: bool = False,
-              durable: bool = False, trail: bool = True) -> list[str]:
+    def apply(
+        self,
+        stream: str,
+        entries: Sequence[Entry],
+        state: StreamState,
+        drop: bool = False,
+        durable: bool = False,
+        trail: bool = True,
+    ) -> list[str]:
         """Take entries and the state."""
         kept = self._streams.setdefault(stream, _Stream(state))
         names, now_ms = [], self._wall_ms()
@@ -151,8 +165,11 @@
         return names
 
     def _drop(self, kept: _Stream, generation: int) -> list[str]:
-        old = [name for name in [*kept.by_number.values(), *kept.orphaned]
-               if self._rows[name].generation < generation]
+        old = [
+            name
+            for name in [*kept.by_number.values(), *kept.orphaned]
+            if self._rows[name].generation < generation
+        ]
         for name in old:
             kept.by_number.pop(self._rows.pop(name).entry.number, None)
         kept.orphaned.clear()
@@ -177,9 +194,11 @@
         if kept is None:
             return 0
         most = kept.state.number - spare
-        old = [(number, name) for number, name in kept.by_number.items()
-               if number <= most and not self._rows[name].entry.state
-               and self._rows[name].taken_ms < before_ms]
+        old = [
+            (number, name)
+            for number, name in kept.by_number.items()
+            if number <= most and not self._rows[name].entry.state and self._rows[name].taken_ms < before_ms
+        ]
         for number, name in old:
             del self._rows[name], kept.by_number[number]
         if old:
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -53,8 +53,15 @@
 class Replication:
     """A node's part in the replicated table."""
 
-    def __init__(self, copy: LocalCopy, replica: Replica, fleet: Fleet | None, random: Random,
-                 counters: Counters, checked_by: str = "") -> None:
+    def __init__(
+        self,
+        copy: LocalCopy,
+        replica: Replica,
+        fleet: Fleet | None,
+        random: Random,
+        counters: Counters,
+        checked_by: str = "",
+    ) -> None:
         """`checked_by` tells the settings that the copy checks rows by from others. No fleet: it is alone."""
         self.copy, self.replica = copy, replica
         self._fleet, self._random, self._counters, self._checked_by = fleet, random, counters, checked_by
@@ -123,8 +130,9 @@
         """Take what rode on a datagram; called with the lock of membership held."""
         fault = self.replica.heard(place, self._zones.get(place, ""), vector, now)
         if fault:
-            self._counters.warn(f"replication.refused_{fault}",
-                                "replication: what {} announces is refused: {}", place, fault)
+            self._counters.warn(
+                f"replication.refused_{fault}", "replication: what {} announces is refused: {}", place, fault
+            )
             return
         self.writer.heard(place)
         if self.census is not None:
@@ -176,15 +184,20 @@
             if fault == "stale":
                 add("replication.pieces_stale")
             else:
-                self._counters.warn(f"replication.refused_{fault}",
-                                    "replication: a piece of {} is refused: {}", place, fault)
+                self._counters.warn(
+                    f"replication.refused_{fault}", "replication: a piece of {} is refused: {}", place, fault
+                )
         for stream in taken.refills:
             add("replication.refills")
             logger.info("replication: stream {} is refilled from 0", stream)
         for stream, count in taken.orphans.items():
             add("replication.orphans", count)
-            logger.warning("replication: {} changes of stream {} are of no history since it was taken over,"
-                           " they are kept aside", count, stream)
+            logger.warning(
+                "replication: {} changes of stream {} are of no history since it was taken over,"
+                " they are kept aside",
+                count,
+                stream,
+            )
         if taken.broken:
             self._tell(Broken(taken.broken))
 
@@ -244,9 +257,13 @@
 
     def _tell_damaged(self, why: str) -> None:
         self._counters.add("replication.copies_damaged")
-        logger.error("replication: the copy is damaged ({}), it is kept as {} and all rows are pulled again",
-                     why, self.copy.put_aside[-1])
+        logger.error(
+            "replication: the copy is damaged ({}), it is kept as {} and all rows are pulled again",
+            why,
+            self.copy.put_aside[-1],
+        )
         held = [stream for stream in self.replica.control if self.writer.holds(stream)]
         if held:
-            logger.error("replication: this member changes nothing of {} until a take-over is ordered",
-                         ", ".join(held))
+            logger.error(
+                "replication: this member changes nothing of {} until a take-over is ordered", ", ".join(held)
+            )
--- a/reelusher/fleet/replication/streams.py
+++ b/reelusher/fleet/replication/streams.py
@@ -35,8 +35,17 @@
 import msgspec
 
 from reelusher.fleet.replication.messages import (
-    MOST_BASES, MOST_CONTROL, MOST_INSTEAD, MOST_PIECE, MOST_REPLY, Base, EntriesReply, EntriesRequest, Entry,
-    Piece)
+    MOST_BASES,
+    MOST_CONTROL,
+    MOST_INSTEAD,
+    MOST_PIECE,
+    MOST_REPLY,
+    Base,
+    EntriesReply,
+    EntriesRequest,
+    Entry,
+    Piece,
+)
 from reelusher.fleet.replication.rows import Broken, Rows, StreamState
 from reelusher.pacing.backoff import Backoff
 
@@ -81,8 +90,10 @@
 
 def stream_of(name: str, control: Sequence[str]) -> str:
     """Return the stream that a name belongs to: the control member with the highest random weight."""
-    return max(control, key=lambda member: (
-        blake2b(name.encode(), digest_size=8, key=member.encode()[:64]).digest(), member))
+    return max(
+        control,
+        key=lambda member: (blake2b(name.encode(), digest_size=8, key=member.encode()[:64]).digest(), member),
+    )
 
 
 def first_epoch(stream: str, control: Sequence[str]) -> int:
@@ -183,8 +194,16 @@
 class Replica:
     """One node's part."""
 
-    def __init__(self, own_place: str, control: Sequence[str], rows: Rows, random: Random, zone: str = "",
-                 now: float = 0.0, own_name: str = "") -> None:
+    def __init__(
+        self,
+        own_place: str,
+        control: Sequence[str],
+        rows: Rows,
+        random: Random,
+        zone: str = "",
+        now: float = 0.0,
+        own_name: str = "",
+    ) -> None:
         """Members of the same zone are asked before others; by its name a node may be a stream's holder."""
         self.own_name = own_name
         self.guard: Callable[[str], str] = lambda stream: ""  # why a stream may not be written, see `writer`
@@ -212,14 +231,19 @@
             begin()
             kept = self.rows.states()
             self._level.clear()
-            self._adopt({stream: kept.get(stream) or StreamState(first_epoch(stream, self.control))
-                         for stream in self.control})
+            self._adopt(
+                {
+                    stream: kept.get(stream) or StreamState(first_epoch(stream, self.control))
+                    for stream in self.control
+                }
+            )
 
     def _adopt(self, states: dict[str, StreamState]) -> None:
         """Note where the streams stand; both are replaced as a whole, for those who read them meanwhile."""
         self.states = states
-        self._announced = pack({stream: Position(state.epoch, state.number)
-                                for stream, state in states.items()}, self.control)
+        self._announced = pack(
+            {stream: Position(state.epoch, state.number) for stream, state in states.items()}, self.control
+        )
 
     def _became(self, stream: str, state: StreamState) -> None:
         self._adopt(self.states | {stream: state})
@@ -287,9 +311,13 @@
 
     def filling(self, now: float) -> bool:
         """Tell whether many rows may be missing that others have: a name not found may yet come."""
-        return any(state.cursor >= 0 or state.goal > state.number or not state.number and (
-            state.lost and not self._level or self._claimed_much(stream, now))
-            for stream, state in self.states.items())
+        return any(
+            state.cursor >= 0
+            or state.goal > state.number
+            or not state.number
+            and (state.lost and not self._level or self._claimed_much(stream, now))
+            for stream, state in self.states.items()
+        )
 
     def _claimed_much(self, stream: str, now: float) -> bool:
         claimed = self.claimed(stream, now)
@@ -314,14 +342,21 @@
         if now < self._due_s:
             return None
         with self._lock:
-            self._ahead = {place: one for place, one in self._ahead.items()
-                           if now - one.heard_s < AHEAD_S and self.ahead(one.vector)}
-            self._shunned = {place: kept for place, kept in self._shunned.items()
-                             if place in self._ahead or now < kept[0] + SHUN_S[1]}
+            self._ahead = {
+                place: one
+                for place, one in self._ahead.items()
+                if now - one.heard_s < AHEAD_S and self.ahead(one.vector)
+            }
+            self._shunned = {
+                place: kept
+                for place, kept in self._shunned.items()
+                if place in self._ahead or now < kept[0] + SHUN_S[1]
+            }
             able = [place for place in self._ahead if now >= self._shunned.get(place, (0.0,))[0]]
             if not able:
-                self._due_s = min((kept[0] for place, kept in self._shunned.items() if place in self._ahead),
-                                  default=inf)
+                self._due_s = min(
+                    (kept[0] for place, kept in self._shunned.items() if place in self._ahead), default=inf
+                )
                 return None
             near = [place for place in able if self._ahead[place].zone == self._zone]
             drawn = self._random.sample(near or able, min(CHOICES, len(near or able)))
@@ -330,8 +365,9 @@
         vector = [self._digest]
         for state in states:
             vector += state.epoch, state.since
-        request = EntriesRequest(self.own_place, self._digest, vector, [
-            state.covered if state.since else 0 for state in states])
+        request = EntriesRequest(
+            self.own_place, self._digest, vector, [state.covered if state.since else 0 for state in states]
+        )
         self._pulling = Pull(place, request, now + PULL_S)
         self._due_s = inf
         return self._pulling
@@ -407,7 +443,8 @@
         if piece.epoch < own.epoch or piece.epoch % MOST_CONTROL >= len(self.control):
             return "epoch"
         if not _is_history(piece.bases, piece.epoch, first_epoch(piece.stream, self.control)) or (
-                piece.epoch == own.epoch and piece.bases != own.bases):
+            piece.epoch == own.epoch and piece.bases != own.bases
+        ):
             return "bases"
         if not piece.since <= piece.upto <= piece.goal:
             return "numbers"
@@ -427,7 +464,8 @@
         with self._writing:
             state = self.states[piece.stream]
             if holder_of(piece.epoch, self.control) == self.own_name and (
-                    (state.epoch, state.number) < (piece.epoch, piece.upto)):
+                (state.epoch, state.number) < (piece.epoch, piece.upto)
+            ):
                 state = replace(state, put_back=True)  # others know changes of this node's that it does not
             if piece.epoch > state.epoch:
                 state = self._go_over(piece, state, taken)
@@ -442,8 +480,11 @@
                 taken.refused.append("stale")  # one of the two has rows whose removal the other has forgotten
                 return
             state, drop = advanced(state, piece)
-            if state.lost and state.number >= state.goal and (
-                    holder_of(state.epoch, self.control) != self.own_name):
+            if (
+                state.lost
+                and state.number >= state.goal
+                and (holder_of(state.epoch, self.control) != self.own_name)
+            ):
                 state = replace(state, lost=False)  # only a holder has to know which numbers it gave
             if state == self.states[piece.stream] and not piece.entries:
                 return
@@ -460,8 +501,9 @@
         if state.goal <= shared and state.number <= shared:
             return later
         number = 0 if state.number > shared else state.number
-        later = replace(later, number=number, goal=number, covered=0, horizon=0, cursor=0,
-                        generation=state.generation + 1)
+        later = replace(
+            later, number=number, goal=number, covered=0, horizon=0, cursor=0, generation=state.generation + 1
+        )
         if state.number > shared:
             told = self.rows.orphan(piece.stream, int(shared), later)
             taken.orphans[piece.stream] = taken.orphans.get(piece.stream, 0) + told
@@ -489,7 +531,7 @@
         for at, stream in order:
             if left <= 0:
                 break
-            asker = Position(*request.vector[1 + 2 * at:3 + 2 * at])
+            asker = Position(*request.vector[1 + 2 * at : 3 + 2 * at])
             covered = request.covered[at] if at < len(request.covered) else asker.number
             for piece in self._pieces(stream, asker, covered, left):
                 left -= sum(entry.size for entry in piece.entries)
@@ -514,13 +556,26 @@
             since = 0
         while most > 0:
             given = self.rows.given(stream, since, min(most, MOST_PIECE))
-            if given is None or given.state.cursor >= 0 or (
-                    given.state.epoch, given.state.number) < (state.epoch, state.number):
+            if (
+                given is None
+                or given.state.cursor >= 0
+                or (given.state.epoch, given.state.number) < (state.epoch, state.number)
+            ):
                 return  # other rows were begun meanwhile
             state = given.state
             upto = given.entries[-1].number if given.more else max(since, state.number)
-            yield Piece(stream, state.epoch, state.bases, since, upto, given.entries, given.more,
-                        state.horizon, max(upto, state.covered), max(upto, state.goal))
+            yield Piece(
+                stream,
+                state.epoch,
+                state.bases,
+                since,
+                upto,
+                given.entries,
+                given.more,
+                state.horizon,
+                max(upto, state.covered),
+                max(upto, state.goal),
+            )
             most -= sum(entry.size for entry in given.entries)
             since = upto
             if not given.more:
@@ -557,8 +612,9 @@
             if refused:
                 raise Behind(refused)
             number = state.number + 1
-            entry = Entry(number, made.name, made.at_ms, made.who, made.state, made.tenant, made.key,
-                          state.epoch)
+            entry = Entry(
+                number, made.name, made.at_ms, made.who, made.state, made.tenant, made.key, state.epoch
+            )
             state = replace(state, number=number, covered=number, goal=number)
             names = self.rows.apply(stream, [entry], state, durable=True)
             self._became(stream, state)
@@ -583,8 +639,16 @@
             if len(state.bases) >= MOST_BASES:
                 raise Behind(f"stream {stream} was taken over {MOST_BASES} times, which is all there are")
             epoch = next_epoch(state.epoch, own_name, self.control)
-            state = replace(state, epoch=epoch, bases=(*state.bases, (epoch, state.number)), cursor=-1,
-                            covered=state.number, goal=state.number, lost=False, put_back=False)
+            state = replace(
+                state,
+                epoch=epoch,
+                bases=(*state.bases, (epoch, state.number)),
+                cursor=-1,
+                covered=state.number,
+                goal=state.number,
+                lost=False,
+                put_back=False,
+            )
             self.rows.apply(stream, [], state, durable=True)
             self._became(stream, state)
             return Position(epoch, state.number)
@@ -621,5 +685,8 @@
     """Tell whether bases can be those of an epoch: both parts ascend, and the last is its own."""
     if not bases:
         return epoch == first
-    return bases[-1][0] == epoch and bases[0][0] > first and all(
-        before[0] < after[0] and before[1] <= after[1] for before, after in pairwise(bases))
+    return (
+        bases[-1][0] == epoch
+        and bases[0][0] > first
+        and all(before[0] < after[0] and before[1] <= after[1] for before, after in pairwise(bases))
+    )
--- a/reelusher/fleet/replication/writer.py
+++ b/reelusher/fleet/replication/writer.py
@@ -40,9 +40,14 @@
 class Writer:
     """A member's part as a holder."""
 
-    def __init__(self, replica: Replica, counters: Counters, clock: Callable[[], float],
-                 made: Callable[[str, Position, float], None] = lambda stream, position, now: None,
-                 alone: bool = False) -> None:
+    def __init__(
+        self,
+        replica: Replica,
+        counters: Counters,
+        clock: Callable[[], float],
+        made: Callable[[str, Position, float], None] = lambda stream, position, now: None,
+        alone: bool = False,
+    ) -> None:
         """`made` is told of each change. `alone`: there is no fleet to be heard."""
         self.replica, self._counters, self._clock, self._made = replica, counters, clock, made
         self._settled = alone
@@ -79,8 +84,9 @@
         """Take a stream over for good, as an operator orders. Raises `Behind` and `Broken`."""
         begun = self.replica.begin_term(stream, self.replica.own_name, force)
         self._counters.add("replication.terms")
-        logger.warning("replication: this member writes stream {} from {}.{} on", stream, begun.epoch,
-                       begun.number)
+        logger.warning(
+            "replication: this member writes stream {} from {}.{} on", stream, begun.epoch, begun.number
+        )
         return begun
 
     def heard(self, place: str) -> None:
@@ -101,7 +107,8 @@
         if not self._settled:
             since_s = now - self._began_s
             self._settled = since_s >= SETTLE_S or (
-                len(self._heard) >= min(HEARD, others) if others else since_s >= ALONE_S)
+                len(self._heard) >= min(HEARD, others) if others else since_s >= ALONE_S
+            )
         for stream in self.replica.control:
             state = self.replica.states[stream]
             if not self.holds(stream) or not state.put_back or state.lost:
@@ -119,5 +126,10 @@
             logger.warning("replication: no new term of stream {} yet: {}", stream, error)
             return
         self._counters.add("replication.terms")
-        logger.warning("replication: the copy of stream {} was an older one; {} changes were told by others,"
-                       " and what is written now begins with {}", stream, number, begun.epoch)
+        logger.warning(
+            "replication: the copy of stream {} was an older one; {} changes were told by others,"
+            " and what is written now begins with {}",
+            stream,
+            number,
+            begun.epoch,
+        )
--- a/reelusher/fronts/ajp.py
+++ b/reelusher/fronts/ajp.py
@@ -36,8 +36,15 @@
 MOST_TURNED = 8  # connections past the most that are read out so at once; further ones are closed as they are
 DESCRIPTORS = MOST_TURNED + 2  # the listener, and one that is closed at once
 LONGEST_WAIT_S = 3600.0  # no answer takes as long: the core answers by the due time
-REASONS = {400: "Bad Request", 403: "Forbidden", 404: "Not Found", 408: "Request Timeout",
-           413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
+REASONS = {
+    400: "Bad Request",
+    403: "Forbidden",
+    404: "Not Found",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 
 class Rejected(Exception):
@@ -132,8 +139,14 @@
                     self._listener.stop()
                 with self._lock:
                     carrying = dict(self._open)
-                self._owed = Facts(sum(place.busy for place in carrying.values()), 0, sum(
-                    unread_bytes(sock) for sock, place in carrying.items() if not place.busy)), now
+                self._owed = (
+                    Facts(
+                        sum(place.busy for place in carrying.values()),
+                        0,
+                        sum(unread_bytes(sock) for sock, place in carrying.items() if not place.busy),
+                    ),
+                    now,
+                )
             time.sleep(LOOK_S)
 
     def open_connections(self) -> int:
@@ -153,8 +166,9 @@
         try:
             self._carry(sock)
         except ajp13.Malformed as error:
-            self._core.counters.warn("ajp.malformed", "ajp: {}:{} closed for a malformed packet: {}",
-                                     *peer, error)
+            self._core.counters.warn(
+                "ajp.malformed", "ajp: {}:{} closed for a malformed packet: {}", *peer, error
+            )
         except OSError as error:
             logger.debug("ajp: {}", error)
         finally:
@@ -187,9 +201,13 @@
             return False
         sock = min(spare, key=lambda one: self._open[one].since)
         self._open[sock].asked = True  # not a second time
-        self._core.counters.warn("ajp.closed_for_room",
-                                 "ajp: {} connections are open, {} of them {}'s: it loses some to others",
-                                 len(self._open), count, most)
+        self._core.counters.warn(
+            "ajp.closed_for_room",
+            "ajp: {} connections are open, {} of them {}'s: it loses some to others",
+            len(self._open),
+            count,
+            most,
+        )
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
         return True
@@ -287,8 +305,9 @@
         self._core.counters.add_for(tenant.name, answer.verdict.value)
         return answer
 
-    def _hand_over(self, stream: Stream, forward: ajp13.Forward, match: Match, body: bytes, door_us: int
-                   ) -> "queue.SimpleQueue[Answer] | None":
+    def _hand_over(
+        self, stream: Stream, forward: ajp13.Forward, match: Match, body: bytes, door_us: int
+    ) -> "queue.SimpleQueue[Answer] | None":
         """Hand a request to the core and return where its answer comes; None: its tenant has too many."""
         kind = self._kinds[match.class_name]
         key = forward.header(match.tenant.key_header) or ""
@@ -327,13 +346,30 @@
             if not self._in_hand[tenant.name]:
                 del self._in_hand[tenant.name]
 
-    def _request(self, forward: ajp13.Forward, match: Match, kind: int, body: bytes, door_us: int, key: str,
-                 reply: Callable[[Answer], None]) -> Request:
+    def _request(
+        self,
+        forward: ajp13.Forward,
+        match: Match,
+        kind: int,
+        body: bytes,
+        door_us: int,
+        key: str,
+        reply: Callable[[Answer], None],
+    ) -> Request:
         return Request(
-            call=f"{self._prefix}{next(self._numbers):x}", kind=kind, body=body, door_us=door_us, reply=reply,
-            tenant=match.tenant.name, tenant_no=match.number,
-            caller=hash_of(forward.remote_addr), subject=subject_of(forward.uri),
-            held_kb=match.tenant.held_kb + len(body) / 1024, key=key, head=forward)
+            call=f"{self._prefix}{next(self._numbers):x}",
+            kind=kind,
+            body=body,
+            door_us=door_us,
+            reply=reply,
+            tenant=match.tenant.name,
+            tenant_no=match.number,
+            caller=hash_of(forward.remote_addr),
+            subject=subject_of(forward.uri),
+            held_kb=match.tenant.held_kb + len(body) / 1024,
+            key=key,
+            head=forward,
+        )
 
     @contextmanager
     def _matched(self, forward: ajp13.Forward) -> Iterator[Match]:
@@ -353,8 +389,11 @@
         piece = self._config.packet_size - ajp13.BODY_OVERHEAD
         while size is None or len(body) < size:
             if not asked:
-                stream.sock.sendall(ajp13.write_reply(ajp13.BodyWanted(
-                    piece if size is None else min(piece, size - len(body)))))
+                stream.sock.sendall(
+                    ajp13.write_reply(
+                        ajp13.BodyWanted(piece if size is None else min(piece, size - len(body)))
+                    )
+                )
             asked = False
             payload = stream.next()
             if payload is None:
--- a/reelusher/fronts/operator.py
+++ b/reelusher/fronts/operator.py
@@ -36,9 +36,15 @@
 class OperatorFront:
     """Answers operators."""
 
-    def __init__(self, address: Address, counters: Counters, ready: Callable[[], bool],
-                 figures: Callable[[], dict[str, Any]], send_away: Callable[[bool], None],
-                 most: int = MOST_CALLS) -> None:
+    def __init__(
+        self,
+        address: Address,
+        counters: Counters,
+        ready: Callable[[], bool],
+        figures: Callable[[], dict[str, Any]],
+        send_away: Callable[[bool], None],
+        most: int = MOST_CALLS,
+    ) -> None:
         """`ready` and `figures` must not wait; `send_away(True)` sends callers away, False has them back.
 
         `most` calls at once.
@@ -49,9 +55,11 @@
         self._lock = threading.Lock()
         self._open: dict[socket.socket, None] = {}  # the oldest first
         self._routes: dict[tuple[str, str], Callable[[], Reply]] = {
-            ("GET", "/healthcheck"): self._health, ("GET", "/stats"): lambda: (200, self._figures()),
+            ("GET", "/healthcheck"): self._health,
+            ("GET", "/stats"): lambda: (200, self._figures()),
             ("POST", "/healthcheck/fail"): lambda: self._away(True),
-            ("POST", "/healthcheck/ok"): lambda: self._away(False)}
+            ("POST", "/healthcheck/ok"): lambda: self._away(False),
+        }
         self._listener = Listener("operator", address, counters, self._serve, self._admit)
         self.address = self._listener.address
 
--- a/reelusher/fronts/platform.py
+++ b/reelusher/fronts/platform.py
@@ -158,8 +158,16 @@
     queue, and nothing that it does waits for anything.
     """
 
-    def __init__(self, core: Core, address: Address, tenant: str, most: int, backlog_bytes: int,
-                 late: Callable[[float], None] = lambda late_s: None, shared: bool = False) -> None:
+    def __init__(
+        self,
+        core: Core,
+        address: Address,
+        tenant: str,
+        most: int,
+        backlog_bytes: int,
+        late: Callable[[float], None] = lambda late_s: None,
+        shared: bool = False,
+    ) -> None:
         self._spare = min(SPARE, max(1, most // SPARE_PART))
         self._most_lingering = min(MOST_LINGERING, max(1, most // LINGERING_PART))
         self._most = max(1, most - self._spare - self._most_lingering)
@@ -189,8 +197,9 @@
         """Take requests of these classes from now on; the core knows them already. From any thread."""
         now = time.monotonic()
         still = {name: known for name, known in self._dropped.items() if known[1] > now}  # of a reload before
-        self._dropped = still | {name: (number, now + DROPPED_S) for name, number in self._kinds.items()
-                                 if name not in kinds}
+        self._dropped = still | {
+            name: (number, now + DROPPED_S) for name, number in self._kinds.items() if name not in kinds
+        }
         self._longest_us = max(kind.deadline_us for kind in self._core.settings.classes)
         self._kinds = kinds
 
@@ -295,11 +304,15 @@
         now = time.monotonic()
         # who has never asked anything goes first, then who was used once, then who is idle for longest; who
         # is in the middle of asking goes only where there is nobody else
-        going = [(3 if connection.partial_since else min(connection.heard, 2), connection.used, number,
-                  connection) for number, connection in enumerate(self._all())
-                 if not connection.owed and not connection.ended and not connection.refused_since
-                 and (not connection.outbox.backlog or connection.outbox.stalled_for(now) > FRAME_S)
-                 and now - max(connection.used, connection.partial_since + HALF_ASKED_S) > FRESH_S]
+        going = [
+            (3 if connection.partial_since else min(connection.heard, 2), connection.used, number, connection)
+            for number, connection in enumerate(self._all())
+            if not connection.owed
+            and not connection.ended
+            and not connection.refused_since
+            and (not connection.outbox.backlog or connection.outbox.stalled_for(now) > FRAME_S)
+            and now - max(connection.used, connection.partial_since + HALF_ASKED_S) > FRESH_S
+        ]
         going = heapq.nsmallest(max(self._most // ROOM_PART, 1), going)
         for *_, connection in going:
             self._core.counters.add("platform.closed_for_room")
@@ -309,8 +322,10 @@
             self._close_idle(connection)
         if going:
             self._core.counters.warn(
-                "platform.full", "platform: {} connections are open: idle ones are closed for new ones",
-                self._most)
+                "platform.full",
+                "platform: {} connections are open: idle ones are closed for new ones",
+                self._most,
+            )
         return len(self._connections) < self._most
 
     # Reading
@@ -336,8 +351,12 @@
                 connection.partial_since = 0.0
                 self._take(connection, message)
         except msgpack.Malformed as error:
-            self._core.counters.warn("platform.malformed", "platform: {}:{} closed for a malformed frame: {}",
-                                     *connection.peer, error)
+            self._core.counters.warn(
+                "platform.malformed",
+                "platform: {}:{} closed for a malformed frame: {}",
+                *connection.peer,
+                error,
+            )
             self._fail_open(connection)
             return False
         if not connection.decoder.partial:
@@ -430,15 +449,20 @@
         between that look and the shutdown crosses it: it is not heeded, and its caller sends it again.
         """
         self.read_out(connection)
-        if not connection.owed and not connection.ended and not connection.outbox.backlog and (
-                not unread_bytes(connection.sock) or connection.outbox.closed):
+        if (
+            not connection.owed
+            and not connection.ended
+            and not connection.outbox.backlog
+            and (not unread_bytes(connection.sock) or connection.outbox.closed)
+        ):
             self._let_go(connection)
 
     def _take(self, connection: Connection, message: Any) -> None:
         """Take one message of a caller."""
         match message:
             case [0, int(number), str(method), list(params)] if (
-                    not isinstance(number, bool) and 0 <= number < 1 << 32):
+                not isinstance(number, bool) and 0 <= number < 1 << 32
+            ):
                 if number in connection.open:
                     raise msgpack.Malformed(f"the id {number} is open already")
             case _:
@@ -469,9 +493,12 @@
             connection.bad += 1
             if connection.bad >= MOST_BAD:
                 connection.refused_since = time.monotonic()
-                self._core.counters.warn("platform.closed_bad",
-                                         "platform: {}:{} is closed after {} bad requests",
-                                         *connection.peer, connection.bad)
+                self._core.counters.warn(
+                    "platform.closed_bad",
+                    "platform: {}:{} is closed after {} bad requests",
+                    *connection.peer,
+                    connection.bad,
+                )
             return
         with connection.lock:
             connection.open[number] = request.call
@@ -500,14 +527,26 @@
         ahead_us = self._core.clock.unix_ahead_us()
         unix_us = self._core.clock.now() + ahead_us
         # a door far from the clock would set timers and keys that outlive everything else
-        door_ms = number_of(fields, "door", (unix_us - DOOR_BEHIND_US - self._longest_us) / 1000,
-                            (unix_us + DOOR_AHEAD_US) / 1000, unix_us / 1000)
+        door_ms = number_of(
+            fields,
+            "door",
+            (unix_us - DOOR_BEHIND_US - self._longest_us) / 1000,
+            (unix_us + DOOR_AHEAD_US) / 1000,
+            unix_us / 1000,
+        )
         return Request(
-            call=call, kind=kind, body=body, door_us=int(door_ms * 1000) - ahead_us,
-            reply=lambda answer: self._reply(connection, number, answer), tenant=self._tenant,
-            caller=int(number_of(fields, "lb", 0, MOST_CALLER, 0)), subject=subject_of(item) if item else 0,
+            call=call,
+            kind=kind,
+            body=body,
+            door_us=int(door_ms * 1000) - ahead_us,
+            reply=lambda answer: self._reply(connection, number, answer),
+            tenant=self._tenant,
+            caller=int(number_of(fields, "lb", 0, MOST_CALLER, 0)),
+            subject=subject_of(item) if item else 0,
             held_kb=number_of(fields, "ram", 0, MOST_HELD_KB, 0.0),
-            hint_us=int(number_of(fields, "cpu", 0, 3.6e6, 0) * 1000), key=key)
+            hint_us=int(number_of(fields, "cpu", 0, 3.6e6, 0) * 1000),
+            key=key,
+        )
 
     @staticmethod
     def _fields(feedback: float | None) -> dict[str, str]:
--- a/reelusher/importer/httpd.py
+++ b/reelusher/importer/httpd.py
@@ -19,10 +19,15 @@
 
 
 MEMBER: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "loadfactor": ("factor", lambda text: max(1, round(float(text)))), "route": ("route", str),
-    "secret": ("secret", str), "retry": ("recover_ms", _seconds), "ping": ("cping_timeout_ms", _seconds),
-    "timeout": ("reply_timeout_ms", _seconds), "connectiontimeout": ("connect_timeout_ms", _seconds),
-    "max": ("connections", int)}
+    "loadfactor": ("factor", lambda text: max(1, round(float(text)))),
+    "route": ("route", str),
+    "secret": ("secret", str),
+    "retry": ("recover_ms", _seconds),
+    "ping": ("cping_timeout_ms", _seconds),
+    "timeout": ("reply_timeout_ms", _seconds),
+    "connectiontimeout": ("connect_timeout_ms", _seconds),
+    "max": ("connections", int),
+}
 
 
 class Reader:
@@ -34,8 +39,11 @@
         self._balancer = ""  # of the <Proxy> block that is open
         self._line = 0
         self._known: dict[str, Callable[[list[str]], None]] = {
-            "balancermember": self._member, "proxyset": self._set, "proxypass": self._pass,
-            "jkmount": self._mount}
+            "balancermember": self._member,
+            "proxyset": self._set,
+            "proxypass": self._pass,
+            "jkmount": self._mount,
+        }
 
     def read(self, text: str) -> None:
         """Read the whole text."""
--- a/reelusher/importer/jk.py
+++ b/reelusher/importer/jk.py
@@ -26,12 +26,22 @@
 
 # what a worker's property becomes: our key, and how its value is read
 WORKER: dict[str, tuple[str, Callable[[str], Value]]] = {
-    "host": ("host", str), "port": ("port", int), "lbfactor": ("factor", int), "secret": ("secret", str),
-    "route": ("route", str), "jvm_route": ("route", str), "connection_pool_size": ("connections", int),
-    "cachesize": ("connections", int), "socket_connect_timeout": ("connect_timeout_ms", int),
-    "reply_timeout": ("reply_timeout_ms", int), "ping_timeout": ("cping_timeout_ms", int),
-    "prepost_timeout": ("cping_timeout_ms", int), "connect_timeout": ("cping_timeout_ms", int),
-    "activation": ("activation", _activation), "recover_time": ("recover_ms", _seconds)}
+    "host": ("host", str),
+    "port": ("port", int),
+    "lbfactor": ("factor", int),
+    "secret": ("secret", str),
+    "route": ("route", str),
+    "jvm_route": ("route", str),
+    "connection_pool_size": ("connections", int),
+    "cachesize": ("connections", int),
+    "socket_connect_timeout": ("connect_timeout_ms", int),
+    "reply_timeout": ("reply_timeout_ms", int),
+    "ping_timeout": ("cping_timeout_ms", int),
+    "prepost_timeout": ("cping_timeout_ms", int),
+    "connect_timeout": ("cping_timeout_ms", int),
+    "activation": ("activation", _activation),
+    "recover_time": ("recover_ms", _seconds),
+}
 ZERO_MEANS_DEFAULT = frozenset({"reply_timeout_ms", "connect_timeout_ms", "connections"})  # 0: no limit there
 
 
@@ -111,8 +121,9 @@
 
 
 def _is_template(name: str, sections: dict[str, Section]) -> bool:
-    return any(section.values.get("reference", ("", 0))[0] == f"worker.{name}"
-               for section in sections.values())
+    return any(
+        section.values.get("reference", ("", 0))[0] == f"worker.{name}" for section in sections.values()
+    )
 
 
 def _resolved(section: Section, sections: dict[str, Section], file: str, into: Imported) -> Section:
@@ -175,5 +186,8 @@
     if made["members"]:
         into.balancers[section.name] = made
     else:
-        into.leave(file, min(line for _, line in section.values.values()),
-                   f"balancer {section.name} has no worker that could be carried over")
+        into.leave(
+            file,
+            min(line for _, line in section.values.values()),
+            f"balancer {section.name} has no worker that could be carried over",
+        )
--- a/reelusher/importer/model.py
+++ b/reelusher/importer/model.py
@@ -54,8 +54,12 @@
 
     def to_toml(self, listen: str = "127.0.0.1:8009") -> str:
         """Write an operator's file."""
-        return HEAD + tomli_w.dumps({
-            "ajp": {"listen": listen},
-            "classes": [{"name": "request", "effect": "safe", "deadline_ms": 30_000, "aim_ms": 5_000}],
-            "workers": list(self.workers.values()), "balancers": list(self.balancers.values()),
-            "tenants": list(self.tenants.values())})
+        return HEAD + tomli_w.dumps(
+            {
+                "ajp": {"listen": listen},
+                "classes": [{"name": "request", "effect": "safe", "deadline_ms": 30_000, "aim_ms": 5_000}],
+                "workers": list(self.workers.values()),
+                "balancers": list(self.balancers.values()),
+                "tenants": list(self.tenants.values()),
+            }
+        )
--- a/reelusher/interface.py
+++ b/reelusher/interface.py
@@ -99,8 +99,15 @@
     def __post_init__(self) -> None:
         """Reject what no worker can be run with."""
         counts = (self.cores, self.memory_kb, self.run_factor, self.crowd_per_core, self.cold_from)
-        spans = (self.crowd_over_us, self.call_over_us, self.cold_us, self.grace_us, self.slack_us,
-                 self.tick_us, self.linger_us)
+        spans = (
+            self.crowd_over_us,
+            self.call_over_us,
+            self.cold_us,
+            self.grace_us,
+            self.slack_us,
+            self.tick_us,
+            self.linger_us,
+        )
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if not all(math.isfinite(x) and x > 0 for x in counts):
--- a/reelusher/lab/__main__.py
+++ b/reelusher/lab/__main__.py
@@ -12,8 +12,20 @@
 from reelusher.lab.plan import Plan, read
 from reelusher.tenancy.fairness import jain
 
-COLUMNS = ("caller", "asked", "tries", "served", "refused", "failed", "lost", "in_time", "p50_ms", "p90_ms",
-           "p99_ms", "max_ms")
+COLUMNS = (
+    "caller",
+    "asked",
+    "tries",
+    "served",
+    "refused",
+    "failed",
+    "lost",
+    "in_time",
+    "p50_ms",
+    "p90_ms",
+    "p99_ms",
+    "max_ms",
+)
 
 
 def report(plan: Plan, tallies: dict[str, Tally], runs: int) -> dict[str, Any]:
@@ -23,15 +35,26 @@
         tally = tallies[caller.name]
         counts, latency = tally.counts, tally.latency
         at = {f"p{part}_ms": latency.get_value_at_percentile(part) / 1000 for part in (50, 90, 99)}
-        rows.append({"caller": caller.name, **{name: counts[name] for name in (
-            "asked", "tries", "served", "refused", "failed", "lost")},
-            "in_time": round(counts["in_time"] / max(1, counts["asked"]), 4), **at,
-            "max_ms": latency.get_max_value() / 1000})
+        rows.append(
+            {
+                "caller": caller.name,
+                **{name: counts[name] for name in ("asked", "tries", "served", "refused", "failed", "lost")},
+                "in_time": round(counts["in_time"] / max(1, counts["asked"]), 4),
+                **at,
+                "max_ms": latency.get_max_value() / 1000,
+            }
+        )
     shares = [row["served"] / caller.weight for row, caller in zip(rows, plan.callers, strict=True)]
     places = sum(worker.slots * 1000 / worker.service_ms for worker in plan.workers if worker.service_ms)
-    return {"seconds": plan.seconds, "warm_up_s": plan.warm_up_s, "seed": plan.seed, "callers": rows,
-            "jain": round(jain(shares), 4), "runs": runs,
-            "capacity_used": round(runs / (places * plan.seconds), 4) if places else None}
+    return {
+        "seconds": plan.seconds,
+        "warm_up_s": plan.warm_up_s,
+        "seed": plan.seed,
+        "callers": rows,
+        "jain": round(jain(shares), 4),
+        "runs": runs,
+        "capacity_used": round(runs / (places * plan.seconds), 4) if places else None,
+    }
 
 
 def table(made: dict[str, Any]) -> str:
--- a/reelusher/lab/capacity/__main__.py
+++ b/reelusher/lab/capacity/__main__.py
@@ -6,7 +6,18 @@
 from typing import Any
 
 from reelusher.lab.capacity import (
-    callers, copy, keys, membership, page, reports, request, starts, state, tenants, workers)
+    callers,
+    copy,
+    keys,
+    membership,
+    page,
+    reports,
+    request,
+    starts,
+    state,
+    tenants,
+    workers,
+)
 from reelusher.lab.capacity.harness import FOLDER, Scale, fit_of, play, write
 
 SUBJECTS = (tenants, copy, workers, request, callers, keys, membership, reports, starts, state)
@@ -20,14 +31,18 @@
 
 def told(made: dict[str, Any]) -> str:
     """Return the fits of a play as lines."""
-    return "\n".join(f"{made['name']}.{figure}: {page.fit_told(made, figure)}" for figure in made["figures"]
-                     if fit_of(made, figure))
+    return "\n".join(
+        f"{made['name']}.{figure}: {page.fit_told(made, figure)}"
+        for figure in made["figures"]
+        if fit_of(made, figure)
+    )
 
 
 def main(argv: list[str] | None = None) -> int:
     """Play scale tests; 0, 1 where one failed, 2 where a name is unknown or the page differs."""
-    parser = argparse.ArgumentParser(prog="reelusher.lab.capacity",
-                                     description="Scale tests, on loopback only; docs/CAPACITY.md.")
+    parser = argparse.ArgumentParser(
+        prog="reelusher.lab.capacity", description="Scale tests, on loopback only; docs/CAPACITY.md."
+    )
     parser.add_argument("name", nargs="*", help="`list`, or scale tests; none: all of them")
     parser.add_argument("--sizes", type=sizes_of, default=(), help="others than the test's own, by commas")
     parser.add_argument("--repeats", type=int, default=0, help="of each size")
--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -125,7 +125,8 @@
     def disturbed(self, node: str, since_s: float, until_s: float) -> bool:
         """Tell whether a node was away or cut off at any time between two."""
         return self.was_away(node, since_s, until_s) or any(
-            span.meets(since_s, until_s) for span in self.cuts.get(node, ()))
+            span.meets(since_s, until_s) for span in self.cuts.get(node, ())
+        )
 
     # Changes
 
@@ -161,8 +162,10 @@
             return
         told = ", ".join(map(str, step.refusals)) or "nothing"
         self.spoilt.add(name)
-        self.broken.append(f"{name}: {step.op} was answered {told} and made all the same, or the change "
-                           f"before it is lost: it is answered {status} now")
+        self.broken.append(
+            f"{name}: {step.op} was answered {told} and made all the same, or the change "
+            f"before it is lost: it is answered {status} now"
+        )
 
     def note_acked(self, name: str, revision: Revision | None, now: float) -> None:
         """Note that the newest step is made."""
@@ -190,36 +193,46 @@
         if row is None or row[1] in (ACTIVE, SUSPENDED):  # one on its way out shows neither what was nor is
             self._note(node, name, lambda step: step.row == row, f"shows {row}", floor, now)
 
-    def note_answer(self, node: str, name: str, status: int, worker: str, floor: int, now: float,
-                    began_s: float) -> None:
+    def note_answer(
+        self, node: str, name: str, status: int, worker: str, floor: int, now: float, began_s: float
+    ) -> None:
         """Note a request's answer, which must be that of a row; a node may refuse under any."""
         self.counts[f"answers_{status}"] += 1
         if status == 503:
             steps = self.history(name).steps[floor:]
             self.counts["refused_while_active"] += all(
-                step.row is not None and step.row[1] == ACTIVE for step in steps if step.possible)
+                step.row is not None and step.row[1] == ACTIVE for step in steps if step.possible
+            )
             return
         if status == 500:
             excused = self.was_away(node, began_s, now)
             self.counts["failed_excused" if excused else "failed"] += 1
             return
-        self._note(node, name, lambda step: answers_for(step.row) == (status, worker),
-                   f"answered {status} {worker}".rstrip(), floor, now)
-
-    def _note(self, node: str, name: str, fits: Callable[[Step], bool], what: str, floor: int, now: float
-              ) -> None:
+        self._note(
+            node,
+            name,
+            lambda step: answers_for(step.row) == (status, worker),
+            f"answered {status} {worker}".rstrip(),
+            floor,
+            now,
+        )
+
+    def _note(
+        self, node: str, name: str, fits: Callable[[Step], bool], what: str, floor: int, now: float
+    ) -> None:
         """Note that a node is at one of the steps that fit, at the least of them."""
         history = self.history(name)
         steps = list(enumerate(history.steps))[floor:]
         found = next((number for number, step in steps if step.possible and fits(step)), None)
         if found is None:
-            told = ", ".join(f"{step.op} {step.row}{'' if step.possible else ' (refused)'}"
-                             for _, step in steps[:4])
+            told = ", ".join(
+                f"{step.op} {step.row}{'' if step.possible else ' (refused)'}" for _, step in steps[:4]
+            )
             self.broken.append(f"{node} {what} for {name} at {now:.3f}, which is none of: {told}")
             return
         least = history.at.get(node, 0)
         if found > least:
-            for step in history.steps[least + 1:found + 1]:
+            for step in history.steps[least + 1 : found + 1]:
                 step.shown_s.setdefault(node, now)
             history.at[node] = found
 
@@ -265,8 +278,9 @@
             wanted = history.last.revision
             for node, rows in shown.items():
                 if rows.get(name) != history.last.row:
-                    self.broken.append(f"{node} shows {rows.get(name)} for {name} in the end, "
-                                       f"not {history.last.row}")
+                    self.broken.append(
+                        f"{node} shows {rows.get(name)} for {name} in the end, not {history.last.row}"
+                    )
                 found = revisions.get(node, {}).get(name)
                 if history.last.row and wanted and (found is None or found < wanted):
                     self.broken.append(f"{node} has the revision {found} of {name} in the end, not {wanted}")
@@ -283,16 +297,24 @@
             for number, step in enumerate(history.steps):
                 later = history.steps[number + 1].shown_s if number + 1 < len(history.steps) else {}
                 took_s = [
-                    (max(0.0, at_s - step.acked_s), node) for node in nodes
-                    if step.acked_s is not None and (at_s := step.shown_s.get(node)) is not None
+                    (max(0.0, at_s - step.acked_s), node)
+                    for node in nodes
+                    if step.acked_s is not None
+                    and (at_s := step.shown_s.get(node)) is not None
                     and not self.disturbed(node, step.acked_s, at_s)
                     # a node that shows no row may never have shown the one before: that tells nothing
-                    and (step.row is not None or later.get(node) != at_s)]
+                    and (step.row is not None or later.get(node) != at_s)
+                ]
                 if number and took_s and step.acked_s is not None:
                     longest_s, node = max(took_s)
                     away = self.disturbed(writer_of[name], step.begun_s, step.acked_s + longest_s)
                     found["writer_away" if away else "calm"].append(longest_s)
-                    self.slowest.append((round(longest_s, 3), f"{step.op} of {name}, answered at "
-                                         f"{step.acked_s:.3f}, written by {writer_of[name]}, last at {node}"))
+                    self.slowest.append(
+                        (
+                            round(longest_s, 3),
+                            f"{step.op} of {name}, answered at "
+                            f"{step.acked_s:.3f}, written by {writer_of[name]}, last at {node}",
+                        )
+                    )
         self.slowest = sorted(self.slowest, reverse=True)[:5]
         return found
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -34,9 +34,12 @@
             core = (site.processor_s(pid) - took) / (time.monotonic() - began)
             for sock in socks:
                 sock.close()
-    return {"descriptors_each": (after["descriptors"] - before["descriptors"]) / size,
-            "threads_each": (after["threads"] - before["threads"]) / size,
-            "bytes_each": (after["resident"] - before["resident"]) / size, "core": core}
+    return {
+        "descriptors_each": (after["descriptors"] - before["descriptors"]) / size,
+        "threads_each": (after["threads"] - before["threads"]) / size,
+        "bytes_each": (after["resident"] - before["resident"]) / size,
+        "core": core,
+    }
 
 
 def left(size: int) -> Figures:
@@ -47,13 +50,27 @@
 
 
 SCALES = [
-    Scale("callers-idle", "idle connections of web servers at a hosted node", of="connections",
-          sizes=(100, 200, 400, 800), quick=(20,), measure=idle, repeats=3, cheap=False, target=10_000,
-          units={"descriptors_each": "", "threads_each": "", "bytes_each": "bytes", "core": ""},
-          notes=("core: part of one core that the connections take while nothing is asked",)),
+    Scale(
+        "callers-idle",
+        "idle connections of web servers at a hosted node",
+        of="connections",
+        sizes=(100, 200, 400, 800),
+        quick=(20,),
+        measure=idle,
+        repeats=3,
+        cheap=False,
+        target=10_000,
+        units={"descriptors_each": "", "threads_each": "", "bytes_each": "bytes", "core": ""},
+        notes=("core: part of one core that the connections take while nothing is asked",),
+    ),
     partial(Scale, of="workers", target=41_000)(
-        "callers-left", "connections that callers are left of 65,536 descriptors",
-        sizes=(500, 1000, 2000, 4000), quick=(10, 20, 40, 80), measure=left, repeats=1,
+        "callers-left",
+        "connections that callers are left of 65,536 descriptors",
+        sizes=(500, 1000, 2000, 4000),
+        quick=(10, 20, 40, 80),
+        measure=left,
+        repeats=1,
         units={"connections_left": ""},
-        notes=("16 connections are kept for each worker",)),
+        notes=("16 connections are kept for each worker",),
+    ),
 ]
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -33,16 +33,27 @@
         told = site.tenant(number, f"worker-{number % workers}")
         stream = stream_of(told["name"], control)
         numbers[stream] += 1
-        pieces[stream].append(Entry(numbers[stream], told["name"], 1_700_000_000_000, "operator", "active",
-                                    msgspec.json.encode(told), "", first_epoch(stream, control)))
+        pieces[stream].append(
+            Entry(
+                numbers[stream],
+                told["name"],
+                1_700_000_000_000,
+                "operator",
+                "active",
+                msgspec.json.encode(told),
+                "",
+                first_epoch(stream, control),
+            )
+        )
         if len(pieces[stream]) == PIECE:
             yield stream, pieces[stream]
             pieces[stream] = []
     yield from ((stream, piece) for stream, piece in pieces.items() if piece)
 
 
-def filled(path: Path, size: int, fleet: str = FLEET, control: tuple[str, ...] = CONTROL,
-           workers: int = 1) -> None:
+def filled(
+    path: Path, size: int, fleet: str = FLEET, control: tuple[str, ...] = CONTROL, workers: int = 1
+) -> None:
     """Fill a copy as a fresh machine does, in pieces that are not synced one by one."""
     control = ordered(control)
     copy = LocalCopy(path, fleet, control)
@@ -62,8 +73,10 @@
     began = time.monotonic()
     filled(path, size)
     fill_s = time.monotonic() - began
-    return {"fill_s": fill_s, "file_mb": sum(
-        one.stat().st_size for one in path.parent.glob("tenants.db*")) / 1e6}
+    return {
+        "fill_s": fill_s,
+        "file_mb": sum(one.stat().st_size for one in path.parent.glob("tenants.db*")) / 1e6,
+    }
 
 
 def _opened(size: int, folder: str, pipe: Any) -> None:
@@ -84,9 +97,22 @@
         stream = stream_of(told["name"], control)
         state = copy.states()[stream]
         number = state.number + 1
-        copy.apply(stream, [Entry(number, told["name"], 1_700_000_000_000, "operator", "active",
-                                  msgspec.json.encode(told), "", state.epoch)],
-                   StreamState(state.epoch, number, covered=number, goal=number))
+        copy.apply(
+            stream,
+            [
+                Entry(
+                    number,
+                    told["name"],
+                    1_700_000_000_000,
+                    "operator",
+                    "active",
+                    msgspec.json.encode(told),
+                    "",
+                    state.epoch,
+                )
+            ],
+            StreamState(state.epoch, number, covered=number, goal=number),
+        )
 
     match_us = each_us(look) / LOOKS
     began = time.monotonic()
@@ -95,8 +121,14 @@
     change_us = (time.monotonic() - began) / LOOKS * 1e6
     after = _resident()
     copy.close()
-    pipe.send({"open_ms": open_ms, "match_us": match_us, "change_us": change_us,
-               "resident_mb": (after - before) / 1e6})
+    pipe.send(
+        {
+            "open_ms": open_ms,
+            "match_us": match_us,
+            "change_us": change_us,
+            "resident_mb": (after - before) / 1e6,
+        }
+    )
 
 
 def _apart(work: Callable[..., None], *given: Any) -> Figures:
@@ -120,11 +152,26 @@
         return _filled(size, folder) | _apart(_opened, size, folder)
 
 
-SCALES = [partial(Scale, of="tenants", target=expected("tenants"))(
-    "tenants-copy", "the local copy of the table on disk, two writers' streams",
-    sizes=(1000, 10_000, 60_000, 260_000), quick=(10, 20, 30, 40), measure=copies, repeats=2,
-    units={"fill_s": "s", "file_mb": "MB", "open_ms": "ms", "match_us": "µs", "change_us": "µs",
-           "resident_mb": "MB"},
-    notes=("resident_mb: what opening, 200 look-ups and 200 changes add to a process",
-           "change: synced, by the clock on the wall; this machine's disk",
-           "filled from memory: no exchange between members is in it"))]
+SCALES = [
+    partial(Scale, of="tenants", target=expected("tenants"))(
+        "tenants-copy",
+        "the local copy of the table on disk, two writers' streams",
+        sizes=(1000, 10_000, 60_000, 260_000),
+        quick=(10, 20, 30, 40),
+        measure=copies,
+        repeats=2,
+        units={
+            "fill_s": "s",
+            "file_mb": "MB",
+            "open_ms": "ms",
+            "match_us": "µs",
+            "change_us": "µs",
+            "resident_mb": "MB",
+        },
+        notes=(
+            "resident_mb: what opening, 200 look-ups and 200 changes add to a process",
+            "change: synced, by the clock on the wall; this machine's disk",
+            "filled from memory: no exchange between members is in it",
+        ),
+    )
+]
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -35,8 +35,17 @@
 def tenant(name: str, number: int) -> dict[str, Any]:
     """Return a tenant as the administration API takes it."""
     routes = [{"method": "POST", "path": "/visits", "class": CLASS}] if number % 260 < 260 * ROUTED else []
-    return {"name": name, "backend": WORKER, "hosts": [f"{name}.example"], "prefix": "/", "held_kb": 16.0,
-            "key_header": "x-request-key", "default_class": CLASS, "max_open": 64, "routes": routes}
+    return {
+        "name": name,
+        "backend": WORKER,
+        "hosts": [f"{name}.example"],
+        "prefix": "/",
+        "held_kb": 16.0,
+        "key_header": "x-request-key",
+        "default_class": CLASS,
+        "max_open": 64,
+        "routes": routes,
+    }
 
 
 def name_of(number: int) -> str:
@@ -80,8 +89,10 @@
         while len(ports) < 3:
             ports.add(free_port(list(hosts.values())))
         ajp, admin, fleet = ports
-        self.places = {name: Places((host, ajp), (host, admin), (host, fleet), (host, fleet), "a")
-                       for name, host in hosts.items()}
+        self.places = {
+            name: Places((host, ajp), (host, admin), (host, fleet), (host, fleet), "a")
+            for name, host in hosts.items()
+        }
         with Nodes(self.folder, {WORKER: server.sockets[0].getsockname()}) as self.nodes:
             for name, places in self.places.items():
                 self.nodes.configure(name, places, [one.fleet for one in self.places.values()], [WRITER])
@@ -118,15 +129,21 @@
         took_s = self.loop.time() - began_s
         load.cancel()
         self.figures |= {
-            "fill_s": round(took_s, 2), "rows_per_s": round(self.rows / took_s),
+            "fill_s": round(took_s, 2),
+            "rows_per_s": round(self.rows / took_s),
             "of_a_core": round((self.nodes.processor_s(FRESH) - processor_s) / took_s, 3),
-            "resident_after_mb": self._resident_mb(FRESH), "writer_resident_mb": self._resident_mb(WRITER),
-            "copy_mb": round(sum(file.stat().st_size for file in self.folder.glob(f"{FRESH}.db*")) / 1e6, 1)}
+            "resident_after_mb": self._resident_mb(FRESH),
+            "writer_resident_mb": self._resident_mb(WRITER),
+            "copy_mb": round(sum(file.stat().st_size for file in self.folder.glob(f"{FRESH}.db*")) / 1e6, 1),
+        }
         for phase, found in self.took_s.items():
             ordered = sorted(found)
-            self.figures |= {f"{phase}_answers": len(ordered), f"{phase}_median_ms": _ms(median(ordered)),
-                             f"{phase}_p99_ms": _ms(ordered[int(len(ordered) * 0.99)]),
-                             f"{phase}_most_ms": _ms(ordered[-1])}
+            self.figures |= {
+                f"{phase}_answers": len(ordered),
+                f"{phase}_median_ms": _ms(median(ordered)),
+                f"{phase}_p99_ms": _ms(ordered[int(len(ordered) * 0.99)]),
+                f"{phase}_most_ms": _ms(ordered[-1]),
+            }
         self.figures |= self.counts
         self.figures["broken"] = [line for name in (WRITER, FRESH) for line in self.nodes.faults(name)]
 
@@ -163,8 +180,9 @@
         """Make a request; its latency counts from when it was due."""
         phase = self.phase
         try:
-            status, _ = await callers.ask(f"{SERVED}.example", ANSWER_S,
-                                          lambda: self.counts.update(["twice"]))
+            status, _ = await callers.ask(
+                f"{SERVED}.example", ANSWER_S, lambda: self.counts.update(["twice"])
+            )
         except (NoAnswer, Unreached):
             self.counts[f"{phase}_unanswered"] += 1
             return
@@ -181,9 +199,11 @@
     return round(1000 * seconds, 2)
 
 
-def play(rows: int, rate: float = 100.0, before_s: float = 10.0, folder: Path | None = None,
-         most_s: float = 900.0) -> dict[str, Any]:
+def play(
+    rows: int, rate: float = 100.0, before_s: float = 10.0, folder: Path | None = None, most_s: float = 900.0
+) -> dict[str, Any]:
     """Play a fill and return its figures."""
+
     async def work(where: Path) -> dict[str, Any]:
         fill = Fill(rows, rate, before_s, where, most_s)
         await fill.play()
--- a/reelusher/lab/capacity/fit.py
+++ b/reelusher/lab/capacity/fit.py
@@ -40,8 +40,10 @@
 
     def to_json(self) -> dict[str, Any]:
         """Return it as it is kept, with seven digits."""
-        return {key: value if isinstance(value, str) else float(f"{value:.7g}")
-                for key, value in asdict(self).items()}
+        return {
+            key: value if isinstance(value, str) else float(f"{value:.7g}")
+            for key, value in asdict(self).items()
+        }
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,8 +73,14 @@
     squares, whole = sum(one * one for one in off), sum((y - mean_y) ** 2 for y in figures)
     largest = max(map(abs, figures)) or 1.0
     number = max(range(count), key=lambda place: abs(off[place]))
-    return _Line(fixed, slope, squares, 1 - squares / whole if whole else 1.0, abs(off[number]) / largest,
-                 sizes[number])
+    return _Line(
+        fixed,
+        slope,
+        squares,
+        1 - squares / whole if whole else 1.0,
+        abs(off[number]) / largest,
+        sizes[number],
+    )
 
 
 def fit(sizes: Sequence[float], figures: Sequence[float]) -> Fit:
@@ -86,14 +94,30 @@
     line, mean = lines["n"], sum(figures) / len(figures)
     if max(figures) - min(figures) <= EVEN * abs(mean):
         off = [abs(figure - mean) for figure in figures]
-        return Fit("even", mean, 0.0, line.r2, max(off) / (max(map(abs, figures)) or 1.0),
-                   sizes[off.index(max(off))], line.r2, line.worst)
+        return Fit(
+            "even",
+            mean,
+            0.0,
+            line.r2,
+            max(off) / (max(map(abs, figures)) or 1.0),
+            sizes[off.index(max(off))],
+            line.r2,
+            line.worst,
+        )
     best = min(lines, key=lambda shape: lines[shape].squares)
     clear = lines[best].squares * CLEARLY < line.squares and line.worst > LEAST_OFF
     taken = "n" if line.fits and not clear else best
     made = lines[taken]
-    return Fit(taken if made.fits else "none", made.fixed, made.slope, made.r2, made.worst, made.worst_at,
-               line.r2, line.worst)
+    return Fit(
+        taken if made.fits else "none",
+        made.fixed,
+        made.slope,
+        made.r2,
+        made.worst,
+        made.worst_at,
+        line.r2,
+        line.worst,
+    )
 
 
 def median(values: Sequence[float]) -> float:
--- a/reelusher/lab/capacity/fleet.py
+++ b/reelusher/lab/capacity/fleet.py
@@ -16,8 +16,22 @@
 from typing import Any
 
 from reelusher.lab.capacity.hollow_fleet import (
-    DAY_RATE, LOSS, REGIONS, RESTART_S, ZONES, Change, Fleet, Meter, Reading, Spread, figures_of,
-    held_by_control, lost, region_of, spread_figures)
+    DAY_RATE,
+    LOSS,
+    REGIONS,
+    RESTART_S,
+    ZONES,
+    Change,
+    Fleet,
+    Meter,
+    Reading,
+    Spread,
+    figures_of,
+    held_by_control,
+    lost,
+    region_of,
+    spread_figures,
+)
 from reelusher.lab.capacity.parts import Parts
 
 FOLDER = Path(__file__).parents[3] / "docs" / "capacity" / "fleet"
@@ -83,8 +97,10 @@
 
 def told(figures: dict[str, Any]) -> dict[str, Any]:
     """Return figures as JSON has them: what did not come about in the play is null."""
-    return {name: told(figure) if isinstance(figure, dict) else None if figure == float("inf") else figure
-            for name, figure in figures.items()}
+    return {
+        name: told(figure) if isinstance(figure, dict) else None if figure == float("inf") else figure
+        for name, figure in figures.items()
+    }
 
 
 def level(parts: Parts) -> bool:
@@ -145,8 +161,12 @@
     figures = measured(parts)
     settled = parts.until(partial(level, parts), given.settle, 0.25)
     spreads = parts.each(spread)
-    return figures | spread_figures(spreads) | missing(parts, spreads) | {
-        "all_level_after_s": round(settled, 2), "refused": refused(parts)}
+    return (
+        figures
+        | spread_figures(spreads)
+        | missing(parts, spreads)
+        | {"all_level_after_s": round(settled, 2), "refused": refused(parts)}
+    )
 
 
 def play_region(given: argparse.Namespace, parts: Parts) -> dict[str, Any]:
@@ -167,11 +187,18 @@
     parts.each(begin_meter)
     after = levelled + parts.until(partial(agreed, parts), given.settle, 0.25)
     healed = measured(parts)
-    return {"apart": figures, "until_level": at_level, "until_agreed": healed} | missing(
-        parts, parts.each(spread)) | {
-        "nodes_apart": len(group), "changes_outside": len(changes) - inside, "changes_inside": inside,
-        "all_level_after_return_s": round(levelled, 2), "members_agree_after_return_s": round(after, 2),
-        "refused": refused(parts)}
+    return (
+        {"apart": figures, "until_level": at_level, "until_agreed": healed}
+        | missing(parts, parts.each(spread))
+        | {
+            "nodes_apart": len(group),
+            "changes_outside": len(changes) - inside,
+            "changes_inside": inside,
+            "all_level_after_return_s": round(levelled, 2),
+            "members_agree_after_return_s": round(after, 2),
+            "refused": refused(parts),
+        }
+    )
 
 
 def play_death(given: argparse.Namespace, parts: Parts) -> dict[str, Any]:
@@ -186,19 +213,28 @@
         victim = up.pop(given.size // 2)
         parts.each(kill, [victim])
         took.append(parts.until(partial(known, parts, victim, 0.99 * len(up)), 60))
-    made: dict[str, Any] = {"rest": figures, "death_known_to_99_percent_median_s": round(median(took), 2),
-                            "death_known_to_99_percent_most_s": round(max(took), 2)}
+    made: dict[str, Any] = {
+        "rest": figures,
+        "death_known_to_99_percent_median_s": round(median(took), 2),
+        "death_known_to_99_percent_most_s": round(max(took), 2),
+    }
     for what, dead in (("rack", up[-RACK:]), ("zone", [index for index in up[:-RACK] if index % ZONES == 5])):
         parts.each(begin_meter)
         parts.each(kill, dead)
         settled = parts.until(partial(agreed, parts), 120, 0.25)
-        made |= {f"{what}_nodes": len(dead), f"{what}_known_to_all_s": round(settled, 2),
-                 f"{what}": measured(parts)}
+        made |= {
+            f"{what}_nodes": len(dead),
+            f"{what}_known_to_all_s": round(settled, 2),
+            f"{what}": measured(parts),
+        }
     return made | {"false_deaths": sum(number for _, number in parts.each(counted))}
 
 
 PLAYS: dict[str, Callable[[argparse.Namespace, Parts], dict[str, Any]]] = {
-    "changes": play_changes, "region": play_region, "death": play_death}
+    "changes": play_changes,
+    "region": play_region,
+    "death": play_death,
+}
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -221,9 +257,15 @@
     with Parts(given.size, given.seed, given.play != "death", given.parts) as parts:
         figures = PLAYS[given.play](given, parts)
     words = sys.argv[1:] if argv is None else argv
-    made = {"name": given.name or given.play,
-            "command": "python -m reelusher.lab.capacity.fleet " + " ".join(words), "size": given.size,
-            "zones": ZONES, "regions": REGIONS, "loss": LOSS, "figures": told(figures)}
+    made = {
+        "name": given.name or given.play,
+        "command": "python -m reelusher.lab.capacity.fleet " + " ".join(words),
+        "size": given.size,
+        "zones": ZONES,
+        "regions": REGIONS,
+        "loss": LOSS,
+        "figures": told(figures),
+    }
     print(json.dumps(made, indent=1))
     if given.name:
         FOLDER.mkdir(parents=True, exist_ok=True)
