--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -40,12 +40,12 @@
 
 def machine() -> dict[str, Any]:
     """Return the machine in general terms."""
-    return {"cores": os.cpu_count() or 0, "python": platform.python_version(),
-            "optimised": not __debug__}
+    return {"cores": os.cpu_count() or 0, "python": platform.python_version(), "optimised": not __debug__}
 
 
-def play(scale: Scale, sizes: Sequence[int] = (), repeats: int = 0,
-         tell: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
+def play(
+    scale: Scale, sizes: Sequence[int] = (), repeats: int = 0, tell: Callable[[str], None] = lambda line: None
+) -> dict[str, Any]:
     """Play a scale test and return what is kept of it. Repeats are rounds over all sizes.
 
     So a minute in which the machine has something else to do falls on all sizes and not on one.
@@ -59,21 +59,37 @@
             began = time.monotonic()
             loads[size].append(load_average())
             came[size].append(scale.measure(size))
-            tell(f"{scale.name} {size}: {_told(came[size][-1], scale.units)} "
-                 f"({time.monotonic() - began:.1f} s, load {loads[size][-1]})")
+            tell(
+                f"{scale.name} {size}: {_told(came[size][-1], scale.units)} "
+                f"({time.monotonic() - began:.1f} s, load {loads[size][-1]})"
+            )
     figures: dict[str, dict[str, Any]] = {}
     for name, unit in scale.units.items():
         series = [[one[name] for one in came[size]] for size in sizes]
         middle = [_short(median(values)) for values in series]
-        figures[name] = {"unit": unit, "median": middle, "least": [_short(min(one)) for one in series],
-                         "most": [_short(max(one)) for one in series]}
+        figures[name] = {
+            "unit": unit,
+            "median": middle,
+            "least": [_short(min(one)) for one in series],
+            "most": [_short(max(one)) for one in series],
+        }
         if len(sizes) >= 4:
             figures[name]["fit"] = fit(sizes, middle).to_json()
     others = "" if sizes == scale.sizes else f" --sizes {','.join(map(str, sizes))}"
     command = f"python -O -m reelusher.lab.capacity {scale.name}{others}"
-    return {"name": scale.name, "what": scale.what, "of": scale.of, "command": command,
-            "machine": machine(), "sizes": list(sizes), "repeats": repeats, "target": scale.target,
-            "load_average": [loads[size] for size in sizes], "figures": figures, "notes": list(scale.notes)}
+    return {
+        "name": scale.name,
+        "what": scale.what,
+        "of": scale.of,
+        "command": command,
+        "machine": machine(),
+        "sizes": list(sizes),
+        "repeats": repeats,
+        "target": scale.target,
+        "load_average": [loads[size] for size in sizes],
+        "figures": figures,
+        "notes": list(scale.notes),
+    }
 
 
 def _short(value: float) -> float:
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -32,8 +32,22 @@
 
 from reelusher.config.table import Address, ConfigError, address_of
 from reelusher.fleet.membership.messages import (
-    BUCKETS, MOST_DATAGRAM, MOST_STATE, BucketsRequest, DigestReply, DigestRequest, FactsReply, FactsRequest,
-    Message, Refused, Seal, State, StateReply, StateRequest, Update)
+    BUCKETS,
+    MOST_DATAGRAM,
+    MOST_STATE,
+    BucketsRequest,
+    DigestReply,
+    DigestRequest,
+    FactsReply,
+    FactsRequest,
+    Message,
+    Refused,
+    Seal,
+    State,
+    StateReply,
+    StateRequest,
+    Update,
+)
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.membership.table import Table
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, Entry
@@ -103,9 +117,20 @@
     let run, all of them are slow together, and none blames another. `lost_s` tells how much that was.
     """
 
-    def __init__(self, count: int, control: list[str], secret: bytes, fleet: str = "reelusher",
-                 zones: tuple[str, ...] = ("a", "b", "c"), sealed: bool = False, seed: int = 1,
-                 part: int = 0, parts: int = 1, port: int = 0, life: int = 0) -> None:
+    def __init__(
+        self,
+        count: int,
+        control: list[str],
+        secret: bytes,
+        fleet: str = "reelusher",
+        zones: tuple[str, ...] = ("a", "b", "c"),
+        sealed: bool = False,
+        seed: int = 1,
+        part: int = 0,
+        parts: int = 1,
+        port: int = 0,
+        life: int = 0,
+    ) -> None:
         """Hold each `parts`-th of so many, from the part's on; all parts are given one port and one life."""
         self.random, self.sealed = Random(f"{seed} {part}"), sealed
         self.selector = selectors.DefaultSelector()
@@ -122,8 +147,9 @@
         hosts = hosts_of(count)
         port, life = port or free_port(hosts), life or int(time.time() * 1000)
         everyone = [
-            Update(f"{host}:{port}", f"h{number + 1}", zones[number % len(zones)], "", life,
-                   State.ALIVE) for number, host in enumerate(hosts)]
+            Update(f"{host}:{port}", f"h{number + 1}", zones[number % len(zones)], "", life, State.ALIVE)
+            for number, host in enumerate(hosts)
+        ]
         whole = Table(Random(seed))
         for own in everyone:
             whole.take(own, 0.0)
@@ -150,7 +176,7 @@
 
     def join(self, places: list[str]) -> None:
         """Exchange full states with each of these, by a member of its own, and tell all members of them."""
-        asked = list(self.members.values())[:len(places)]
+        asked = list(self.members.values())[: len(places)]
         everyone = [member.swim.own for member in self.members.values()]
         known: dict[str, Update] = {}
         for place, member in zip(places, asked, strict=False):
@@ -306,6 +332,7 @@
         elif other is not None:
             member.replica.take(pull, other.replica.asked(pull.request, self.now), self.now)
         else:
+
             def take(reply: EntriesReply) -> None:
                 member.replica.take(pull, reply, self.now)
                 self._wake(member)
@@ -321,8 +348,11 @@
         match asked:
             case StateRequest() | BucketsRequest():
                 self._carry_out(member, member.swim.merge(asked.updates, self.now))
-                return StateReply(member.swim.state() if isinstance(asked, StateRequest)
-                                  else member.swim.in_buckets(asked.buckets))
+                return StateReply(
+                    member.swim.state()
+                    if isinstance(asked, StateRequest)
+                    else member.swim.in_buckets(asked.buckets)
+                )
             case DigestRequest():
                 return DigestReply(member.swim.compared(asked.whole))
             case EntriesRequest():
@@ -331,8 +361,15 @@
 
     # Exchanges with real nodes
 
-    def _ask(self, member: Member, place: str, request: Any, kind: type[T], take: Callable[[T], None],
-             failed: Callable[[], None] = lambda: None) -> None:
+    def _ask(
+        self,
+        member: Member,
+        place: str,
+        request: Any,
+        kind: type[T],
+        take: Callable[[T], None],
+        failed: Callable[[], None] = lambda: None,
+    ) -> None:
         def open_frame(frame: bytes) -> bytes:
             take(member.seal.open(frame, kind, MOST_STATE)[1])
             return b""
@@ -342,8 +379,9 @@
         sock.setblocking(False)
         sock.bind((member.place.split(":")[0], 0))
         sock.connect_ex(address_of(place, "place"))
-        one = Exchange(sock, time.monotonic() + EXCHANGE_S, len(data).to_bytes(4) + data,
-                       take=open_frame, failed=failed)
+        one = Exchange(
+            sock, time.monotonic() + EXCHANGE_S, len(data).to_bytes(4) + data, take=open_frame, failed=failed
+        )
         self.exchanges.add(one)
         self.selector.register(sock, selectors.EVENT_WRITE, ("exchange", one))
 
@@ -371,7 +409,7 @@
         """Send and read what can be of an exchange."""
         try:
             if one.out:
-                one.out = one.out[one.sock.send(one.out):]
+                one.out = one.out[one.sock.send(one.out) :]
                 if one.out:
                     return
                 if one.take is None:
@@ -424,12 +462,16 @@
 
     def status(self, wanted: dict[str, Any] | None = None) -> dict[str, Any]:
         """Return counts, the time that was lost, and how many have just the rows that are wanted."""
-        told = {"members": len(self.members), "processor_s": round(time.process_time(), 2),
-                "clock_s": round(self.now, 3), "lost_s": round(self.lost_s, 3),
-                "stalls": sum(member.swim.stalls for member in self.members.values()),
-                "live_least": min(member.swim.size() for member in self.members.values()),
-                "live_most": max(member.swim.size() for member in self.members.values()),
-                **self.counts}
+        told = {
+            "members": len(self.members),
+            "processor_s": round(time.process_time(), 2),
+            "clock_s": round(self.now, 3),
+            "lost_s": round(self.lost_s, 3),
+            "stalls": sum(member.swim.stalls for member in self.members.values()),
+            "live_least": min(member.swim.size() for member in self.members.values()),
+            "live_most": max(member.swim.size() for member in self.members.values()),
+            **self.counts,
+        }
         if wanted is not None:
             told["right"] = sum(self._shows(member, wanted) for member in self.members.values())
         return told
@@ -437,8 +479,10 @@
     @staticmethod
     def _shows(member: Member, wanted: dict[str, Any]) -> bool:
         """Tell whether a member has these rows, `max_open` and state by name, and no others."""
-        found = {name: [json.loads(entry.tenant)["max_open"], entry.state]
-                 for name, entry in member.rows.live().items()}
+        found = {
+            name: [json.loads(entry.tenant)["max_open"], entry.state]
+            for name, entry in member.rows.live().items()
+        }
         return found == wanted
 
 
@@ -485,8 +529,16 @@
     parser.add_argument("--life", type=int, default=0, help="incarnation of all; 0: now, for one part")
     given = parser.parse_args(argv)
     secret = given.secret.read_bytes().strip() if given.secret else b"a secret of hollow members"
-    hollow = Hollow(given.members, given.control, secret, sealed=given.sealed, part=given.part,
-                    parts=given.parts, port=given.port, life=given.life)
+    hollow = Hollow(
+        given.members,
+        given.control,
+        secret,
+        sealed=given.sealed,
+        part=given.part,
+        parts=given.parts,
+        port=given.port,
+        life=given.life,
+    )
     if given.seconds is None:
         serve(hollow)
         return 0
@@ -497,10 +549,15 @@
     took_s = time.monotonic() - began_s
     told = hollow.status() | {
         "of_a_core": round((time.process_time() - processor_s) / took_s, 3),
-        "of_real_time": round((hollow.now - now) / (hollow.now - now + hollow.lost_s - lost_s), 3)}
+        "of_real_time": round((hollow.now - now) / (hollow.now - now + hollow.lost_s - lost_s), 3),
+    }
     if took:
-        told["in_force"] = {"count": len(took), "median_s": round(took[len(took) // 2], 3),
-                            "p99_s": round(took[int(len(took) * 0.99)], 3), "most_s": round(took[-1], 3)}
+        told["in_force"] = {
+            "count": len(took),
+            "median_s": round(took[len(took) // 2], 3),
+            "p99_s": round(took[int(len(took) * 0.99)], 3),
+            "most_s": round(took[-1], 3),
+        }
     print(json.dumps(told, indent=1))
     return 0
 
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -19,9 +19,26 @@
 import msgspec
 
 from reelusher.fleet.membership.messages import (
-    BucketsRequest, DigestReply, DigestRequest, Message, Seal, State, StateReply, StateRequest, Update)
+    BucketsRequest,
+    DigestReply,
+    DigestRequest,
+    Message,
+    Seal,
+    State,
+    StateReply,
+    StateRequest,
+    Update,
+)
 from reelusher.fleet.membership.service import (
-    DROP_S, MOST_ASKERS, STATE_S, STATES_AT_ONCE, STATES_PER_S, SYNC_LEAST_S, SYNC_S, Allowance)
+    DROP_S,
+    MOST_ASKERS,
+    STATE_S,
+    STATES_AT_ONCE,
+    STATES_PER_S,
+    SYNC_LEAST_S,
+    SYNC_S,
+    Allowance,
+)
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.membership.table import Table
 from reelusher.fleet.replication.messages import EntriesReply, Entry
@@ -73,9 +90,28 @@
 class Node:
     """One hollow node, and what it has sent."""
 
-    __slots__ = ("index", "name", "place", "zone", "up", "swim", "rows", "replica", "due_s", "pull_due_s",
-                 "sync_due_s", "syncing", "asked", "states", "sent", "sent_bytes", "got_bytes", "exchanges",
-                 "exchange_bytes", "position")
+    __slots__ = (
+        "index",
+        "name",
+        "place",
+        "zone",
+        "up",
+        "swim",
+        "rows",
+        "replica",
+        "due_s",
+        "pull_due_s",
+        "sync_due_s",
+        "syncing",
+        "asked",
+        "states",
+        "sent",
+        "sent_bytes",
+        "got_bytes",
+        "exchanges",
+        "exchange_bytes",
+        "position",
+    )
 
     def __init__(self, index: int, name: str) -> None:
         self.index, self.name, self.zone = index, name, index % ZONES
@@ -103,8 +139,15 @@
 class Fleet:
     """Hollow nodes that have joined, and what stands between them; or a part of them, see `parts`."""
 
-    def __init__(self, size: int, seed: int = 1, loss: float = LOSS, replicate: bool = True, part: int = 0,
-                 parts: int = 1) -> None:
+    def __init__(
+        self,
+        size: int,
+        seed: int = 1,
+        loss: float = LOSS,
+        replicate: bool = True,
+        part: int = 0,
+        parts: int = 1,
+    ) -> None:
         """Hold the nodes of each so many-th region, from the part's on; all, where there is one part."""
         self.line, self.loss = VirtualLine(), loss
         self.random = Random(f"{seed} {part}") if parts > 1 else Random(seed)
@@ -112,8 +155,10 @@
         self.replicate = replicate
         self.way = ways()
         self.cut: Network = lambda one, other: False
-        self.nodes = [Node(number, CONTROL[number] if number < len(CONTROL) else f"node-{number:04}")
-                      for number in range(size)]
+        self.nodes = [
+            Node(number, CONTROL[number] if number < len(CONTROL) else f"node-{number:04}")
+            for number in range(size)
+        ]
         self.by_place = {node.place: node for node in self.nodes}
         self.mine = [node for node in self.nodes if self.part_of(node) == part]
         self.outboxes: list[list[Post]] = [[] for _ in range(parts)]  # for other parts
@@ -182,8 +227,9 @@
     # The nodes
 
     def _own(self, node: Node, life: int) -> Update:
-        return Update(node.place, node.name, f"zone-{node.zone:02}", f"region-{region_of(node.zone)}", life,
-                      State.ALIVE)
+        return Update(
+            node.place, node.name, f"zone-{node.zone:02}", f"region-{region_of(node.zone)}", life, State.ALIVE
+        )
 
     def _begin(self, node: Node, life: int) -> None:
         now, random = self.line.now, Random(self.random.random())
@@ -312,8 +358,15 @@
             self._post(node, self._way_s(other, node), "answered", asker, number, None, 0)
             return
         other.asked += 1
-        self.line.call_later(self._leg_s(node, other, size) + self._way_s(other, node), self._answer,
-                             node, other, number, request, size)
+        self.line.call_later(
+            self._leg_s(node, other, size) + self._way_s(other, node),
+            self._answer,
+            node,
+            other,
+            number,
+            request,
+            size,
+        )
 
     def _answer(self, node: Node, other: Node, number: int, request: Any, size: int) -> None:
         """Answer: the connection stands, and the request is read."""
@@ -342,8 +395,9 @@
                 return DigestReply(node.swim.compared(request.whole))
             case BucketsRequest():
                 self._merged(node, request.updates)
-                return StateReply(node.swim.in_buckets(request.buckets) if node.states.take(now)
-                                  else [node.swim.own])
+                return StateReply(
+                    node.swim.in_buckets(request.buckets) if node.states.take(now) else [node.swim.own]
+                )
             case StateRequest():
                 self._merged(node, request.updates)
                 gives = node.states.take(now)
@@ -362,8 +416,12 @@
         node.sync_due_s = self.line.now + self.random.uniform(*SYNC_S)
         self._wake_sync(node)
         live = swim.table.count()
-        lost = [seed for seed in self.nodes[:len(CONTROL)] if seed is not node and not (
-            seed.place in swim.table.members and swim.table.members[seed.place].here)]
+        lost = [
+            seed
+            for seed in self.nodes[: len(CONTROL)]
+            if seed is not node
+            and not (seed.place in swim.table.members and swim.table.members[seed.place].here)
+        ]
         if lost and self.random.random() < 3 / (1 + live):
             self._compare(node, self.random.choice(lost))
         elif live:
@@ -391,8 +449,9 @@
                 return
             buckets = node.swim.differing(reply.digests)
             if buckets:
-                self._ask(node, other, BucketsRequest(node.place, buckets, node.swim.in_buckets(buckets)),
-                          merged)
+                self._ask(
+                    node, other, BucketsRequest(node.place, buckets, node.swim.in_buckets(buckets)), merged
+                )
 
         def merged(reply: StateReply | None) -> None:
             if reply is not None:
@@ -418,8 +477,9 @@
         self.replica_s += perf_counter() - began
         self._wake_pull(node)
         if pull is not None:
-            self._ask(node, self.by_place[pull.place], pull.request,
-                      lambda reply: self._pulled(node, pull, reply))
+            self._ask(
+                node, self.by_place[pull.place], pull.request, lambda reply: self._pulled(node, pull, reply)
+            )
 
     def _pulled(self, node: Node, pull: Pull, reply: EntriesReply | None) -> None:
         began = perf_counter()
@@ -453,8 +513,9 @@
         now = self.line.now
         body = TENANT.replace(b"%s", name.encode()) + str(len(self.changes)).encode()
         try:
-            entry = node.replica.accept(holder, node.name, Entry(
-                0, name, int(now * 1000), "ops", "active", body))
+            entry = node.replica.accept(
+                holder, node.name, Entry(0, name, int(now * 1000), "ops", "active", body)
+            )
         except Behind:
             return False
         stream = CONTROL.index(holder)
@@ -504,7 +565,7 @@
         self._join(node)
 
     def _join(self, node: Node) -> None:
-        seed = self.random.choice([one for one in self.nodes[:len(CONTROL)] if one is not node])
+        seed = self.random.choice([one for one in self.nodes[: len(CONTROL)] if one is not node])
 
         def joined(reply: StateReply | None) -> None:
             if reply is None or reply.instead:
@@ -547,8 +608,9 @@
 
     def apart(self, group: set[int]) -> None:
         """Cut some nodes off from all others; none: end a cut."""
-        self.cut = (lambda one, other: (one in group) != (other in group)) if group else (
-            lambda one, other: False)
+        self.cut = (
+            (lambda one, other: (one in group) != (other in group)) if group else (lambda one, other: False)
+        )
 
     # What came of it
 
@@ -558,7 +620,10 @@
         mine = [node for node in self.mine if node.up]
         return all(1 + node.swim.table.count() == len(live) for node in mine) and all(
             other.swim.table.members[node.place].here
-            for node in live[:3] for other in mine if other is not node)
+            for node in live[:3]
+            for other in mine
+            if other is not node
+        )
 
     def level(self) -> bool:
         """Tell whether all live nodes are at one position in every stream."""
@@ -570,9 +635,12 @@
 
     def holding_dead(self, node: Node) -> int:
         """Count the live nodes that don't count one as live."""
-        return sum(one.up and one is not node and not (
-            node.place in one.swim.table.members and one.swim.table.members[node.place].here)
-            for one in self.mine)
+        return sum(
+            one.up
+            and one is not node
+            and not (node.place in one.swim.table.members and one.swim.table.members[node.place].here)
+            for one in self.mine
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -609,15 +677,26 @@
         """Return what was sent and spent since this was made."""
         gc.enable()
         fleet = self.fleet
-        rows = [[after - before for after, before in zip(self._count(node), counts, strict=True)]
-                for node, counts in zip(fleet.mine, self._counts, strict=True)]
+        rows = [
+            [after - before for after, before in zip(self._count(node), counts, strict=True)]
+            for node, counts in zip(fleet.mine, self._counts, strict=True)
+        ]
         swim_s, replica_s = fleet.swim_s - self._parts[0], fleet.replica_s - self._parts[1]
-        return Reading(fleet.line.now - self._began_s, rows,
-                       sum(node.index < len(CONTROL) for node in fleet.mine), process_time() - self._cpu,
-                       fleet.ran_s - self._wall, swim_s, replica_s,
-                       resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
-                       {"false_deaths": fleet.false_deaths, "failed_pulls": fleet.failed_pulls,
-                        "turned_away": fleet.turned_away})
+        return Reading(
+            fleet.line.now - self._began_s,
+            rows,
+            sum(node.index < len(CONTROL) for node in fleet.mine),
+            process_time() - self._cpu,
+            fleet.ran_s - self._wall,
+            swim_s,
+            replica_s,
+            resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
+            {
+                "false_deaths": fleet.false_deaths,
+                "failed_pulls": fleet.failed_pulls,
+                "turned_away": fleet.turned_away,
+            },
+        )
 
     def figures(self) -> dict[str, float]:
         """Return the figures of a fleet of one part."""
@@ -635,14 +714,21 @@
     sent = sorted(map(whole, rows))
     # decisions are timed by the wall, of which the processor was given a part
     membership, replica = (
-        sum(spent / one.wall_s * one.processor_s for spent, one in zip(part, readings, strict=True)
-            if one.wall_s) / size / seconds
-        for part in ([one.swim_s for one in readings], [one.replica_s for one in readings]))
+        sum(
+            spent / one.wall_s * one.processor_s
+            for spent, one in zip(part, readings, strict=True)
+            if one.wall_s
+        )
+        / size
+        / seconds
+        for part in ([one.swim_s for one in readings], [one.replica_s for one in readings])
+    )
     cpu = sum(one.processor_s for one in readings)
     datagrams = mean(row[0] for row in rows) / seconds
     sealing = datagrams * 2 * seal_s()
     return {
-        "virtual_seconds": round(seconds, 1), "datagrams_a_second": round(datagrams, 2),
+        "virtual_seconds": round(seconds, 1),
+        "datagrams_a_second": round(datagrams, 2),
         "datagram_bytes_a_second": round(mean(row[1] for row in rows) / seconds, 1),
         "header_bytes_a_second": round(HEADERS * datagrams, 1),
         "exchanges_a_second": round(mean(row[3] for row in rows) / seconds, 3),
@@ -650,23 +736,28 @@
         "sent_bytes_a_second_mean": round(mean(sent), 1),
         "sent_bytes_a_second_99_percent": round(sent[int(0.99 * (size - 1))], 1),
         "sent_bytes_a_second_most": round(sent[-1], 1),
-        "sent_bytes_a_second_most_but_control": round(max(
-            whole(row) for one in readings for row in one.rows[one.control:]), 1),
+        "sent_bytes_a_second_most_but_control": round(
+            max(whole(row) for one in readings for row in one.rows[one.control :]), 1
+        ),
         "membership_core_percent": round(100 * membership, 4),
         "replica_core_percent": round(100 * replica, 4),
         "sealing_core_percent": round(100 * sealing, 4),
         "core_percent": round(100 * (membership + replica + sealing), 4),
         "driver_core_percent": round(100 * (cpu / size / seconds - membership - replica), 4),
-        "process_seconds": round(cpu, 1), "wall_seconds": round(max(one.wall_s for one in readings), 1),
+        "process_seconds": round(cpu, 1),
+        "wall_seconds": round(max(one.wall_s for one in readings), 1),
         "peak_memory_mb": round(sum(one.peak_kb for one in readings) / 1024),
-        **{name: sum(one.counts[name] for one in readings) for name in readings[0].counts}}
+        **{name: sum(one.counts[name] for one in readings) for name in readings[0].counts},
+    }
 
 
 def seal_s(count: int = 2000) -> float:
     """Return the processor time of sealing a datagram and opening one, halved."""
     seal, other = (Seal(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", life) for life in (1, 2))
-    said = [Update(f"10.0.0.{number}:7946", "node-1234", "zone-12", "region-3", LIFE_MS, State.ALIVE)
-            for number in range(3)]
+    said = [
+        Update(f"10.0.0.{number}:7946", "node-1234", "zone-12", "region-3", LIFE_MS, State.ALIVE)
+        for number in range(3)
+    ]
     message = Message(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
     began = process_time()
     for _ in range(count):
@@ -702,18 +793,28 @@
         return round(values[min(len(values) - 1, int(part * len(values)))], 3)
 
     return {
-        "changes": len(most), "steady_nodes": need,
-        "to_999_permille_median_s": at(most, 0.5), "to_999_permille_p99_s": at(most, 0.99),
-        "to_999_permille_most_s": at(most, 1.0), "to_all_median_s": at(every, 0.5),
-        "to_all_p99_s": at(every, 0.99), "to_all_most_s": at(every, 1.0),
+        "changes": len(most),
+        "steady_nodes": need,
+        "to_999_permille_median_s": at(most, 0.5),
+        "to_999_permille_p99_s": at(most, 0.99),
+        "to_999_permille_most_s": at(most, 1.0),
+        "to_all_median_s": at(every, 0.5),
+        "to_all_p99_s": at(every, 0.99),
+        "to_all_most_s": at(every, 1.0),
         "past_8_s_for_999_permille": len(most) - bisect_left(most, 8.0),
-        "past_16_s_for_all": len(every) - bisect_left(every, 16.0)}
+        "past_16_s_for_all": len(every) - bisect_left(every, 16.0),
+    }
 
 
 def held_by_control(fleet: Fleet) -> dict[str, Any]:
     """Return the rows that the control members of a part hold, by name."""
-    return {name: kept for node in fleet.mine if node.index < len(CONTROL)
-            for name, kept in node.rows.live().items() if stream_of(name, CONTROL) == node.name}
+    return {
+        name: kept
+        for node in fleet.mine
+        if node.index < len(CONTROL)
+        for name, kept in node.rows.live().items()
+        if stream_of(name, CONTROL) == node.name
+    }
 
 
 def lost(fleet: Fleet, newest: dict[str, Any], changes: Sequence[Change]) -> dict[str, int]:
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -32,11 +32,16 @@
 
 def window(size: int) -> Figures:
     """Measure a table that keeps so many keys, with results and without, and a sweep (once a second)."""
+
     def keep() -> KeyTable:
         table = KeyTable(TAIL_US, 1 << 40)
         for number in range(size):
-            table.keep((f"tenant-{number % 100}", 1, f"key-{number:016x}"), number, WINDOW_US + number,
-                       b"%016d" % number)
+            table.keep(
+                (f"tenant-{number % 100}", 1, f"key-{number:016x}"),
+                number,
+                WINDOW_US + number,
+                b"%016d" % number,
+            )
         return table
 
     def answered() -> None:
@@ -45,12 +50,16 @@
 
     held, table = bytes_of(keep)
     results, _ = bytes_of(answered)
-    return {"key_bytes": held / size, "result_bytes": results / size,
-            "sweep_ms": each_us(lambda: table.sweep(0, lambda holder: False)) / 1000}
+    return {
+        "key_bytes": held / size,
+        "result_bytes": results / size,
+        "sweep_ms": each_us(lambda: table.sweep(0, lambda holder: False)) / 1000,
+    }
 
 
 def accounts(size: int) -> Figures:
     """Measure the accounts of so many tenants, and the counters that each of them gets."""
+
     def entitle() -> Shares:
         shares = Shares(8, 65_536.0)
         for number in range(size):
@@ -70,21 +79,38 @@
     held, made = bytes_of(entitle)
     counted, counters = bytes_of(count)
     asked()
-    return {"account_bytes": held / size, "counters_kb": counted / 1000,
-            "snapshot_ms": each_us(counters.snapshot) / 1000,
-            "line_kb": len(str(counters.summary())) / 1000, "period_us": each_us(lambda: made.period(0))}
+    return {
+        "account_bytes": held / size,
+        "counters_kb": counted / 1000,
+        "snapshot_ms": each_us(counters.snapshot) / 1000,
+        "line_kb": len(str(counters.summary())) / 1000,
+        "period_us": each_us(lambda: made.period(0)),
+    }
 
 
 SCALES = [
     partial(Scale, of="keys", target=expected("node_requests_per_s") * (WINDOW_US + TAIL_US) / 1e6)(
-        "keys-window", "keys of keyed requests, kept for their window and the longest deadline",
-        sizes=(1000, 2000, 4000, 8000, 16_000), quick=(50, 100, 200, 400), measure=window,
+        "keys-window",
+        "keys of keyed requests, kept for their window and the longest deadline",
+        sizes=(1000, 2000, 4000, 8000, 16_000),
+        quick=(50, 100, 200, 400),
+        measure=window,
         units={"key_bytes": "bytes", "result_bytes": "bytes", "sweep_ms": "ms"},
-        notes=("results of 1,000 bytes; at 272 a second, were all of them keyed, 8,342 keys",)),
+        notes=("results of 1,000 bytes; at 272 a second, were all of them keyed, 8,342 keys",),
+    ),
     partial(Scale, of="tenants", target=expected("tenants"))(
-        "tenants-accounts", "accounts of tenants and their counters",
-        sizes=(1000, 2000, 4000, 8000, 16_000), quick=(50, 100, 200, 400), measure=accounts,
-        units={"account_bytes": "bytes", "counters_kb": "KB", "snapshot_ms": "ms", "line_kb": "KB",
-               "period_us": "µs"},
-        notes=("all tenants ask; line: of the log, that a drain ends with",)),
+        "tenants-accounts",
+        "accounts of tenants and their counters",
+        sizes=(1000, 2000, 4000, 8000, 16_000),
+        quick=(50, 100, 200, 400),
+        measure=accounts,
+        units={
+            "account_bytes": "bytes",
+            "counters_kb": "KB",
+            "snapshot_ms": "ms",
+            "line_kb": "KB",
+            "period_us": "µs",
+        },
+        notes=("all tenants ask; line: of the log, that a drain ends with",),
+    ),
 ]
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -25,7 +25,17 @@
 from reelusher.fleet.replication.streams import stream_of
 from reelusher.lab.capacity import fill
 from reelusher.lab.capacity.books import (
-    ACTIVE, SUSPENDED, WORKERS, Books, History, Revision, Row, Step, answers_for, worker_of)
+    ACTIVE,
+    SUSPENDED,
+    WORKERS,
+    Books,
+    History,
+    Revision,
+    Row,
+    Step,
+    answers_for,
+    worker_of,
+)
 from reelusher.lab.capacity.hollow import hosts_of
 from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
 from reelusher.lab.capacity.wires import Callers, NamedWorker, NoAnswer, Told, Unreached, answers, call
@@ -89,7 +99,7 @@
         self.books, self.net = Books(), Net(proof.seed)
         self.names = [f"n{number + 1}" for number in range(proof.nodes)]
         self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
-        self.control = self.names[:min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
+        self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
         self.writer_of = self._writers()
         self.places: dict[str, Places] = {}
         self.callers: dict[str, Callers] = {}
@@ -144,8 +154,10 @@
         self._beat(self.loop.time())
         workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
         servers = [await asyncio.start_server(one.serve, SERVICES, 0) for one in workers]
-        addresses = {one.name.decode(): server.sockets[0].getsockname()
-                     for one, server in zip(workers, servers, strict=True)}
+        addresses = {
+            one.name.decode(): server.sockets[0].getsockname()
+            for one, server in zip(workers, servers, strict=True)
+        }
         with Nodes(self.folder, addresses) as self.nodes:
             try:
                 await self._begin()
@@ -186,8 +198,9 @@
             self.spawn(self._change_on(name))
         self.spawn(self._load())
         histories = [self.books.history(name) for name in self.tenants]
-        if not await self.until(lambda: all(len(one.steps) > 2 or one.last.revision for one in histories),
-                                SETTLE_S):
+        if not await self.until(
+            lambda: all(len(one.steps) > 2 or one.last.revision for one in histories), SETTLE_S
+        ):
             self.books.broken.append("not all tenants could be made before anything was broken")
         self.figures["all_made_s"] = round(self.loop.time() - began_s, 3)
 
@@ -203,7 +216,7 @@
             door = await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
             self.places[name] = Places((host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]])
             self.callers[name] = Callers((host, ajp))
-        seeds = [self.places[name].advertise for name in self.names[:len(ZONES)]]
+        seeds = [self.places[name].advertise for name in self.names[: len(ZONES)]]
         for name, places in self.places.items():
             self.nodes.configure(name, places, seeds, self.control)
 
@@ -217,8 +230,15 @@
             return
         self.state[name] = "up"
 
-    async def _api(self, node: str, method: str, path: str, value: Any = None,
-                   headers: dict[str, str] | None = None, most_s: float = 10.0) -> Told | None:
+    async def _api(
+        self,
+        node: str,
+        method: str,
+        path: str,
+        value: Any = None,
+        headers: dict[str, str] | None = None,
+        most_s: float = 10.0,
+    ) -> Told | None:
         return await call(self.places[node].admin, method, path, value, headers, most_s)
 
     async def _joined(self, hollow: int) -> None:
@@ -246,11 +266,33 @@
         port, life = free_port(hosts_of(count)), int(time.time() * 1000)
         for part in range(parts):
             log = self.nodes.log_file(f"hollow-{part}").open("ab")
-            self.hollow.append(await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "reelusher.lab.capacity.hollow", "--members", str(count),
-                "--control", *self.control, "--secret", str(self.nodes.secret), "--sealed",
-                "--part", str(part), "--parts", str(parts), "--port", str(port), "--life", str(life),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log, cwd=ROOT))
+            self.hollow.append(
+                await asyncio.create_subprocess_exec(
+                    sys.executable,
+                    "-O",
+                    "-m",
+                    "reelusher.lab.capacity.hollow",
+                    "--members",
+                    str(count),
+                    "--control",
+                    *self.control,
+                    "--secret",
+                    str(self.nodes.secret),
+                    "--sealed",
+                    "--part",
+                    str(part),
+                    "--parts",
+                    str(parts),
+                    "--port",
+                    str(port),
+                    "--life",
+                    str(life),
+                    stdin=asyncio.subprocess.PIPE,
+                    stdout=asyncio.subprocess.PIPE,
+                    stderr=log,
+                    cwd=ROOT,
+                )
+            )
             log.close()
         await asyncio.gather(*map(self._told_by, self.hollow))
         await self._tell_hollow(join=["{}:{}".format(*places.advertise) for places in self.places.values()])
@@ -288,9 +330,12 @@
                 break
             await asyncio.sleep(0.5)
         clock_s, lost_s, processor_s = (
-            told[key] - self.hollow_before[key] for key in ("clock_s", "lost_s", "processor_s"))
-        self.figures["hollow"] = told | {"of_real_time": round(clock_s / (clock_s + lost_s), 3),
-                                         "of_a_core": round(processor_s / (clock_s + lost_s), 3)}
+            told[key] - self.hollow_before[key] for key in ("clock_s", "lost_s", "processor_s")
+        )
+        self.figures["hollow"] = told | {
+            "of_real_time": round(clock_s / (clock_s + lost_s), 3),
+            "of_a_core": round(processor_s / (clock_s + lost_s), 3),
+        }
         for process in self.hollow:
             assert process.stdin is not None
             process.stdin.close()
@@ -342,7 +387,8 @@
         books.counts["asked"] += 1
         try:
             status, worker = await self.callers[node].ask(
-                f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_twice(node, name))
+                f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_twice(node, name)
+            )
         except (NoAnswer, Unreached) as error:
             books.note_lost(node, name, began_s, self.loop.time(), str(error))
             return None
@@ -368,7 +414,7 @@
         turned = ("suspend", (row[0], SUSPENDED)) if row[1] == ACTIVE else ("resume", (row[0], ACTIVE))
         if turned[1] not in history.rows():
             able.append(turned)
-        return self.random.choices(able, [3, 3, 1, 2 if row[1] == ACTIVE else 8][:len(able)])[0]
+        return self.random.choices(able, [3, 3, 1, 2 if row[1] == ACTIVE else 8][: len(able)])[0]
 
     def _call_of(self, name: str, step: Step, key: str) -> tuple[str, str, Any, dict[str, str]]:
         """Return method, path, body and headers of a change."""
@@ -552,10 +598,16 @@
         made = [(one, len(one.steps) - 1 - (one.last.acked_s is None)) for one in histories]
 
         def agreed() -> bool:
-            steady = [node for node in self.names
-                      if not self.books.was_away(node, healed_s - seconds, self.loop.time())]
-            return all(history.at.get(node, 0) >= number or history.steps[number].row is None
-                       for node in steady for history, number in made)
+            steady = [
+                node
+                for node in self.names
+                if not self.books.was_away(node, healed_s - seconds, self.loop.time())
+            ]
+            return all(
+                history.at.get(node, 0) >= number or history.steps[number].row is None
+                for node in steady
+                for history, number in made
+            )
 
         if await self.until(agreed, SETTLE_S):
             self.healed_s.append(self.loop.time() - healed_s)
@@ -622,8 +674,13 @@
         if not await self.until(lambda: len(self.up()) == len(self.names) and not self.cut, 2 * START_S):
             books.broken.append(f"not all came back: {self.state}")
         self.changing = False
-        if not await self.until(lambda: all(history.last.acked_s is not None or history.name in books.spoilt
-                                            for history in books.histories.values()), SETTLE_S):
+        if not await self.until(
+            lambda: all(
+                history.last.acked_s is not None or history.name in books.spoilt
+                for history in books.histories.values()
+            ),
+            SETTLE_S,
+        ):
             books.broken.append("not all changes have a definite answer, with all nodes there")
         began_s = self.loop.time()
         settled: set[str] = set()
@@ -685,16 +742,23 @@
     def _report(self) -> None:
         times = self.books.in_force(self.names, self.writer_of)
         told = {f"in_force_{kind}": percentiles(found) for kind, found in times.items()}
-        self.figures |= {**self.broke, **self.books.counts, **told, "after_cut": percentiles(self.healed_s),
-                         "slowest": self.books.slowest,
-                         "rig_late_s": round(self.late_s, 3)}
+        self.figures |= {
+            **self.broke,
+            **self.books.counts,
+            **told,
+            "after_cut": percentiles(self.healed_s),
+            "slowest": self.books.slowest,
+            "rig_late_s": round(self.late_s, 3),
+        }
 
 
 def together(told: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """Return what several processes of hollow members tell, as if one did: the slowest clock counts."""
     how = {"clock_s": min, "lost_s": max, "live_least": min, "live_most": max}
-    return {key: how.get(key, sum)([one.get(key, 0) for one in told])
-            for key in dict.fromkeys(key for one in told for key in one)}
+    return {
+        key: how.get(key, sum)([one.get(key, 0) for one in told])
+        for key in dict.fromkeys(key for one in told for key in one)
+    }
 
 
 def percentiles(found: list[float]) -> dict[str, float]:
@@ -702,9 +766,12 @@
     if not found:
         return {"count": 0}
     ordered = sorted(found)
-    return {"count": len(ordered), "median_s": round(median(ordered), 3),
-            "p99_s": round(ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))], 3),
-            "most_s": round(ordered[-1], 3)}
+    return {
+        "count": len(ordered),
+        "median_s": round(median(ordered), 3),
+        "p99_s": round(ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))], 3),
+        "most_s": round(ordered[-1], 3),
+    }
 
 
 def play(proof: Proof, folder: Path | None = None) -> Rig:
@@ -748,8 +815,21 @@
     given = parser.parse_args(words)
     nodes = 1 if given.alone else given.nodes
     began_s = time.monotonic()
-    rig = play(Proof(nodes, given.kills, given.hollow, given.hollow_parts, given.tenants, given.rate,
-                     given.changes, given.away, not given.alone, given.seed), given.logs)
+    rig = play(
+        Proof(
+            nodes,
+            given.kills,
+            given.hollow,
+            given.hollow_parts,
+            given.tenants,
+            given.rate,
+            given.changes,
+            given.away,
+            not given.alone,
+            given.seed,
+        ),
+        given.logs,
+    )
     figures = {**rig.figures, "took_s": round(time.monotonic() - began_s, 1)}
     width = max(map(len, figures))
     for name, value in figures.items():
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -7,7 +7,15 @@
 from msgspec.structs import replace
 
 from reelusher.fleet.membership.messages import (
-    BucketsRequest, DigestReply, DigestRequest, Seal, State, StateReply, StateRequest, Update)
+    BucketsRequest,
+    DigestReply,
+    DigestRequest,
+    Seal,
+    State,
+    StateReply,
+    StateRequest,
+    Update,
+)
 from reelusher.fleet.membership.service import SYNC_S
 from reelusher.fleet.membership.swim import Swim
 from reelusher.lab.capacity.budgets import expected
@@ -19,16 +27,28 @@
 
 
 def _updates(size: int) -> list[Update]:
-    return [Update(f"10.{number // 65_536}.{number // 256 % 256}.{number % 256}:7946", f"node-{number}",
-                   f"zone-{number % 17}", f"region-{number % 7}", 1_700_000_000_000 + number, State.ALIVE)
-            for number in range(size)]
+    return [
+        Update(
+            f"10.{number // 65_536}.{number // 256 % 256}.{number % 256}:7946",
+            f"node-{number}",
+            f"zone-{number % 17}",
+            f"region-{number % 7}",
+            1_700_000_000_000 + number,
+            State.ALIVE,
+        )
+        for number in range(size)
+    ]
 
 
 def rest(size: int) -> Figures:
     """Measure members at rest, and the time until a death is known to 99 %."""
     sent, sent_bytes, core = cost(size)
-    return {"datagrams_per_s": sent, "bytes_per_s": sent_bytes, "core": core,
-            "death_known_s": median(time_to_know(size, seed) for seed in range(DEATHS))}
+    return {
+        "datagrams_per_s": sent,
+        "bytes_per_s": sent_bytes,
+        "core": core,
+        "death_known_s": median(time_to_know(size, seed) for seed in range(DEATHS)),
+    }
 
 
 def _exchanged(one: Swim, other: Swim, seal: Seal) -> float:
@@ -37,8 +57,10 @@
     said: list[object] = [asked, DigestReply(digests)]
     if digests:
         buckets = one.differing(digests)
-        said += [BucketsRequest(one.own.place, buckets, one.in_buckets(buckets)),
-                 StateReply(other.in_buckets(buckets))]
+        said += [
+            BucketsRequest(one.own.place, buckets, one.in_buckets(buckets)),
+            StateReply(other.in_buckets(buckets)),
+        ]
     return float(sum(len(seal.close(message)) for message in said))
 
 
@@ -62,25 +84,50 @@
         seal.close(StateReply(swim.state()))
 
     held, swim = bytes_of(take)
-    return {"state_kb": len(data) / 1000, "table_kb": held / 1000,
-            "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_S) / 2),
-            "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_S) / 2),
-            "give_ms": each_us(given) / 1000, "merge_ms": each_us(lambda: swim.merge(updates, 0.0)) / 1000,
-            "tick_us": each_us(lambda: swim.tick(0.0))}
+    return {
+        "state_kb": len(data) / 1000,
+        "table_kb": held / 1000,
+        "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_S) / 2),
+        "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_S) / 2),
+        "give_ms": each_us(given) / 1000,
+        "merge_ms": each_us(lambda: swim.merge(updates, 0.0)) / 1000,
+        "tick_us": each_us(lambda: swim.tick(0.0)),
+    }
 
 
 _OF = partial(Scale, of="members", target=expected("nodes"))
 SCALES = [
-    _OF("membership-rest", "members at rest on a virtual clock, no datagram lost",
-        sizes=(200, 800, 1800, 3600), quick=(4, 6, 8, 10), measure=rest, repeats=1,
+    _OF(
+        "membership-rest",
+        "members at rest on a virtual clock, no datagram lost",
+        sizes=(200, 800, 1800, 3600),
+        quick=(4, 6, 8, 10),
+        measure=rest,
+        repeats=1,
         units={"datagrams_per_s": "/s", "bytes_per_s": "B/s", "core": "", "death_known_s": "s"},
-        notes=("core: the member's decisions and its seal; the sockets are not in it",
-               "without the exchanges of states, which membership-states tells of")),
-    _OF("membership-states", "the full state of a fleet, and an exchange by digests each 15 to 30 s",
-        sizes=(200, 800, 1800, 3600), quick=(10, 20, 30, 40), measure=states,
-        units={"state_kb": "KB", "table_kb": "KB", "equal_bytes_per_s": "B/s",
-               "restart_bytes_per_s": "B/s", "give_ms": "ms",
-               "merge_ms": "ms", "tick_us": "µs"},
-        notes=("bytes a second: sent and received, by one exchange of its own and one that another begins, "
-               "each 22.5 s; equal: both know the same, restart: one restart apart",)),
+        notes=(
+            "core: the member's decisions and its seal; the sockets are not in it",
+            "without the exchanges of states, which membership-states tells of",
+        ),
+    ),
+    _OF(
+        "membership-states",
+        "the full state of a fleet, and an exchange by digests each 15 to 30 s",
+        sizes=(200, 800, 1800, 3600),
+        quick=(10, 20, 30, 40),
+        measure=states,
+        units={
+            "state_kb": "KB",
+            "table_kb": "KB",
+            "equal_bytes_per_s": "B/s",
+            "restart_bytes_per_s": "B/s",
+            "give_ms": "ms",
+            "merge_ms": "ms",
+            "tick_us": "µs",
+        },
+        notes=(
+            "bytes a second: sent and received, by one exchange of its own and one that another begins, "
+            "each 22.5 s; equal: both know the same, restart: one restart apart",
+        ),
+    ),
 ]
--- a/reelusher/lab/capacity/nodes.py
+++ b/reelusher/lab/capacity/nodes.py
@@ -56,15 +56,23 @@
         admin: dict[str, Any] = {"listen": at(*places.admin), "token": TOKEN}
         told: dict[str, Any] = {
             "node": {"name": name, "stop_ms": STOP_MS},
-            "ajp": {"listen": at(*places.ajp)}, "admin": admin,
+            "ajp": {"listen": at(*places.ajp)},
+            "admin": admin,
             "classes": [{"name": CLASS, "deadline_ms": 5000, "aim_ms": 1000}],
             "capacity": {"cores": 8},
-            "workers": [{"name": worker, "host": place[0], "port": place[1], "connections": 64}
-                        for worker, place in self.workers.items()]}
+            "workers": [
+                {"name": worker, "host": place[0], "port": place[1], "connections": 64}
+                for worker, place in self.workers.items()
+            ],
+        }
         if control:
-            told["fleet"] = {"listen": at(*places.fleet), "advertise": at(*places.advertise),
-                             "zone": places.zone, "seeds": [at(*seed) for seed in seeds],
-                             "secret_file": str(self.secret)}
+            told["fleet"] = {
+                "listen": at(*places.fleet),
+                "advertise": at(*places.advertise),
+                "zone": places.zone,
+                "seeds": [at(*seed) for seed in seeds],
+                "secret_file": str(self.secret),
+            }
             told["replication"] = {"copy": str(self.copy(name)), "control": control}
         else:
             admin["state_dir"] = str(self.folder / f"{name}.state")
@@ -88,8 +96,14 @@
         environ = {key: value for key, value in os.environ.items() if key != "PROXY_CONFIG"}
         with self.log_file(name).open("ab") as log:
             self.running[name] = subprocess.Popen(
-                deployed("run"), cwd=ROOT, env={**environ, "REELUSHER_OPERATOR": str(self.file(name))},
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True)
+                deployed("run"),
+                cwd=ROOT,
+                env={**environ, "REELUSHER_OPERATOR": str(self.file(name))},
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
 
     def send(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a node that runs."""
--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -17,7 +17,8 @@
 REFERENCE = re.compile(r"\[\[([\w./-]+?)(?:@([\w.]+)(?:([/-])([\w.]+)|~(least|most))?)?\]\]")
 LEFT_OUT = re.compile(  # of plays' figures; the JSON keeps them all
     r"(datagrams?_|header_|exchanges?_|virtual_|driver_|process_|wall_|membership_core|replica_core|sealing_core"
-    r"|failed_pulls|turned_away|peak_|sent_bytes_a_second_99)")
+    r"|failed_pulls|turned_away|peak_|sent_bytes_a_second_99)"
+)
 Kept = dict[str, dict[str, Any]]
 
 
@@ -92,6 +93,7 @@
     `~most` of its rounds instead of their median, `[[derived.name]]`, `[[expected.name]]`,
     `[[FOLDER/PLAY.figure]]`; a size may be an expected one's name.
     """
+
     def sized(size: str) -> float:
         return EXPECTED[size].value if size in EXPECTED else float(size)
 
@@ -117,6 +119,7 @@
         if found.group(3):
             return against(kept[test], figure, sized(size), found.group(3), sized(found.group(4)))
         return at_told(kept[test], figure, sized(size))
+
     return REFERENCE.sub(put, text)
 
 
@@ -130,8 +133,10 @@
 
 
 def _derived(_kept: Kept) -> str:
-    return _table(("what", "arithmetic", "figure"), [
-        (one.what, one.how, with_unit(one.value, one.unit)) for one in DERIVED.values()])
+    return _table(
+        ("what", "arithmetic", "figure"),
+        [(one.what, one.how, with_unit(one.value, one.unit)) for one in DERIVED.values()],
+    )
 
 
 def _load(made: dict[str, Any]) -> str:
@@ -146,14 +151,25 @@
         for place, (figure, one) in enumerate(made["figures"].items()):
             told = ", ".join(map(number, one["median"])) + f" {one['unit']}".rstrip()
             beyond = at_told(made, figure, made["target"]) if made["target"] else ""
-            rows.append((f"`{made['name']}`: {sizes}, {made['repeats']} each, load {_load(made)}" if not place
-                         else "", figure, told, fit_told(made, figure), beyond))
+            rows.append(
+                (
+                    f"`{made['name']}`: {sizes}, {made['repeats']} each, load {_load(made)}"
+                    if not place
+                    else "",
+                    figure,
+                    told,
+                    fit_told(made, figure),
+                    beyond,
+                )
+            )
     return _table(("play", "figure", "medians", "fixed cost and slope", "at the operators' size"), rows)
 
 
 def _commands(kept: Kept) -> str:
-    return _table(("command", "measures", "leaves out, and means"), [
-        (f"`{made['command']}`", made["what"], "; ".join(made["notes"])) for made in kept.values()])
+    return _table(
+        ("command", "measures", "leaves out, and means"),
+        [(f"`{made['command']}`", made["what"], "; ".join(made["notes"])) for made in kept.values()],
+    )
 
 
 def _flat(figures: dict[str, Any], above: str = "") -> Iterator[tuple[str, Any]]:
@@ -179,18 +195,40 @@
 
 
 def _plays(plays: Kept) -> str:
-    return _table(("play", "command", "figures"), [
-        (name, f"`{made['command']}`",
-         "; ".join(f"{one} {_plain(value)}" for one, value in made["told"].items()
-                   if not LEFT_OUT.match(one.rpartition(".")[2])))
-        for name, made in plays.items()])
+    return _table(
+        ("play", "command", "figures"),
+        [
+            (
+                name,
+                f"`{made['command']}`",
+                "; ".join(
+                    f"{one} {_plain(value)}"
+                    for one, value in made["told"].items()
+                    if not LEFT_OUT.match(one.rpartition(".")[2])
+                ),
+            )
+            for name, made in plays.items()
+        ],
+    )
 
 
 def _role(rows: tuple[Row, ...]) -> Callable[[Kept], str]:
     def write(kept: Kept) -> str:
-        return _table(("what", "at that size", "budget", "mechanism", "stands", "from"), [
-            (resolved(row.what, kept), resolved(row.figure, kept), resolved(row.budget, kept), row.mechanism,
-             row.stands, row.source) for row in rows])
+        return _table(
+            ("what", "at that size", "budget", "mechanism", "stands", "from"),
+            [
+                (
+                    resolved(row.what, kept),
+                    resolved(row.figure, kept),
+                    resolved(row.budget, kept),
+                    row.mechanism,
+                    row.stands,
+                    row.source,
+                )
+                for row in rows
+            ],
+        )
+
     return write
 
 
@@ -200,20 +238,39 @@
         if found is None or found.shape not in ("n", "even"):
             raise Unknown(f"no line through {test}.{figure}")
         return found.fixed, found.slope
-    return _table(("", "missing", "breaks at", "arithmetic", "what it would be"), [
-        (str(place), one.what, f"{number(one.breaks())} nodes", resolved(one.arithmetic, kept), one.mechanism)
-        for place, one in enumerate(missing(slope), 1)])
+
+    return _table(
+        ("", "missing", "breaks at", "arithmetic", "what it would be"),
+        [
+            (
+                str(place),
+                one.what,
+                f"{number(one.breaks())} nodes",
+                resolved(one.arithmetic, kept),
+                one.mechanism,
+            )
+            for place, one in enumerate(missing(slope), 1)
+        ],
+    )
 
 
 def tables(folder: Path = FOLDER) -> dict[str, str]:
     """Return all tables of the page, by name."""
     kept, before, plays = read_all(folder), read_all(folder / BEFORE), plays_of(folder)
-    made: dict[str, str] = {"expected": _expected(kept), "derived": _derived(kept), "slopes": _slopes(kept),
-                            "before": _slopes(before), "commands": _commands(kept),
-                            "missing": _missing(kept), "plays": _plays(plays)}
+    made: dict[str, str] = {
+        "expected": _expected(kept),
+        "derived": _derived(kept),
+        "slopes": _slopes(kept),
+        "before": _slopes(before),
+        "commands": _commands(kept),
+        "missing": _missing(kept),
+        "plays": _plays(plays),
+    }
     both = {**kept, **plays, **{f"{BEFORE}/{name}": one for name, one in before.items()}}
-    made["shown"] = _table(("wanted", "measured", "bound", "by"), [
-        (resolved(one.what, both), resolved(one.figure, both), one.budget, one.source) for one in SHOWN])
+    made["shown"] = _table(
+        ("wanted", "measured", "bound", "by"),
+        [(resolved(one.what, both), resolved(one.figure, both), one.budget, one.source) for one in SHOWN],
+    )
     return {**made, **{f"role-{name}": _role(rows)(both) for name, rows in ROLES.items()}}
 
 
@@ -225,6 +282,7 @@
         if found.group(2) not in made:
             raise Unknown(found.group(2))
         return f"{found.group(1)}{made[found.group(2)]}\n{found.group(3)}"
+
     return TABLE.sub(put, text)
 
 
--- a/reelusher/lab/capacity/parts.py
+++ b/reelusher/lab/capacity/parts.py
@@ -25,8 +25,9 @@
     """A part failed; the text is its fault."""
 
 
-def _serve(link: Connection, others: list[Connection], size: int, seed: int, replicate: bool, part: int,
-           parts: int) -> None:
+def _serve(
+    link: Connection, others: list[Connection], size: int, seed: int, replicate: bool, part: int, parts: int
+) -> None:
     """Hold a part and carry out what its parent says, until that has ended."""
     for other in others:  # came over in the fork; kept, an end of the parent's would not be seen
         other.close()
@@ -67,8 +68,9 @@
         for part in range(parts):
             link, far = context.Pipe()
             self._links.append(link)
-            process = context.Process(target=_serve, daemon=True, args=(
-                far, list(self._links), size, seed, replicate, part, parts))
+            process = context.Process(
+                target=_serve, daemon=True, args=(far, list(self._links), size, seed, replicate, part, parts)
+            )
             process.start()
             far.close()
             self._processes.append(process)
@@ -76,8 +78,9 @@
     def __enter__(self) -> "Parts":
         return self
 
-    def __exit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                 trace: TracebackType | None) -> None:
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         for link in self._links:
             link.close()
         for process in self._processes:
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -27,8 +27,9 @@
         self.lapsed = 0
         for number in range(count):
             cadence = Cadence(Random(f"report {number}"))
-            self.line.call_later(self.random.uniform(0, START_S) + cadence.first_s(), self.report, number,
-                                 cadence)
+            self.line.call_later(
+                self.random.uniform(0, START_S) + cadence.first_s(), self.report, number, cadence
+            )
 
     def report(self, number: int, cadence: Cadence) -> None:
         """Make one report."""
@@ -57,20 +58,30 @@
     """Let nodes report on a virtual clock, started within two seconds, 2 % of the answers lost."""
     played = _Reports(size)
     played.line.run(START_S + REST_S)
-    settled = played.made[int((START_S + REST_S / 2) / SLOT_S):-1]
+    settled = played.made[int((START_S + REST_S / 2) / SLOT_S) : -1]
     mean = sum(settled) / len(settled) / SLOT_S
-    return {"reports_per_s": mean, "each_per_s": mean / size,
-            "machine_per_s": mean / expected("control_machines"),
-            "most_over_mean": max(settled) / SLOT_S / mean,
-            "start_over_mean": max(played.made) / SLOT_S / mean, "lapsed": float(played.lapsed)}
+    return {
+        "reports_per_s": mean,
+        "each_per_s": mean / size,
+        "machine_per_s": mean / expected("control_machines"),
+        "most_over_mean": max(settled) / SLOT_S / mean,
+        "start_over_mean": max(played.made) / SLOT_S / mean,
+        "lapsed": float(played.lapsed),
+    }
 
 
 def handling(size: int) -> Figures:
     """Measure a list that takes reports of so many nodes: reading one, noting it, and the whole list."""
     body = json.dumps({"status": "passing"}, separators=(",", ":")).encode()
-    asked = [http1.request("PUT", f"/catalog/register/node-{number}", body,
-                           {"Host": "127.0.0.1:8500", "Content-Type": "application/json"})
-             for number in range(size)]
+    asked = [
+        http1.request(
+            "PUT",
+            f"/catalog/register/node-{number}",
+            body,
+            {"Host": "127.0.0.1:8500", "Content-Type": "application/json"},
+        )
+        for number in range(size)
+    ]
     answer = http1.response(204)
     last: dict[str, float] = {}
     turn = 0
@@ -83,23 +94,47 @@
             http1.response(204)
 
     def whole() -> bytes:
-        return json.dumps([{"name": f"node-{number}", "address": f"10.0.0.1:{number}"}
-                           for number in range(size)]).encode()
+        return json.dumps(
+            [{"name": f"node-{number}", "address": f"10.0.0.1:{number}"} for number in range(size)]
+        ).encode()
 
-    return {"report_bytes": float(len(asked[0]) + len(answer)), "take_us": each_us(take),
-            "list_kb": len(whole()) / 1000, "write_list_ms": each_us(whole) / 1000}
+    return {
+        "report_bytes": float(len(asked[0]) + len(answer)),
+        "take_us": each_us(take),
+        "list_kb": len(whole()) / 1000,
+        "write_list_ms": each_us(whole) / 1000,
+    }
 
 
 _OF = partial(Scale, of="nodes", target=expected("nodes"))
 SCALES = [
-    _OF("list-reports", "reports of nodes by the cadence of pacing/cadence.py, virtual clock",
-        sizes=(200, 800, 1800, 3600), quick=(10, 20, 40, 80), measure=cadences, repeats=1,
-        units={"reports_per_s": "/s", "each_per_s": "/s", "machine_per_s": "/s", "most_over_mean": "",
-               "start_over_mean": "", "lapsed": ""},
-        notes=("all start within 2 s, 2 % of the reports get no answer; the second half minute is told",
-               "lapsed: entries that went off the list for want of a report, in the whole play")),
-    _OF("list-handling", "what a report and the whole list cost whoever keeps the list, with this codec",
-        sizes=(200, 800, 1800, 3600), quick=(10, 20, 40, 80), measure=handling,
+    _OF(
+        "list-reports",
+        "reports of nodes by the cadence of pacing/cadence.py, virtual clock",
+        sizes=(200, 800, 1800, 3600),
+        quick=(10, 20, 40, 80),
+        measure=cadences,
+        repeats=1,
+        units={
+            "reports_per_s": "/s",
+            "each_per_s": "/s",
+            "machine_per_s": "/s",
+            "most_over_mean": "",
+            "start_over_mean": "",
+            "lapsed": "",
+        },
+        notes=(
+            "all start within 2 s, 2 % of the reports get no answer; the second half minute is told",
+            "lapsed: entries that went off the list for want of a report, in the whole play",
+        ),
+    ),
+    _OF(
+        "list-handling",
+        "what a report and the whole list cost whoever keeps the list, with this codec",
+        sizes=(200, 800, 1800, 3600),
+        quick=(10, 20, 40, 80),
+        measure=handling,
         units={"report_bytes": "bytes", "take_us": "µs", "list_kb": "KB", "write_list_ms": "ms"},
-        notes=("the list service is not this program: its sockets and its store are not in it",)),
+        notes=("the list service is not this program: its sockets and its store are not in it",),
+    ),
 ]
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -30,10 +30,12 @@
 
 def _stand_in(listener: socket.socket) -> None:
     """Play a worker until the process is ended."""
+
     async def serve() -> None:
         made = StandIn(Worker(listener.getsockname(), SLOTS, SERVICE_MS))
         server = await asyncio.start_server(made.serve, sock=listener)
         await server.serve_forever()
+
     asyncio.run(serve())
 
 
@@ -55,8 +57,9 @@
         self._process.join()
 
 
-async def _ask(target: site.Address, rate: float, seconds: float, requests: Sequence[bytes], seed: int
-               ) -> dict[str, Any]:
+async def _ask(
+    target: site.Address, rate: float, seconds: float, requests: Sequence[bytes], seed: int
+) -> dict[str, Any]:
     """Ask at random times of their own; a latency counts from when its request was due."""
     random, idle, tasks = Random(seed), list[Line](), set[asyncio.Task[None]]()
     took_ms: list[float] = []
@@ -94,8 +97,13 @@
         return {"failed": failed, "served": len(took_ms)}
     took_ms.sort()
     count = len(took_ms)
-    return {"count": count + refused, "refused": refused, "failed": 0, "p50": took_ms[count // 2],
-            "p99": took_ms[count * 99 // 100]}
+    return {
+        "count": count + refused,
+        "refused": refused,
+        "failed": 0,
+        "p50": took_ms[count // 2],
+        "p99": took_ms[count * 99 // 100],
+    }
 
 
 def _client(pipe: Any, *given: Any) -> None:
@@ -104,11 +112,14 @@
 
 def ask(target: site.Address, rate: float, seconds: float, hosts: Sequence[str], seed: int) -> dict[str, Any]:
     """Play a client in a process of its own and return what it saw; raise where requests failed."""
-    requests = [ajp13.write_forward(ajp13.Forward("GET", "/visits/1", server_name=host,
-                                                  remote_addr="127.0.0.1")) for host in hosts]
+    requests = [
+        ajp13.write_forward(ajp13.Forward("GET", "/visits/1", server_name=host, remote_addr="127.0.0.1"))
+        for host in hosts
+    ]
     ours, theirs = _processes.Pipe()
-    process = _processes.Process(target=_client, args=(theirs, target, rate, seconds, requests, seed),
-                                 daemon=True)
+    process = _processes.Process(
+        target=_client, args=(theirs, target, rate, seconds, requests, seed), daemon=True
+    )
     process.start()
     try:
         if not ours.poll(WARM_S + seconds + LAST_S + 30.0):
@@ -122,8 +133,9 @@
     return told
 
 
-def rounds(made: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
-           ) -> Figures:
+def rounds(
+    made: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
+) -> Figures:
     """Ask the stand-in alone, then through the node, at the same due times."""
     direct = ask(worker, rate, seconds, hosts, seed=1)
     pid = made.process.pid
@@ -132,10 +144,16 @@
     took, lasted = site.processor_s(pid) - before, time.monotonic() - began
     waited = sum(waited_s(pid).values()) - waited
     asked = through["count"] * (WARM_S + seconds) / seconds
-    return {"request_us": took / asked * 1e6, "waited_us": waited / asked * 1e6, "core": took / lasted,
-            "refused": through["refused"] / through["count"],
-            "alone_p50_ms": direct["p50"], "alone_p99_ms": direct["p99"],
-            "added_p50_ms": through["p50"] - direct["p50"], "added_p99_ms": through["p99"] - direct["p99"]}
+    return {
+        "request_us": took / asked * 1e6,
+        "waited_us": waited / asked * 1e6,
+        "core": took / lasted,
+        "refused": through["refused"] / through["count"],
+        "alone_p50_ms": direct["p50"],
+        "alone_p99_ms": direct["p99"],
+        "added_p50_ms": through["p50"] - direct["p50"],
+        "added_p99_ms": through["p99"] - direct["p99"],
+    }
 
 
 def at_rate(rate: int) -> Figures:
@@ -143,15 +161,38 @@
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
         file = site.value(10, [worker.address], connections=64)
         with site.hosted(file, Path(name)) as made:
-            return rounds(made, worker.address, float(rate), SECONDS,
-                          [f"tenant-{number}.example" for number in range(10)])
-
-
-SCALES = [partial(Scale, of="requests a second", target=expected("twice_requests_per_s"))(
-    "request", "a request over AJP through a hosted node with 10 tenants to a worker of 2 ms, open loop",
-    sizes=(68, 136, 272, 320, 544), quick=(50,), measure=at_rate, cheap=False, repeats=5,
-    units={"request_us": "µs", "waited_us": "µs", "core": "", "refused": "",
-           "alone_p50_ms": "ms", "alone_p99_ms": "ms", "added_p50_ms": "ms", "added_p99_ms": "ms"},
-    notes=("added: over what the stand-in worker alone gives to the same client in the same round, of what "
-           "was served; refused: part of the requests",
-           "waited: the node's threads were ready and had no core: the machine's load, none of the node's"))]
+            return rounds(
+                made,
+                worker.address,
+                float(rate),
+                SECONDS,
+                [f"tenant-{number}.example" for number in range(10)],
+            )
+
+
+SCALES = [
+    partial(Scale, of="requests a second", target=expected("twice_requests_per_s"))(
+        "request",
+        "a request over AJP through a hosted node with 10 tenants to a worker of 2 ms, open loop",
+        sizes=(68, 136, 272, 320, 544),
+        quick=(50,),
+        measure=at_rate,
+        cheap=False,
+        repeats=5,
+        units={
+            "request_us": "µs",
+            "waited_us": "µs",
+            "core": "",
+            "refused": "",
+            "alone_p50_ms": "ms",
+            "alone_p99_ms": "ms",
+            "added_p50_ms": "ms",
+            "added_p99_ms": "ms",
+        },
+        notes=(
+            "added: over what the stand-in worker alone gives to the same client in the same round, of what "
+            "was served; refused: part of the requests",
+            "waited: the node's threads were ready and had no core: the machine's load, none of the node's",
+        ),
+    )
+]
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -29,8 +29,12 @@
 
 def tenant(number: int, backend: str = "worker-0") -> dict[str, Any]:
     """Return a tenant as an operator writes it: a host of its own, and one in six has a route beside it."""
-    made: dict[str, Any] = {"name": f"tenant-{number}", "backend": backend,
-                            "hosts": [f"tenant-{number}.example"], "default_class": "day-view"}
+    made: dict[str, Any] = {
+        "name": f"tenant-{number}",
+        "backend": backend,
+        "hosts": [f"tenant-{number}.example"],
+        "default_class": "day-view",
+    }
     if int(number / ROUTED) != int((number - 1) / ROUTED):
         made["routes"] = [{"method": "POST", "path": "/visits", "class": "book-visit"}]
     return made
@@ -43,11 +47,16 @@
         "ajp": {"listen": "127.0.0.1:0", "max_connections": min(10_000, sockets)},
         "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
         "capacity": {"cores": 8, "memory_kb": 65_536},
-        "classes": [{"name": "day-view", "deadline_ms": 5100, "aim_ms": 1500},
-                    {"name": "book-visit", "effect": "keyed", "window_ms": 22_971, "deadline_ms": 7700}],
-        "workers": [{"name": f"worker-{number}", "host": host, "port": port, "connections": connections}
-                    for number, (host, port) in enumerate(workers)],
-        "tenants": [tenant(number, f"worker-{number % len(workers)}") for number in range(tenants)]}
+        "classes": [
+            {"name": "day-view", "deadline_ms": 5100, "aim_ms": 1500},
+            {"name": "book-visit", "effect": "keyed", "window_ms": 22_971, "deadline_ms": 7700},
+        ],
+        "workers": [
+            {"name": f"worker-{number}", "host": host, "port": port, "connections": connections}
+            for number, (host, port) in enumerate(workers)
+        ],
+        "tenants": [tenant(number, f"worker-{number % len(workers)}") for number in range(tenants)],
+    }
 
 
 def config(tenants: int, workers: int = 1, **changes: Any) -> Config:
@@ -59,8 +68,11 @@
     """Return what the kernel says of a process: resident bytes, threads, open descriptors."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     told = dict(line.split(":", 1) for line in lines)
-    return {"resident": int(told["VmRSS"].split()[0]) * 1024, "threads": int(told["Threads"]),
-            "descriptors": len(os.listdir(f"/proc/{pid}/fd"))}
+    return {
+        "resident": int(told["VmRSS"].split()[0]) * 1024,
+        "threads": int(told["Threads"]),
+        "descriptors": len(os.listdir(f"/proc/{pid}/fd")),
+    }
 
 
 def processor_s(pid: int) -> float:
@@ -94,8 +106,10 @@
     """Return where a node's log says that it listens."""
     found = {}
     for line in log.read_text(errors="replace").splitlines():
-        for word, key in (("the ajp front listens on ", "ajp"),
-                          ("the administration API listens on ", "admin")):
+        for word, key in (
+            ("the ajp front listens on ", "ajp"),
+            ("the administration API listens on ", "admin"),
+        ):
             if word in line:
                 host, _, port = line.rpartition(word)[2].strip().rpartition(":")
                 found[key] = host, int(port)
@@ -121,8 +135,13 @@
     began = time.monotonic()
     environ = {key: one for key, one in os.environ.items() if not key.startswith("PROXY_")}
     with log.open("wb") as out:
-        process = subprocess.Popen(deployed("run"), env={**environ, "REELUSHER_OPERATOR": str(path)},
-                                   cwd=Path(__file__).parents[3], stderr=out, stdout=out)
+        process = subprocess.Popen(
+            deployed("run"),
+            env={**environ, "REELUSHER_OPERATOR": str(path)},
+            cwd=Path(__file__).parents[3],
+            stderr=out,
+            stdout=out,
+        )
     try:
         places: dict[str, Address] = {}
         while len(places) < 2 or not _answers(places["ajp"]):
--- a/reelusher/lab/capacity/starts.py
+++ b/reelusher/lab/capacity/starts.py
@@ -25,20 +25,38 @@
     figures = account.figures()
     if account.broken:
         raise RuntimeError(f"a rule was broken: {account.broken[0]}")
-    return {"listed_s": float(figures["all_listed_s"]),
-            "most_reports": float(figures["reports_most_in_100ms"]),
-            "most_over_mean": figures["reports_most_in_100ms"] / figures["reports_mean_in_100ms"],
-            "served_worth": float(figures["served_worth"]), "played_s": time.process_time() - began}
+    return {
+        "listed_s": float(figures["all_listed_s"]),
+        "most_reports": float(figures["reports_most_in_100ms"]),
+        "most_over_mean": figures["reports_most_in_100ms"] / figures["reports_mean_in_100ms"],
+        "served_worth": float(figures["served_worth"]),
+        "played_s": time.process_time() - began,
+    }
 
 
-_OF = partial(Scale, of="nodes", target=expected("nodes"), sizes=(60, 240, 960, 2880), quick=(6,),
-              cheap=False, repeats=1, units={"listed_s": "s", "most_reports": "", "most_over_mean": "",
-                                "served_worth": "", "played_s": "s"})
+_OF = partial(
+    Scale,
+    of="nodes",
+    target=expected("nodes"),
+    sizes=(60, 240, 960, 2880),
+    quick=(6,),
+    cheap=False,
+    repeats=1,
+    units={"listed_s": "s", "most_reports": "", "most_over_mean": "", "served_worth": "", "played_s": "s"},
+)
 SCALES = [
-    _OF("start-all", "all nodes start cold within 0.2 s, with the load at the door, 6 s of it",
+    _OF(
+        "start-all",
+        "all nodes start cold within 0.2 s, with the load at the door, 6 s of it",
         measure=partial(started, "cold.toml"),
-        notes=("the model of lab/fleet: the real core and decisions; interpreters take 0.4 s each",
-               "most_reports: in 100 ms; served_worth: part of the worth asked for")),
-    _OF("start-zone", "a zone of three is lost for 5 s and comes back cold, 16 s of load",
-        measure=partial(started, "zone-lost.toml")),
+        notes=(
+            "the model of lab/fleet: the real core and decisions; interpreters take 0.4 s each",
+            "most_reports: in 100 ms; served_worth: part of the worth asked for",
+        ),
+    ),
+    _OF(
+        "start-zone",
+        "a zone of three is lost for 5 s and comes back cold, 16 s of load",
+        measure=partial(started, "zone-lost.toml"),
+    ),
 ]
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -57,9 +57,12 @@
     facts = [Fact(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
     told = Seal(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).close(FactsReply(True, facts))
     found = weighed([facts] * 3, 1_700_000_000.0)
-    return {"told_kb": len(told) / 1000, "fits": float(len(told) <= MOST_STATE),
-            "learnt": float(len(found)), "weigh_ms": each_us(
-                lambda: weighed([facts[:MOST_FACTS]] * 3, 1_700_000_000.0)) / 1000}
+    return {
+        "told_kb": len(told) / 1000,
+        "fits": float(len(told) <= MOST_STATE),
+        "learnt": float(len(found)),
+        "weigh_ms": each_us(lambda: weighed([facts[:MOST_FACTS]] * 3, 1_700_000_000.0)) / 1000,
+    }
 
 
 def claims(size: int) -> Figures:
@@ -77,18 +80,32 @@
 
 SCALES = [
     partial(Scale, of="tenants", target=expected("tenants"))(
-        "state-journal", "the journal of tenants' state in a folder",
-        sizes=(1000, 4000, 16_000, 64_000), quick=(50, 100, 200, 400), measure=journal,
+        "state-journal",
+        "the journal of tenants' state in a folder",
+        sizes=(1000, 4000, 16_000, 64_000),
+        quick=(50, 100, 200, 400),
+        measure=journal,
         units={"snapshot_s": "s", "change_ms": "ms", "kept_mb": "MB", "recover_s": "s"},
-        notes=("a change is synced; this machine's disk",)),
+        notes=("a change is synced; this machine's disk",),
+    ),
     partial(Scale, of="workers", target=expected("routes"))(
-        "learning", "what a fresh node learns of workers from three donors",
-        sizes=(200, 1000, 4000, 16_000, 41_000), quick=(10, 20, 40, 80), measure=learning, repeats=1,
+        "learning",
+        "what a fresh node learns of workers from three donors",
+        sizes=(200, 1000, 4000, 16_000, 41_000),
+        quick=(10, 20, 40, 80),
+        measure=learning,
+        repeats=1,
         units={"told_kb": "KB", "fits": "", "learnt": "", "weigh_ms": "ms"},
-        notes=("fits: 1 where the answer is within the 512 KB that an asker takes; past it none is",)),
+        notes=("fits: 1 where the answer is within the 512 KB that an asker takes; past it none is",),
+    ),
     partial(Scale, of="keys", target=expected("node_requests_per_s") * 43)(
-        "upgrade-claims", "claims of keys while two processes of a node may serve, a file each",
-        sizes=(500, 1000, 2000, 4000), quick=(10, 20, 40, 80), measure=claims, repeats=3,
+        "upgrade-claims",
+        "claims of keys while two processes of a node may serve, a file each",
+        sizes=(500, 1000, 2000, 4000),
+        quick=(10, 20, 40, 80),
+        measure=claims,
+        repeats=3,
         units={"claim_us": "µs", "files": "", "sweep_ms": "ms"},
-        notes=("a claim stays for its window and 20 s; on the platform's front only",)),
+        notes=("a claim stays for its window and 20 s; on the platform's front only",),
+    ),
 ]
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -41,11 +41,11 @@
     own = there(made.operator)
     shares = Shares(made.settings.cores, made.settings.memory_kb)
     nobody = _Nobody()
-    core = Core(made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(),
-                standing=shares)
+    core = Core(
+        made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(), standing=shares
+    )
     entries = [(one, State.ACTIVE) for one in own.tenants]
-    return Tenants(entries, own.class_names, lambda name: nobody, core, shares,
-                   frozenset({"worker-0"}))
+    return Tenants(entries, own.class_names, lambda name: nobody, core, shares, frozenset({"worker-0"}))
 
 
 def table(size: int) -> Figures:
@@ -71,8 +71,12 @@
         tenants.check(found)
         tenants.put(found)
 
-    return {"check_s": checked_s, "start_s": built_s, "look_up_us": each_us(look) / LOOKS,
-            "change_us": each_us(change)}
+    return {
+        "check_s": checked_s,
+        "start_s": built_s,
+        "look_up_us": each_us(look) / LOOKS,
+        "change_us": each_us(change),
+    }
 
 
 def memory(size: int) -> Figures:
@@ -115,11 +119,18 @@
         more = rounds(made, worker, RATE, SECONDS, _asked(size, MANY)) if cold else {}
         later = site.status_of(pid)["resident"]
     took_ms.sort()
-    return {"ready_s": made.ready_s, "resident_mb": resident / 1e6, "later_mb": later / 1e6,
-            "change_ms": took_ms[len(took_ms) // 2], "request_us": told["request_us"],
-            "waited_us": told["waited_us"], "refused": told["refused"], "added_p50_ms": told["added_p50_ms"],
-            "added_p99_ms": told["added_p99_ms"],
-            **{f"cold_{name}": more[name] for name in COLD if more}}
+    return {
+        "ready_s": made.ready_s,
+        "resident_mb": resident / 1e6,
+        "later_mb": later / 1e6,
+        "change_ms": took_ms[len(took_ms) // 2],
+        "request_us": told["request_us"],
+        "waited_us": told["waited_us"],
+        "refused": told["refused"],
+        "added_p50_ms": told["added_p50_ms"],
+        "added_p99_ms": told["added_p99_ms"],
+        **{f"cold_{name}": more[name] for name in COLD if more},
+    }
 
 
 def node_of_file(size: int) -> Figures:
@@ -138,26 +149,61 @@
         return _node(file, size, Path(name), worker.address, cold=True)
 
 
-_UNITS = {"ready_s": "s", "resident_mb": "MB", "later_mb": "MB", "change_ms": "ms", "request_us": "µs",
-          "waited_us": "µs", "refused": "", "added_p50_ms": "ms", "added_p99_ms": "ms"}
+_UNITS = {
+    "ready_s": "s",
+    "resident_mb": "MB",
+    "later_mb": "MB",
+    "change_ms": "ms",
+    "request_us": "µs",
+    "waited_us": "µs",
+    "refused": "",
+    "added_p50_ms": "ms",
+    "added_p99_ms": "ms",
+}
 _NOTES = (
     "added: over what the stand-in worker alone gives to the same client in the same round, if served",
     "refused: part of the requests, of 50 tenants by turns; later_mb: after all requests",
-    "waited: the node's threads were ready and had no core: the machine's load, none of the node's")
+    "waited: the node's threads were ready and had no core: the machine's load, none of the node's",
+)
 _COLD = ("cold: requests of 2,000 tenants by turns, hardly one of which was asked for of late",)
 _OF = partial(Scale, of="tenants", target=expected("tenants"))
 SCALES = [
-    _OF("tenants-table", "the tenants in a node's memory, those of the operator's file",
-        sizes=(1000, 8000, 60_000, 260_000), quick=(50, 100, 200, 400), measure=table,
+    _OF(
+        "tenants-table",
+        "the tenants in a node's memory, those of the operator's file",
+        sizes=(1000, 8000, 60_000, 260_000),
+        quick=(50, 100, 200, 400),
+        measure=table,
         units={"check_s": "s", "start_s": "s", "look_up_us": "µs", "change_us": "µs"},
-        notes=("processor time; one of six tenants has a route, as 41,000 of 260,000",)),
-    _OF("tenants-memory", "bytes of the same, by the allocator's count",
-        sizes=(1000, 4000, 16_000, 64_000), quick=(20, 40, 60, 80), measure=memory, repeats=1,
-        units={"read_mb": "MB", "table_mb": "MB"}),
-    _OF("tenants-node", "a hosted node with all tenants in its operator's file, 272 requests a second",
-        sizes=(10, 1000, 5000, 20_000), quick=(10,), measure=node_of_file, cheap=False, units=_UNITS,
-        notes=_NOTES),
-    _OF("tenants-node-copy", "a hosted node with all tenants in its local copy, 272 requests a second",
-        sizes=(100, 1000, 20_000, 260_000), quick=(10,), measure=node_of_copy, cheap=False,
-        units={**_UNITS, **{f"cold_{name}": _UNITS[name] for name in COLD}}, notes=_NOTES + _COLD),
+        notes=("processor time; one of six tenants has a route, as 41,000 of 260,000",),
+    ),
+    _OF(
+        "tenants-memory",
+        "bytes of the same, by the allocator's count",
+        sizes=(1000, 4000, 16_000, 64_000),
+        quick=(20, 40, 60, 80),
+        measure=memory,
+        repeats=1,
+        units={"read_mb": "MB", "table_mb": "MB"},
+    ),
+    _OF(
+        "tenants-node",
+        "a hosted node with all tenants in its operator's file, 272 requests a second",
+        sizes=(10, 1000, 5000, 20_000),
+        quick=(10,),
+        measure=node_of_file,
+        cheap=False,
+        units=_UNITS,
+        notes=_NOTES,
+    ),
+    _OF(
+        "tenants-node-copy",
+        "a hosted node with all tenants in its local copy, 272 requests a second",
+        sizes=(100, 1000, 20_000, 260_000),
+        quick=(10,),
+        measure=node_of_copy,
+        cheap=False,
+        units={**_UNITS, **{f"cold_{name}": _UNITS[name] for name in COLD}},
+        notes=_NOTES + _COLD,
+    ),
 ]
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -29,8 +29,14 @@
     """Nobody listens there: nothing was asked."""
 
 
-async def call(place: Address, method: str, path: str, value: Any = None,
-               headers: dict[str, str] | None = None, most_s: float = 10.0) -> Told | None:
+async def call(
+    place: Address,
+    method: str,
+    path: str,
+    value: Any = None,
+    headers: dict[str, str] | None = None,
+    most_s: float = 10.0,
+) -> Told | None:
     """Ask a node over a connection of its own; None where no answer came. Raises `Unreached`."""
     try:
         async with asyncio.timeout(most_s):
@@ -40,13 +46,22 @@
                 raise Unreached from None
             try:
                 body = b"" if value is None else json.dumps(value).encode()
-                writer.write(http1.request(method, path, body, {
-                    "Authorization": f"Bearer {TOKEN}", "Connection": "close", **(headers or {})}))
+                writer.write(
+                    http1.request(
+                        method,
+                        path,
+                        body,
+                        {"Authorization": f"Bearer {TOKEN}", "Connection": "close", **(headers or {})},
+                    )
+                )
                 decoder = http1.Decoder(MOST_BODY)
                 while data := await reader.read(1 << 16):
                     for message in decoder.feed(data):
-                        return Told(int(message.start[1]), json.loads(message.body) if message.body else None,
-                                    message.headers)
+                        return Told(
+                            int(message.start[1]),
+                            json.loads(message.body) if message.body else None,
+                            message.headers,
+                        )
             finally:
                 writer.close()
     except (OSError, TimeoutError, http1.Malformed, ValueError):
@@ -148,13 +163,15 @@
             try:
                 async with asyncio.timeout(most_s):
                     _, line = await asyncio.get_running_loop().create_connection(
-                        lambda: AjpLine(stray), *self.place)
+                        lambda: AjpLine(stray), *self.place
+                    )
             except (OSError, TimeoutError) as error:
                 raise Unreached(str(error)) from None
         line.stray = stray
         try:
-            status, body, reuse = await line.ask(ajp13.write_forward(ajp13.Forward(
-                uri="/look", server_name=host)), most_s)
+            status, body, reuse = await line.ask(
+                ajp13.write_forward(ajp13.Forward(uri="/look", server_name=host)), most_s
+            )
         except NoAnswer:
             self.end(line)
             raise
@@ -190,5 +207,8 @@
         self.done += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(self.name))))
         with contextlib.suppress(OSError):
-            writer.write(ajp13.write_response(ajp13.ResponseHead(200, "OK", headers), self.name, True,
-                                              ajp13.DEFAULT_PACKET))
+            writer.write(
+                ajp13.write_response(
+                    ajp13.ResponseHead(200, "OK", headers), self.name, True, ajp13.DEFAULT_PACKET
+                )
+            )
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -48,9 +48,13 @@
 
     for member in measured.members.values():
         member.seen_s = 1.0
-    return {"check_s": checked_s, "bytes_each": held / size,
-            "gauges_us": each_us(lambda: measured.gauges("")), "pick_us": each_us(pick),
-            "seen_ms": each_us(measured.seen) / 1000}
+    return {
+        "check_s": checked_s,
+        "bytes_each": held / size,
+        "gauges_us": each_us(lambda: measured.gauges("")),
+        "pick_us": each_us(pick),
+        "seen_ms": each_us(measured.seen) / 1000,
+    }
 
 
 def threads(size: int) -> Figures:
@@ -75,12 +79,23 @@
 
 _OF = partial(Scale, of="workers", target=expected("routes"))
 SCALES = [
-    _OF("workers-pool", "a node's pool of workers, none of them in use",
-        sizes=(500, 1000, 2000, 4000), quick=(10, 20, 30, 40), measure=pool,
+    _OF(
+        "workers-pool",
+        "a node's pool of workers, none of them in use",
+        sizes=(500, 1000, 2000, 4000),
+        quick=(10, 20, 30, 40),
+        measure=pool,
         units={"check_s": "s", "bytes_each": "bytes", "gauges_us": "µs", "pick_us": "µs", "seen_ms": "ms"},
-        notes=("one worker for each of the 41,000 routes is the most there can be",)),
-    _OF("workers-threads", "threads and descriptors of a pool whose workers are all in use",
-        sizes=(4, 8, 16, 32, 64), quick=(1, 2, 3, 4), measure=threads, repeats=1,
+        notes=("one worker for each of the 41,000 routes is the most there can be",),
+    ),
+    _OF(
+        "workers-threads",
+        "threads and descriptors of a pool whose workers are all in use",
+        sizes=(4, 8, 16, 32, 64),
+        quick=(1, 2, 3, 4),
+        measure=threads,
+        repeats=1,
         units={"threads": "", "descriptors_kept": ""},
-        notes=("16 connections for each worker; the example's figure",)),
+        notes=("16 connections for each worker; the example's figure",),
+    ),
 ]
--- a/reelusher/lab/fleet/__main__.py
+++ b/reelusher/lab/fleet/__main__.py
@@ -24,13 +24,16 @@
 def draw(account: Account, path: Path) -> None:
     """Draw what happened over time, with the faults marked."""
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     series = account.series()
-    groups = {"a second": ("served", "refused", "failed", "calls"),
-              "most in hand below": tuple(name for name in series if name.startswith("held")),
-              "reports a second": ("reports",)}
+    groups = {
+        "a second": ("served", "refused", "failed", "calls"),
+        "most in hand below": tuple(name for name in series if name.startswith("held")),
+        "reports a second": ("reports",),
+    }
     figure, axes = pyplot.subplots(len(groups), 1, sharex=True, figsize=(10, 8), layout="constrained")
     for axis, (title, names) in zip(axes, groups.items(), strict=True):
         for name in names:
@@ -68,8 +71,12 @@
     for line in account.broken[:MOST_TOLD]:
         print(f"broken: {line}")
     if given.json:
-        made = {"figures": figures, "series": account.series(), "marks": account.marks,
-                "broken": account.broken}
+        made = {
+            "figures": figures,
+            "series": account.series(),
+            "marks": account.marks,
+            "broken": account.broken,
+        }
         given.json.write_text(json.dumps(made, indent=1) + "\n")
     if given.picture:
         draw(account, given.picture)
--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -20,8 +20,9 @@
 RECOVERED = 0.95  # of the service of before
 
 
-def windows(spans: Sequence[tuple[float, float]], over_s: float, step_s: float = 0.1
-            ) -> list[tuple[float, float]]:
+def windows(
+    spans: Sequence[tuple[float, float]], over_s: float, step_s: float = 0.1
+) -> list[tuple[float, float]]:
     """Return the mean of what was held in each window of `over_s` seconds, with the window's beginning.
 
     `spans` says how much is held, and since when; windows begin `step_s` apart and lie within them.
@@ -43,8 +44,9 @@
     return [(at_s, (upto(at_s + over_s) - upto(at_s)) / over_s) for at_s in begins]
 
 
-def less(spans: Sequence[tuple[float, float]], slots: Iterable[tuple[float, float, float]]
-         ) -> list[tuple[float, float]]:
+def less(
+    spans: Sequence[tuple[float, float]], slots: Iterable[tuple[float, float, float]]
+) -> list[tuple[float, float]]:
     """Return what was held since when, less a part of it in each slot: since when, until when, which part."""
     steps: list[tuple[float, int, float]] = [(since, 0, held) for since, held in spans]
     for since, until, part in slots:
@@ -129,11 +131,16 @@
         self.calls = [at - shift for at in self.calls]
         self.lags = [(at - shift, lag_s) for at, lag_s in self.lags]
         self.marks = [(at - shift, what) for at, what in self.marks]
-        self.coreless = defaultdict(list, {
-            node: [(since - shift, until - shift, part) for since, until, part in slots]
-            for node, slots in self.coreless.items()})
-        self.held = defaultdict(list, {name: [(at - shift, held) for at, held in spans]
-                                       for name, spans in self.held.items()})
+        self.coreless = defaultdict(
+            list,
+            {
+                node: [(since - shift, until - shift, part) for since, until, part in slots]
+                for node, slots in self.coreless.items()
+            },
+        )
+        self.held = defaultdict(
+            list, {name: [(at - shift, held) for at, held in spans] for name, spans in self.held.items()}
+        )
 
     def note_away(self, node: str, since: float, until: float) -> None:
         """Note that a node stood still."""
@@ -142,8 +149,9 @@
     def note_coreless(self, node: str, since: float, until: float, waited_s: float) -> None:
         """Note for how long between two times a node was ready and had no core to run on."""
         if waited_s > 0:
-            self.coreless[node].append((since - self.zero_s, until - self.zero_s,
-                                        min(1.0, waited_s / (until - since))))
+            self.coreless[node].append(
+                (since - self.zero_s, until - self.zero_s, min(1.0, waited_s / (until - since)))
+            )
 
     def note_end_of_life(self, node: str, now: float) -> None:
         """Note that a node has ended: the next one of its name knows no keys of this one."""
@@ -233,13 +241,15 @@
         one.excused = one.excused or excused
         one.ended_s = min(one.ended_s, now - self.zero_s)
         if not one.answers and not one.excused:
-            self.broken.append(f"{one.node} closed under {one.call}, "
-                               f"written {now - self.zero_s - one.sent_s:.3f} s before")
+            self.broken.append(
+                f"{one.node} closed under {one.call}, written {now - self.zero_s - one.sent_s:.3f} s before"
+            )
 
     def settled(self) -> bool:
         """Tell whether every client has its answer or has given up, and every try its end."""
         return all(ask.over for ask in self.asks) and all(
-            one.answers or one.excused for one in self.tries.values())
+            one.answers or one.excused for one in self.tries.values()
+        )
 
     def close(self, now: float) -> None:
         """Look for tries that never had their answer."""
@@ -253,10 +263,13 @@
 
     def in_hand(self, node: str) -> list[tuple[float, int]]:
         """Return how many tries a node had in hand, since when."""
-        steps = sorted([(one.sent_s, 1) for one in self.tries.values() if one.node == node]
-                       + [(one.ended_s, -1) for one in self.tries.values() if one.node == node])
-        return list(zip((at_s for at_s, _ in steps),
-                        itertools.accumulate(change for _, change in steps), strict=True))
+        steps = sorted(
+            [(one.sent_s, 1) for one in self.tries.values() if one.node == node]
+            + [(one.ended_s, -1) for one in self.tries.values() if one.node == node]
+        )
+        return list(
+            zip((at_s for at_s, _ in steps), itertools.accumulate(change for _, change in steps), strict=True)
+        )
 
     def in_hand_by_own_time(self, node: str) -> list[tuple[float, float]]:
         """Return the same, less what it held while the machine gave it no core, or none to the rig.
@@ -273,8 +286,9 @@
     def series(self) -> dict[str, list[float]]:
         """Return what happened in each second of the load, by when requests were first asked."""
         count = max(1, int(self.plan.run.seconds))
-        made: dict[str, list[float]] = {name: [0.0] * count for name in
-                                        ("asked_worth", "served_worth", "served", "refused", "failed")}
+        made: dict[str, list[float]] = {
+            name: [0.0] * count for name in ("asked_worth", "served_worth", "served", "refused", "failed")
+        }
         for ask in self.asks:
             at = int(ask.born_s)
             if 0 <= at < count:
@@ -299,9 +313,11 @@
     def recovered_s(self, ends_s: float, before_s: float) -> float | None:
         """Return how long after a fault's end all seconds serve as before it; None: never."""
         made = self.series()
-        shares = [served / asked if asked else 1.0
-                  for served, asked in zip(made["served_worth"], made["asked_worth"], strict=True)]
-        before = shares[1:max(2, int(before_s))]
+        shares = [
+            served / asked if asked else 1.0
+            for served, asked in zip(made["served_worth"], made["asked_worth"], strict=True)
+        ]
+        before = shares[1 : max(2, int(before_s))]
         wanted = RECOVERED * sum(before) / len(before)
         bad = [at for at, share in enumerate(shares[:-1]) if share < wanted]
         last_bad = max(bad, default=-1)
@@ -315,7 +331,8 @@
         faults = [fault for fault in self.plan.faults if fault.at_s > 2]
         ends = max((fault.at_s + fault.for_s for fault in faults), default=None)
         return {
-            "asked": len(self.asks), "tries": len(self.tries),
+            "asked": len(self.asks),
+            "tries": len(self.tries),
             **{name: self.counts[name] for name in ("served", "refused", "failed")},
             "served_worth": round(sum(ask.worth() for ask in self.asks) / asked, 4) if asked else None,
             "tries_per_request": round(len(self.tries) / max(1, len(self.asks)), 3),
@@ -323,11 +340,13 @@
             "most_held": {name: max(held for _, held in spans) for name, spans in self.held.items()},
             "falls": sum("falls over" in what for _, what in self.marks),
             "reports_per_node_s": round(sum(slots) / self.plan.run.seconds / count, 3),
-            "reports_most_in_100ms": max(slots), "reports_mean_in_100ms": round(mean, 2),
+            "reports_most_in_100ms": max(slots),
+            "reports_mean_in_100ms": round(mean, 2),
             "all_listed_s": self.all_listed_s(count),
             "recovered_s": None if ends is None else self.recovered_s(ends, faults[0].at_s),
             "rig_late_s": round(self.lag_since(0.0), 3),
-            "broken": len(self.broken)}
+            "broken": len(self.broken),
+        }
 
     def all_listed_s(self, count: int) -> float | None:
         """Return how long after the start every node had been listed once; None: never."""
--- a/reelusher/lab/fleet/callers.py
+++ b/reelusher/lab/fleet/callers.py
@@ -24,9 +24,18 @@
 class Caller:
     """One caller, with clients behind it that ask at random times whatever comes back."""
 
-    def __init__(self, line: Timeline, plan: Plan, zone: str, number: int, account: Account,
-                 listed: Callable[[], frozenset[str]], way: Way, rate: float,
-                 names: "itertools.count[int]") -> None:
+    def __init__(
+        self,
+        line: Timeline,
+        plan: Plan,
+        zone: str,
+        number: int,
+        account: Account,
+        listed: Callable[[], frozenset[str]],
+        way: Way,
+        rate: float,
+        names: "itertools.count[int]",
+    ) -> None:
         self.line, self.plan, self.number, self.account = line, plan, number, account
         self.listed, self.way, self.rate, self.names = listed, way, rate, names
         self.random = random.Random(f"{plan.run.seed} caller {number}")
--- a/reelusher/lab/fleet/census.py
+++ b/reelusher/lab/fleet/census.py
@@ -71,8 +71,12 @@
             while data := sock.recv(1 << 16):
                 for answer in decoder.feed(data):
                     told = json.loads(answer.body)
-                    return frozenset([told["own"]["name"], *(
-                        one["name"] for one in told["members"] if one["state"] in ("alive", "suspect"))])
+                    return frozenset(
+                        [
+                            told["own"]["name"],
+                            *(one["name"] for one in told["members"] if one["state"] in ("alive", "suspect")),
+                        ]
+                    )
                 sock.settimeout(max(0.001, until - time.monotonic()))
     except (OSError, KeyError, ValueError, http1.Malformed):
         return None
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -81,14 +81,18 @@
 
     def holding_dead(self, place: str) -> int:
         """Count the live members that don't count one as live."""
-        return sum(place in swim.table.members and not swim.table.members[place].here
-                   for other, swim in self.swims.items() if other in self.alive and other != place)
+        return sum(
+            place in swim.table.members and not swim.table.members[place].here
+            for other, swim in self.swims.items()
+            if other in self.alive and other != place
+        )
 
     def agreed(self) -> bool:
         """Tell whether each live member counts just the live ones."""
         live = [(place, self.swims[place].table) for place in self.alive]
         return all(1 + table.count() == len(live) for _, table in live) and all(
-            {place, *table.here()} == self.alive for place, table in live)
+            {place, *table.here()} == self.alive for place, table in live
+        )
 
     def _wake(self, place: str) -> None:
         if place not in self.alive or place in self.still:
@@ -155,7 +159,7 @@
     """Return the seconds until two halves that were cut apart agree on who lives."""
     fleet = Members(size, seed)
     fleet.run(3)
-    fleet.cut = apart(set(list(fleet.swims)[:size // 2]))
+    fleet.cut = apart(set(list(fleet.swims)[: size // 2]))
     fleet.run(cut_s)
     fleet.cut = lambda source, target: False
     return fleet.until(fleet.agreed, 60)
@@ -168,8 +172,11 @@
     sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
     fleet.run(seconds)
     each = seconds * size
-    return ((fleet.sent - sent) / each, (fleet.sent_bytes - sent_bytes) / each,
-            (process_time() - began) / each)
+    return (
+        (fleet.sent - sent) / each,
+        (fleet.sent_bytes - sent_bytes) / each,
+        (process_time() - began) / each,
+    )
 
 
 def main(sizes: list[int]) -> None:
@@ -177,9 +184,11 @@
     for size in sizes:
         known, (sent, sent_bytes, cpu) = [time_to_know(size, seed) for seed in range(5)], cost(size)
         healed = time_to_heal(size, 5)
-        print(f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
-              f"{sent:.1f} datagrams and {sent_bytes:.0f} bytes a second each, {cpu:.2%} of a core each, "
-              f"two halves agree {healed:.1f} s after a cut, {healed / PERIOD_S:.0f} rounds")
+        print(
+            f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
+            f"{sent:.1f} datagrams and {sent_bytes:.0f} bytes a second each, {cpu:.2%} of a core each, "
+            f"two halves agree {healed:.1f} s after a cut, {healed / PERIOD_S:.0f} rounds"
+        )
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -13,7 +13,18 @@
 from reelusher.config.table import ConfigError
 from reelusher.core.clock import Clock
 from reelusher.core.model import (
-    Answer, Arrived, CallOver, CallWanted, DrainOrder, GaugesRead, Message, Request, Result, RunOver, Verdict)
+    Answer,
+    Arrived,
+    CallOver,
+    CallWanted,
+    DrainOrder,
+    GaugesRead,
+    Message,
+    Request,
+    Result,
+    RunOver,
+    Verdict,
+)
 from reelusher.core.owner import Core
 from reelusher.lab.fleet.account import Account, Try
 from reelusher.lab.fleet.callers import Caller
@@ -58,8 +69,15 @@
         self.serial, self._turn_s = 0, float("inf")
         made, gauges = settings_from(stage.settings[stage.is_fresh(name)])
         clock = Clock(*[lambda: int((EPOCH_S + self.line.time()) * 1e9)] * 2)  # both clocks are the model's
-        self.core = ModelCore(made, gauges, seed_of(stage.plan, name) + life, self, self,
-                              [kind.name for kind in stage.plan.kinds], clock)
+        self.core = ModelCore(
+            made,
+            gauges,
+            seed_of(stage.plan, name) + life,
+            self,
+            self,
+            [kind.name for kind in stage.plan.kinds],
+            clock,
+        )
         self.core.hand = self.post
         self.runtime.ended, self.runtime.wants = self._ended, self._wants
         self.core.begin()
@@ -170,8 +188,9 @@
             nonlocal over
             if not over:
                 over, now = True, self.line.time()
-                self.line.call_later(self.cadence.lost(why, now) if why else
-                                     self.cadence.answered(began, now), self._report)
+                self.line.call_later(
+                    self.cadence.lost(why, now) if why else self.cadence.answered(began, now), self._report
+                )
 
         if self.still:
             self.line.call_later(STEP_S, self._report)
@@ -193,9 +212,21 @@
         ask = one.ask
         kind = next(number for number, kind in enumerate(self.stage.plan.kinds) if kind is ask.kind)
         self.open[one.call] = caller, one
-        self.post(Arrived(Request(
-            one.call, kind, ask.body, self.core.clock.now(), partial(self._answer, one.call),
-            caller=caller.number, held_kb=10, hint_us=int(ask.kind.work_ms * 1000), key=ask.key)))
+        self.post(
+            Arrived(
+                Request(
+                    one.call,
+                    kind,
+                    ask.body,
+                    self.core.clock.now(),
+                    partial(self._answer, one.call),
+                    caller=caller.number,
+                    held_kb=10,
+                    hint_us=int(ask.kind.work_ms * 1000),
+                    key=ask.key,
+                )
+            )
+        )
 
     def _answer(self, call: str, answer: Answer) -> None:
         caller, one = self.open.pop(call)
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -164,8 +164,9 @@
         names = iter(self.node_names())
         found = {next(names): zone.name for zone in self.zones for _ in range(zone.nodes)}
         found |= {f"callers.{zone.name}": zone.name for zone in self.zones}
-        return found | ({f"below.{zone.name}": zone.name for zone in self.zones}
-                        if self.below.per_zone else {})
+        return found | (
+            {f"below.{zone.name}": zone.name for zone in self.zones} if self.below.per_zone else {}
+        )
 
     def belows(self) -> list[str]:
         """Return the names of the services below."""
@@ -231,9 +232,16 @@
     if kind in SERVICE and not all(party.startswith(SERVICE[kind]) for party in of):
         raise ConfigError(table.path("of"), f"{kind} is a fault of {' or '.join(SERVICE[kind])}")
     needs_part = kind in ("loss", "duplicate", "reorder", "starve", "slow", "surge")
-    return Fault(kind, table.number("at_s"), table.number("for_s", 0.0), of, to, table.flag("one_way", False),
-                 table.number("ms", 0.0) if kind not in ("delay", "late") else table.number("ms"),
-                 table.number("part", None, 0.001, 100.0) if needs_part else 0.0)
+    return Fault(
+        kind,
+        table.number("at_s"),
+        table.number("for_s", 0.0),
+        of,
+        to,
+        table.flag("one_way", False),
+        table.number("ms", 0.0) if kind not in ("delay", "late") else table.number("ms"),
+        table.number("part", None, 0.001, 100.0) if needs_part else 0.0,
+    )
 
 
 def _filled(made: type[T], table: Table) -> T:
@@ -241,10 +249,19 @@
     kinds = get_type_hints(made)
     table.only(*kinds)
     readers: dict[Any, Callable[..., Any]] = {
-        float: table.number, int: table.whole, bool: table.flag, str: table.text}
-    return made(**{one.name: readers[kinds[one.name]](
-        one.name, None if one.default is MISSING else one.default, **one.metadata)
-        for one in fields(made)})  # type: ignore[arg-type]
+        float: table.number,
+        int: table.whole,
+        bool: table.flag,
+        str: table.text,
+    }
+    return made(
+        **{
+            one.name: readers[kinds[one.name]](
+                one.name, None if one.default is MISSING else one.default, **one.metadata
+            )
+            for one in fields(made)
+        }
+    )  # type: ignore[arg-type]
 
 
 def scaled(value: dict[str, Any], factor: float) -> dict[str, Any]:
@@ -273,9 +290,16 @@
         raise ConfigError("classes", "at least one is needed")
     if len({zone.name for zone in zones}) != len(zones) or not sum(zone.nodes for zone in zones):
         raise ConfigError("zones", "each needs a name of its own, and one of them a node")
-    made = Plan(_filled(Run, table.table("run")), zones, kinds, _filled(NodePlan, table.table("nodes")),
-                _filled(ListPlan, table.table("list")), _filled(BelowPlan, table.table("below")),
-                _filled(Habits, table.table("callers")), ())
+    made = Plan(
+        _filled(Run, table.table("run")),
+        zones,
+        kinds,
+        _filled(NodePlan, table.table("nodes")),
+        _filled(ListPlan, table.table("list")),
+        _filled(BelowPlan, table.table("below")),
+        _filled(Habits, table.table("callers")),
+        (),
+    )
     selector = Selector(made)
     return replace(made, faults=tuple(_fault(entry, selector) for entry in table.tables("faults")))
 
--- a/reelusher/lab/fleet/processes.py
+++ b/reelusher/lab/fleet/processes.py
@@ -35,25 +35,49 @@
     """Return what the platform would tell each node of this plan, `fresh` where its machine is cold."""
     count = len(plan.node_names())
     own = {
-        "cores": plan.nodes.cores, "ram_kb": plan.nodes.memory_kb, "blowup": 16.0, "entry_kb": 10.0,
-        "below": "common", "calls_out": plan.below.capacity * len(plan.belows()) / count,
-        "calls_over_us": int(plan.below.over_s * 1e6), "linger_us": 0, "say": "tokens", "halt": "silent",
+        "cores": plan.nodes.cores,
+        "ram_kb": plan.nodes.memory_kb,
+        "blowup": 16.0,
+        "entry_kb": 10.0,
+        "below": "common",
+        "calls_out": plan.below.capacity * len(plan.belows()) / count,
+        "calls_over_us": int(plan.below.over_s * 1e6),
+        "linger_us": 0,
+        "say": "tokens",
+        "halt": "silent",
         "class_calls": [kind.calls for kind in plan.kinds],
         "class_skip_worth": [kind.skip_worth for kind in plan.kinds],
-        "caller_idle_us": 30_000_000, "heard_for_us": 1_000_000,
+        "caller_idle_us": 30_000_000,
+        "heard_for_us": 1_000_000,
         "clients_total": sum(zone.callers for zone in plan.zones),
         "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
-        "fresh_start": fresh}
+        "fresh_start": fresh,
+    }
     return {
-        "categories": [{
-            "name": kind.name, "effect": EFFECTS[kind.effect], "deadline_us": int(kind.deadline_ms * 1000),
-            "objective_us": int(kind.aim_ms * 1000), "worth": kind.worth,
-            "repeat_window_us": int(kind.window_ms * 1000) if kind.keyed else 0} for kind in plan.kinds],
-        "family_info": own, "group_size": count, "tick_us": 5000,
-        "rules": {"tip_multiple": 6.0, "fall_us": 2_000_000, "cold_from": plan.nodes.cold_from,
-                  "cold_us": int(plan.nodes.cold_s * 1e6), "drain_grace_us": 1_000_000,
-                  "answer_slack_us": 80_000},
-        "limits": {"retry_after": True, "max_retry_after_us": 1_000_000}}
+        "categories": [
+            {
+                "name": kind.name,
+                "effect": EFFECTS[kind.effect],
+                "deadline_us": int(kind.deadline_ms * 1000),
+                "objective_us": int(kind.aim_ms * 1000),
+                "worth": kind.worth,
+                "repeat_window_us": int(kind.window_ms * 1000) if kind.keyed else 0,
+            }
+            for kind in plan.kinds
+        ],
+        "family_info": own,
+        "group_size": count,
+        "tick_us": 5000,
+        "rules": {
+            "tip_multiple": 6.0,
+            "fall_us": 2_000_000,
+            "cold_from": plan.nodes.cold_from,
+            "cold_us": int(plan.nodes.cold_s * 1e6),
+            "drain_grace_us": 1_000_000,
+            "answer_slack_us": 80_000,
+        },
+        "limits": {"retry_after": True, "max_retry_after_us": 1_000_000},
+    }
 
 
 def waited_s(pid: int) -> dict[str, float]:
@@ -84,27 +108,44 @@
         for process in self.running.values():
             process.wait()
 
-    def configure(self, name: str, listen: Address, below: Address, listed: Address,
-                  runtime: Address) -> None:
+    def configure(
+        self, name: str, listen: Address, below: Address, listed: Address, runtime: Address
+    ) -> None:
         """Write a node's configuration."""
         at = "{}:{}".format
         self.configs[name] = {
-            "name": name, "listen": at(*listen), "runtime": at(*runtime), "directory": at(*listed),
-            "vault": at(*below), "seed": f"{seed_of(self.plan, name):x}",
+            "name": name,
+            "listen": at(*listen),
+            "runtime": at(*runtime),
+            "directory": at(*listed),
+            "vault": at(*below),
+            "seed": f"{seed_of(self.plan, name):x}",
             "stop_ms": self.plan.nodes.stop_ms,
-            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512}}
+            "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
+        }
 
-    def join(self, name: str, listen: Address, advertise: Address, seeds: list[Address], zone: str,
-             admin: Address) -> None:
+    def join(
+        self, name: str, listen: Address, advertise: Address, seeds: list[Address], zone: str, admin: Address
+    ) -> None:
         """Write a node's operator's file: it is a member of the fleet."""
         at = "{}:{}".format
         secret = self.folder / "secret"
         secret.write_text(f"the secret of run {self.plan.run.seed:032d}")
         path = self.operators[name] = self.folder / f"{name}.toml"
-        path.write_text(tomli_w.dumps({
-            "fleet": {"listen": at(*listen), "advertise": at(*advertise), "zone": zone,
-                      "seeds": [at(*seed) for seed in seeds], "secret_file": str(secret)},
-            "admin": {"listen": at(*admin), "token": TOKEN}}))
+        path.write_text(
+            tomli_w.dumps(
+                {
+                    "fleet": {
+                        "listen": at(*listen),
+                        "advertise": at(*advertise),
+                        "zone": zone,
+                        "seeds": [at(*seed) for seed in seeds],
+                        "secret_file": str(secret),
+                    },
+                    "admin": {"listen": at(*admin), "token": TOKEN},
+                }
+            )
+        )
 
     def start(self, name: str, fresh: bool) -> None:
         """Start a node; its log goes on in the same file."""
@@ -112,10 +153,18 @@
         path.write_text(json.dumps({**self.configs[name], "settings": settings(self.plan, fresh)}))
         with (self.folder / f"{name}.log").open("ab") as log:
             self.running[name] = subprocess.Popen(
-                self.command, cwd=ROOT, env={
-                    **os.environ, "PROXY_CONFIG": str(path),
-                    **({"REELUSHER_OPERATOR": str(self.operators[name])} if name in self.operators else {})},
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, start_new_session=True)
+                self.command,
+                cwd=ROOT,
+                env={
+                    **os.environ,
+                    "PROXY_CONFIG": str(path),
+                    **({"REELUSHER_OPERATOR": str(self.operators[name])} if name in self.operators else {}),
+                },
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
 
     def send(self, name: str, number: signal.Signals) -> None:
         """Send a signal to a node that runs."""
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -175,8 +175,10 @@
             return
         out = self.other.transport
         if out is not None:
-            asyncio.get_running_loop().call_later(max(0.0, self.due_s - asyncio.get_running_loop().time()),
-                                                  *((reset, out) if error else (out.close,)))
+            asyncio.get_running_loop().call_later(
+                max(0.0, self.due_s - asyncio.get_running_loop().time()),
+                *((reset, out) if error else (out.close,)),
+            )
 
 
 class Inlet(asyncio.DatagramProtocol):
@@ -255,7 +257,8 @@
         if door is None:
             link = self.link(source, target, place)
             server = await asyncio.get_running_loop().create_server(
-                lambda: Pair(self, link).near, HOST, 0, backlog=512)
+                lambda: Pair(self, link).near, HOST, 0, backlog=512
+            )
             self._open.append(server)
             door = self._doors[source, target] = server.sockets[0].getsockname()
         return door
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -83,8 +83,14 @@
             until = self.loop.time() + plan.run.wait_s
             while self.loop.time() < until and not self.all_seen():
                 await asyncio.sleep(0.02)
-            self.begin_load(Lines(self.net, self.places, lambda name: name not in self.dead,
-                                  lambda name: self.runtimes[name].read()))
+            self.begin_load(
+                Lines(
+                    self.net,
+                    self.places,
+                    lambda name: name not in self.dead,
+                    lambda name: self.runtimes[name].read(),
+                )
+            )
             await asyncio.sleep(plan.run.seconds)
             until = self.loop.time() + plan.longest_s() + LAST_S
             while self.loop.time() < until and not account.settled():
@@ -114,8 +120,12 @@
         now, alive = self.loop.time(), self.processes.alive(name)
         waited = waited_s(self.processes.running[name].pid) if alive else {}
         if now > since:
-            self.account.note_coreless(name, since, now, max(
-                (waited_s - before.get(thread, 0.0) for thread, waited_s in waited.items()), default=0.0))
+            self.account.note_coreless(
+                name,
+                since,
+                now,
+                max((waited_s - before.get(thread, 0.0) for thread, waited_s in waited.items()), default=0.0),
+            )
         wait_s = max(CORES_S, len(self.places) / CORE_LOOKS_PER_S)
         self.loop.call_later(wait_s, self._look_for_cores, name, waited, now)
 
@@ -128,8 +138,13 @@
     async def _wire(self) -> None:
         """Set up relays and configurations."""
         plan, names = self.plan, iter(self.plan.node_names())
-        port = free_port([address_of(zone_no, number, 0)[0] for zone_no, zone in enumerate(plan.zones)
-                          for number in range(zone.nodes)])
+        port = free_port(
+            [
+                address_of(zone_no, number, 0)[0]
+                for zone_no, zone in enumerate(plan.zones)
+                for number in range(zone.nodes)
+            ]
+        )
         listed = await self._serve(partial(ListWire, self.list))
         below = {name: await self._serve(partial(BelowWire, one)) for name, one in self.belows.items()}
         for zone_no, zone in enumerate(plan.zones):
@@ -139,9 +154,12 @@
                 self.places[name], self.net.party_of[place[0]] = place, name
                 runtime = await self._serve(partial(RuntimeWire, self.hosts[name]))
                 self.processes.configure(
-                    name, place, await self.net.through(name, mine, below[mine]),
+                    name,
+                    place,
+                    await self.net.through(name, mine, below[mine]),
                     await self.net.through(name, "list", listed),
-                    await self.net.through(name, f"runtime.{name}", runtime))
+                    await self.net.through(name, f"runtime.{name}", runtime),
+                )
         if plan.nodes.fleet:
             await self._join()
 
@@ -151,18 +169,21 @@
         fleet_port = admin_port = free_port(hosts)
         while admin_port == fleet_port:
             admin_port = free_port(hosts)
-        doors = {name: await self.net.inlet(name, (place[0], fleet_port), streams=True)
-                 for name, place in self.places.items()}
+        doors = {
+            name: await self.net.inlet(name, (place[0], fleet_port), streams=True)
+            for name, place in self.places.items()
+        }
         by_zone: dict[str, list[str]] = {}
         for name in self.places:
             by_zone.setdefault(self.zone_of[name], []).append(name)
         # the first of each zone, then the second of each
         order = [name for row in itertools.zip_longest(*by_zone.values()) for name in row if name]
-        seeds = [doors[name] for name in order[:self.plan.nodes.seeds]]
+        seeds = [doors[name] for name in order[: self.plan.nodes.seeds]]
         for name, place in self.places.items():
             self.census.places[name] = place[0], admin_port
-            self.processes.join(name, (place[0], fleet_port), doors[name], seeds, self.zone_of[name],
-                                (place[0], admin_port))
+            self.processes.join(
+                name, (place[0], fleet_port), doors[name], seeds, self.zone_of[name], (place[0], admin_port)
+            )
 
     # Faults
 
--- a/reelusher/lab/fleet/services.py
+++ b/reelusher/lab/fleet/services.py
@@ -205,8 +205,9 @@
     A piece of work takes what it takes by how many share the cores as it begins. Runs can't be stopped.
     """
 
-    def __init__(self, line: Timeline, plan: NodePlan, kinds: dict[str, Kind], name: str, account: Account,
-                 seed: int) -> None:
+    def __init__(
+        self, line: Timeline, plan: NodePlan, kinds: dict[str, Kind], name: str, account: Account, seed: int
+    ) -> None:
         self.line, self.plan, self.kinds, self.name, self.account = line, plan, kinds, name, account
         self.random = random.Random(f"{seed} {name}")
         self.jobs: dict[str, Job] = {}
--- a/reelusher/lab/fleet/stage.py
+++ b/reelusher/lab/fleet/stage.py
@@ -21,8 +21,10 @@
         kinds = {kind.name: kind for kind in plan.kinds}
         self.list = ListService(line, plan.listing, self.account)
         self.belows = {name: Below(line, plan.below, name, self.account) for name in plan.belows()}
-        self.runtimes = {name: Runtime(line, plan.nodes, kinds, name, self.account, plan.run.seed)
-                         for name in plan.node_names()}
+        self.runtimes = {
+            name: Runtime(line, plan.nodes, kinds, name, self.account, plan.run.seed)
+            for name in plan.node_names()
+        }
         self.zone_of = plan.zone_of()
         self.dead: set[str] = set()
         self.again: set[str] = set()  # nodes that have started more than once
@@ -54,8 +56,17 @@
         count = sum(zone.callers for zone in self.plan.zones)
         for zone in self.plan.zones:
             for _ in range(zone.callers):
-                Caller(self.line, self.plan, zone.name, next(number), self.account, self.list.as_seen, way,
-                       self.plan.run.rate / count, names).begin()
+                Caller(
+                    self.line,
+                    self.plan,
+                    zone.name,
+                    next(number),
+                    self.account,
+                    self.list.as_seen,
+                    way,
+                    self.plan.run.rate / count,
+                    names,
+                ).begin()
         for fault in self.plan.faults:
             self.line.call_later(fault.at_s, self._begin, fault)
 
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -79,8 +79,8 @@
             size = int(words[3]) if words[0] == "ask" else -2
             if len(rest) < size + 2:
                 break
-            found.append((words[0], words[1], rest[:max(size, 0)]))
-            self.buffer = rest[size + 2:]
+            found.append((words[0], words[1], rest[: max(size, 0)]))
+            self.buffer = rest[size + 2 :]
         return found
 
 
@@ -167,8 +167,11 @@
                         if serial > message["serial"]:
                             self.write(line)
                 case "gauges":
-                    self.write(lines.json_line({"msg": "load", "cookie": message["cookie"],
-                                                "stats": host.runtime.gauges()}))
+                    self.write(
+                        lines.json_line(
+                            {"msg": "load", "cookie": message["cookie"], "stats": host.runtime.gauges()}
+                        )
+                    )
                 case "start":
                     host.runtime.start(call, message["service"], lines.unblob(message["blob"]))
                 case "give" | "omit" if call in host.waiting:
@@ -182,8 +185,14 @@
 class NodeLine(Wire):
     """A caller's connection to a node."""
 
-    def __init__(self, caller: Caller, node: str, link: Link, done: Callable[["NodeLine"], None],
-                 alive: Callable[[str], bool]) -> None:
+    def __init__(
+        self,
+        caller: Caller,
+        node: str,
+        link: Link,
+        done: Callable[["NodeLine"], None],
+        alive: Callable[[str], bool],
+    ) -> None:
         self.caller, self.node, self.link, self.done, self.alive = caller, node, link, done, alive
         self.decoder, self.numbers = msgpack.Decoder(), itertools.count(1)
         self.open: dict[int, Try] = {}
@@ -199,8 +208,13 @@
     def ask(self, one: Try) -> None:
         """Write a try."""
         number, ask = next(self.numbers), one.ask
-        fields = {"txn": one.call, "lb": str(self.caller.number), "ram": "10",
-                  "cpu": f"{ask.kind.work_ms:.2f}", "door": str(time.time_ns() // 1_000_000)}
+        fields = {
+            "txn": one.call,
+            "lb": str(self.caller.number),
+            "ram": "10",
+            "cpu": f"{ask.kind.work_ms:.2f}",
+            "door": str(time.time_ns() // 1_000_000),
+        }
         if ask.key:
             fields["unique"] = ask.key
         data = msgpack.pack([0, number, ask.kind.name, [fields, ask.body]])
@@ -249,8 +263,9 @@
 class Lines:
     """The connections of all callers to all nodes; a `callers.Way`."""
 
-    def __init__(self, net: Net, places: dict[str, Address], alive: Callable[[str], bool],
-                 read: Callable[[str], None]) -> None:
+    def __init__(
+        self, net: Net, places: dict[str, Address], alive: Callable[[str], bool], read: Callable[[str], None]
+    ) -> None:
         self.net, self.places, self.alive, self.read = net, places, alive, read
         self.free: dict[tuple[int, str], NodeLine] = {}
 
@@ -269,7 +284,8 @@
         link = self.net.links[caller.party, node]
         try:
             _, line = await loop.create_connection(
-                lambda: NodeLine(caller, node, link, self._done, self.alive), *place)
+                lambda: NodeLine(caller, node, link, self._done, self.alive), *place
+            )
         except OSError:
             caller.broken(one, True, ran=False)
             return
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -106,8 +106,9 @@
         """Make one try; 0 where no answer came."""
         async with self.places:
             try:
-                line = self.idle.pop() if self.idle else Line(
-                    *await asyncio.open_connection(*self.plan.target))
+                line = (
+                    self.idle.pop() if self.idle else Line(*await asyncio.open_connection(*self.plan.target))
+                )
                 status, reuse = await line.ask(data)
             except (OSError, ajp13.Malformed):
                 return 0
@@ -162,8 +163,9 @@
             await asyncio.sleep(self.worker.service_ms / 1000)
         self.done += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", "2"))
-        writer.write(ajp13.write_response(ajp13.ResponseHead(200, "OK", headers), b"ok", True,
-                                          ajp13.DEFAULT_PACKET))
+        writer.write(
+            ajp13.write_response(ajp13.ResponseHead(200, "OK", headers), b"ok", True, ajp13.DEFAULT_PACKET)
+        )
 
 
 async def play(plan: Plan) -> tuple[dict[str, Tally], int]:
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -60,17 +60,42 @@
 
 
 def _caller(table: Table, seconds: float) -> Caller:
-    table.only("name", "host", "rate", "method", "path", "body_bytes", "keyed", "repeats", "connections",
-               "keeps", "retries", "retry_ms", "aim_ms", "weight", "begins_s", "ends_s")
+    table.only(
+        "name",
+        "host",
+        "rate",
+        "method",
+        "path",
+        "body_bytes",
+        "keyed",
+        "repeats",
+        "connections",
+        "keeps",
+        "retries",
+        "retry_ms",
+        "aim_ms",
+        "weight",
+        "begins_s",
+        "ends_s",
+    )
     return Caller(
-        name=table.text("name"), host=table.text("host", table.text("name")),
-        rate=table.number("rate", None, 0.001, 100_000), method=table.text("method", "GET"),
-        path=table.text("path", "/"), body_bytes=table.whole("body_bytes", 0, 0, 8186),
-        keyed=table.flag("keyed", False), repeats=table.number("repeats", 0.0, 0.0, 1.0),
-        connections=table.whole("connections", 32, 1, 10_000), keeps=table.flag("keeps", True),
-        retries=table.number("retries", 0.0, 0.0, 0.99), retry_ms=table.number("retry_ms", 50.0, 1.0),
-        aim_ms=table.number("aim_ms", 500.0, 1.0), weight=table.number("weight", 1.0, 0.001),
-        begins_s=table.number("begins_s", 0.0), ends_s=table.number("ends_s", seconds))
+        name=table.text("name"),
+        host=table.text("host", table.text("name")),
+        rate=table.number("rate", None, 0.001, 100_000),
+        method=table.text("method", "GET"),
+        path=table.text("path", "/"),
+        body_bytes=table.whole("body_bytes", 0, 0, 8186),
+        keyed=table.flag("keyed", False),
+        repeats=table.number("repeats", 0.0, 0.0, 1.0),
+        connections=table.whole("connections", 32, 1, 10_000),
+        keeps=table.flag("keeps", True),
+        retries=table.number("retries", 0.0, 0.0, 0.99),
+        retry_ms=table.number("retry_ms", 50.0, 1.0),
+        aim_ms=table.number("aim_ms", 500.0, 1.0),
+        weight=table.number("weight", 1.0, 0.001),
+        begins_s=table.number("begins_s", 0.0),
+        ends_s=table.number("ends_s", seconds),
+    )
 
 
 def parse(value: Any) -> Plan:
@@ -83,13 +108,24 @@
     workers = []
     for entry in table.tables("workers"):
         entry.only("listen", "slots", "service_ms")
-        workers.append(Worker(_loopback(entry, "listen"), entry.whole("slots", 4, 1, 10_000),
-                              entry.number("service_ms", 100.0, 0.0, 600_000)))
+        workers.append(
+            Worker(
+                _loopback(entry, "listen"),
+                entry.whole("slots", 4, 1, 10_000),
+                entry.number("service_ms", 100.0, 0.0, 600_000),
+            )
+        )
     callers = tuple(_caller(entry, seconds) for entry in table.tables("callers"))
     if not callers:
         raise ConfigError("callers", "at least one is needed")
-    return Plan(_loopback(run, "target"), seconds, run.number("warm_up_s", 1.0), run.whole("seed", 1),
-                callers, tuple(workers))
+    return Plan(
+        _loopback(run, "target"),
+        seconds,
+        run.number("warm_up_s", 1.0),
+        run.whole("seed", 1),
+        callers,
+        tuple(workers),
+    )
 
 
 def read(path: Path) -> Plan:
--- a/reelusher/net.py
+++ b/reelusher/net.py
@@ -188,10 +188,16 @@
 class Listener:
     """Accepts connections on one address: each with a thread of its own, or one by one for a poller."""
 
-    def __init__(self, name: str, address: Address, counters: Counters,
-                 serve: Callable[[socket.socket, Address], None] | None = None,
-                 admit: Callable[[socket.socket], bool] = lambda sock: True, shared: bool = False,
-                 most: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        address: Address,
+        counters: Counters,
+        serve: Callable[[socket.socket, Address], None] | None = None,
+        admit: Callable[[socket.socket], bool] = lambda sock: True,
+        shared: bool = False,
+        most: int = 0,
+    ) -> None:
         """`admit` is asked by the accepting thread; what it turns away is closed before a thread is spent.
 
         `shared`: another process of this user may listen there too. `most` connections are served at once,
@@ -239,8 +245,11 @@
         except OSError as error:
             self._counters.add(f"{self._name}.accept_failed")
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                self._counters.warn(f"{self._name}.accept_rested",
-                                    "{}: out of descriptors or memory, accepting rests", self._name)
+                self._counters.warn(
+                    f"{self._name}.accept_rested",
+                    "{}: out of descriptors or memory, accepting rests",
+                    self._name,
+                )
                 raise Exhausted(*error.args) from None
             return None
         if not self._admit(sock) or not (self._places is None or self._places.acquire(blocking=False)):
--- a/reelusher/poller.py
+++ b/reelusher/poller.py
@@ -33,8 +33,9 @@
     thread before `start`; `call` is for all.
     """
 
-    def __init__(self, name: str, counters: Counters, late: Callable[[float], None] = lambda late_s: None
-                 ) -> None:
+    def __init__(
+        self, name: str, counters: Counters, late: Callable[[float], None] = lambda late_s: None
+    ) -> None:
         """`late` hears by how many seconds each callback of the clock came after its time."""
         self._name = name
         self._counters = counters
--- a/reelusher/server.py
+++ b/reelusher/server.py
@@ -86,29 +86,56 @@
         self._began = time.monotonic()
         self.fronts: dict[str, Front] = {}
         told, own = config.platform, config.operator
-        self._pool = Pool(own.workers if own else (), own.balancers if own else (), config.settings.cores,
-                          self._post, self.counters,
-                          (own.ajp.max_response_kb if own and own.ajp else 1024) * 1024, self._connections,
-                          self._spread("workers"))
-        self.runtime = RuntimeLink(told.runtime, self._post, self.counters,
-                                   self._spread("runtime")) if told else None
-        self.vault = Vault(told.vault, self._post, self.counters,
-                           self._clock) if told and told.vault else None
+        self._pool = Pool(
+            own.workers if own else (),
+            own.balancers if own else (),
+            config.settings.cores,
+            self._post,
+            self.counters,
+            (own.ajp.max_response_kb if own and own.ajp else 1024) * 1024,
+            self._connections,
+            self._spread("workers"),
+        )
+        self.runtime = (
+            RuntimeLink(told.runtime, self._post, self.counters, self._spread("runtime")) if told else None
+        )
+        self.vault = (
+            Vault(told.vault, self._post, self.counters, self._clock) if told and told.vault else None
+        )
         # without a runtime, only tenants with workers of their own can be served
         nobody: Runner = BalancedRunner(self._pool, [], sticky=False, method="requests")
         self._shares = self._shares_of(config)
-        self.core = Core(config.settings, config.gauges, config.seed, self.runtime or nobody, self.vault,
-                         config.class_names, self._clock, self.counters,
-                         int(config.memory_mb * RESULTS_PART * (1 << 20)), self._shares)
-        self.catalog = Catalog(told.directory, told.name, lambda: self.core.told.good, self.counters,
-                               self._spread("catalog")) if told and told.directory else None
+        self.core = Core(
+            config.settings,
+            config.gauges,
+            config.seed,
+            self.runtime or nobody,
+            self.vault,
+            config.class_names,
+            self._clock,
+            self.counters,
+            int(config.memory_mb * RESULTS_PART * (1 << 20)),
+            self._shares,
+        )
+        self.catalog = (
+            Catalog(
+                told.directory, told.name, lambda: self.core.told.good, self.counters, self._spread("catalog")
+            )
+            if told and told.directory
+            else None
+        )
         if self.catalog:
             self.core.on_health = self.catalog.changed
         if told:
             self.fronts["platform"] = PlatformFront(
-                self.core, told.listen, PLATFORM_TENANT, self._most_connections() - self._most_ajp(),
+                self.core,
+                told.listen,
+                PLATFORM_TENANT,
+                self._most_connections() - self._most_ajp(),
                 int(config.memory_mb * BACKLOGS_PART * (1 << 20)),
-                lambda late_s: self._pace.note(late_s, time.monotonic()), shared=told.operator is not None)
+                lambda late_s: self._pace.note(late_s, time.monotonic()),
+                shared=told.operator is not None,
+            )
         self.operator = self._second_address(told.operator) if told and told.operator else None
         self._lives: Lives | None = None
         self._claims: Claims | None = None
@@ -125,13 +152,21 @@
 
     def _second_address(self, address: Address) -> "OperatorFront":
         from reelusher.fronts.operator import OperatorFront, most_calls
-        return OperatorFront(address, self.counters, self._ready, self.core.figures.told, self._send_away,
-                             most_calls(self.config.sockets))
+
+        return OperatorFront(
+            address,
+            self.counters,
+            self._ready,
+            self.core.figures.told,
+            self._send_away,
+            most_calls(self.config.sockets),
+        )
 
     def _share(self, name: str, folder: Path) -> None:
         """Take part in upgrades: be known to other processes of this node, and claim keys before they run."""
         from reelusher.upgrade.claims import Claims
         from reelusher.upgrade.lives import Lives
+
         try:
             self._lives, self._claims = Lives(folder, name), Claims(folder, name)
         except OSError as error:
@@ -147,16 +182,22 @@
         if own.fleet:
             from reelusher.fleet.membership.service import Membership
             from reelusher.fleet.learning.learner import Learner
+
             self.fleet = Membership(own.fleet, self.config.name, self._spread("fleet"), self.counters)
             self.fleet.facts = self._facts
             self._learner = Learner(self.fleet, self._spread("learning"), self.counters, self._take_facts)
         tenants, table, calls = self._replicated(own) if own.replication else self._own_tenants(own)
         if own.ajp:
             self.fronts["ajp"] = AjpFront(
-                self.core, replace(own.ajp, max_connections=self._most_ajp()), tenants)
+                self.core, replace(own.ajp, max_connections=self._most_ajp()), tenants
+            )
         if own.admin:
-            self.admin = AdminApi(own.admin, Parts(self.core, tenants, table, self._pool, self.status,
-                                                   self.ask_to_leave, self.fleet, calls))
+            self.admin = AdminApi(
+                own.admin,
+                Parts(
+                    self.core, tenants, table, self._pool, self.status, self.ask_to_leave, self.fleet, calls
+                ),
+            )
 
     def _own_tenants(self, own: Operator) -> "tuple[Tenants, TenantTable, None]":
         """Return tenants that are this node's only, from its file and its state folder."""
@@ -167,13 +208,19 @@
         backends = self._backends(own)
         assert self._shares is not None
         folder, old = (own.admin.state_dir, own.admin.state_file) if own.admin else ("", "")
-        kept = store.opened(Path(folder) if folder else None, Path(old) if old else None, own.tenants,
-                            own.class_names, backends)
+        kept = store.opened(
+            Path(folder) if folder else None,
+            Path(old) if old else None,
+            own.tenants,
+            own.class_names,
+            backends,
+        )
         if own.admin and own.admin.durable_keys:
             log = store.opened_keys(Path(folder))
             for number, line in enumerate(log.live()):
-                self.core.keys.remember(line.name, EARLIER + number, line.until_us,
-                                        bytes.fromhex(line.digest))
+                self.core.keys.remember(
+                    line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
+                )
             self.core.keeper, self._key_log = log, log
         found = [(tenant, State(state)) for tenant, state in kept.tenants(own.class_names, backends)]
         tenants = Tenants(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
@@ -193,17 +240,33 @@
         told, backends = own.replication, self._backends(own)
         assert told is not None and self._shares is not None
         try:
-            copy = LocalCopy(Path(told.copy), own.fleet.name if own.fleet else "", told.control,
-                             lambda name, value: reason(name, value, own.class_names, backends))
+            copy = LocalCopy(
+                Path(told.copy),
+                own.fleet.name if own.fleet else "",
+                told.control,
+                lambda name, value: reason(name, value, own.class_names, backends),
+            )
         except Broken as error:
             raise ConfigError("replication.copy", str(error)) from None
         tenants = Tenants((), own.class_names, self._pool.runner, self.core, self._shares, backends, copy)
         place = self.fleet.live()[0].place if self.fleet else ""
-        replica = Replica(place, told.control, copy, self._spread("replica"),
-                          own.fleet.zone if own.fleet else "", time.monotonic(), self.config.name)
+        replica = Replica(
+            place,
+            told.control,
+            copy,
+            self._spread("replica"),
+            own.fleet.zone if own.fleet else "",
+            time.monotonic(),
+            self.config.name,
+        )
         replication = self._replication = Replication(
-            copy, replica, self.fleet, self._spread("replication"), self.counters,
-            repr((own.class_names, sorted(backends))))
+            copy,
+            replica,
+            self.fleet,
+            self._spread("replication"),
+            self.counters,
+            repr((own.class_names, sorted(backends))),
+        )
         table = ReplicatedTable(replication, own.class_names, backends, self.counters)
 
         def changed(names: list[str]) -> None:
@@ -231,6 +294,7 @@
         if config.operator is None:
             return None
         from reelusher.tenancy.shares import Shares
+
         return Shares(config.settings.cores, config.settings.memory_kb)
 
     def _most_connections(self) -> int:
@@ -241,17 +305,21 @@
             kept += MOST_LINES * bool(told.vault) + catalog.DESCRIPTORS * bool(told.directory)
             if told.operator:
                 from reelusher.fronts import operator
+
                 kept += operator.descriptors(self.config.sockets)
         if own:
             from reelusher.admin import api
             from reelusher.fronts import ajp
+
             kept += sum(worker.connections for worker in own.workers) + ajp.DESCRIPTORS * bool(own.ajp)
             kept += (api.DESCRIPTORS + STATE_FILES) * bool(own.admin)
             if own.fleet:
                 from reelusher.fleet.membership import service
+
                 kept += service.DESCRIPTORS
             if own.replication:
                 from reelusher.admin import replicated_api
+
                 kept += COPY_FILES + replicated_api.MOST_SENT + 1  # and the one that pulls
         return max(self.config.sockets - kept, LEAST_CONNECTIONS)
 
@@ -300,6 +368,7 @@
     def _facts(self) -> "FactsReply":
         """Return what a fresh node may learn here; one that is cold itself would teach it wrong."""
         from reelusher.fleet.membership.messages import Fact, FactsReply
+
         warm_s = max(WARM_S, self.config.settings.cold_us / 1e6)
         if time.monotonic() - self._began < warm_s or self.asked_to_leave.is_set():
             return FactsReply(False, [])
@@ -316,8 +385,12 @@
 
     def _ready(self) -> bool:
         """Tell whether this process is ready to serve; from any thread."""
-        good = (self._started and self.core.told.good and not self.asked_to_leave.is_set()
-                and (self.runtime is None or self.runtime.up))
+        good = (
+            self._started
+            and self.core.told.good
+            and not self.asked_to_leave.is_set()
+            and (self.runtime is None or self.runtime.up)
+        )
         if good and self._lives:
             self._lives.ready()
         return good
@@ -331,13 +404,18 @@
 
     def status(self) -> dict[str, Any]:
         """Return how the node stands; called by the owner."""
-        return {"name": self.config.name, "healthy": self.core.told.healthy,
-                "draining": self.core.told.draining, "uptime_s": round(time.monotonic() - self._began, 1),
-                "runtime": None if self.runtime is None else "up" if self.runtime.up else "down",
-                "requests_in_hand": len(self.core.attempts), "unanswered": self.core.attempts.owed,
-                "keys": len(self.core.keys), "fronts": {name: front.open_connections()
-                                                        for name, front in self.fronts.items()},
-                "decisions": self.core.decisions()}
+        return {
+            "name": self.config.name,
+            "healthy": self.core.told.healthy,
+            "draining": self.core.told.draining,
+            "uptime_s": round(time.monotonic() - self._began, 1),
+            "runtime": None if self.runtime is None else "up" if self.runtime.up else "down",
+            "requests_in_hand": len(self.core.attempts),
+            "unanswered": self.core.attempts.owed,
+            "keys": len(self.core.keys),
+            "fronts": {name: front.open_connections() for name, front in self.fronts.items()},
+            "decisions": self.core.decisions(),
+        }
 
     def ask_to_leave(self, asked_s: float | None = None) -> bool:
         """Ask for a drain, from any thread; False where one was asked for before.
@@ -383,8 +461,12 @@
         except ConfigError as error:  # half written, or wrong: never a reason to end
             return self._turned_down(str(error))
         told, before = config.platform, self.config.platform
-        if told is None or before is None or (told.vault is None) is not (self.vault is None) or (
-                told.directory is None) is not (self.catalog is None):
+        if (
+            told is None
+            or before is None
+            or (told.vault is None) is not (self.vault is None)
+            or (told.directory is None) is not (self.catalog is None)
+        ):
             return self._turned_down("only a start adds or removes parts")
         if lacked := told.lacks(before):
             return self._turned_down(f"{lacked}: missing")
@@ -392,8 +474,9 @@
             front = self.fronts["platform"]
             assert isinstance(front, PlatformFront)
             try:  # in one step of the owner's, or core and front could go by different files
-                self.core.ask(lambda: front.retune(self.core.retune(
-                    told.settings, told.gauges, told.class_names)))
+                self.core.ask(
+                    lambda: front.retune(self.core.retune(told.settings, told.gauges, told.class_names))
+                )
             except ValueError as error:
                 return self._turned_down(str(error))
             logger.info("reload: new settings, classes: {}", ", ".join(told.class_names))
@@ -403,16 +486,24 @@
             self.vault.move(told.vault)
         if self.catalog and told.directory:
             self.catalog.move(told.directory)
-        moved = {name: getattr(told, name) for name in ("runtime", "vault", "directory")
-                 if getattr(told, name) != getattr(before, name)}
-        taken_up = {name: getattr(told, name) for name in (
-            "runtime", "vault", "directory", "settings", "gauges", "class_names", "paths")}
+        moved = {
+            name: getattr(told, name)
+            for name in ("runtime", "vault", "directory")
+            if getattr(told, name) != getattr(before, name)
+        }
+        taken_up = {
+            name: getattr(told, name)
+            for name in ("runtime", "vault", "directory", "settings", "gauges", "class_names", "paths")
+        }
         if replace(before, **taken_up) != told:
             logger.warning("reload: what is new beside addresses and settings counts from the next start")
         self.config = replace(self.config, platform=replace(before, **taken_up), settings=told.settings)
         self.counters.add("reload.done")
-        logger.info("reload: new addresses: {}", ", ".join(
-            f"{name} {address[0]}:{address[1]}" for name, address in moved.items() if address) or "none")
+        logger.info(
+            "reload: new addresses: {}",
+            ", ".join(f"{name} {address[0]}:{address[1]}" for name, address in moved.items() if address)
+            or "none",
+        )
         return True
 
     def _turned_down(self, why: str) -> bool:
@@ -492,11 +583,16 @@
 def set_up_log() -> None:
     """Write log lines to standard error, faults in threads among them."""
     logger.remove()
-    logger.add(sys.stderr, format="{time:HH:mm:ss.SSS} {level} {message}", level="INFO", backtrace=False,
-               diagnose=False)
+    logger.add(
+        sys.stderr,
+        format="{time:HH:mm:ss.SSS} {level} {message}",
+        level="INFO",
+        backtrace=False,
+        diagnose=False,
+    )
     threading.excepthook = lambda fault: logger.opt(
-        exception=(fault.exc_type, fault.exc_value or fault.exc_type(), fault.exc_traceback)).error(
-            "a thread failed: {}", fault.thread.name if fault.thread else "")
+        exception=(fault.exc_type, fault.exc_value or fault.exc_type(), fault.exc_traceback)
+    ).error("a thread failed: {}", fault.thread.name if fault.thread else "")
 
 
 def heed_signals(node: Node, watch: SignalWatch) -> None:
--- a/reelusher/settings.py
+++ b/reelusher/settings.py
@@ -56,14 +56,22 @@
     for number, entry in enumerate(need(info, "categories")):
         path = f"categories[{number}]."
         effect = word(EFFECTS, need(entry, "effect", path), path + "effect")
-        classes.append(io.RequestClass(
-            deadline_us=positive(need(entry, "deadline_us", path), path + "deadline_us"), effect=effect,
-            aim_us=entry.get("objective_us", 0), worth=entry.get("worth", 1.0),
-            late_share=entry.get("late_share", 0.0),
-            window_us=(need(entry, "repeat_window_us", path) if effect is io.Effect.KEYED
-                       else entry.get("repeat_window_us", 0)),
-            calls=bool(calls[number]) if number < len(calls) else False,
-            skip_share=skips[number] if number < len(skips) else 0.0))
+        classes.append(
+            io.RequestClass(
+                deadline_us=positive(need(entry, "deadline_us", path), path + "deadline_us"),
+                effect=effect,
+                aim_us=entry.get("objective_us", 0),
+                worth=entry.get("worth", 1.0),
+                late_share=entry.get("late_share", 0.0),
+                window_us=(
+                    need(entry, "repeat_window_us", path)
+                    if effect is io.Effect.KEYED
+                    else entry.get("repeat_window_us", 0)
+                ),
+                calls=bool(calls[number]) if number < len(calls) else False,
+                skip_share=skips[number] if number < len(skips) else 0.0,
+            )
+        )
     keyed = any(kind.effect is io.Effect.KEYED for kind in classes)
     below = own.get("below", "silent") == "common"
     settings = io.Settings(
@@ -83,14 +91,24 @@
         linger_us=own.get("linger_us", 0),
         halt=word(HALTS, own.get("halt", "silent"), "family_info.halt"),
         say=word(SAYS, own.get("say", "silent"), "family_info.say"),
-        heard_us=own.get("heard_for_us", 0), callers=own.get("clients_total", 0),
-        peers=info.get("group_size", 0), idle_us=own.get("caller_idle_us", 0),
+        heard_us=own.get("heard_for_us", 0),
+        callers=own.get("clients_total", 0),
+        peers=info.get("group_size", 0),
+        idle_us=own.get("caller_idle_us", 0),
         stored_checks=own.get("full_checks", False),
         retry_after_us=limits.get("max_retry_after_us", 0) if limits.get("retry_after", False) else 0,
         shares=[tenant.get("share", 0.0) for tenant in info.get("tenants", [])],
         over_share_worth=info.get("over_share_worth", 1.0),
         goal_whole=goal.get("whole", 1.0) + goal.get("worst_window", 0.0),
-        goal_worst_class=goal.get("worst_class", 0.0), goal_worst_tenant=goal.get("worst_tenant", 0.0),
-        **({"call_share": need(own, "calls_out", "family_info."),
-            "call_over_us": need(own, "calls_over_us", "family_info.")} if below else {}))
+        goal_worst_class=goal.get("worst_class", 0.0),
+        goal_worst_tenant=goal.get("worst_tenant", 0.0),
+        **(
+            {
+                "call_share": need(own, "calls_out", "family_info."),
+                "call_over_us": need(own, "calls_over_us", "family_info."),
+            }
+            if below
+            else {}
+        ),
+    )
     return settings, [GAUGES.get(name, "") for name in own.get("gauges", [])]
--- a/reelusher/tenancy/durable/frames.py
+++ b/reelusher/tenancy/durable/frames.py
@@ -82,8 +82,8 @@
     if rest < HEADER.size:
         return None
     length, number, payload_crc, head_crc = HEADER.unpack_from(data, at)
-    if google_crc32c.value(data[at:at + HEADER.size - 4]) != head_crc:
-        if not data[at + HEADER.size - 1:].strip(b"\0"):
+    if google_crc32c.value(data[at : at + HEADER.size - 4]) != head_crc:
+        if not data[at + HEADER.size - 1 :].strip(b"\0"):
             return None  # the file grew, and of the frame no more came than the beginning of its header
         raise Damaged(at, "the checksum of a header does not fit")
     if length > MOST_PAYLOAD:
--- a/reelusher/tenancy/durable/journal.py
+++ b/reelusher/tenancy/durable/journal.py
@@ -97,8 +97,13 @@
         name = self._journal
         read = self._scan(name, self._base + 1)
         if read.torn:
-            logger.warning("state: {}: {} bytes at byte {} are of a change that was never acknowledged, "
-                           "they are cut off", name, read.torn, read.end)
+            logger.warning(
+                "state: {}: {} bytes at byte {} are of a change that was never acknowledged, "
+                "they are cut off",
+                name,
+                read.torn,
+                read.end,
+            )
             self._disk.cut(name, read.end)
             self._disk.sync(name)
         self._size = read.end
@@ -141,8 +146,10 @@
         try:
             self._disk.cut(self._journal, self._size)
         except OSError as second:
-            self._failed = (f"{self._journal}: a write failed ({error}) and could not be taken back, the "
-                            f"state is closed to changes: {second}")
+            self._failed = (
+                f"{self._journal}: a write failed ({error}) and could not be taken back, the "
+                f"state is closed to changes: {second}"
+            )
             logger.error("state: {}", self._failed)
 
     # Snapshots
--- a/reelusher/tenancy/durable/state.py
+++ b/reelusher/tenancy/durable/state.py
@@ -73,8 +73,9 @@
         else:
             raise Unreadable(f"change {number}: {change.op!r} of {change.name!r} does not fit the state")
         after = self.tenants.get(change.name)
-        self.audit.append(Trail(number, change.op, change.name, change.who, change.at_ms,
-                                shown(before), shown(after)))
+        self.audit.append(
+            Trail(number, change.op, change.name, change.who, change.at_ms, shown(before), shown(after))
+        )
         del self.audit[:-MOST_AUDIT]
         if change.key:
             self.keys.pop(change.key, None)
--- a/reelusher/tenancy/fairness.py
+++ b/reelusher/tenancy/fairness.py
@@ -62,8 +62,10 @@
     if least >= capacity:
         return [claim.least * capacity / least for claim in claims]
     # as the level rises a claim begins to grow at `least / weight` and stops at `most / weight`
-    turns = sorted([(claim.least / claim.weight, claim.weight) for claim in claims]
-                   + [(claim.most / claim.weight, -claim.weight) for claim in claims])
+    turns = sorted(
+        [(claim.least / claim.weight, claim.weight) for claim in claims]
+        + [(claim.most / claim.weight, -claim.weight) for claim in claims]
+    )
     level, slope, given = 0.0, 0.0, least
     for at, change in turns:
         if slope > 0 and given + slope * (at - level) >= capacity:
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -28,7 +28,7 @@
 
 def _ends_there(path: str, length: int) -> bool:
     """Tell whether a path lies under what it begins with, so many characters long."""
-    return len(path) == length or path[length] == "/" or path[length - 1:length] == "/"
+    return len(path) == length or path[length] == "/" or path[length - 1 : length] == "/"
 
 
 class Routes:
@@ -48,16 +48,23 @@
     def class_of(self, method: str, path: str) -> str | None:
         """Return the class of the first route that fits; None where none does."""
         if not self._lengths:
-            return next((route.class_name for route in self._routes
-                         if route.method in ("*", method) and lies_under(path, route.path)), None)
+            return next(
+                (
+                    route.class_name
+                    for route in self._routes
+                    if route.method in ("*", method) and lies_under(path, route.path)
+                ),
+                None,
+            )
         least = len(self._routes)
         for length in self._lengths:
             if length > len(path):
                 break
             if _ends_there(path, length):
                 start = path[:length]
-                least = min(least, self._first.get((method, start), least),
-                            self._first.get(("*", start), least))
+                least = min(
+                    least, self._first.get((method, start), least), self._first.get(("*", start), least)
+                )
         return self._routes[least].class_name if least < len(self._routes) else None
 
 
@@ -108,8 +115,11 @@
         """Return the same with one prefix added or its value replaced."""
         place = hash(prefix) & len(self._parts) - 1
         new = prefix not in self._parts[place]
-        made = VirtualHost(self._with_length(len(prefix), 1) if new else self._lengths,
-                           self._with_part(place, {**self._parts[place], prefix: value}), self._size + new)
+        made = VirtualHost(
+            self._with_length(len(prefix), 1) if new else self._lengths,
+            self._with_part(place, {**self._parts[place], prefix: value}),
+            self._size + new,
+        )
         return made._grown() if made._size > PART * len(made._parts) else made
 
     def without(self, prefix: str) -> "VirtualHost[T] | None":
@@ -121,15 +131,17 @@
         return VirtualHost(self._with_length(len(prefix), -1), self._with_part(place, part), self._size - 1)
 
     def _with_part(self, place: int, part: dict[str, T]) -> tuple[dict[str, T], ...]:
-        return (*self._parts[:place], part, *self._parts[place + 1:])
+        return (*self._parts[:place], part, *self._parts[place + 1 :])
 
     def _with_length(self, length: int, change: int) -> dict[int, int]:
         count = self._lengths.get(length, 0)
         if count and count + change:
             return {**self._lengths, length: count + change}
         others = [known for known in self._lengths if known != length]
-        return {known: self._lengths.get(known, 1)
-                for known in sorted([*others, length] if change > 0 else others, reverse=True)}
+        return {
+            known: self._lengths.get(known, 1)
+            for known in sorted([*others, length] if change > 0 else others, reverse=True)
+        }
 
     def _grown(self) -> "VirtualHost[T]":
         parts: tuple[dict[str, T], ...] = tuple({} for _ in range(GROWTH * len(self._parts)))
@@ -169,10 +181,11 @@
         while True:
             start = bisect_right(self._names, after)
             before = min(start, 1)
-            names = self._names[start - before:start + limit + 1]
+            names = self._names[start - before : start + limit + 1]
             # where names moved between the two looks, another place has been cut out
             if all(name <= after for name in names[:before]) and all(
-                    name > after for name in names[before:before + 1]):
+                name > after for name in names[before : before + 1]
+            ):
                 del names[:before]
                 break
         found = [leaf.entry for name in names[:limit] if (leaf := self._leaves.get(name)) is not None]
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -115,8 +115,9 @@
         if entry is not None:
             del self._by_number[entry.number]
 
-    def tick(self, now_us: int, in_hand: Callable[[int], int], numbers: Iterable[int] | None = None
-             ) -> list[Gone]:
+    def tick(
+        self, now_us: int, in_hand: Callable[[int], int], numbers: Iterable[int] | None = None
+    ) -> list[Gone]:
         """Let those go that have nothing in hand any more, or no time: of these, or of all."""
         gone = []
         for number in list(self._draining if numbers is None else numbers):
--- a/reelusher/tenancy/paging.py
+++ b/reelusher/tenancy/paging.py
@@ -129,8 +129,9 @@
 class Pager:
     """Residents, tables of hosts, and reads under way."""
 
-    def __init__(self, source: Source, read: Read, now_us: Callable[[], int],
-                 wait_s: float, most: int = MOST_TENANTS) -> None:
+    def __init__(
+        self, source: Source, read: Read, now_us: Callable[[], int], wait_s: float, most: int = MOST_TENANTS
+    ) -> None:
         """Begin with nobody in memory; `read` is over within `wait_s` in any case."""
         self._source = source
         self._read = read
@@ -253,8 +254,9 @@
             for host in hosts:
                 self._forget(host)
 
-    def _pinned(self, name: str, load: Callable[[str, Load], bool], until_us: int, row: Row | None,
-                changes: int) -> Resident | None:
+    def _pinned(
+        self, name: str, load: Callable[[str, Load], bool], until_us: int, row: Row | None, changes: int
+    ) -> Resident | None:
         """Return a tenant, pinned, after it has been read where it must be; None: there is none.
 
         `row` was read when so many changes had been heard of. What is committed before that is in it, and of
@@ -289,8 +291,12 @@
 
     # Changes, by whoever made them
 
-    def changed(self, names: Sequence[str], hosts_of: Callable[[Row], Iterable[str]],
-                put: Callable[[str, Row | None], None]) -> None:
+    def changed(
+        self,
+        names: Sequence[str],
+        hosts_of: Callable[[Row], Iterable[str]],
+        put: Callable[[str, Row | None], None],
+    ) -> None:
         """Take note that rows have changed: read those in memory anew and hand them to `put`, in order.
 
         `hosts_of` returns the hosts of a row, none where it is of any. What can't be read stays as it was,
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -55,9 +55,17 @@
 class Tenants:
     """Tenants by name, with their shares, and the runners of those that have one of their own."""
 
-    def __init__(self, entries: Iterable[tuple[Tenant, State]], class_names: tuple[str, ...],
-                 runner_of: Callable[[str], Runner | None], core: Core, shares: Shares,
-                 backends: frozenset[str], source: Source | None = None, idle_us: int = IDLE_US) -> None:
+    def __init__(
+        self,
+        entries: Iterable[tuple[Tenant, State]],
+        class_names: tuple[str, ...],
+        runner_of: Callable[[str], Runner | None],
+        core: Core,
+        shares: Shares,
+        backends: frozenset[str],
+        source: Source | None = None,
+        idle_us: int = IDLE_US,
+    ) -> None:
         """Begin with these tenants, or with none and a table of them on the disk.
 
         Where there is such a table, tenants change by `changed` only, and of them those are in memory that
@@ -129,9 +137,13 @@
         """Return how a tenant stands and what it has used while in memory; called by the owner."""
         name = entry.tenant.name
         told = self._shares.usage(entry.number, self._core.clock.now())
-        return {"name": name, "state": entry.state.value,
-                "in_hand": self._core.attempts.of_tenant(entry.number),
-                "answers": self._core.counters.of_tenant(name), **told}
+        return {
+            "name": name,
+            "state": entry.state.value,
+            "in_hand": self._core.attempts.of_tenant(entry.number),
+            "answers": self._core.counters.of_tenant(name),
+            **told,
+        }
 
     def read(self, value: Any, name: str | None = None) -> Tenant:
         """Check a tenant as JSON says it; where the name is given already, it may be left out."""
@@ -167,13 +179,17 @@
     def _entry_of(self, row: Row) -> Entry | None:
         """Return what a row says; None where this node can't serve it."""
         try:
-            made = Entry(read_row(row.name, row.tenant, self._class_names, self._backends), row.number,
-                         State(row.state))
+            made = Entry(
+                read_row(row.name, row.tenant, self._class_names, self._backends),
+                row.number,
+                State(row.state),
+            )
         except UNREADABLE as error:
             if self._pager is not None:
                 self._pager.note(row.name, str(error))
-            self._core.counters.warn("tenants.unreadable", "tenants: {!r} can't be served: {}", row.name,
-                                     error)
+            self._core.counters.warn(
+                "tenants.unreadable", "tenants: {!r} can't be served: {}", row.name, error
+            )
             return None
         if self._pager is not None:
             self._pager.forget_note(row.name)
@@ -237,8 +253,17 @@
     def _share(self, tenant: Tenant) -> Share:
         told = tenant.share
         weights = {self._class_names.index(name): weight for name, weight in told.classes}
-        return Share(told.weight, told.guarantee, told.ceiling, told.burst_ms * 1000, told.held, told.running,
-                     told.memory_kb, told.keys, weights)
+        return Share(
+            told.weight,
+            told.guarantee,
+            told.ceiling,
+            told.burst_ms * 1000,
+            told.held,
+            told.running,
+            told.memory_kb,
+            told.keys,
+            weights,
+        )
 
     # Called by fronts
 
@@ -273,8 +298,9 @@
         if leaf is None:
             return None
         entry = leaf.entry
-        return Match(entry.tenant, entry.number, leaf.class_of(method, path), entry.state is State.ACTIVE,
-                     pin)
+        return Match(
+            entry.tenant, entry.number, leaf.class_of(method, path), entry.state is State.ACTIVE, pin
+        )
 
     # A table on the disk. By threads of fronts, and by those that change it
 
@@ -388,4 +414,5 @@
 
     def _free(self, number: int) -> bool:
         return not self._core.attempts.of_tenant(number) and self._shares.let_go(
-            number, self._core.clock.now())
+            number, self._core.clock.now()
+        )
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -82,8 +82,10 @@
 
 def trail(change: Change) -> Trail:
     """Read a change of the copy's trail."""
-    before, after = ({**_tenant(change.name, data), "state": state} if state else None for state, data in (
-        (change.before_state, change.before), (change.after_state, change.after)))
+    before, after = (
+        {**_tenant(change.name, data), "state": state} if state else None
+        for state, data in ((change.before_state, change.before), (change.after_state, change.after))
+    )
     op = "remove" if after is None else "put"
     if before and after and change.before == change.after and change.before_state != change.after_state:
         op = "state"
@@ -93,9 +95,14 @@
 class ReplicatedTable:
     """The table as one node has it; a `TenantTable` for the names whose streams this node holds."""
 
-    def __init__(self, replication: Replication, class_names: tuple[str, ...], backends: frozenset[str],
-                 counters: Counters,
-                 wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000) -> None:
+    def __init__(
+        self,
+        replication: Replication,
+        class_names: tuple[str, ...],
+        backends: frozenset[str],
+        counters: Counters,
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
         self.replication, self.copy = replication, replication.copy
         self.replica = replication.replica
         self.own_name = self.replica.own_name
@@ -186,8 +193,15 @@
         finally:
             self._lock.release()
 
-    def change(self, op: str, name: str, who: str, tenant: dict[str, Any] | None = None,
-               state: str = "active", key: str = "") -> Standing | None:
+    def change(
+        self,
+        op: str,
+        name: str,
+        who: str,
+        tenant: dict[str, Any] | None = None,
+        state: str = "active",
+        key: str = "",
+    ) -> Standing | None:
         """Number one change and have it on the disk. Raises `Busy`, and `Broken` where the disk refuses."""
         before = self.kept(name)
         if op == "put":
@@ -231,10 +245,13 @@
 
     def _tell(self, made: Standing) -> None:
         name = str(made.tenant["name"])
-        for winner, loser, host in (*((one.tenant, name, one.host) for one in made.lost),
-                                    *((name, one.tenant, one.host) for one in made.won)):
-            self._counters.warn("replication.shadowed", "replication: {} gets what {} names too: {}", winner,
-                                loser, host)
+        for winner, loser, host in (
+            *((one.tenant, name, one.host) for one in made.lost),
+            *((name, one.tenant, one.host) for one in made.won),
+        ):
+            self._counters.warn(
+                "replication.shadowed", "replication: {} gets what {} names too: {}", winner, loser, host
+            )
 
     def take_over(self, stream: str, force: bool) -> Position:
         """Begin an epoch of a stream with this member as its holder. Raises `Busy` and `Broken`."""
--- a/reelusher/tenancy/shares.py
+++ b/reelusher/tenancy/shares.py
@@ -82,8 +82,27 @@
 class _Flow:
     """One tenant."""
 
-    __slots__ = ("number", "share", "finish", "lanes", "reserve", "limit", "held", "running", "long", "kb",
-                 "keys", "floor_us", "demand", "demand_us", "excess", "means", "used_us", "turn", "gone")
+    __slots__ = (
+        "number",
+        "share",
+        "finish",
+        "lanes",
+        "reserve",
+        "limit",
+        "held",
+        "running",
+        "long",
+        "kb",
+        "keys",
+        "floor_us",
+        "demand",
+        "demand_us",
+        "excess",
+        "means",
+        "used_us",
+        "turn",
+        "gone",
+    )
 
     def __init__(self, number: int, share: Share, cores: int, virtual: float) -> None:
         self.number = number
@@ -212,9 +231,15 @@
     def usage(self, tenant: int, now_us: int) -> dict[str, float]:
         """Return how a tenant stands: work in core-milliseconds, the rest as counts, parts and KB."""
         flow = self._flows.get(tenant) or _Flow(tenant, Share(), self._cores, self._virtual)
-        return {"held": flow.held, "running": flow.running, "keys": flow.keys,
-                "memory_kb": round(flow.kb, 1), "work_ms": round(flow.used_us / 1000, 1),
-                "demand": round(flow.decay(now_us) / self._cores, 4), "over_by": round(flow.excess, 4)}
+        return {
+            "held": flow.held,
+            "running": flow.running,
+            "keys": flow.keys,
+            "memory_kb": round(flow.kb, 1),
+            "work_ms": round(flow.used_us / 1000, 1),
+            "demand": round(flow.decay(now_us) / self._cores, 4),
+            "over_by": round(flow.excess, 4),
+        }
 
     # What the module asks and tells
 
@@ -339,8 +364,11 @@
             flow, lanes = self._flow(number), queues[number]
             if not self._eligible(flow, now_us):
                 continue
-            lane = min(lanes, key=lambda kind: (flow.lanes.get(kind, 0.0), kind)) if len(lanes) > 1 else next(
-                iter(lanes))
+            lane = (
+                min(lanes, key=lambda kind: (flow.lanes.get(kind, 0.0), kind))
+                if len(lanes) > 1
+                else next(iter(lanes))
+            )
             yield lanes[lane].popleft()
             if not lanes[lane]:
                 del lanes[lane]
@@ -407,8 +435,15 @@
 
     def _allocate(self) -> None:
         asking = list(self._asking.values())
-        claims = [Claim(flow.demand, flow.share.weight, flow.share.guarantee * self._cores,
-                        flow.share.ceiling * self._cores) for flow in asking]
+        claims = [
+            Claim(
+                flow.demand,
+                flow.share.weight,
+                flow.share.guarantee * self._cores,
+                flow.share.ceiling * self._cores,
+            )
+            for flow in asking
+        ]
         self._any_over = False
         self._weights = sum(claim.weight for claim in claims)
         for flow, claim, given in zip(asking, claims, allocate(claims, self._cores), strict=True):
--- a/reelusher/tenancy/store.py
+++ b/reelusher/tenancy/store.py
@@ -20,7 +20,16 @@
 from reelusher.tenancy.durable.journal import Broken, Journal
 from reelusher.tenancy.durable.keys import KeyLog
 from reelusher.tenancy.durable.state import (
-    Change, Kept, Standing, State, Trail, Unreadable, read_change, read_state, write)
+    Change,
+    Kept,
+    Standing,
+    State,
+    Trail,
+    Unreadable,
+    read_change,
+    read_state,
+    write,
+)
 
 MIGRATED = ".migrated"  # what the old state file is called once its tenants are in the journal
 BY_FILE = "the operator's file"
@@ -41,8 +50,15 @@
     def audit(self, after: int, limit: int) -> list[Trail]:
         """Return so many changes with a number above one, oldest first."""
 
-    def change(self, op: str, name: str, who: str, tenant: dict[str, Any] | None = None,
-               state: str = "active", key: str = "") -> Standing | None:
+    def change(
+        self,
+        op: str,
+        name: str,
+        who: str,
+        tenant: dict[str, Any] | None = None,
+        state: str = "active",
+        key: str = "",
+    ) -> Standing | None:
         """Make one change durable and return what is kept of the tenant then. Raises `Broken`."""
 
 
@@ -52,8 +68,9 @@
     `changing` is held round each change, from the check to the answer.
     """
 
-    def __init__(self, disk: Disk | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
-                 ) -> None:
+    def __init__(
+        self, disk: Disk | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
+    ) -> None:
         """Read what is there; raises `Broken`. Without a disk the state lasts as long as the process."""
         self.state = State()
         self.fresh = True  # nothing was kept
@@ -95,8 +112,15 @@
         trail = list(self.state.audit)  # another thread may be adding to it
         return [one for one in trail if one.number > after][:limit]
 
-    def change(self, op: str, name: str, who: str, tenant: dict[str, Any] | None = None,
-               state: str = "active", key: str = "") -> Kept | None:
+    def change(
+        self,
+        op: str,
+        name: str,
+        who: str,
+        tenant: dict[str, Any] | None = None,
+        state: str = "active",
+        key: str = "",
+    ) -> Kept | None:
         """Make one change durable and return what is kept of the tenant then. Raises `Broken`."""
         with self._lock:
             made = Change(op, name, who, self._wall_ms(), tenant, state, key)
@@ -118,12 +142,19 @@
 
     def tenants(self, class_names: tuple[str, ...], backends: frozenset[str]) -> list[tuple[Tenant, str]]:
         """Return the kept tenants, checked against the configuration, with their states."""
-        return [(read_tenant(Table(kept.tenant, f"state.{name}"), class_names, backends), kept.state)
-                for name, kept in self.state.tenants.items()]
-
-
-def opened(folder: Path | None, old: Path | None, tenants: Iterable[Tenant], class_names: tuple[str, ...],
-           backends: frozenset[str]) -> Store:
+        return [
+            (read_tenant(Table(kept.tenant, f"state.{name}"), class_names, backends), kept.state)
+            for name, kept in self.state.tenants.items()
+        ]
+
+
+def opened(
+    folder: Path | None,
+    old: Path | None,
+    tenants: Iterable[Tenant],
+    class_names: tuple[str, ...],
+    backends: frozenset[str],
+) -> Store:
     """Open the state that an operator's file names; a fault is a `ConfigError` that says where it lies.
 
     Where nothing was kept it begins with the tenants of the old state file, if there is one, which is then
--- a/reelusher/upgrade/claims.py
+++ b/reelusher/upgrade/claims.py
@@ -35,8 +35,9 @@
 class Claims:
     """The claims of all processes of a node. What is asked of it never blocks."""
 
-    def __init__(self, folder: Path, name: str, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
-                 ) -> None:
+    def __init__(
+        self, folder: Path, name: str, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
+    ) -> None:
         """Raises OSError where the folder does not allow it."""
         self._now_us = now_us
         self._folder = folder / f"{safe(name)}.keys"
@@ -151,8 +152,11 @@
             claim.elsewhere(None)
         elif found["state"] != RUNS:
             body = found.get("body")
-            claim.elsewhere(None if body is None else Result(
-                base64.b64decode(body), found["status"], tuple(map(tuple, found["headers"]))))
+            claim.elsewhere(
+                None
+                if body is None
+                else Result(base64.b64decode(body), found["status"], tuple(map(tuple, found["headers"])))
+            )
         else:
             self._order += 1
             heapq.heappush(self._waiting, (time.monotonic() + LOOK_S, self._order, claim))
@@ -191,5 +195,8 @@
             self._write(path, found | {"state": FAILED})
         else:
             body = base64.b64encode(result.body).decode()
-            self._write(path, found | {"state": WELL, "body": body, "status": result.status,
-                                       "headers": list(result.headers)})
+            self._write(
+                path,
+                found
+                | {"state": WELL, "body": body, "status": result.status, "headers": list(result.headers)},
+            )
--- a/reelusher/wire/ajp13.py
+++ b/reelusher/wire/ajp13.py
@@ -16,23 +16,94 @@
 MOST_HEADERS = 128
 NULL = 0xFFFF
 
-METHODS = dict(enumerate(
-    ["OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND", "PROPPATCH", "MKCOL", "COPY",
-     "MOVE", "LOCK", "UNLOCK", "ACL", "REPORT", "VERSION-CONTROL", "CHECKIN", "CHECKOUT", "UNCHECKOUT",
-     "SEARCH", "MKWORKSPACE", "UPDATE", "LABEL", "MERGE", "BASELINE-CONTROL", "MKACTIVITY"], 1))
+METHODS = dict(
+    enumerate(
+        [
+            "OPTIONS",
+            "GET",
+            "HEAD",
+            "POST",
+            "PUT",
+            "DELETE",
+            "TRACE",
+            "PROPFIND",
+            "PROPPATCH",
+            "MKCOL",
+            "COPY",
+            "MOVE",
+            "LOCK",
+            "UNLOCK",
+            "ACL",
+            "REPORT",
+            "VERSION-CONTROL",
+            "CHECKIN",
+            "CHECKOUT",
+            "UNCHECKOUT",
+            "SEARCH",
+            "MKWORKSPACE",
+            "UPDATE",
+            "LABEL",
+            "MERGE",
+            "BASELINE-CONTROL",
+            "MKACTIVITY",
+        ],
+        1,
+    )
+)
 METHOD_CODES = {name: code for code, name in METHODS.items()}
 STORED_METHOD = 0xFF
-REQUEST_HEADERS = dict(enumerate(
-    ["accept", "accept-charset", "accept-encoding", "accept-language", "authorization", "connection",
-     "content-type", "content-length", "cookie", "cookie2", "host", "pragma", "referer", "user-agent"],
-    0xA001))
-RESPONSE_HEADERS = dict(enumerate(
-    ["Content-Type", "Content-Language", "Content-Length", "Date", "Last-Modified", "Location", "Set-Cookie",
-     "Set-Cookie2", "Servlet-Engine", "Status", "WWW-Authenticate"], 0xA001))
+REQUEST_HEADERS = dict(
+    enumerate(
+        [
+            "accept",
+            "accept-charset",
+            "accept-encoding",
+            "accept-language",
+            "authorization",
+            "connection",
+            "content-type",
+            "content-length",
+            "cookie",
+            "cookie2",
+            "host",
+            "pragma",
+            "referer",
+            "user-agent",
+        ],
+        0xA001,
+    )
+)
+RESPONSE_HEADERS = dict(
+    enumerate(
+        [
+            "Content-Type",
+            "Content-Language",
+            "Content-Length",
+            "Date",
+            "Last-Modified",
+            "Location",
+            "Set-Cookie",
+            "Set-Cookie2",
+            "Servlet-Engine",
+            "Status",
+            "WWW-Authenticate",
+        ],
+        0xA001,
+    )
+)
 REQUEST_CODES = {name: code for code, name in REQUEST_HEADERS.items()}
 RESPONSE_CODES = {name.lower(): code for code, name in RESPONSE_HEADERS.items()}
-ATTRIBUTES = {0x03: "remote_user", 0x04: "auth_type", 0x05: "query_string", 0x06: "route", 0x07: "ssl_cert",
-              0x08: "ssl_cipher", 0x09: "ssl_session", 0x0C: "secret", 0x0D: "stored_method"}
+ATTRIBUTES = {
+    0x03: "remote_user",
+    0x04: "auth_type",
+    0x05: "query_string",
+    0x06: "route",
+    0x07: "ssl_cert",
+    0x08: "ssl_cipher",
+    0x09: "ssl_session",
+    0x0C: "secret",
+    0x0D: "stored_method",
+}
 ATTRIBUTE_CODES = {name: code for code, name in ATTRIBUTES.items()}
 NAMED_ATTRIBUTE, KEY_SIZE, LAST_ATTRIBUTE = 0x0A, 0x0B, 0xFF
 NEVER_SENT = {0x01: "context", 0x02: "servlet_path"}  # in the protocol, but no module of Apache sends them
@@ -97,8 +168,8 @@
                 raise Malformed(f"a packet of {size} bytes, {self._most} at most")
             if len(self._buffer) < 4 + size:
                 return
-            payload = bytes(self._buffer[4:4 + size])
-            del self._buffer[:4 + size]
+            payload = bytes(self._buffer[4 : 4 + size])
+            del self._buffer[: 4 + size]
             yield payload
 
 
@@ -114,7 +185,7 @@
         end = self._at + size
         if end > len(self._data):
             raise Malformed("a packet that ends too soon")
-        data = self._data[self._at:end]
+        data = self._data[self._at : end]
         self._at = end
         return data
 
@@ -179,9 +250,16 @@
     if reader.byte() != FORWARD:
         raise Malformed("not a forwarded request")
     code = reader.byte()
-    made = Forward(METHODS.get(code, ""), protocol=reader.text(), uri=reader.text(),
-                   remote_addr=reader.text(), remote_host=reader.maybe(), server_name=reader.text(),
-                   server_port=reader.word(), is_ssl=bool(reader.byte()))
+    made = Forward(
+        METHODS.get(code, ""),
+        protocol=reader.text(),
+        uri=reader.text(),
+        remote_addr=reader.text(),
+        remote_host=reader.maybe(),
+        server_name=reader.text(),
+        server_port=reader.word(),
+        is_ssl=bool(reader.byte()),
+    )
     count = reader.word()
     if count > MOST_HEADERS:
         raise Malformed(f"{count} headers, {MOST_HEADERS} at most")
@@ -225,8 +303,13 @@
     if code == STORED_METHOD:
         attributes["stored_method"] = request.method
     out = bytearray([FORWARD, code])
-    for text in (request.protocol, request.uri, request.remote_addr, request.remote_host,
-                 request.server_name):
+    for text in (
+        request.protocol,
+        request.uri,
+        request.remote_addr,
+        request.remote_host,
+        request.server_name,
+    ):
         out += _string(text)
     out += struct.pack(">HBH", request.server_port, request.is_ssl, len(request.headers))
     for name, value in request.headers:
@@ -334,6 +417,6 @@
 def write_response(head: ResponseHead, body: bytes, reuse: bool, most: int = DEFAULT_PACKET) -> bytes:
     """Write a whole response: head, body in pieces that fit packets, end."""
     size = most - CHUNK_OVERHEAD
-    pieces = [ResponseBody(body[at:at + size]) for at in range(0, len(body), size)]
+    pieces = [ResponseBody(body[at : at + size]) for at in range(0, len(body), size)]
     replies: list[Reply] = [head, *pieces, ResponseEnd(reuse)]
     return b"".join(map(write_reply, replies))
--- a/reelusher/wire/http1.py
+++ b/reelusher/wire/http1.py
@@ -7,11 +7,25 @@
 MOST_BODY = 1 << 20
 MOST_HEADERS = 100
 REASONS = {
-    200: "OK", 201: "Created", 202: "Accepted", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
-    403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 409: "Conflict",
-    412: "Precondition Failed", 413: "Content Too Large", 422: "Unprocessable Content",
-    431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-    503: "Service Unavailable", 507: "Insufficient Storage"}
+    200: "OK",
+    201: "Created",
+    202: "Accepted",
+    204: "No Content",
+    400: "Bad Request",
+    401: "Unauthorized",
+    403: "Forbidden",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    412: "Precondition Failed",
+    413: "Content Too Large",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    507: "Insufficient Storage",
+}
 
 
 class Malformed(Exception):
@@ -55,8 +69,8 @@
             if len(self._buffer) < self._size:
                 return
             message, self._head = self._head, None
-            message.body = bytes(self._buffer[:self._size])
-            del self._buffer[:self._size]
+            message.body = bytes(self._buffer[: self._size])
+            del self._buffer[: self._size]
             yield message
 
     def _read_head(self) -> bool:
@@ -66,7 +80,7 @@
         if end < 0:
             return False
         lines = bytes(self._buffer[:end]).decode("latin-1").split("\r\n")
-        del self._buffer[:end + 4]
+        del self._buffer[: end + 4]
         start = lines[0].split(" ", 2)
         if len(start) < 2 or not (start[0].startswith("HTTP/1.") or start[-1].startswith("HTTP/1.")):
             raise Malformed("a start line that is not HTTP/1")
--- a/reelusher/wire/lines.py
+++ b/reelusher/wire/lines.py
@@ -27,7 +27,7 @@
         self._buffer += data
         while (end := self._buffer.find(b"\n")) >= 0:
             line = bytes(self._buffer[:end])
-            del self._buffer[:end + 1]
+            del self._buffer[: end + 1]
             if line.strip():
                 yield self._object(line)
         if len(self._buffer) > MOST_LINE:
@@ -85,7 +85,7 @@
                 break
             words = bytes(self._buffer[:end]).decode("latin-1").split(" ")
             if len(words) == 2 and words[1] != "yes":
-                del self._buffer[:end + 2]
+                del self._buffer[: end + 2]
                 yield VaultReply(words[0], words[1])
                 continue
             if len(words) != 3 or not words[2].isascii() or not words[2].isdigit() or len(words[2]) > 9:
@@ -96,10 +96,10 @@
             stop = end + 2 + size
             if len(self._buffer) < stop + 2:
                 return
-            if self._buffer[stop:stop + 2] != b"\r\n":
+            if self._buffer[stop : stop + 2] != b"\r\n":
                 raise Malformed("a reply longer than it says")
-            body = bytes(self._buffer[end + 2:stop])
-            del self._buffer[:stop + 2]
+            body = bytes(self._buffer[end + 2 : stop])
+            del self._buffer[: stop + 2]
             yield VaultReply(words[0], words[1], body)
         if len(self._buffer) > MOST_REPLY_LINE:
             raise Malformed(f"a line of more than {MOST_REPLY_LINE} bytes")
--- a/reelusher/wire/msgpack.py
+++ b/reelusher/wire/msgpack.py
@@ -22,10 +22,30 @@
     """The value is not whole yet."""
 
 
-_FIXED = {0xCA: ">f", 0xCB: ">d", 0xCC: ">B", 0xCD: ">H", 0xCE: ">I", 0xCF: ">Q", 0xD0: ">b", 0xD1: ">h",
-          0xD2: ">i", 0xD3: ">q"}
-_LENGTHS = {0xC4: ">B", 0xC5: ">H", 0xC6: ">I", 0xD9: ">B", 0xDA: ">H", 0xDB: ">I", 0xDC: ">H", 0xDD: ">I",
-            0xDE: ">H", 0xDF: ">I"}
+_FIXED = {
+    0xCA: ">f",
+    0xCB: ">d",
+    0xCC: ">B",
+    0xCD: ">H",
+    0xCE: ">I",
+    0xCF: ">Q",
+    0xD0: ">b",
+    0xD1: ">h",
+    0xD2: ">i",
+    0xD3: ">q",
+}
+_LENGTHS = {
+    0xC4: ">B",
+    0xC5: ">H",
+    0xC6: ">I",
+    0xD9: ">B",
+    0xDA: ">H",
+    0xDB: ">I",
+    0xDC: ">H",
+    0xDD: ">I",
+    0xDE: ">H",
+    0xDF: ">I",
+}
 _STRUCTS = {code: struct.Struct(text) for code, text in (_FIXED | _LENGTHS).items()}
 _CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
 
@@ -82,7 +102,7 @@
                     self._frame = 0
                     yield value
         finally:
-            del self._buffer[:self._at]
+            del self._buffer[: self._at]
             self._at = 0
         if self._frame + len(self._buffer) > self._most_frame:
             raise Malformed(f"a value of more than {self._most_frame} bytes")
@@ -104,7 +124,7 @@
         end = self._at + size
         if end > len(self._buffer):
             raise _Short
-        data = bytes(self._buffer[self._at:end])
+        data = bytes(self._buffer[self._at : end])
         self._at = end
         return data
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -24,9 +24,19 @@
 def settings(*classes: io.RequestClass, **changes: Any) -> io.Settings:
     """Return those of a small worker, with changes."""
     given: dict[str, Any] = {
-        "classes": classes or (SAFE,), "cores": 2, "memory_kb": 100_000.0, "run_factor": 8.0,
-        "crowd_per_core": 6.0, "crowd_over_us": 2_000_000, "cold_from": 0.3, "cold_us": 10_000_000,
-        "grace_us": 2_000_000, "slack_us": 80_000, "tick_us": 5_000, "entry_kb": 50.0}
+        "classes": classes or (SAFE,),
+        "cores": 2,
+        "memory_kb": 100_000.0,
+        "run_factor": 8.0,
+        "crowd_per_core": 6.0,
+        "crowd_over_us": 2_000_000,
+        "cold_from": 0.3,
+        "cold_us": 10_000_000,
+        "grace_us": 2_000_000,
+        "slack_us": 80_000,
+        "tick_us": 5_000,
+        "entry_kb": 50.0,
+    }
     return io.Settings(**{**given, **changes})
 
 
@@ -47,7 +57,8 @@
     return [action.id for action in of(actions, *types)]
 
 
-def tick(made: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
-         ) -> list[io.Action]:
+def tick(
+    made: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
+) -> list[io.Action]:
     """Let one period pass."""
     return made.handle(now_us, [io.Tick(0, io.Gauges(busy, runnable))])
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -75,4 +75,5 @@
         for report in terminalreporter.stats.get(how, ()):
             if known := _known(config, report.nodeid):
                 terminalreporter.line(
-                    f"known red, {word}: {report.nodeid} | {known.cause} | issue {known.issue}")
+                    f"known red, {word}: {report.nodeid} | {known.cause} | issue {known.issue}"
+                )
