--- a/tests/parties.py
+++ b/tests/parties.py
@@ -77,12 +77,14 @@
         self.reader = threading.Thread(target=work, daemon=True)
         self.reader.start()
 
-    def dial(self, place: str, decoder: Any, note: Callable[[Any], str | None], source: str = ""
-             ) -> socket.socket:
+    def dial(
+        self, place: str, decoder: Any, note: Callable[[Any], str | None], source: str = ""
+    ) -> socket.socket:
         """Connect to the node, once, from an address of this machine."""
         if self.sock is None:
-            self.sock = socket.create_connection(self.world["places"][place], PATIENCE_S,
-                                                 (source, 0) if source else None)
+            self.sock = socket.create_connection(
+                self.world["places"][place], PATIENCE_S, (source, 0) if source else None
+            )
             self.sock.settimeout(None)
             self.read(decoder, note, self.sock)
         return self.sock
@@ -145,8 +147,13 @@
         if plain[0] == "raw":
             sock.sendall(bytes.fromhex("".join(plain[1:])))
             return
-        fields = {"txn": given.pop("txn", f"{next(self.world['count']):016x}"), "lb": "1", "ram": "10",
-                  "door": str(time.time_ns() // 1_000_000 - int(given.pop("age", 0))), "cpu": "5"}
+        fields = {
+            "txn": given.pop("txn", f"{next(self.world['count']):016x}"),
+            "lb": "1",
+            "ram": "10",
+            "door": str(time.time_ns() // 1_000_000 - int(given.pop("age", 0))),
+            "cpu": "5",
+        }
         body = sized(given.pop("body", "body"))
         fields |= {"unique" if name == "key" else name: value for name, value in given.items()}
         params = [fields] if plain[1] == "health" else [fields, body]
@@ -257,8 +264,9 @@
 
     def send(self, words: Words) -> None:
         plain, given = options(words)
-        sock = self.dial("ajp", ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), self.note,
-                         given.pop("source", ""))
+        sock = self.dial(
+            "ajp", ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), self.note, given.pop("source", "")
+        )
         if plain[0] in ("cping", "shutdown"):
             code = ajp13.CPING if plain[0] == "cping" else ajp13.SHUTDOWN
             sock.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([code])))
@@ -283,7 +291,7 @@
             forward.attributes["secret"] = given["secret"]
         if "attribute" in given:
             forward.named.append((given["attribute"], "x"))
-        pieces = [body[at:at + 8186] for at in range(0, len(body), 8186)]
+        pieces = [body[at : at + 8186] for at in range(0, len(body), 8186)]
         self.pieces = pieces[1:]  # before the request goes out: what asks for them is read by another thread
         sock.sendall(ajp13.write_forward(forward))
         if pieces:
@@ -342,8 +350,11 @@
         plain, given = options(words)
         body = sized(plain[1]) if len(plain) > 1 else b""
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(body))))
-        self.write(ajp13.write_response(ajp13.ResponseHead(int(plain[0]), "OK", headers), body,
-                                        given.get("reuse", "1") == "1"))
+        self.write(
+            ajp13.write_response(
+                ajp13.ResponseHead(int(plain[0]), "OK", headers), body, given.get("reuse", "1") == "1"
+            )
+        )
 
 
 class Operator(Party):
@@ -393,7 +404,10 @@
     def note(message: Any) -> str:
         """Tell the status, then what is not 0: `succeeded.day-view=3 outstanding=1`."""
         told = json.loads(message.body)
-        flat = {f"{name}.{part}": count for name, counts in told.items() if isinstance(counts, dict)
-                for part, count in counts.items()} | {
-            name: value for name, value in told.items() if not isinstance(value, dict)}
+        flat = {
+            f"{name}.{part}": count
+            for name, counts in told.items()
+            if isinstance(counts, dict)
+            for part, count in counts.items()
+        } | {name: value for name, value in told.items() if not isinstance(value, dict)}
         return " ".join([message.start[1], *(f"{name}={value}" for name, value in flat.items() if value)])
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -17,8 +17,16 @@
 
 def tenant_json(name: str, prefix: str = "", **more: Any) -> bytes:
     """Return a tenant of one host, as entries carry it."""
-    return msgspec.json.encode({"name": name, "backend": "w", "hosts": [f"{name}.example"],
-                                "prefix": prefix or "/", "routes": [], **more})
+    return msgspec.json.encode(
+        {
+            "name": name,
+            "backend": "w",
+            "hosts": [f"{name}.example"],
+            "prefix": prefix or "/",
+            "routes": [],
+            **more,
+        }
+    )
 
 
 def entry(name: str, number: int = 0, state: str = "active", **more: Any) -> Entry:
@@ -81,8 +89,9 @@
         return [(one["name"], one["revision"]) for one in rows.orphans()]
 
     def _begun(self, name: str) -> Replica:
-        return Replica(name, self.control, self.rows[name], Random(self.random.random()), now=self.now,
-                       own_name=name)
+        return Replica(
+            name, self.control, self.rows[name], Random(self.random.random()), now=self.now, own_name=name
+        )
 
     def restart(self, name: str) -> None:
         """Lose what is not in the rows."""
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -30,20 +30,47 @@
 CLASSES = [
     {"name": "slot-search", "effect": "pure", "deadline_us": 10_000_000, "objective_us": 3_100_000},
     {"name": "day-view", "effect": "pure", "deadline_us": 1_000_000, "objective_us": 900_000},
-    {"name": "book-visit", "effect": "token", "deadline_us": 7_700_000, "objective_us": 2_600_000,
-     "worth": 4.0, "repeat_window_us": 20_000_000}]
+    {
+        "name": "book-visit",
+        "effect": "token",
+        "deadline_us": 7_700_000,
+        "objective_us": 2_600_000,
+        "worth": 4.0,
+        "repeat_window_us": 20_000_000,
+    },
+]
 SETTINGS: dict[str, Any] = {
     "categories": CLASSES,
-    "family_info": {"cores": 2, "ram_kb": 20_000.0, "blowup": 16.0, "entry_kb": 43.0, "below": "next_hop",
-                    "class_calls": [True, False, True], "class_skip_worth": [0.6, 0.0, 0.0], "say": "tokens",
-                    "halt": "pause", "caller_idle_us": 30_000_000, "heard_for_us": 1_000_000,
-                    "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
-    "rules": {"tip_multiple": 6.0, "fall_us": 2_000_000, "cold_from": 0.31, "cold_us": 18_000_000,
-              "drain_grace_us": 300_000, "answer_slack_us": 80_000},
-    "limits": {"retry_after": True, "max_retry_after_us": 1_000_000}, "tick_us": 5_000}
+    "family_info": {
+        "cores": 2,
+        "ram_kb": 20_000.0,
+        "blowup": 16.0,
+        "entry_kb": 43.0,
+        "below": "next_hop",
+        "class_calls": [True, False, True],
+        "class_skip_worth": [0.6, 0.0, 0.0],
+        "say": "tokens",
+        "halt": "pause",
+        "caller_idle_us": 30_000_000,
+        "heard_for_us": 1_000_000,
+        "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
+    },
+    "rules": {
+        "tip_multiple": 6.0,
+        "fall_us": 2_000_000,
+        "cold_from": 0.31,
+        "cold_us": 18_000_000,
+        "drain_grace_us": 300_000,
+        "answer_slack_us": 80_000,
+    },
+    "limits": {"retry_after": True, "max_retry_after_us": 1_000_000},
+    "tick_us": 5_000,
+}
 SERVERS = ("runtime", "vault", "catalog")
-ROUTES = [{"method": "POST", "path": "/visits", "class": "book-visit"},
-          {"method": "*", "path": "/days", "class": "day-view"}]
+ROUTES = [
+    {"method": "POST", "path": "/visits", "class": "book-visit"},
+    {"method": "*", "path": "/days", "class": "day-view"},
+]
 
 
 class NodeParty:
@@ -56,10 +83,14 @@
 
     def send(self, words: list[str]) -> None:
         if words[0] == "start":  # a second one, with runtime2 and a second address of its own
-            told = platform_config(self.world, runtime="{}:{}".format(*self.world["runtime2"].address),
-                                   listen="{}:{}".format(*self.world["places"]["platform"]))
-            second = self.world["node2"] = NodeParty(Node(merge(
-                parse_platform(told, {"TMPDIR": self.world["folder"]}), None)), self.world)
+            told = platform_config(
+                self.world,
+                runtime="{}:{}".format(*self.world["runtime2"].address),
+                listen="{}:{}".format(*self.world["places"]["platform"]),
+            )
+            second = self.world["node2"] = NodeParty(
+                Node(merge(parse_platform(told, {"TMPDIR": self.world["folder"]}), None)), self.world
+            )
             second.node.start()
             assert second.node.operator is not None
             self.world["places"]["operator"] = second.node.operator.address
@@ -101,7 +132,10 @@
     """Return other settings, by what it takes from the changes: `add=`, `drop=`, `deadline=CLASS:US`."""
     made = copy.deepcopy(SETTINGS)
     drop, added, (name, _, deadline) = (
-        changes.pop("drop", ""), changes.pop("add", ""), changes.pop("deadline", "").partition(":"))
+        changes.pop("drop", ""),
+        changes.pop("add", ""),
+        changes.pop("deadline", "").partition(":"),
+    )
     made["categories"] = [kind for kind in made["categories"] if kind["name"] != drop]
     if added:
         made["categories"].append({**made["categories"][0], "name": added})
@@ -114,27 +148,55 @@
 def platform_config(world: dict[str, Any], which: str = "", **changes: Any) -> dict[str, Any]:
     """Return the platform's configuration for a node among the stand-ins."""
     places = {name: "{}:{}".format(*world[name + which].address) for name in SERVERS}
-    return {"name": "n3", "listen": "127.0.0.1:0", "runtime": places["runtime"], "seed": "8c1f",
-            "directory": places["catalog"], "vault": places["vault"], "operator": "127.0.0.1:0",
-            "stop_ms": 4000,
-            "limits": {"sockets": 1024}, "settings": SETTINGS, **changes}
+    return {
+        "name": "n3",
+        "listen": "127.0.0.1:0",
+        "runtime": places["runtime"],
+        "seed": "8c1f",
+        "directory": places["catalog"],
+        "vault": places["vault"],
+        "operator": "127.0.0.1:0",
+        "stop_ms": 4000,
+        "limits": {"sockets": 1024},
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 def operator_config(world: dict[str, Any]) -> dict[str, Any]:
     """Return an operator's file: a clinic on two workers, and AJP for the platform's own tenant."""
     workers = [{"name": name, "port": world[name].address[1], "recover_ms": 200} for name in ("w1", "w2")]
-    return {"ajp": {"listen": "127.0.0.1:0", "max_body_kb": 64, "max_response_kb": 64},
-            "admin": {"listen": "127.0.0.1:0", "token": TOKEN, "tokens": [
+    return {
+        "ajp": {"listen": "127.0.0.1:0", "max_body_kb": 64, "max_response_kb": 64},
+        "admin": {
+            "listen": "127.0.0.1:0",
+            "token": TOKEN,
+            "tokens": [
                 {"name": "member", "sha256": hashlib.sha256(b"a-member").hexdigest(), "tenant": "clinic"},
-                {"name": "second", "sha256": hashlib.sha256(b"a-second").hexdigest()}]}, "workers": workers,
-            "balancers": [{"name": "both", "members": ["w1", "w2"]}],
-            "tenants": [{"name": "clinic", "backend": "both", "hosts": ["clinic"], "routes": ROUTES,
-                         "default_class": "slot-search"},
-                        {"name": "single", "backend": "w1", "hosts": ["single"], "routes": ROUTES,
-                         "max_open": 2},
-                        {"name": "narrow", "backend": "w1", "hosts": ["narrow"], "routes": ROUTES,
-                         "share": {"connections": 1}},
-                        {"name": "platform", "backend": "runtime", "routes": ROUTES}]}
+                {"name": "second", "sha256": hashlib.sha256(b"a-second").hexdigest()},
+            ],
+        },
+        "workers": workers,
+        "balancers": [{"name": "both", "members": ["w1", "w2"]}],
+        "tenants": [
+            {
+                "name": "clinic",
+                "backend": "both",
+                "hosts": ["clinic"],
+                "routes": ROUTES,
+                "default_class": "slot-search",
+            },
+            {"name": "single", "backend": "w1", "hosts": ["single"], "routes": ROUTES, "max_open": 2},
+            {
+                "name": "narrow",
+                "backend": "w1",
+                "hosts": ["narrow"],
+                "routes": ROUTES,
+                "share": {"connections": 1},
+            },
+            {"name": "platform", "backend": "runtime", "routes": ROUTES},
+        ],
+    }
 
 
 def play(text: str) -> None:
@@ -159,15 +221,27 @@
     """Have a node of its own among stand-ins, and take all of them down again."""
     world: dict[str, Any] = {"count": itertools.count(1), "folder": folder}
     for which in ("", "2"):
-        world |= {"runtime" + which: parties.Runtime(world), "vault" + which: parties.VaultParty(world),
-                  "catalog" + which: parties.CatalogParty(world)}
-    world |= {"w1": parties.Container(world),
-              "w2": parties.Container(world), "admin": parties.Operator(world), "desk": parties.Desk(world)}
+        world |= {
+            "runtime" + which: parties.Runtime(world),
+            "vault" + which: parties.VaultParty(world),
+            "catalog" + which: parties.CatalogParty(world),
+        }
+    world |= {
+        "w1": parties.Container(world),
+        "w2": parties.Container(world),
+        "admin": parties.Operator(world),
+        "desk": parties.Desk(world),
+    }
     if changes.pop("busy", ""):
         world["stats"] = [1.0, 40, 0.5, 3]
-    told = parse_platform(platform_config(
-        world, stop_ms=int(changes.pop("stop_ms", 4000)),
-        limits={"sockets": int(changes.pop("sockets", 1024))}), {"TMPDIR": folder})
+    told = parse_platform(
+        platform_config(
+            world,
+            stop_ms=int(changes.pop("stop_ms", 4000)),
+            limits={"sockets": int(changes.pop("sockets", 1024))},
+        ),
+        {"TMPDIR": folder},
+    )
     own = operator_config(world)
     own["ajp"] |= {key: int(value) if value.isdigit() else value for key, value in changes.items()}
     node = Node(merge(told, parse_operator(own, tuple(told.class_names), has_runtime=True)))
--- a/tests/shared_node.py
+++ b/tests/shared_node.py
@@ -13,10 +13,11 @@
 from reelusher.choice import Controller
 from reelusher.tenancy.shares import Share, Shares
 
-CLASSES = (io.RequestClass(deadline_us=5_000_000, aim_us=500_000),
-           io.RequestClass(deadline_us=5_000_000, aim_us=500_000, effect=io.Effect.KEYED,
-                           window_us=20_000_000),
-           io.RequestClass(deadline_us=20_000_000, aim_us=10_000_000))
+CLASSES = (
+    io.RequestClass(deadline_us=5_000_000, aim_us=500_000),
+    io.RequestClass(deadline_us=5_000_000, aim_us=500_000, effect=io.Effect.KEYED, window_us=20_000_000),
+    io.RequestClass(deadline_us=20_000_000, aim_us=10_000_000),
+)
 SEC = 1_000_000
 
 
@@ -37,10 +38,23 @@
 class SharedNode:
     """Plays arrivals against one module and counts what each tenant gets."""
 
-    def __init__(self, shares: dict[int, Share] | None, demands: dict[int, Demand], cores: int = 4,
-                 seed: int = 1, **changes: float) -> None:
-        told = settings(*CLASSES, cores=cores, memory_kb=changes.pop("memory_kb", 65_536.0), run_factor=4.0,
-                        entry_kb=16.0, cold_from=1.0, cold_us=0)
+    def __init__(
+        self,
+        shares: dict[int, Share] | None,
+        demands: dict[int, Demand],
+        cores: int = 4,
+        seed: int = 1,
+        **changes: float,
+    ) -> None:
+        told = settings(
+            *CLASSES,
+            cores=cores,
+            memory_kb=changes.pop("memory_kb", 65_536.0),
+            run_factor=4.0,
+            entry_kb=16.0,
+            cold_from=1.0,
+            cold_us=0,
+        )
         self.shares = None if shares is None else Shares(cores, told.memory_kb)
         for tenant, share in (shares or {}).items():
             assert self.shares is not None
@@ -104,8 +118,10 @@
                     self.at(self.now + in_us, lambda label=label: self.tick(label))  # type: ignore[misc]
                 case io.Run(number):
                     self.runs.add(number)
-                    self.at(self.now + int(self.demands[self.who[number][0]].work_us),
-                            lambda number=number: self.end(number))  # type: ignore[misc]
+                    self.at(
+                        self.now + int(self.demands[self.who[number][0]].work_us),
+                        lambda number=number: self.end(number),
+                    )  # type: ignore[misc]
                 case io.Decline(number) | io.Fail(number):
                     tenant, _ = self.who[number]
                     self.answered.add(number)
--- a/tests/starved.py
+++ b/tests/starved.py
@@ -87,10 +87,18 @@
                 case "gauges":
                     now = time.monotonic()
                     self.busy = [span for span in self.busy if span[1] > now - 0.5]
-                    used = sum(min(now, end) - max(begin, now - 0.5)
-                               for begin, end in self.busy if begin < now)
-                    writer.write(lines.json_line({"msg": "load", "cookie": message["cookie"], "stats": [
-                        min(1.0, max(0.0, used)), self.running, 0.1, 3]}))
+                    used = sum(
+                        min(now, end) - max(begin, now - 0.5) for begin, end in self.busy if begin < now
+                    )
+                    writer.write(
+                        lines.json_line(
+                            {
+                                "msg": "load",
+                                "cookie": message["cookie"],
+                                "stats": [min(1.0, max(0.0, used)), self.running, 0.1, 3],
+                            }
+                        )
+                    )
                 case "start":
                     self.start(writer, message)
 
@@ -113,8 +121,18 @@
         self.running -= 1
         self.serial += 1
         if not writer.is_closing():
-            writer.write(lines.json_line({"msg": "end", "serial": self.serial, "call": call, "how": "ok",
-                                          "duration": self.load.work_ms, "blob": lines.blob(body.encode())}))
+            writer.write(
+                lines.json_line(
+                    {
+                        "msg": "end",
+                        "serial": self.serial,
+                        "call": call,
+                        "how": "ok",
+                        "duration": self.load.work_ms,
+                        "blob": lines.blob(body.encode()),
+                    }
+                )
+            )
 
 
 class Line(asyncio.Protocol):
@@ -204,11 +222,22 @@
         settings = {**scenario.SETTINGS, "rules": rules, "family_info": own}
         with tempfile.TemporaryDirectory() as folder, contextlib.ExitStack() as stack:
             path, log = Path(folder) / "config.json", Path(folder) / "log"
-            path.write_text(json.dumps({
-                "name": "n1", "listen": "{}:{}".format(*self.place), "runtime": runtime, "seed": "8c1f",
-                "stop_ms": self.load.stop_ms, "settings": settings, "limits": {"sockets": 1024}}))
-            node = stack.enter_context(pinned(
-                [sys.executable, "-O", "-m", "reelusher"], log, {"PROXY_CONFIG": str(path)}))
+            path.write_text(
+                json.dumps(
+                    {
+                        "name": "n1",
+                        "listen": "{}:{}".format(*self.place),
+                        "runtime": runtime,
+                        "seed": "8c1f",
+                        "stop_ms": self.load.stop_ms,
+                        "settings": settings,
+                        "limits": {"sockets": 1024},
+                    }
+                )
+            )
+            node = stack.enter_context(
+                pinned([sys.executable, "-O", "-m", "reelusher"], log, {"PROXY_CONFIG": str(path)})
+            )
             await self.up(node)
             for _ in range(self.load.busy):
                 stack.enter_context(pinned([sys.executable, "-c", BUSY.format(parent=os.getpid())], None, {}))
@@ -290,12 +319,19 @@
 
 
 @contextlib.contextmanager
-def pinned(command: list[str], log: Path | None, environ: dict[str, str]
-           ) -> Iterator["subprocess.Popen[bytes]"]:
+def pinned(
+    command: list[str], log: Path | None, environ: dict[str, str]
+) -> Iterator["subprocess.Popen[bytes]"]:
     """Run a program on the shared core until the end of the block."""
     out = log.open("wb") if log else subprocess.DEVNULL
-    process = subprocess.Popen(command, cwd=ROOT, env={**os.environ, **environ}, stdout=out, stderr=out,
-                               preexec_fn=lambda: os.sched_setaffinity(0, {core()}))
+    process = subprocess.Popen(
+        command,
+        cwd=ROOT,
+        env={**os.environ, **environ},
+        stdout=out,
+        stderr=out,
+        preexec_fn=lambda: os.sched_setaffinity(0, {core()}),
+    )
     try:
         yield process
     finally:
@@ -330,12 +366,18 @@
             tally = play(Load(busy, given.rate, given.connects, seed=seed, hup_s=given.hup))
             broken_runs += bool(tally.broken())
             total.update(tally)
-            print(f"1/{busy + 1} of a core, seed {seed}: left after {tally.exit_ms:.0f} ms, {tally.status}; "
-                  f"{dict(sorted(tally.items()))}", flush=True)
+            print(
+                f"1/{busy + 1} of a core, seed {seed}: left after {tally.exit_ms:.0f} ms, {tally.status}; "
+                f"{dict(sorted(tally.items()))}",
+                flush=True,
+            )
             if given.log:
                 print(tally.log)
-        print(f"1/{busy + 1} of a core: {broken_runs} of {given.runs} drains broke a rule, "
-              f"{total['served'] / max(1, total['asked']):.3f} served; {total.broken()}", flush=True)
+        print(
+            f"1/{busy + 1} of a core: {broken_runs} of {given.runs} drains broke a rule, "
+            f"{total['served'] / max(1, total['asked']):.3f} served; {total.broken()}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -37,9 +37,12 @@
 def test_the_document_has_every_route_and_no_other() -> None:
     from helpers import settings
     from test_core import Backend
+
     core = Core(settings(), [], 1, Backend())
-    api = AdminApi(Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
-                   Parts(core, None, Store(None), None, dict, lambda: True))  # type: ignore[arg-type]
+    api = AdminApi(
+        Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
+        Parts(core, None, Store(None), None, dict, lambda: True),
+    )  # type: ignore[arg-type]
     made = openapi.document()
     told = {(method.upper(), path) for path, methods in made["paths"].items() for method in methods}
     assert told == api.routes() and len(told) == len(openapi.OPERATIONS)
@@ -56,10 +59,14 @@
 def test_merge_patches_of_the_rfc() -> None:
     """Cases of RFC 7396, appendix A."""
     for target, patch, wanted in (
-            ({"a": "b"}, {"a": "c"}, {"a": "c"}), ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
-            ({"a": "b"}, {"a": None}, {}), ({"a": ["b"]}, {"a": "c"}, {"a": "c"}),
-            ({"a": {"b": "c"}}, {"a": {"b": "d", "c": None}}, {"a": {"b": "d"}}),
-            (["a"], {"a": 1}, {"a": 1}), ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}})):
+        ({"a": "b"}, {"a": "c"}, {"a": "c"}),
+        ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
+        ({"a": "b"}, {"a": None}, {}),
+        ({"a": ["b"]}, {"a": "c"}, {"a": "c"}),
+        ({"a": {"b": "c"}}, {"a": {"b": "d", "c": None}}, {"a": {"b": "d"}}),
+        (["a"], {"a": 1}, {"a": 1}),
+        ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
+    ):
         assert merged(target, patch) == wanted
 
 
@@ -67,8 +74,13 @@
     """Kill a process that makes changes, again and again; return how many it had acknowledged."""
     chance, acknowledged = random.Random(seed), 0
     for _ in range(rounds):
-        process = subprocess.Popen([sys.executable, "-c", WRITER, str(folder)], cwd=ROOT, text=True,
-                                   stdout=subprocess.PIPE, env={**os.environ, "PYTHONPATH": str(ROOT)})
+        process = subprocess.Popen(
+            [sys.executable, "-c", WRITER, str(folder)],
+            cwd=ROOT,
+            text=True,
+            stdout=subprocess.PIPE,
+            env={**os.environ, "PYTHONPATH": str(ROOT)},
+        )
         assert process.stdout is not None and process.stdout.readline() == "ready\n"
         time.sleep(chance.uniform(0, longest_s))
         process.send_signal(signal.SIGKILL)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -14,8 +14,14 @@
 INFO: dict[str, Any] = {
     "categories": [{"deadline_us": 8_000_000, "effect": "pure", "objective_us": 2_000_000, "worth": 2.0}],
     "family_info": {"cores": 2, "ram_kb": 10_000.0, "blowup": 8.0, "gauges": ["sockets", "new", "cpu_busy"]},
-    "rules": {"tip_multiple": 6.0, "fall_us": 2_000_000, "cold_from": 0.3, "cold_us": 9_000_000,
-              "drain_grace_us": 2_000_000, "answer_slack_us": 80_000},
+    "rules": {
+        "tip_multiple": 6.0,
+        "fall_us": 2_000_000,
+        "cold_from": 0.3,
+        "cold_us": 9_000_000,
+        "drain_grace_us": 2_000_000,
+        "answer_slack_us": 80_000,
+    },
     "unknown": 1,
 }
 
@@ -39,9 +45,9 @@
     out, rest = [], sink.getvalue()
     while rest:
         number, count, size = benchlink.REPLY.unpack_from(rest)
-        body, rest = rest[12:12 + size], rest[12 + size:]
+        body, rest = rest[12 : 12 + size], rest[12 + size :]
         cut = count * benchlink.ACTION_SIZE
-        out.append((number, [body[n:n + 24] for n in range(0, cut, 24)], body[cut:]))
+        out.append((number, [body[n : n + 24] for n in range(0, cut, 24)], body[cut:]))
     return out
 
 
@@ -54,11 +60,14 @@
 
 
 def test_the_example_records_of_the_wire_are_read() -> None:
-    body = bytes.fromhex("0503000000c4913a5d1f780300000000640ad2557c3bf09180a90300e02e00000000c4410000203f01"
-                         "11003a070000192b6f0ed1d10e0000")
+    body = bytes.fromhex(
+        "0503000000c4913a5d1f780300000000640ad2557c3bf09180a90300e02e00000000c4410000203f01"
+        "11003a070000192b6f0ed1d10e0000"
+    )
     request = benchlink.READERS[5](body.ljust(56, b"\0"), 0, [])
-    assert request == io.Request(0x3781F5D3A91C4, 0, 17, 0x91F03B7C55D20A64, 0, 24.5, 12_000, 240_000, 1_850,
-                                 0xED1D10E6F2B19, False)
+    assert request == io.Request(
+        0x3781F5D3A91C4, 0, 17, 0x91F03B7C55D20A64, 0, 24.5, 12_000, 240_000, 1_850, 0xED1D10E6F2B19, False
+    )
     done = bytes.fromhex("0103000000c4913a5d1f780300640044480000").ljust(56, b"\0")
     assert benchlink.READERS[1](done, 0, []) == io.RunEnded(0x3781F5D3A91C4, io.Outcome.OK, 18_500)
 
@@ -69,21 +78,24 @@
     assert benchlink.READERS[9](body, 0, names) == io.Tick(5, io.Gauges(busy=0.5, connections=40.0))
 
 
-@pytest.mark.parametrize(("action", "expected"), [
-    (io.Run(7), "03 01000000 0700000000000000"),
-    (io.Pause(7), "0c 01000000 0700000000000000"),
-    (io.Skip(7), "04 01000000 0700000000000000"),
-    (io.Fail(7), "02 01000000 0700000000000000"),
-    (io.Join(7), "0e 01000000 0700000000000000"),
-    (io.Forget(7), "06 01000000 0700000000000000"),
-    (io.Call(7, 9), "01 01000000 0700000000000000 0900000000000000"),
-    (io.Decline(7, 250_000, True), "09 01000000 0700000000000000 90d00300 01"),
-    (io.Keep(7, 9), "0d 01000000 0700000000000000 09000000"),
-    (io.Health(True, True), "08 01000000 01 01"),
-    (io.Advise(0.25), "0f 01000000 0000803e"),
-    (io.CloseIdle(9), "05 01000000 09000000"),
-    (io.Timer(500_000, 77), "0a 01000000 20a10700 4d00000000000000"),
-])
+@pytest.mark.parametrize(
+    ("action", "expected"),
+    [
+        (io.Run(7), "03 01000000 0700000000000000"),
+        (io.Pause(7), "0c 01000000 0700000000000000"),
+        (io.Skip(7), "04 01000000 0700000000000000"),
+        (io.Fail(7), "02 01000000 0700000000000000"),
+        (io.Join(7), "0e 01000000 0700000000000000"),
+        (io.Forget(7), "06 01000000 0700000000000000"),
+        (io.Call(7, 9), "01 01000000 0700000000000000 0900000000000000"),
+        (io.Decline(7, 250_000, True), "09 01000000 0700000000000000 90d00300 01"),
+        (io.Keep(7, 9), "0d 01000000 0700000000000000 09000000"),
+        (io.Health(True, True), "08 01000000 01 01"),
+        (io.Advise(0.25), "0f 01000000 0000803e"),
+        (io.CloseIdle(9), "05 01000000 09000000"),
+        (io.Timer(500_000, 77), "0a 01000000 20a10700 4d00000000000000"),
+    ],
+)
 def test_actions_are_written_as_the_wire_says(action: io.Action, expected: str) -> None:
     assert benchlink.write(1, action) == bytes.fromhex(expected.replace(" ", "")).ljust(24, b"\0")
 
@@ -120,17 +132,20 @@
     assert "RuntimeError: a fault in the module" in fatal(info())
 
 
-@pytest.mark.parametrize(("data", "message"), [
-    (b"\1\0\0", "header cut short"),
-    (frame(1, 0, [knock(1, 1)])[:-1], "batch 1 cut short"),
-    (benchlink.BATCH.pack(1, 0, 3, 0), "length 3 is too small"),
-    (frame(4, 0, [b"\x63"]), "batch 4, record 0: unknown event code 99"),
-    (frame(1, 0, [create(1, b"{}", 1 << 31)], b"{}"), "settings reach past the end"),
-    (frame(1, 0, [knock(9, 1)]), "instance 9 was never created"),
-])
-def test_malformed_input_is_one_line_and_an_error(data: bytes, message: str,
-                                                  monkeypatch: pytest.MonkeyPatch,
-                                                  capsys: pytest.CaptureFixture[str]) -> None:
+@pytest.mark.parametrize(
+    ("data", "message"),
+    [
+        (b"\1\0\0", "header cut short"),
+        (frame(1, 0, [knock(1, 1)])[:-1], "batch 1 cut short"),
+        (benchlink.BATCH.pack(1, 0, 3, 0), "length 3 is too small"),
+        (frame(4, 0, [b"\x63"]), "batch 4, record 0: unknown event code 99"),
+        (frame(1, 0, [create(1, b"{}", 1 << 31)], b"{}"), "settings reach past the end"),
+        (frame(1, 0, [knock(9, 1)]), "instance 9 was never created"),
+    ],
+)
+def test_malformed_input_is_one_line_and_an_error(
+    data: bytes, message: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     class Standard:
         buffer = streams.BytesIO(data)
 
@@ -147,13 +162,18 @@
 
 def test_names_and_neighbours_leave_the_actions_unchanged() -> None:
     def actions(name: str, instances: tuple[int, ...]) -> list[bytes]:
-        text = info(categories=[{**INFO["categories"][0], "name": name}], zones=[name], layers=[name],
-                    tenants=[{"name": name, "share": 1.0, "allowance_per_s": 5.0}])
+        text = info(
+            categories=[{**INFO["categories"][0], "name": name}],
+            zones=[name],
+            layers=[name],
+            tenants=[{"name": name, "share": 1.0, "allowance_per_s": 5.0}],
+        )
         batches = [frame(1, 10, [create(n, text) for n in instances], text)]
         for now in range(20, 400_000, 20_000):
             batches.append(frame(now, now, [knock(n, now) for n in instances]))
-        return [record[5:] for _, records, _ in replies(b"".join(batches)) for record in records
-                if record[1] == 1]
+        return [
+            record[5:] for _, records, _ in replies(b"".join(batches)) for record in records if record[1] == 1
+        ]
 
     alone = actions("one", (1,))
     assert len(alone) > 3
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,13 +23,22 @@
 
 # The fit
 
-@pytest.mark.parametrize(("shape", "fixed", "slope", "of"), [
-    ("n", 5.0, 0.25, lambda n: n), ("n", 0.0, 3.0, lambda n: n), ("n", 1e4, -0.5, lambda n: n),
-    ("n log n", 2.0, 0.01, lambda n: n * log2(n)), ("n^2", 7.0, 1e-4, lambda n: n * n),
-    ("even", 12.0, 0.0, lambda n: n)])
+
+@pytest.mark.parametrize(
+    ("shape", "fixed", "slope", "of"),
+    [
+        ("n", 5.0, 0.25, lambda n: n),
+        ("n", 0.0, 3.0, lambda n: n),
+        ("n", 1e4, -0.5, lambda n: n),
+        ("n log n", 2.0, 0.01, lambda n: n * log2(n)),
+        ("n^2", 7.0, 1e-4, lambda n: n * n),
+        ("even", 12.0, 0.0, lambda n: n),
+    ],
+)
 @pytest.mark.parametrize("noise", [0.0, 0.002])
-def test_a_known_series_is_told_as_what_it_is(shape: str, fixed: float, slope: float,
-                                              of: Callable[[float], float], noise: float) -> None:
+def test_a_known_series_is_told_as_what_it_is(
+    shape: str, fixed: float, slope: float, of: Callable[[float], float], noise: float
+) -> None:
     random = Random(f"{shape} {noise}")
     series = [(fixed + slope * of(size)) * (1 + random.uniform(-noise, noise)) for size in SIZES]
     found = fit(SIZES, series)
@@ -40,10 +49,14 @@
         assert found.at(260_000) == pytest.approx(fixed + slope * of(260_000))
 
 
-@pytest.mark.parametrize("series", [
-    [10.0, 3.0, 11.0, 2.0, 12.0],  # noise and nothing else
-    [1.0, 1.0, 1.0, 1.0, 50.0],  # a wall
-    [10.0, 50.0, 60.0, 61.0, 61.5]])  # it levels off
+@pytest.mark.parametrize(
+    "series",
+    [
+        [10.0, 3.0, 11.0, 2.0, 12.0],  # noise and nothing else
+        [1.0, 1.0, 1.0, 1.0, 50.0],  # a wall
+        [10.0, 50.0, 60.0, 61.0, 61.5],
+    ],
+)  # it levels off
 def test_what_no_shape_fits_is_told_and_not_drawn_through(series: list[float]) -> None:
     found = fit(SIZES, series)
     assert found.shape == "none" and found.at(260_000) is None
@@ -64,6 +77,7 @@
 
 # The harness
 
+
 def counting(size: int) -> dict[str, float]:
     return {"took": 2.0 * size + 1}
 
@@ -98,8 +112,12 @@
     """Under -O an assertion is not run: a look-up within one was measured as 0.01 µs."""
     beside = [sys.modules[f"reelusher.lab.capacity.{name}"] for name in ("site", "fit", "harness")]
     sources = [Path(str(module.__file__)) for module in (*SUBJECTS, *beside)]
-    assert [path.name for path in sources for node in ast.walk(ast.parse(path.read_text()))
-            if isinstance(node, ast.Assert)] == []
+    assert [
+        path.name
+        for path in sources
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Assert)
+    ] == []
 
 
 def test_every_scale_test_has_four_sizes_or_more() -> None:
@@ -107,7 +125,8 @@
 
 
 def test_the_command_line_lists_plays_and_names_what_it_does_not_know(
-        capsys: pytest.CaptureFixture[str]) -> None:
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     assert main(["list"]) == 0
     listed = capsys.readouterr().out
     assert [name for name in SCALES if name not in listed] == []
@@ -117,16 +136,19 @@
 
 # The operators' table
 
+
 def test_the_operators_figures_agree_with_each_other() -> None:
     """Their own figures for a node are those of the fleet, rounded down."""
     assert int(budgets.derived("mean_node_requests_per_s")) == budgets.expected("node_requests_per_s")
     assert budgets.expected("twice_requests_per_s") == 2 * budgets.expected("node_requests_per_s")
     assert budgets.derived("lost_region_mean") == pytest.approx(
-        budgets.expected("lost_region_requests_per_s"), rel=0.02)
+        budgets.expected("lost_region_requests_per_s"), rel=0.02
+    )
 
 
 # The page
 
+
 def differs(text: str, folder: Path) -> bool:
     return page.written(text, folder) != text
 
@@ -156,8 +178,9 @@
 
 
 @pytest.mark.parametrize("change", [a_median, a_slope, a_command])
-def test_a_page_that_differs_from_what_is_kept_is_found(tmp_path: Path,
-                                                        change: Callable[[dict[str, Any]], None]) -> None:
+def test_a_page_that_differs_from_what_is_kept_is_found(
+    tmp_path: Path, change: Callable[[dict[str, Any]], None]
+) -> None:
     shutil.copytree(FOLDER, tmp_path / "capacity")
     path = sorted((tmp_path / "capacity").glob("*.json"))[0]
     made = json.loads(path.read_text())
@@ -171,8 +194,9 @@
     assert differs(text.replace("| nodes / zones | 212 |", "| nodes / zones | 213 |"), FOLDER)
 
 
-@pytest.mark.parametrize("text", ["<!-- table nothing -->\n<!-- end of table -->",
-                                  "<!-- table expected -->\nno end"])
+@pytest.mark.parametrize(
+    "text", ["<!-- table nothing -->\n<!-- end of table -->", "<!-- table expected -->\nno end"]
+)
 def test_a_table_that_there_is_not_is_an_error(text: str) -> None:
     if "no end" in text:
         assert page.written(text) == text  # it is no table, and the page's own check counts them
@@ -190,7 +214,8 @@
     kept = {"fake": play(FAKE)}
     assert page.resolved("[[nothing.took@4]], [[fake.took@8]]", kept) == "not run, 17 s"
     assert page.resolved("[[fake.took@4/1]], [[fake.took@8-1]], [[fake.took@80/1]]", kept) == (
-        "3 times, 14 s, not played at both sizes")
+        "3 times, 14 s, not played at both sizes"
+    )
     kept["fake"]["figures"]["took"]["least"][1] = 4.5
     assert page.resolved("[[fake.took@2~least]] to [[fake.took@2~most]]", kept) == "4.5 s to 5 s"
     with pytest.raises(page.Unknown):
--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -104,8 +104,12 @@
 
 
 def ways_between(model: Fleet) -> float:
-    return min(model.way[one.zone][other.zone] for one in model.mine for other in model.nodes
-               if model.part_of(other) != model.part)
+    return min(
+        model.way[one.zone][other.zone]
+        for one in model.mine
+        for other in model.nodes
+        if model.part_of(other) != model.part
+    )
 
 
 @pytest.mark.parametrize("parts", [2, 3, 7])
@@ -144,8 +148,9 @@
     assert told({"a": inf, "b": {"c": inf, "d": 1.5}}) == {"a": None, "b": {"c": None, "d": 1.5}}
 
 
-def test_a_play_is_written_with_its_command(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                            capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_play_is_written_with_its_command(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     monkeypatch.setattr(fleet, "FOLDER", tmp_path)
     words = ["changes", "--size", "20", "--seconds", "3", "--rate", "2", "--restart", "0", "--name", "small"]
     assert fleet.main(words) == 0
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -79,7 +79,8 @@
             made = controller()
             made.degraded = degraded
             assert of(at_call(made, 0, io.Request(subject, 0, subject=subject)), io.Call, io.Skip) == of(
-                made.out, expected)
+                made.out, expected
+            )
 
 
 def test_a_class_that_keeps_no_worth_is_never_skipped() -> None:
@@ -190,7 +191,8 @@
 def test_refusals_tell_the_caller_to_stay_away_no_longer_than_callers_follow() -> None:
     made = controller(retry_after_us=1_000_000)
     assert of(made.handle(0, [io.Request(1, 0, waited_us=8_000_000)]), io.Decline) == [
-        io.Decline(1, choice.AWAY_US, False)]
+        io.Decline(1, choice.AWAY_US, False)
+    ]
     fill(made := controller(retry_after_us=1_000_000), 1_700_000)
     made.refusal, made.coming = 1.0, 1.0
     assert of(made.handle(made.now, [io.Request(99, 0)]), io.Decline) == [io.Decline(99, 1_000_000, True)]
@@ -247,12 +249,18 @@
     for n in range(1, 40):  # callers that have not been here before
         made.handle(0, [io.Request(n, 0, caller=n), io.RunEnded(n, io.Outcome.OK, 1), io.Gone(n)])
     gauges = io.Gauges(0.5, 1, None, 100.0)
-    spans = [a.after_us for n in range(1, 20)
-             for a in of(made.handle(n * choice.PERIOD_US, [io.Tick(0, gauges)]), io.CloseIdle)]
+    spans = [
+        a.after_us
+        for n in range(1, 20)
+        for a in of(made.handle(n * choice.PERIOD_US, [io.Tick(0, gauges)]), io.CloseIdle)
+    ]
     assert spans == sorted(spans, reverse=True) and spans[-1] == choice.IDLE_LEAST_US
     gauges = io.Gauges(0.5, 1, None, 3.0)
-    spans = [a.after_us for n in range(20, 60)
-             for a in of(made.handle(n * choice.PERIOD_US, [io.Tick(0, gauges)]), io.CloseIdle)]
+    spans = [
+        a.after_us
+        for n in range(20, 60)
+        for a in of(made.handle(n * choice.PERIOD_US, [io.Tick(0, gauges)]), io.CloseIdle)
+    ]
     assert spans[-1] == 30_000_000
     assert not of(controller(idle_us=30_000_000).handle(1, [io.Tick(0, gauges)]), io.CloseIdle)
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,8 +13,20 @@
 from reelusher.core.counters import Counters
 from reelusher.core.keys import KeyTable
 from reelusher.core.model import (
-    Answer, Arrived, Ask, CallOver, CallWanted, DrainOrder, GaugesRead, Left, Request, Result, RunOver,
-    RunsLost, Verdict)
+    Answer,
+    Arrived,
+    Ask,
+    CallOver,
+    CallWanted,
+    DrainOrder,
+    GaugesRead,
+    Left,
+    Request,
+    Result,
+    RunOver,
+    RunsLost,
+    Verdict,
+)
 from reelusher.core.owner import Core
 from reelusher.core.timers import Timers
 
@@ -45,8 +57,14 @@
         self.time = 1_000_000_000_000
         self.backend = Backend()
         self.answers: dict[str, list[Answer]] = {}
-        self.core = Core(settings(*KINDS, **changes), [], 1, self.backend, self.backend,
-                         clock=Clock(*[lambda: self.time * 1000] * 2))
+        self.core = Core(
+            settings(*KINDS, **changes),
+            [],
+            1,
+            self.backend,
+            self.backend,
+            clock=Clock(*[lambda: self.time * 1000] * 2),
+        )
         self.core.turn([])
 
     def request(self, call: str, kind: int = 0, key: str = "", age_us: int = 0, tenant: str = "t") -> Arrived:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -72,8 +72,14 @@
 
 
 def asked(number: int, method: str = "slot-search", **more: str) -> bytes:
-    fields = {"txn": f"{number:016x}", "door": str(time.time_ns() // 1_000_000), "lb": "1", "ram": "10",
-              "cpu": "5", **more}
+    fields = {
+        "txn": f"{number:016x}",
+        "door": str(time.time_ns() // 1_000_000),
+        "lb": "1",
+        "ram": "10",
+        "cpu": "5",
+        **more,
+    }
     return msgpack.pack([0, number, method, [fields] if method == "health" else [fields, b"body"]])
 
 
@@ -108,7 +114,8 @@
 
 
 def test_a_request_between_the_last_look_and_the_close_resets_nothing(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     front, peer = front_of(world), Peer(world["node"].node)
     peer.ask(1, method="health")
     connection = only(front)
@@ -160,7 +167,8 @@
 
 @pytest.mark.parametrize("state", ["refused", "half asking"])
 def test_what_lies_unread_when_the_time_of_a_connection_is_over_is_answered(
-        world: dict[str, Any], state: str) -> None:
+    world: dict[str, Any], state: str
+) -> None:
     """On a busy core the sweep came before the read."""
     front, peer, whole = front_of(world), Peer(world["node"].node), asked(1, "health")
     peer.sock.sendall(whole[:20])
@@ -194,15 +202,19 @@
 
 def test_what_comes_behind_too_many_bad_requests_is_refused_and_not_run(world: dict[str, Any]) -> None:
     peer = Peer(world["node"].node)
-    peer.sock.sendall(b"".join(asked(number, "no-such-class") for number in range(1, platform.MOST_BAD + 1))
-                      + asked(90) + asked(91))
+    peer.sock.sendall(
+        b"".join(asked(number, "no-such-class") for number in range(1, platform.MOST_BAD + 1))
+        + asked(90)
+        + asked(91)
+    )
     errors = {message[1]: message[2][0] for message in peer.until_end()}
     assert (errors[90], errors[91], len(errors)) == ("Full", "Full", platform.MOST_BAD + 2)
     world["runtime"].expect(["nothing"])
 
 
 def test_half_a_request_is_closed_without_a_reset_of_the_answer_before_it(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(platform, "FRAME_S", 0.2)
     front, peer = front_of(world), Peer(world["node"].node)
     end = front._end
@@ -219,7 +231,8 @@
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_ajp_connection_meets_no_reset(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     front = world["node"].node.fronts["ajp"]
     web = socket.socket()
     web.settimeout(parties.PATIENCE_S)
@@ -236,7 +249,8 @@
 
 @pytest.mark.parametrize("world", [{"sockets": "32"}], indirect=True)
 def test_callers_that_read_no_answer_do_not_hold_their_places(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(platform, "FRAME_S", 0.2)
     front, take = front_of(world), Listener.take
 
@@ -292,7 +306,8 @@
 
 @pytest.mark.parametrize("world", [{"max_connections": "1"}], indirect=True)
 def test_ajp_connections_too_many_are_read_out_a_few_at_a_time(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     front, hold = world["node"].node.fronts["ajp"], threading.Event()
     parting: list[socket.socket] = []
 
@@ -314,7 +329,8 @@
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
 def test_a_keyed_request_runs_once_though_the_clock_is_stepped_between_its_tries(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch, step_s: int
+) -> None:
     runtime, peer = world["runtime"], Peer(world["node"].node)
     runtime.at_once = True
     peer.sock.sendall(asked(1, "book-visit", unique="k"))
@@ -322,8 +338,9 @@
     runtime.expect(["start", "*", "book-visit"])
     monkeypatch.setattr(time, "time_ns", lambda read=time.time_ns: read() + step_s * 1_000_000_000)
     node = world["node"].node
-    monkeypatch.setattr(node.core.clock, "_unix_ns" if hasattr(node.core.clock, "_unix_ns") else "_read",
-                        time.time_ns)
+    monkeypatch.setattr(
+        node.core.clock, "_unix_ns" if hasattr(node.core.clock, "_unix_ns") else "_read", time.time_ns
+    )
     peer.sock.sendall(asked(2, "book-visit", unique="k") + asked(3))
     came = {message[1]: message[2] for message in (peer.answer(), peer.answer())}
     assert came == {2: None, 3: None}  # both served: the repeat from what was kept
@@ -433,7 +450,8 @@
 
 
 def test_a_reload_for_which_the_owner_has_no_time_changes_nothing_later(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     reloads, hold = Reloads(world), threading.Event()
     node = reloads.node
     ask = node.core.ask
@@ -449,7 +467,8 @@
 
 
 def test_a_reload_that_fails_half_way_is_counted_and_said(
-        world: dict[str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     reloads = Reloads(world)
 
     def fails(address: Address) -> None:
@@ -480,8 +499,7 @@
 def test_a_class_dropped_just_before_another_reload_is_still_taken(world: dict[str, Any]) -> None:
     reloads, peer = Reloads(world), Peer(world["node"].node)
     assert reloads.node.reload(lambda: reloads.read(settings=retuned({"drop": "day-view"})))
-    assert reloads.node.reload(lambda: reloads.read(
-        settings=retuned({"drop": "day-view", "add": "extra"})))
+    assert reloads.node.reload(lambda: reloads.read(settings=retuned({"drop": "day-view", "add": "extra"})))
     peer.ask(1, method="day-view")
     world["runtime"].expect(["start", "*", "day-view"])
 
@@ -505,7 +523,8 @@
 
 
 def test_a_listener_serves_so_many_at_once_and_gives_a_place_back_where_no_thread_is_to_be_had(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     hold, counters = threading.Event(), Counters()
     served: list[Address] = []
     failed: list[str] = []
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -81,15 +81,26 @@
     with contextlib.ExitStack() as free:
         places = [free.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(3)]
     world["places"] = dict(zip(("platform", "operator", "catalog"), places, strict=True))
-    told = {"name": "n3", "seed": "8c1f", "stop_ms": 2000, "settings": SETTINGS, "limits": {"sockets": LIMIT},
-            "listen": "{}:{}".format(*places[0]), "operator": "{}:{}".format(*places[1]),
-            "directory": "{}:{}".format(*places[2]),
-            **{name: "{}:{}".format(*world[name].address) for name in ("runtime", "vault")}}
+    told = {
+        "name": "n3",
+        "seed": "8c1f",
+        "stop_ms": 2000,
+        "settings": SETTINGS,
+        "limits": {"sockets": LIMIT},
+        "listen": "{}:{}".format(*places[0]),
+        "operator": "{}:{}".format(*places[1]),
+        "directory": "{}:{}".format(*places[2]),
+        **{name: "{}:{}".format(*world[name].address) for name in ("runtime", "vault")},
+    }
     path, log = tmp_path / "config.json", tmp_path / "log"
     path.write_text(json.dumps(told))
     with log.open("wb") as out:
-        process = subprocess.Popen(deployed("run"), cwd=ROOT, stderr=out, env={
-            **os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(tmp_path)})
+        process = subprocess.Popen(
+            deployed("run"),
+            cwd=ROOT,
+            stderr=out,
+            env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(tmp_path)},
+        )
     try:
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (LIMIT, LIMIT))
         world["runtime"].expect(["sync", "0"])
@@ -129,7 +140,8 @@
 
 @pytest.mark.parametrize("kind", FILLED)
 def test_idle_callers_fill_what_is_theirs_while_the_catalog_is_down(
-        alone: tuple[dict[str, Any], "subprocess.Popen[bytes]", Path], kind: str) -> None:
+    alone: tuple[dict[str, Any], "subprocess.Popen[bytes]", Path], kind: str
+) -> None:
     world, process, log = alone
     idle = Idle(world["places"]["platform"], kind)
     try:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -29,9 +29,12 @@
 
 def test_each_log_line_is_on_the_page_for_the_one_on_call() -> None:
     page = squeezed((ROOT / "docs" / "on-call.md").read_text())
-    lines = [line for path in SOURCES
-             for line in calls(path.read_text(), "info", "warning", "warn", "error", "exception")
-             if path.parent.name != "importer"]  # its errors are about the command line
+    lines = [
+        line
+        for path in SOURCES
+        for line in calls(path.read_text(), "info", "warning", "warn", "error", "exception")
+        if path.parent.name != "importer"
+    ]  # its errors are about the command line
     assert len(lines) > 25
     assert [line for line in lines if squeezed(line) not in page] == []
 
@@ -44,8 +47,9 @@
     assert sorted(key for key in keys if key not in page) == []
 
 
-@pytest.mark.parametrize("page", [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))],
-                         ids=lambda page: page.name)
+@pytest.mark.parametrize(
+    "page", [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))], ids=lambda page: page.name
+)
 def test_links_lead_somewhere(page: Path) -> None:
     links = re.findall(r"\]\(([^)#:]+)\)", page.read_text())
     assert [link for link in links if not (page.parent / link).exists()] == []
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -38,7 +38,8 @@
 
 @given(st.floats(0, 1e6), st.floats(0.05, 60), st.floats(0, 20), st.floats(-1, 100), st.floats(0, 100))
 def test_the_stages_of_a_drain_come_in_order_and_never_later_on_a_later_process(
-        signal_s: float, span_s: float, grace_s: float, late_s: float, later_s: float) -> None:
+    signal_s: float, span_s: float, grace_s: float, late_s: float, later_s: float
+) -> None:
     plan = stages(signal_s, span_s, grace_s, late_s)
     assert times(plan) == sorted(times(plan)) and plan.stop_s == signal_s + span_s
     assert plan.leave_s < plan.stop_s or span_s < 1e-6 * signal_s
@@ -51,19 +52,24 @@
     assert times(over) == sorted(times(over)) and over.leave_s <= plan.leave_s
 
 
-@pytest.mark.parametrize(("step", "facts", "now_s", "wanted"), [
-    (Step.SERVED, Facts(0, 0, 0), 0.5, Step.SERVED),
-    (Step.SERVED, Facts(3, 0, 0), 1.0, Step.TOLD),
-    (Step.TOLD, Facts(0, 0, 0), 3.9, Step.TOLD),  # a request may still cross what it was told
-    (Step.TOLD, Facts(0, 0, 0), 4.0, Step.SHUT),
-    (Step.TOLD, Facts(1, 0, 0), 4.5, Step.TOLD),
-    (Step.TOLD, Facts(0, 9, 0), 4.5, Step.TOLD),
-    (Step.TOLD, Facts(1, 9, 0), 5.0, Step.SHUT),  # no time is left for what is owed
-    (Step.TOLD, Facts(0, 0, 1), 5.0, Step.TOLD),  # never with bytes that nobody has read
-    (Step.SHUT, Facts(0, 0, 0), 4.9, Step.SHUT),
-    (Step.SHUT, Facts(0, 0, 0), 5.0, Step.ENDED)])
-def test_a_connection_is_shut_once_nothing_is_owed_on_it(step: Step, facts: Facts, now_s: float, wanted: Step
-                                                         ) -> None:
+@pytest.mark.parametrize(
+    ("step", "facts", "now_s", "wanted"),
+    [
+        (Step.SERVED, Facts(0, 0, 0), 0.5, Step.SERVED),
+        (Step.SERVED, Facts(3, 0, 0), 1.0, Step.TOLD),
+        (Step.TOLD, Facts(0, 0, 0), 3.9, Step.TOLD),  # a request may still cross what it was told
+        (Step.TOLD, Facts(0, 0, 0), 4.0, Step.SHUT),
+        (Step.TOLD, Facts(1, 0, 0), 4.5, Step.TOLD),
+        (Step.TOLD, Facts(0, 9, 0), 4.5, Step.TOLD),
+        (Step.TOLD, Facts(1, 9, 0), 5.0, Step.SHUT),  # no time is left for what is owed
+        (Step.TOLD, Facts(0, 0, 1), 5.0, Step.TOLD),  # never with bytes that nobody has read
+        (Step.SHUT, Facts(0, 0, 0), 4.9, Step.SHUT),
+        (Step.SHUT, Facts(0, 0, 0), 5.0, Step.ENDED),
+    ],
+)
+def test_a_connection_is_shut_once_nothing_is_owed_on_it(
+    step: Step, facts: Facts, now_s: float, wanted: Step
+) -> None:
     assert next_step(step, facts, now_s, PLAN) is wanted
 
 
@@ -140,16 +146,30 @@
 
 
 @contextlib.contextmanager
-def program(folder: Path, stop_ms: int, words: Sequence[str] = ("-m", "reelusher")
-            ) -> Iterator["subprocess.Popen[bytes]"]:
+def program(
+    folder: Path, stop_ms: int, words: Sequence[str] = ("-m", "reelusher")
+) -> Iterator["subprocess.Popen[bytes]"]:
     """Run the program until the end of the block; it serves when that begins."""
     path = folder / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         place = "{}:{}".format(*free.getsockname())
-    path.write_text(json.dumps({"name": "n1", "listen": place, "runtime": "127.0.0.1:1", "stop_ms": stop_ms,
-                                "settings": scenario.SETTINGS}))
-    process = subprocess.Popen([sys.executable, "-O", *words], cwd=ROOT,
-                               env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE)
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n1",
+                "listen": place,
+                "runtime": "127.0.0.1:1",
+                "stop_ms": stop_ms,
+                "settings": scenario.SETTINGS,
+            }
+        )
+    )
+    process = subprocess.Popen(
+        [sys.executable, "-O", *words],
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+    )
     try:
         assert process.stderr is not None
         while b"listens on" not in (line := process.stderr.readline()):
@@ -289,9 +309,14 @@
         assert process.wait(30) == 0
 
 
-@pytest.mark.parametrize("load", [
-    starved.Load(busy=9, rate=120.0, connects=0.0, seed=1),
-    starved.Load(busy=9, rate=40.0, connects=230.0, seed=2, hup_s=0.2)], ids=["callers", "connections"])
+@pytest.mark.parametrize(
+    "load",
+    [
+        starved.Load(busy=9, rate=120.0, connects=0.0, seed=1),
+        starved.Load(busy=9, rate=40.0, connects=230.0, seed=2, hup_s=0.2),
+    ],
+    ids=["callers", "connections"],
+)
 def test_a_drain_on_a_tenth_of_a_core_keeps_the_rules(load: starved.Load) -> None:
     tally = starved.play(load)
     broken = tally.broken()
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -24,8 +24,10 @@
 from reelusher.tenancy.store import Store, opened
 
 OPERATOR: dict[str, Any] = {
-    "classes": [{"name": "day-view", "deadline_ms": 1000}], "workers": [{"name": "w1"}],
-    "tenants": [{"name": "one", "backend": "w1"}, {"name": "two", "backend": "w1"}]}
+    "classes": [{"name": "day-view", "deadline_ms": 1000}],
+    "workers": [{"name": "w1"}],
+    "tenants": [{"name": "one", "backend": "w1"}, {"name": "two", "backend": "w1"}],
+}
 
 
 PAYLOADS = st.lists(st.binary(min_size=1, max_size=30).map(lambda data: data + b"!"), min_size=1, max_size=6)
@@ -78,7 +80,7 @@
             self.files[name] = Inode()
             self.changes.append((name, self.files[name]))
         if self.steps == self.fail_at:  # a full disk takes what it has room for
-            self.files[name].data[at:] = data[:len(data) // 2]
+            self.files[name].data[at:] = data[: len(data) // 2]
         self.step(lambda: self.files[name].data.__setitem__(slice(at, at + len(data)), data))
 
     def cut(self, name: str, size: int) -> None:
@@ -92,24 +94,27 @@
         def work() -> None:
             inode = self.files[to] = self.files.pop(name)
             self.changes += [(to, inode), (name, None)]
+
         self.step(work)
 
     def remove(self, name: str) -> None:
         def work() -> None:
             if self.files.pop(name, None):
                 self.changes.append((name, None))
+
         self.step(work)
 
     def sync_names(self) -> None:
         def work() -> None:
             self.lasting, self.changes = dict(self.files), []
+
         self.step(work)
 
     def restart(self, chance: random.Random) -> "Disk":
         """Return the disk as the next process finds it."""
         after = Disk()
         kept = dict(self.lasting)
-        for name, inode in self.changes[:chance.randint(0, len(self.changes))]:
+        for name, inode in self.changes[: chance.randint(0, len(self.changes))]:
             if inode is None:
                 kept.pop(name, None)
             else:
@@ -158,7 +163,7 @@
             for second in (-1, chance.randint(0, 40)):
                 try:
                     life = Counted(disk, compact_after)
-                    assert life.made[:len(acknowledged)] == acknowledged
+                    assert life.made[: len(acknowledged)] == acknowledged
                     assert life.made in (acknowledged, tried), "whole or not there"
                     acknowledged = list(life.made)  # what was read is there, asked for or not
                     for number in range(12):
@@ -209,7 +214,8 @@
 @effort(max_examples=200, derandomize=True, database=None, deadline=None)
 @given(PAYLOADS, st.data())
 def test_a_cut_end_is_told_from_damage_also_where_the_file_grew_before_its_data(
-        payloads: list[bytes], data: st.DataObject) -> None:
+    payloads: list[bytes], data: st.DataObject
+) -> None:
     frames = [encode(number, payload) for number, payload in enumerate(payloads, 1)]
     whole, last = MAGIC + b"".join(frames), len(frames[-1])
     cut = data.draw(st.integers(1, last))
@@ -236,9 +242,13 @@
     return disk
 
 
-@pytest.mark.parametrize(("lost", "named"), [
-    ("snapshot-8", "journal-8: snapshot-8, which it goes on from, is missing"),
-    ("journal-8", "journal-8: it is missing")])
+@pytest.mark.parametrize(
+    ("lost", "named"),
+    [
+        ("snapshot-8", "journal-8: snapshot-8, which it goes on from, is missing"),
+        ("journal-8", "journal-8: it is missing"),
+    ],
+)
 def test_a_lost_file_is_refused_and_never_replaced_by_an_older_state(lost: str, named: str) -> None:
     disk = life_of(Disk(), 10)
     assert disk.names() == ["journal-4", "journal-8", "snapshot-4", "snapshot-8"]
@@ -290,10 +300,16 @@
         opened(tmp_path / "other.d", old, own.tenants, own.class_names, backends)
 
 
-@pytest.mark.parametrize(("payload", "named"), [
-    (b'{"op":"put"}', "name"), (b'{"op":"put","name":"a","who":"x","at_ms":1,"v":9}', "version 9"),
-    (b'{"op":"put","name":"a","who":"x","at_ms":1,"more":1}', "more"), (b"[]", "object"),
-    (b"nonsense", "JSON")])
+@pytest.mark.parametrize(
+    ("payload", "named"),
+    [
+        (b'{"op":"put"}', "name"),
+        (b'{"op":"put","name":"a","who":"x","at_ms":1,"v":9}', "version 9"),
+        (b'{"op":"put","name":"a","who":"x","at_ms":1,"more":1}', "more"),
+        (b"[]", "object"),
+        (b"nonsense", "JSON"),
+    ],
+)
 def test_what_this_version_can_not_read_is_named(payload: bytes, named: str) -> None:
     with pytest.raises(Unreadable, match=named):
         read_change(payload)
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -22,13 +22,15 @@
 PLAN: dict[str, Any] = {
     "run": {"seconds": 6, "rate": 400, "seed": 3},
     "zones": [{"name": "a", "nodes": 12}, {"name": "b", "nodes": 12}],
-    "classes": [{"name": "look", "share": 0.7, "work_ms": 150, "calls": True, "skip_worth": 0.6},
-                {"name": "book", "share": 0.3, "work_ms": 150, "worth": 4, "effect": "keyed", "calls": True}],
+    "classes": [
+        {"name": "look", "share": 0.7, "work_ms": 150, "calls": True, "skip_worth": 0.6},
+        {"name": "book", "share": 0.3, "work_ms": 150, "worth": 4, "effect": "keyed", "calls": True},
+    ],
     "nodes": {"cores": CORES, "starts_cold": True, "cold_from": COLD_FROM, "cold_s": COLD_S},
-    "below": {"slots": 24, "service_ms": 40, "capacity": 36, "most": 400, "over_s": 2.0,
-              "starts_cold": True},
+    "below": {"slots": 24, "service_ms": 40, "capacity": 36, "most": 400, "over_s": 2.0, "starts_cold": True},
     "callers": {"heeds": 1.0},
-    "faults": [{"kind": "kill", "of": "part:0.5", "at_s": 2.0, "for_s": 0.3}]}
+    "faults": [{"kind": "kill", "of": "part:0.5", "at_s": 2.0, "for_s": 0.3}],
+}
 
 
 def with_chance(budget: float) -> float:
@@ -64,8 +66,9 @@
     assert account.coreless["n1"] == [pytest.approx((0.0, 0.1, 0.25)), pytest.approx((0.2, 0.3, 1.0))]
 
 
-def over(account: Account, held: Callable[[str], Sequence[tuple[float, float]]]
-         ) -> list[tuple[str, float, float]]:
+def over(
+    account: Account, held: Callable[[str], Sequence[tuple[float, float]]]
+) -> list[tuple[str, float, float]]:
     """Return windows in which a node held more than its settings allow: when, and how much."""
     began_s = dict.fromkeys(account.plan.node_names(), account.start_s) | account.lives
     found = []
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -29,10 +29,15 @@
 from reelusher.lab.fleet.virtual import VirtualLine
 
 ROOT = Path(__file__).parent.parent
-CLASSES = [{"name": "slot-search", "share": 0.6, "work_ms": 20, "calls": True, "skip_worth": 0.6},
-           {"name": "book-visit", "share": 0.4, "work_ms": 20, "worth": 4, "effect": "keyed"}]
-PLAN: dict[str, Any] = {"run": {"seconds": 3, "rate": 40}, "classes": CLASSES,
-                        "zones": [{"name": "a", "nodes": 2}, {"name": "b", "nodes": 2}]}
+CLASSES = [
+    {"name": "slot-search", "share": 0.6, "work_ms": 20, "calls": True, "skip_worth": 0.6},
+    {"name": "book-visit", "share": 0.4, "work_ms": 20, "worth": 4, "effect": "keyed"},
+]
+PLAN: dict[str, Any] = {
+    "run": {"seconds": 3, "rate": 40},
+    "classes": CLASSES,
+    "zones": [{"name": "a", "nodes": 2}, {"name": "b", "nodes": 2}],
+}
 PAIR = frozenset(["x"]), frozenset(["y"])
 
 
@@ -40,23 +45,27 @@
     return parse({**PLAN, "run": {**PLAN["run"], **run}, "faults": list(faults)})
 
 
-@pytest.mark.parametrize(("change", "named"), [
-    ({"bogus": 1}, "bogus"),
-    ({"run": {"secnds": 3}}, "run.secnds"),
-    ({"zones": []}, "zones"),
-    ({"zones": [{"name": "a", "nodes": 0}]}, "zones"),
-    ({"zones": [{"name": "a", "nodes": 1000}] * 2}, "zones"),
-    ({"classes": []}, "classes"),
-    ({"faults": [{"kind": "kill", "of": "node:n9", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "cut", "of": "zone:c", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "kill", "of": "list", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "outage", "of": "nodes", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "outage", "of": "below", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "fall", "of": "runtimes", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "loss", "of": "nodes", "at_s": 1}]}, "faults[0].part"),
-    ({"faults": [{"kind": "burn", "of": "nodes", "at_s": 1}]}, "faults[0].kind"),
-    ({"faults": [{"kind": "cut", "of": "127.0.0.1", "to": "10.0.0.1:80", "at_s": 1}]}, "faults[0].of"),
-    ({"faults": [{"kind": "cut", "of": "nodes", "to": "10.0.0.1:80", "at_s": 1}]}, "faults[0].to")])
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        ({"bogus": 1}, "bogus"),
+        ({"run": {"secnds": 3}}, "run.secnds"),
+        ({"zones": []}, "zones"),
+        ({"zones": [{"name": "a", "nodes": 0}]}, "zones"),
+        ({"zones": [{"name": "a", "nodes": 1000}] * 2}, "zones"),
+        ({"classes": []}, "classes"),
+        ({"faults": [{"kind": "kill", "of": "node:n9", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "cut", "of": "zone:c", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "kill", "of": "list", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "outage", "of": "nodes", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "outage", "of": "below", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "fall", "of": "runtimes", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "loss", "of": "nodes", "at_s": 1}]}, "faults[0].part"),
+        ({"faults": [{"kind": "burn", "of": "nodes", "at_s": 1}]}, "faults[0].kind"),
+        ({"faults": [{"kind": "cut", "of": "127.0.0.1", "to": "10.0.0.1:80", "at_s": 1}]}, "faults[0].of"),
+        ({"faults": [{"kind": "cut", "of": "nodes", "to": "10.0.0.1:80", "at_s": 1}]}, "faults[0].to"),
+    ],
+)
 def test_a_fault_in_a_plan_is_named_before_anything_starts(change: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse({**PLAN, **change})
@@ -103,8 +112,11 @@
     account.note_ended(1.0, account.note_sent(0.0, "t2", "n1", ask), excused=False)
     account.note_ended(1.0, account.note_sent(0.0, "t3", "n1", ask), excused=True)
     account.close(100.0)
-    assert account.broken == ["n1 closed under t2, written 1.000 s before", "n1 never answered t1",
-                              "n1 never answered t2"]
+    assert account.broken == [
+        "n1 closed under t2, written 1.000 s before",
+        "n1 never answered t1",
+        "n1 never answered t2",
+    ]
 
 
 def test_the_books_catch_a_late_answer_but_not_for_the_time_that_a_node_stood_still() -> None:
@@ -140,8 +152,7 @@
     account, ask = booked(keyed=False)
     account.note_answer(0.1, account.note_sent(0.0, "t1", "n1", ask), "served", b"+other")
     account.note_run(0.2, "n1", "t9")
-    assert account.broken == ["n1 served t1 with what no run made for it",
-                              "n1 ran t9, which no caller sent"]
+    assert account.broken == ["n1 served t1 with what no run made for it", "n1 ran t9, which no caller sent"]
 
 
 # The stand-ins
@@ -299,8 +310,10 @@
 
 def test_a_slow_link_delays_and_a_lossy_one_retransmits_but_neither_loses_or_reorders() -> None:
     async def work(net: Net, place: Address) -> None:
-        for fault, least_s in ((Fault("delay", 0, 0, *PAIR, ms=100), 0.18),
-                               (Fault("loss", 0, 0, *PAIR, part=1.0), 0.38)):
+        for fault, least_s in (
+            (Fault("delay", 0, 0, *PAIR, ms=100), 0.18),
+            (Fault("loss", 0, 0, *PAIR, part=1.0), 0.38),
+        ):
             reader, writer = await said(place, b"before")
             net.begin(fault)
             began = time.monotonic()
@@ -345,15 +358,20 @@
         self.came.append(int(data))
 
 
-@pytest.mark.parametrize(("fault", "low", "high", "sorted_"), [
-    (None, 200, 200, True),
-    (Fault("cut", 0, 0, *PAIR), 0, 0, True),
-    (Fault("loss", 0, 0, *PAIR, part=0.3), 110, 170, True),
-    (Fault("duplicate", 0, 0, *PAIR, part=0.3), 230, 290, True),
-    (Fault("reorder", 0, 0, *PAIR, part=0.3, ms=20), 200, 200, False),
-    (Fault("cut", 0, 0, PAIR[1], PAIR[0], one_way=True), 200, 200, True)])
+@pytest.mark.parametrize(
+    ("fault", "low", "high", "sorted_"),
+    [
+        (None, 200, 200, True),
+        (Fault("cut", 0, 0, *PAIR), 0, 0, True),
+        (Fault("loss", 0, 0, *PAIR, part=0.3), 110, 170, True),
+        (Fault("duplicate", 0, 0, *PAIR, part=0.3), 230, 290, True),
+        (Fault("reorder", 0, 0, *PAIR, part=0.3, ms=20), 200, 200, False),
+        (Fault("cut", 0, 0, PAIR[1], PAIR[0], one_way=True), 200, 200, True),
+    ],
+)
 def test_datagrams_are_lost_doubled_and_overtaken_by_whose_they_are(
-        fault: Fault | None, low: int, high: int, sorted_: bool) -> None:
+    fault: Fault | None, low: int, high: int, sorted_: bool
+) -> None:
     async def run() -> None:
         net, loop = Net(1), asyncio.get_running_loop()
         there, far = await loop.create_datagram_endpoint(Datagrams, ("127.0.0.1", 0))
@@ -386,7 +404,8 @@
     {"kind": "cut", "of": "callers:a", "to": "node:n4", "at_s": 1, "for_s": 0.5},
     {"kind": "cut", "of": "node:n4", "to": "below", "at_s": 2, "for_s": 0.5},
     {"kind": "slow", "of": "below", "at_s": 2, "for_s": 0.5, "part": 0.5},
-    {"kind": "surge", "at_s": 2, "for_s": 1, "part": 2}]
+    {"kind": "surge", "at_s": 2, "for_s": 1, "part": 2},
+]
 
 
 def test_the_model_breaks_no_rule_and_plays_the_same_twice() -> None:
@@ -420,10 +439,13 @@
 
 
 def test_a_run_leaves_figures_and_a_picture_and_a_faulty_plan_status_2(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path, made, drawn = tmp_path / "plan.toml", tmp_path / "made.json", tmp_path / "drawn.png"
-    path.write_text('[run]\nseconds = 3\n[[zones]]\nname = "a"\nnodes = 2\n[[classes]]\nname = "s"\n'
-                    '[[faults]]\nkind = "outage"\nof = "list"\nat_s = 1\nfor_s = 1\n')
+    path.write_text(
+        '[run]\nseconds = 3\n[[zones]]\nname = "a"\nnodes = 2\n[[classes]]\nname = "s"\n'
+        '[[faults]]\nkind = "outage"\nof = "list"\nat_s = 1\nfor_s = 1\n'
+    )
     given = [str(path), "--model", "--json", str(made), "--picture", str(drawn), "--scale", "2"]
     assert main(given) == 0
     told = json.loads(made.read_text())
@@ -459,14 +481,19 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_every_process_ends_by_its_id_when_the_rig_is_interrupted(number: signal.Signals, tmp_path: Path
-                                                                  ) -> None:
+def test_every_process_ends_by_its_id_when_the_rig_is_interrupted(
+    number: signal.Signals, tmp_path: Path
+) -> None:
     path = tmp_path / "plan.toml"
     path.write_text('[run]\nseconds = 60\n[[zones]]\nname = "a"\nnodes = 2\n[[classes]]\nname = "s"\n')
-    rig = subprocess.Popen([sys.executable, "-m", "reelusher.lab.fleet", str(path), "--logs", str(tmp_path)],
-                           cwd=ROOT, stderr=subprocess.DEVNULL, stdout=subprocess.DEVNULL,
-                           # as at a terminal: a suite that a shell runs in the background ignores SIGINT
-                           preexec_fn=partial(signal.signal, signal.SIGINT, signal.SIG_DFL))
+    rig = subprocess.Popen(
+        [sys.executable, "-m", "reelusher.lab.fleet", str(path), "--logs", str(tmp_path)],
+        cwd=ROOT,
+        stderr=subprocess.DEVNULL,
+        stdout=subprocess.DEVNULL,
+        # as at a terminal: a suite that a shell runs in the background ignores SIGINT
+        preexec_fn=partial(signal.signal, signal.SIGINT, signal.SIG_DFL),
+    )
     logs = [tmp_path / "n1.log", tmp_path / "n2.log"]
     until = time.monotonic() + 60
     while time.monotonic() < until:
@@ -487,8 +514,15 @@
 
 def member_plan(seconds: float, *faults: dict[str, Any], **nodes: Any) -> Plan:
     zones = [{"name": zone, "nodes": 4, "callers": 1} for zone in "abc"]
-    return parse({"run": {"seconds": seconds, "rate": 20}, "classes": CLASSES, "zones": zones,
-                  "nodes": {"fleet": True, **nodes}, "faults": list(faults)})
+    return parse(
+        {
+            "run": {"seconds": seconds, "rate": 20},
+            "classes": CLASSES,
+            "zones": zones,
+            "nodes": {"fleet": True, **nodes},
+            "faults": list(faults),
+        }
+    )
 
 
 def nodes_of(*numbers: int) -> frozenset[str]:
@@ -499,10 +533,13 @@
 
 
 def test_a_fleet_that_is_cut_killed_and_stopped_knows_who_is_there_and_serves_on(tmp_path: Path) -> None:
-    cuts = [{"kind": "cut", "of": "nodes:a", "to": f"nodes:{zone}", "at_s": 0.5, "for_s": 9}
-            for zone in "bc"]
-    plan = member_plan(26, *cuts, {"kind": "kill", "of": "nodes:c", "at_s": 13, "for_s": 8},
-                       {"kind": "stop", "of": "node:n5", "at_s": 13, "for_s": 7})
+    cuts = [{"kind": "cut", "of": "nodes:a", "to": f"nodes:{zone}", "at_s": 0.5, "for_s": 9} for zone in "bc"]
+    plan = member_plan(
+        26,
+        *cuts,
+        {"kind": "kill", "of": "nodes:c", "at_s": 13, "for_s": 8},
+        {"kind": "stop", "of": "node:n5", "at_s": 13, "for_s": 7},
+    )
     account = play(plan, tmp_path)
     assert account.broken == [] and account.figures()["served_worth"] > 0.5
     census = account.census
@@ -524,8 +561,10 @@
 
 
 def test_a_fleet_joins_while_datagrams_are_lost_and_doubled_and_the_list_is_away(tmp_path: Path) -> None:
-    bad = [{"kind": kind, "of": "nodes", "to": "nodes", "at_s": 0, "for_s": 7, "part": 0.2}
-           for kind in ("loss", "duplicate")]
+    bad = [
+        {"kind": kind, "of": "nodes", "to": "nodes", "at_s": 0, "for_s": 7, "part": 0.2}
+        for kind in ("loss", "duplicate")
+    ]
     plan = member_plan(8, *bad, {"kind": "outage", "of": "list", "at_s": 0, "for_s": 4})
     account = play(replace(plan, run=replace(plan.run, wait_s=0.0)), tmp_path)
     assert account.broken == [] and account.census is not None
--- a/tests/test_generated.py
+++ b/tests/test_generated.py
@@ -11,14 +11,19 @@
 KINDS = [
     io.RequestClass(deadline_us=3_000_000, aim_us=1_000_000, calls=True, skip_share=0.5),
     io.RequestClass(deadline_us=2_000_000, aim_us=900_000, worth=3, late_share=0.2, calls=True),
-    io.RequestClass(deadline_us=2_500_000, aim_us=800_000, effect=io.Effect.KEYED, window_us=4_000_000,
-                    worth=5),
+    io.RequestClass(
+        deadline_us=2_500_000, aim_us=800_000, effect=io.Effect.KEYED, window_us=4_000_000, worth=5
+    ),
     io.RequestClass(deadline_us=2_500_000, effect=io.Effect.UNSAFE, calls=True),
 ]
 
 
-SHARES = [Share(), Share(weight=3, guarantee=0.3), Share(ceiling=0.4, held=3, class_weights={0: 2, 1: 1}),
-          Share(running=1, keys=2, memory_kb=400)]
+SHARES = [
+    Share(),
+    Share(weight=3, guarantee=0.3),
+    Share(ceiling=0.4, held=3, class_weights={0: 2, 1: 1}),
+    Share(running=1, keys=2, memory_kb=400),
+]
 WAITING = ("held", "running", "joined", "calling", "at call")
 
 
@@ -67,8 +72,9 @@
         for state in State:
             assert made.at[state] == {ref: w for ref, w in made.work.items() if w.state is state}
         held = (State.HELD, State.JOINED)
-        sizes = (w.request.held_kb * (1 if w.state in held else self.site.run_factor)
-                 for w in made.work.values())
+        sizes = (
+            w.request.held_kb * (1 if w.state in held else self.site.run_factor) for w in made.work.values()
+        )
         assert abs(made.work_kb - sum(sizes)) < 1e-6
         for tenant in range(self.tenants if self.shares else 0):
             assert self.shares is not None
@@ -87,7 +93,8 @@
             case io.Run(ref):
                 assert self.state[ref] == "held" and ref not in self.ran
                 late = self.drained_us is not None and (
-                    self.arrived[ref] > self.drained_us + self.site.grace_us)
+                    self.arrived[ref] > self.drained_us + self.site.grace_us
+                )
                 assert not late, "drain"
                 if self.effect(ref) is io.Effect.KEYED:
                     assert ref in self.kept and ref not in self.original, "duplicate"
@@ -143,8 +150,18 @@
             original = keys[number % len(keys)] if kind == 2 and number % 3 == 0 and keys else 0
             if original:
                 self.original[ref] = original
-            event = io.Request(ref, kind, number % 5, number % 7, number % self.tenants, 5.0,
-                               1_000 * (number % 300), 0, waited, original)
+            event = io.Request(
+                ref,
+                kind,
+                number % 5,
+                number % 7,
+                number % self.tenants,
+                5.0,
+                1_000 * (number % 300),
+                0,
+                waited,
+                original,
+            )
         elif what == "gone" and (chosen := self.pick(number, *WAITING)):
             if chosen not in self.answered:
                 self.gone.add(chosen)
@@ -186,23 +203,61 @@
         self.now = end
 
 
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["request", "request", "request", "need", "call ended", "run ended", "gone", "drain"]),
-    st.integers(0, 10_000), st.sampled_from([0, 0, 1_000, 60_000, 250_000]),
-    st.sampled_from([0.0, 0.5, 1.0, float("nan")])), max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            ["request", "request", "request", "need", "call ended", "run ended", "gone", "drain"]
+        ),
+        st.integers(0, 10_000),
+        st.sampled_from([0, 0, 1_000, 60_000, 250_000]),
+        st.sampled_from([0.0, 0.5, 1.0, float("nan")]),
+    ),
+    max_size=120,
+)
 
 
 @seed(1)
 @effort(max_examples=150, derandomize=True, deadline=None, database=None)
-@given(STEPS, st.sampled_from(list(io.Halt)), st.sampled_from(list(io.Say)), st.booleans(),
-       st.sampled_from([0.4, 3.0]), st.sampled_from([0, 1, 4]))
-def test_rules_and_legal_actions(steps: list[tuple[str, int, int, float]], halt: io.Halt, say: io.Say,
-                                 fresh: bool, share: float, tenants: int) -> None:
-    ledger = Ledger(io.Settings(
-        classes=KINDS, cores=2, memory_kb=2_000, run_factor=6, crowd_per_core=5, crowd_over_us=2_000_000,
-        cold_from=0.3, cold_us=5_000_000, grace_us=500_000, slack_us=80_000, tick_us=5_000, entry_kb=20,
-        halt=halt, say=say, fresh=fresh, call_share=share, call_over_us=5_000_000, linger_us=200_000,
-        callers=3), tenants)
+@given(
+    STEPS,
+    st.sampled_from(list(io.Halt)),
+    st.sampled_from(list(io.Say)),
+    st.booleans(),
+    st.sampled_from([0.4, 3.0]),
+    st.sampled_from([0, 1, 4]),
+)
+def test_rules_and_legal_actions(
+    steps: list[tuple[str, int, int, float]],
+    halt: io.Halt,
+    say: io.Say,
+    fresh: bool,
+    share: float,
+    tenants: int,
+) -> None:
+    ledger = Ledger(
+        io.Settings(
+            classes=KINDS,
+            cores=2,
+            memory_kb=2_000,
+            run_factor=6,
+            crowd_per_core=5,
+            crowd_over_us=2_000_000,
+            cold_from=0.3,
+            cold_us=5_000_000,
+            grace_us=500_000,
+            slack_us=80_000,
+            tick_us=5_000,
+            entry_kb=20,
+            halt=halt,
+            say=say,
+            fresh=fresh,
+            call_share=share,
+            call_over_us=5_000_000,
+            linger_us=200_000,
+            callers=3,
+        ),
+        tenants,
+    )
     for what, number, span_us, busy in steps:
         ledger.step(what, number)
         ledger.pass_time(span_us, busy)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,8 +19,14 @@
     (folder / "conftest.py").write_text('pytest_plugins = ["known_red"]\n')
     (folder / "KNOWN-RED.txt").write_text(listed + "\n")
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
-    done = subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60,
-                          env={**os.environ, "PYTHONPATH": str(HERE)})
+    done = subprocess.run(
+        command,
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, "PYTHONPATH": str(HERE)},
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -38,12 +44,16 @@
     assert status == 0 and "known red, passed: tests/test_x.py::test_other" in said
 
 
-@pytest.mark.parametrize(("listed", "named"), [
-    ("tests/test_x.py::test_red", "KNOWN-RED.txt:1"),
-    ("# why\ntests/test_x.py::test_red | no issue |", "KNOWN-RED.txt:2"),
-    ("tests/test_x.py::test_gone | cause | issue 28", "there is no test tests/test_x.py::test_gone"),
-    ("tests/test_y.py::test_red | cause | issue 28", "there is no test tests/test_y.py::test_red"),
-    ("\n".join([GOOD] * 4), "4 tests are listed, 3 at most")])
+@pytest.mark.parametrize(
+    ("listed", "named"),
+    [
+        ("tests/test_x.py::test_red", "KNOWN-RED.txt:1"),
+        ("# why\ntests/test_x.py::test_red | no issue |", "KNOWN-RED.txt:2"),
+        ("tests/test_x.py::test_gone | cause | issue 28", "there is no test tests/test_x.py::test_gone"),
+        ("tests/test_y.py::test_red | cause | issue 28", "there is no test tests/test_y.py::test_red"),
+        ("\n".join([GOOD] * 4), "4 tests are listed, 3 at most"),
+    ],
+)
 def test_a_bad_list_fails_the_suite_and_is_named(tmp_path: Path, listed: str, named: str) -> None:
     status, said = suite(tmp_path, listed)
     assert status != 0 and named in said
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,13 +13,19 @@
 CALLER = {"name": "a", "rate": 50}
 
 
-@pytest.mark.parametrize(("plan", "named"), [
-    ({"run": {"target": "10.0.0.1:8009"}, "callers": [CALLER]}, "run.target"),
-    ({"run": {"target": "127.0.0.1:8009"}}, "callers"),
-    ({"run": {"target": "127.0.0.1:8009"}, "callers": [{"name": "a"}]}, "callers[0].rate"),
-    ({"run": {"target": "127.0.0.1:8009"}, "callers": [{**CALLER, "bogus": 1}]}, "callers[0].bogus"),
-    ({"run": {"target": "127.0.0.1:8009"}, "callers": [CALLER], "workers": [{"listen": "0.0.0.0:1"}]},
-     "workers[0].listen")])
+@pytest.mark.parametrize(
+    ("plan", "named"),
+    [
+        ({"run": {"target": "10.0.0.1:8009"}, "callers": [CALLER]}, "run.target"),
+        ({"run": {"target": "127.0.0.1:8009"}}, "callers"),
+        ({"run": {"target": "127.0.0.1:8009"}, "callers": [{"name": "a"}]}, "callers[0].rate"),
+        ({"run": {"target": "127.0.0.1:8009"}, "callers": [{**CALLER, "bogus": 1}]}, "callers[0].bogus"),
+        (
+            {"run": {"target": "127.0.0.1:8009"}, "callers": [CALLER], "workers": [{"listen": "0.0.0.0:1"}]},
+            "workers[0].listen",
+        ),
+    ],
+)
 def test_a_fault_in_a_plan_is_named(plan: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(plan)
@@ -37,9 +43,15 @@
         stand_in = StandIn(Worker(("127.0.0.1", 0), 1, 40.0))
         server = await asyncio.start_server(stand_in.serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        plan = parse({"run": {"target": f"{host}:{port}", "seconds": 1.0, "warm_up_s": 0},
-                      "callers": [{**CALLER, "body_bytes": 100, "method": "POST", "aim_ms": 100},
-                                  {"name": "b", "rate": 5, "keeps": False}]})
+        plan = parse(
+            {
+                "run": {"target": f"{host}:{port}", "seconds": 1.0, "warm_up_s": 0},
+                "callers": [
+                    {**CALLER, "body_bytes": 100, "method": "POST", "aim_ms": 100},
+                    {"name": "b", "rate": 5, "keeps": False},
+                ],
+            }
+        )
         made = report(plan, *await play(plan))
         server.close()
         assert stand_in.done == sum(row["served"] for row in made["callers"])
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -30,17 +30,23 @@
     return Fact(about, value, NOW - age_s)
 
 
-@pytest.mark.parametrize(("told", "believed"), [
-    ([[fact(1.0)], [fact(1.2)], [fact(900.0)]], 1.2),  # a wrong donor is outvoted by two
-    ([[fact(1.0)], [fact(1.2)], [fact(9.0, 230.0)]], 1.2),  # a stale one counts for little
-    ([[fact(2.0, 500.0)]], None), ([[fact(2.0, 479.0)]], None),  # too old, or too little all together
-    ([[fact(float("nan"))], [fact(0.0)], [fact(1e10)]], None),  # no such value
-    ([[fact(1.0, -60.0)]], None),  # from the future
-    ([[fact(1.0, about="odd:thing")]], None),
-    ([[fact(3.0, 9.0), fact(2.0, 1.0)]], 2.0),  # the newest of one donor
-    ([], None)])
-def test_what_donors_say_is_weighed_by_age_and_by_median(told: list[list[Fact]], believed: float | None
-                                                         ) -> None:
+@pytest.mark.parametrize(
+    ("told", "believed"),
+    [
+        ([[fact(1.0)], [fact(1.2)], [fact(900.0)]], 1.2),  # a wrong donor is outvoted by two
+        ([[fact(1.0)], [fact(1.2)], [fact(9.0, 230.0)]], 1.2),  # a stale one counts for little
+        ([[fact(2.0, 500.0)]], None),
+        ([[fact(2.0, 479.0)]], None),  # too old, or too little all together
+        ([[fact(float("nan"))], [fact(0.0)], [fact(1e10)]], None),  # no such value
+        ([[fact(1.0, -60.0)]], None),  # from the future
+        ([[fact(1.0, about="odd:thing")]], None),
+        ([[fact(3.0, 9.0), fact(2.0, 1.0)]], 2.0),  # the newest of one donor
+        ([], None),
+    ],
+)
+def test_what_donors_say_is_weighed_by_age_and_by_median(
+    told: list[list[Fact]], believed: float | None
+) -> None:
     known = weighed(told, NOW)
     assert list(known.values()) == ([] if believed is None else [believed])
 
@@ -109,15 +115,29 @@
 
     def start(self, name: str) -> Node:
         seeds = ["{}:{}".format(*node.fleet.address) for node in self.nodes if node.fleet]
-        node = Node(merge(None, parse({
-            "node": {"name": name}, "ajp": {"listen": "127.0.0.1:0"},
-            "fleet": {"listen": "127.0.0.1:0", "seeds": seeds[:1],
-                      "secret_file": str(self.folder / "secret")},
-            "classes": [{"name": "look", "deadline_ms": 5000}],
-            "workers": [{"name": "here", "port": self.worker.address[1]},
-                        {"name": "gone", "port": self.gone, "recover_ms": 60_000}],
-            "balancers": [{"name": "both", "members": ["here", "gone"]}],
-            "tenants": [{"name": "t", "backend": "both", "default_class": "look"}]})))
+        node = Node(
+            merge(
+                None,
+                parse(
+                    {
+                        "node": {"name": name},
+                        "ajp": {"listen": "127.0.0.1:0"},
+                        "fleet": {
+                            "listen": "127.0.0.1:0",
+                            "seeds": seeds[:1],
+                            "secret_file": str(self.folder / "secret"),
+                        },
+                        "classes": [{"name": "look", "deadline_ms": 5000}],
+                        "workers": [
+                            {"name": "here", "port": self.worker.address[1]},
+                            {"name": "gone", "port": self.gone, "recover_ms": 60_000},
+                        ],
+                        "balancers": [{"name": "both", "members": ["here", "gone"]}],
+                        "tenants": [{"name": "t", "backend": "both", "default_class": "look"}],
+                    }
+                ),
+            )
+        )
         self.nodes.append(node)
         node.start()
         return node
@@ -167,7 +187,8 @@
 
 @pytest.mark.parametrize("spoil", ["cold", "silent", "gone", "wrong"])
 def test_with_donors_that_are_of_no_use_a_node_starts_as_if_blind(
-        hosted: Hosted, spoil: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    hosted: Hosted, spoil: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     donor = hosted.start("a")
     hosted.ask(donor)
     assert donor.fleet is not None
@@ -177,9 +198,14 @@
         monkeypatch.setattr(service, "STATE_S", 30.0)
         donor.fleet.facts = lambda: time.sleep(20) or FactsReply(False, [])  # type: ignore[func-returns-value]
     elif spoil == "wrong":
-        donor.fleet.facts = lambda: FactsReply(True, [Fact("away:here", 1e99, time.time()),
-                                                      Fact("run:look", -1.0, time.time()),
-                                                      Fact("nothing", 1.0, time.time())])
+        donor.fleet.facts = lambda: FactsReply(
+            True,
+            [
+                Fact("away:here", 1e99, time.time()),
+                Fact("run:look", -1.0, time.time()),
+                Fact("nothing", 1.0, time.time()),
+            ],
+        )
     else:
         donor.fleet.close()
     fresh = hosted.start("c")
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -58,10 +58,17 @@
         told = settings(SAFE, KEYED, cores=2, memory_kb=5_000.0)
         shares = self.shares = Shares(told.cores, told.memory_kb)
         self.backend = Backend()
-        self.core = Core(told, [], seed, self.backend, clock=Clock(*[lambda: self.now * 1000] * 2),
-                         standing=shares)
-        self.tenants = Tenants([(tenant("a"), State.ACTIVE), (tenant("b"), State.ACTIVE)], ("safe", "keyed"),
-                               lambda backend: None, self.core, shares, frozenset({"runtime"}))
+        self.core = Core(
+            told, [], seed, self.backend, clock=Clock(*[lambda: self.now * 1000] * 2), standing=shares
+        )
+        self.tenants = Tenants(
+            [(tenant("a"), State.ACTIVE), (tenant("b"), State.ACTIVE)],
+            ("safe", "keyed"),
+            lambda backend: None,
+            self.core,
+            shares,
+            frozenset({"runtime"}),
+        )
         self.answers: dict[str, list[Answer]] = {}
         self.asked: dict[str, Request] = {}
         self.ended: set[str] = set()
@@ -72,8 +79,17 @@
         name, number = (match.tenant.name, match.number) if match else ("a", 1)  # one read before it went
         call, kind = f"c{len(self.asked)}", self.chance.randrange(2)
         self.answers[call] = []
-        made = self.asked[call] = Request(call, kind, b"x", self.now, self.answers[call].append, name, number,
-                                          held_kb=20.0, key=f"k{self.chance.randrange(6)}" if kind else "")
+        made = self.asked[call] = Request(
+            call,
+            kind,
+            b"x",
+            self.now,
+            self.answers[call].append,
+            name,
+            number,
+            held_kb=20.0,
+            key=f"k{self.chance.randrange(6)}" if kind else "",
+        )
         return Arrived(made)
 
     def end(self) -> RunOver | None:
@@ -123,12 +139,18 @@
         runs = Counter((request.tenant, request.key) for request in started if request.key)
         # the whole race is shorter than the window of a key
         assert max(runs.values(), default=1) == 1
-        served = [(call, answers[0]) for call, answers in race.answers.items()
-                  if answers[0].verdict is Verdict.SERVED]
+        served = [
+            (call, answers[0])
+            for call, answers in race.answers.items()
+            if answers[0].verdict is Verdict.SERVED
+        ]
         for call, answer in served:
             maker = race.asked[answer.result.body.decode()] if answer.result else None
             assert maker and (maker.tenant, maker.kind, maker.key) == (
-                race.asked[call].tenant, race.asked[call].kind, race.asked[call].key)
+                race.asked[call].tenant,
+                race.asked[call].kind,
+                race.asked[call].key,
+            )
         live = {entry.number for entry in race.tenants.entries()} | {0}
         race.now += 2 * WINDOW_US  # past the window of every key
         for _ in range(2):
@@ -137,4 +159,3 @@
         assert set(race.shares._flows) <= live, "a tenant that is gone still has a standing"
         removed += race.core.counters.snapshot().get("tenants.removed", 0)
     assert removed > 20 and WINDOW_US > 60 * 120_000
-
--- a/tests/test_live_changes.py
+++ b/tests/test_live_changes.py
@@ -33,11 +33,21 @@
 
 
 @pytest.mark.parametrize("note", [look, answer])
-@pytest.mark.parametrize(("shown", "breaks"), [
-    ((FIRST, SECOND, THIRD), False), ((None, THIRD), False), ((SECOND, SECOND), False),
-    ((SECOND, FIRST), True), ((SECOND, None), True), (((4, ACTIVE),), True), (((7, ACTIVE),), True)])
+@pytest.mark.parametrize(
+    ("shown", "breaks"),
+    [
+        ((FIRST, SECOND, THIRD), False),
+        ((None, THIRD), False),
+        ((SECOND, SECOND), False),
+        ((SECOND, FIRST), True),
+        ((SECOND, None), True),
+        (((4, ACTIVE),), True),
+        (((7, ACTIVE),), True),
+    ],
+)
 def test_a_node_shows_the_old_or_the_new_row_and_never_goes_back(
-        note: Callable[..., None], shown: tuple[Row, ...], breaks: bool) -> None:
+    note: Callable[..., None], shown: tuple[Row, ...], breaks: bool
+) -> None:
     books = made(FIRST, SECOND, THIRD)
     for row in shown:
         note(books, row)
@@ -137,7 +147,11 @@
     assert revision_of({}) is None
     assert percentiles([]) == {"count": 0}
     assert percentiles([float(one) for one in range(1, 101)]) == {
-        "count": 100, "median_s": 50.5, "p99_s": 100.0, "most_s": 100.0}
+        "count": 100,
+        "median_s": 50.5,
+        "p99_s": 100.0,
+        "most_s": 100.0,
+    }
 
 
 def test_a_caller_notes_more_than_one_answer_and_an_answer_that_stays_out() -> None:
--- a/tests/test_local_copy.py
+++ b/tests/test_local_copy.py
@@ -57,19 +57,24 @@
 
 
 CHANGES = st.lists(st.tuples(st.integers(0, 4), st.booleans()), max_size=4)
-OPERATIONS = st.lists(st.one_of(
-    st.tuples(st.just("put"), CHANGES, st.booleans()),
-    st.tuples(st.just("again"), st.integers(0, 20), st.just(0)),
-    st.tuples(st.just("refill"), st.booleans(), st.just(0)),
-    st.tuples(st.just("orphan"), st.integers(0, 12), st.just(0)),
-    st.tuples(st.just("collect"), st.integers(0, 6), st.just(0)),
-    st.tuples(st.just("given"), st.integers(0, 12), st.integers(0, 900))), max_size=25)
+OPERATIONS = st.lists(
+    st.one_of(
+        st.tuples(st.just("put"), CHANGES, st.booleans()),
+        st.tuples(st.just("again"), st.integers(0, 20), st.just(0)),
+        st.tuples(st.just("refill"), st.booleans(), st.just(0)),
+        st.tuples(st.just("orphan"), st.integers(0, 12), st.just(0)),
+        st.tuples(st.just("collect"), st.integers(0, 6), st.just(0)),
+        st.tuples(st.just("given"), st.integers(0, 12), st.integers(0, 900)),
+    ),
+    max_size=25,
+)
 
 
 @given(operations=OPERATIONS)
 @settings(max_examples=60, deadline=None)
-def test_rows_in_a_file_are_those_in_memory(tmp_path_factory: pytest.TempPathFactory,
-                                            operations: list[tuple[Any, Any, Any]]) -> None:
+def test_rows_in_a_file_are_those_in_memory(
+    tmp_path_factory: pytest.TempPathFactory, operations: list[tuple[Any, Any, Any]]
+) -> None:
     kept = LocalCopy(tmp_path_factory.mktemp("copy") / "t.db", "f", CONTROL, wall_ms=lambda: 0)
     memory, state, number = MemoryRows(), FIRST, 0
     history: list[Entry] = []
@@ -84,7 +89,7 @@
             state = replace(state, number=number, covered=number, goal=number)
             made = [rows.apply("c1", entries, state, trail=second) for rows in (memory, kept)]
         elif what == "again":
-            made = [rows.apply("c1", history[first:first + 3], state) for rows in (memory, kept)]
+            made = [rows.apply("c1", history[first : first + 3], state) for rows in (memory, kept)]
         elif what == "refill":
             state = replace(state, generation=state.generation + 1)
             made = [sorted(rows.apply("c1", [], state, drop=first)) for rows in (memory, kept)]
@@ -100,7 +105,8 @@
         assert memory.states() == kept.states()
         live = memory.live()
         assert [(row.name, row.revision, row.state, row.tenant) for row in kept.page("", 100)] == [
-            (name, live[name].number, live[name].state, live[name].tenant) for name in sorted(live)]
+            (name, live[name].number, live[name].state, live[name].tenant) for name in sorted(live)
+        ]
         assert kept.count() == len(live)
     kept.close()
 
@@ -108,23 +114,37 @@
 # Look-ups
 
 
-TABLES = st.lists(st.tuples(
-    st.lists(st.sampled_from(["a", "B.x", "c", ""]), max_size=2),
-    st.sampled_from(["/", "/a", "/a/", "/a/b", "/a/bc", "/a/b/", "/ab", "//", "/a//"]),
-    st.booleans()), min_size=1, max_size=12)
+TABLES = st.lists(
+    st.tuples(
+        st.lists(st.sampled_from(["a", "B.x", "c", ""]), max_size=2),
+        st.sampled_from(["/", "/a", "/a/", "/a/b", "/a/bc", "/a/b/", "/ab", "//", "/a//"]),
+        st.booleans(),
+    ),
+    min_size=1,
+    max_size=12,
+)
 
 
-ASKED = st.lists(st.tuples(st.sampled_from(["a", "b.x", "B.X", "d", "", "="]), st.sampled_from(
-    ["/", "/a", "/a/", "/a/b", "/a/bc", "/a/b/c", "/abc", "/ab/", "//", "/a//b", "/x", "", "*"]),
-), max_size=20)
+ASKED = st.lists(
+    st.tuples(
+        st.sampled_from(["a", "b.x", "B.X", "d", "", "="]),
+        st.sampled_from(
+            ["/", "/a", "/a/", "/a/b", "/a/bc", "/a/b/c", "/abc", "/ab/", "//", "/a//b", "/x", "", "*"]
+        ),
+    ),
+    max_size=20,
+)
 
 
 @given(TABLES, ASKED)
 @settings(max_examples=150, deadline=None)
-def test_a_request_belongs_to_whom_the_linear_rule_says(table: list[tuple[list[str], str, bool]],
-                                                        asked: list[tuple[str, str]]) -> None:
-    with tempfile.TemporaryDirectory() as folder, contextlib.closing(
-            LocalCopy(Path(folder) / "t.db", "f", CONTROL)) as kept:
+def test_a_request_belongs_to_whom_the_linear_rule_says(
+    table: list[tuple[list[str], str, bool]], asked: list[tuple[str, str]]
+) -> None:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        contextlib.closing(LocalCopy(Path(folder) / "t.db", "f", CONTROL)) as kept,
+    ):
         # each row stands otherwise first, so that look-ups are changed and not only made
         made = [({"hosts": hosts, "prefix": prefix}, live) for hosts, prefix, live in table]
         turned = [(told, not live) for told, live in reversed(made)]
@@ -133,15 +153,32 @@
             entries = []
             for place, (told, live) in enumerate(state):
                 number += 1
-                entries.append(Entry(number, f"t{place:02d}", 0, "", "active" if live else "",
-                                     msgspec.json.encode(told) if live else b""))
+                entries.append(
+                    Entry(
+                        number,
+                        f"t{place:02d}",
+                        0,
+                        "",
+                        "active" if live else "",
+                        msgspec.json.encode(told) if live else b"",
+                    )
+                )
             kept.apply("c1", entries, at(number))
-        tenants = [(f"t{place:02d}", {host.lower() for host in hosts}, prefix)
-                   for place, (hosts, prefix, live) in enumerate(table) if live]
+        tenants = [
+            (f"t{place:02d}", {host.lower() for host in hosts}, prefix)
+            for place, (hosts, prefix, live) in enumerate(table)
+            if live
+        ]
         tenants.sort(key=lambda one: (not one[1], -len(one[2]), one[0]))
         for host, path in asked:
-            linear = next((name for name, hosts, prefix in tenants
-                           if (not hosts or host.lower() in hosts) and lies_under(path, prefix)), None)
+            linear = next(
+                (
+                    name
+                    for name, hosts, prefix in tenants
+                    if (not hosts or host.lower() in hosts) and lies_under(path, prefix)
+                ),
+                None,
+            )
             found = kept.match(host, path)
             assert (found.name if found else None) == linear
 
@@ -165,8 +202,12 @@
 
 def test_totals_are_kept_up_and_the_same_after_a_restart(copy: LocalCopy, path: Path) -> None:
     for number in range(1, 31):
-        put(copy, entry(C1[number % 10], number, "active" if number % 3 else "",
-                        share={"guarantee": number / 1000}))
+        put(
+            copy,
+            entry(
+                C1[number % 10], number, "active" if number % 3 else "", share={"guarantee": number / 1000}
+            ),
+        )
     live = copy.page("", 100)
     told = [msgspec.json.decode(row.tenant)["share"]["guarantee"] for row in live]
     for _ in range(2):
@@ -276,10 +317,14 @@
 
 def test_a_row_that_can_not_be_read_is_kept_passed_on_and_harms_no_other(path: Path) -> None:
     copy = LocalCopy(path, "f", CONTROL, strict)
-    newer = [Entry(1, "bad", 0, "", "active", b'{"hosts": 7}'),
-             entry("odd", 2, backend="of-tomorrow"), entry("good", 3), entry("bug", 4, bug=True),
-             Entry(5, "worse", 0, "", "a state of tomorrow", b"\xff\x00"),
-             entry("odd", 6, hosts=["good.example"], backend="of-tomorrow")]
+    newer = [
+        Entry(1, "bad", 0, "", "active", b'{"hosts": 7}'),
+        entry("odd", 2, backend="of-tomorrow"),
+        entry("good", 3),
+        entry("bug", 4, bug=True),
+        Entry(5, "worse", 0, "", "a state of tomorrow", b"\xff\x00"),
+        entry("odd", 6, hosts=["good.example"], backend="of-tomorrow"),
+    ]
     put(copy, *newer)
     given = copy.given("c1", 0)
     assert given is not None and [one.number for one in given.entries] == [1, 3, 4, 5, 6]
@@ -336,8 +381,9 @@
 
 
 @pytest.mark.parametrize(("fleet", "control"), [("other", CONTROL), ("f", ("c1", "c3"))])
-def test_the_copy_of_another_fleet_or_control_list_is_left_as_it_is(path: Path, copy: LocalCopy, fleet: str,
-                                                                   control: tuple[str, ...]) -> None:
+def test_the_copy_of_another_fleet_or_control_list_is_left_as_it_is(
+    path: Path, copy: LocalCopy, fleet: str, control: tuple[str, ...]
+) -> None:
     put(copy, entry("a", 1))
     copy.close()
     with pytest.raises(Foreign, match="of the fleet|of another list"):
@@ -570,15 +616,21 @@
     """Run changes in a process that kills itself before a statement; return what it told."""
     here = Path(__file__).parent
     script = CHILD.format(paths=[str(here), str(here.parent)])
-    done = subprocess.run([sys.executable, "-c", script, str(path), what, str(left)], capture_output=True,
-                          text=True, timeout=60, check=False)
+    done = subprocess.run(
+        [sys.executable, "-c", script, str(path), what, str(left)],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode in (0, -signal.SIGKILL), done.stderr
     return done.stdout.split()
 
 
 @pytest.mark.parametrize("what", ["accept", "take"])
-def test_a_kill_before_any_statement_loses_nothing_that_was_told_and_leaves_no_half(tmp_path: Path,
-                                                                                    what: str) -> None:
+def test_a_kill_before_any_statement_loses_nothing_that_was_told_and_leaves_no_half(
+    tmp_path: Path, what: str
+) -> None:
     names, killed = C1[:4], 0
     for left in range(1, 200):
         path = tmp_path / f"{left}.db"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,8 +21,21 @@
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership import service
 from reelusher.fleet.membership.messages import (
-    MOST_DATAGRAM, MOST_VECTOR, WINDOW, BucketsRequest, DigestRequest, Kind, Message, Refused, Seal,
-    Senders, State, StateReply, StateRequest, Update)
+    MOST_DATAGRAM,
+    MOST_VECTOR,
+    WINDOW,
+    BucketsRequest,
+    DigestRequest,
+    Kind,
+    Message,
+    Refused,
+    Seal,
+    Senders,
+    State,
+    StateReply,
+    StateRequest,
+    Update,
+)
 from reelusher.fleet.membership.service import Allowance, Membership, read_secret
 from reelusher.fleet.membership.swim import DIRECT_S, PATIENCE, PERIOD_S, RETURN_S, Swim
 from reelusher.fleet.membership.table import DEAD_MOST, KEPT_S, MOST_MEMBERS, Table, bucket_of
@@ -43,7 +56,8 @@
 
 @given(st.lists(UPDATES, max_size=30), st.randoms(use_true_random=False))
 def test_what_is_known_is_the_same_in_whatever_order_and_however_often_it_is_heard(
-        updates: list[Update], shuffled: Any) -> None:
+    updates: list[Update], shuffled: Any
+) -> None:
     def known(order: list[Update]) -> dict[str, tuple[int, State]]:
         table = Table(Random(1))
         for one in order:
@@ -68,7 +82,8 @@
 
 @given(st.lists(st.tuples(UPDATES, st.booleans()), max_size=60))
 def test_what_a_table_keeps_up_with_each_change_is_what_a_count_of_all_would_say(
-        came: list[tuple[Update, bool]]) -> None:
+    came: list[tuple[Update, bool]],
+) -> None:
     table = Table(Random(1))
     for step, (one, drop) in enumerate(came):
         table.take(one, float(step))
@@ -78,7 +93,8 @@
         here = {member.said.place for member in members if member.here}
         assert sorted(table.here()) == sorted(here) and table.count() == len(here)
         assert sorted(table.dead) == sorted(
-            member.said.place for member in members if member.said.state is State.DEAD)
+            member.said.place for member in members if member.said.state is State.DEAD
+        )
         fresh = Table(Random(2))
         for member in members:
             fresh.take(member.said, 0.0)
@@ -97,8 +113,11 @@
         table.take(said(number, 1, State.LEFT), 9000.0)
     assert len(table.members) == MOST_MEMBERS and not table.refused
     assert table.take(said(1, 1, State.DEAD), 9001.0) is not None  # known before
-    for number, state, refused in [(20_000, State.DEAD, 1), (20_001, State.ALIVE, 1),
-                                   (20_002, State.LEFT, 2)]:
+    for number, state, refused in [
+        (20_000, State.DEAD, 1),
+        (20_001, State.ALIVE, 1),
+        (20_002, State.LEFT, 2),
+    ]:
         assert (table.take(said(number, 1, state), 9001.0) is None) is (state is not State.ALIVE)
         assert table.refused == refused
     assert len(table.members) == MOST_MEMBERS and said(3600).place not in table.members
@@ -121,8 +140,14 @@
         for _, message in swim.tick(now).out:
             datagrams += 1
             swim.receive(Message(Kind.ACK, "127.0.0.1:2", message.seq), now)
-        swim.receive(Message(Kind.PING, "127.0.0.1:3", updates=[
-            said(4, step, State.SUSPECT, "127.0.0.1:5")] if not step % 10 else []), now)
+        swim.receive(
+            Message(
+                Kind.PING,
+                "127.0.0.1:3",
+                updates=[said(4, step, State.SUSPECT, "127.0.0.1:5")] if not step % 10 else [],
+            ),
+            now,
+        )
         swim.next_s()
         datagrams += 2
     sys.setprofile(None)
@@ -212,17 +237,26 @@
         msgspec.msgpack.decode(long, type=Message)
 
 
-@given(st.lists(st.tuples(*[st.text(max_size=64)] * 3, st.integers(0, (1 << 63) - 1)), max_size=30),
-       st.lists(st.integers(0, (1 << 63) - 1), max_size=MOST_VECTOR), st.text(max_size=64))
+@given(
+    st.lists(st.tuples(*[st.text(max_size=64)] * 3, st.integers(0, (1 << 63) - 1)), max_size=30),
+    st.lists(st.integers(0, (1 << 63) - 1), max_size=MOST_VECTOR),
+    st.text(max_size=64),
+)
 @settings(max_examples=150)
 def test_no_vector_pushes_a_datagram_over_its_size(
-        members: list[tuple[str, str, str, int]], vector: list[int], fleet: str) -> None:
+    members: list[tuple[str, str, str, int]], vector: list[int], fleet: str
+) -> None:
     own = Update("1" * 58 + ":65535", "n" * 64, "z" * 64, "r" * 64, 1, State.ALIVE)
     swim = Swim(own, Random(1), 0.0)
     swim.vector = lambda: vector
     sealed = Seal(SECRET, fleet, own.place, (1 << 62))
-    swim.merge([Update(f"{number:058}:65535", name, zone, region, incarnation, State.ALIVE)
-                for number, (name, zone, region, incarnation) in enumerate(members)], 0.0)
+    swim.merge(
+        [
+            Update(f"{number:058}:65535", name, zone, region, incarnation, State.ALIVE)
+            for number, (name, zone, region, incarnation) in enumerate(members)
+        ],
+        0.0,
+    )
     for step in range(1, 60):
         for _, message in swim.tick(step / 10).out:
             without = len(sealed.close(replace(message, vector=[])))
@@ -251,15 +285,21 @@
 
 
 # Without suspicions: they end by themselves within seconds, so that no digest tells of them.
-VIEWS = st.lists(st.builds(said, st.integers(1, 9), st.integers(0, 2), st.sampled_from(
-    [State.ALIVE, State.DEAD, State.LEFT])), max_size=25)
+VIEWS = st.lists(
+    st.builds(
+        said, st.integers(1, 9), st.integers(0, 2), st.sampled_from([State.ALIVE, State.DEAD, State.LEFT])
+    ),
+    max_size=25,
+)
 
 
 @given(VIEWS, VIEWS, st.integers(1, 2))
-def test_buckets_that_differ_mend_who_lives_as_full_states_do(one: list[Update], other: list[Update],
-                                                              times: int) -> None:
-    def after(exchanged: Callable[[Swim, Swim], tuple[list[Update], list[Update]]]
-              ) -> list[tuple[dict[str, int], set[Update]]]:
+def test_buckets_that_differ_mend_who_lives_as_full_states_do(
+    one: list[Update], other: list[Update], times: int
+) -> None:
+    def after(
+        exchanged: Callable[[Swim, Swim], tuple[list[Update], list[Update]]],
+    ) -> list[tuple[dict[str, int], set[Update]]]:
         pair = viewed(1, one), viewed(2, other)
         for _ in range(times):
             told = exchanged(*pair)
@@ -436,10 +476,22 @@
     assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD
     heard = [said(3, 1, State.DEAD), said(5), said(6)]
     swim.receive(Message(Kind.GOSSIP, "127.0.0.1:5", updates=heard), 0.2)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:3", updates=[
-        said(5, 1, State.DEAD), said(6, 1, State.SUSPECT), said(7), said(1, 1, State.SUSPECT)]), 0.3)
+    swim.receive(
+        Message(
+            Kind.GOSSIP,
+            "127.0.0.1:3",
+            updates=[said(5, 1, State.DEAD), said(6, 1, State.SUSPECT), said(7), said(1, 1, State.SUSPECT)],
+        ),
+        0.3,
+    )
     assert {place[-1]: member.said.state.name for place, member in swim.table.members.items()} == {
-        "2": "LEFT", "3": "DEAD", "4": "DEAD", "5": "ALIVE", "6": "ALIVE", "7": "ALIVE"}
+        "2": "LEFT",
+        "3": "DEAD",
+        "4": "DEAD",
+        "5": "ALIVE",
+        "6": "ALIVE",
+        "7": "ALIVE",
+    }
     assert swim.own.incarnation == 2  # what concerns itself it refutes
 
 
@@ -447,13 +499,23 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(4)], 0.0)
     swim.quiet()
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[
-        said(3, 1, State.SUSPECT, "127.0.0.1:2"), said(4, 1, State.DEAD)]), 0.1)
+    swim.receive(
+        Message(
+            Kind.GOSSIP,
+            "127.0.0.1:2",
+            updates=[said(3, 1, State.SUSPECT, "127.0.0.1:2"), said(4, 1, State.DEAD)],
+        ),
+        0.1,
+    )
     swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(1, 1, State.DEAD)]), 0.2)
     assert swim.table.members["127.0.0.1:3"].said.state is State.ALIVE
     assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD
-    told = {(one.place, one.state) for to, message in swim.tick(0.4).out for one in message.updates
-            if to != "127.0.0.1:4"}  # whom it concerns is told in any case
+    told = {
+        (one.place, one.state)
+        for to, message in swim.tick(0.4).out
+        for one in message.updates
+        if to != "127.0.0.1:4"
+    }  # whom it concerns is told in any case
     assert told == {("127.0.0.1:1", State.ALIVE)}
     assert swim.next_s() < 0.4 + PERIOD_S
 
@@ -464,8 +526,14 @@
     swim.merge([said(2), said(3), said(4), said(5)], 0.0)
     swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, State.DEAD)]), 0.1)
     swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 9)]), 0.2)  # heard by way of another
-    swim.receive(Message(Kind.GOSSIP, apart_one, updates=[
-        said(4, 1, State.DEAD, apart_one), said(5, 1, State.SUSPECT, apart_one), said(6)]), 0.3)
+    swim.receive(
+        Message(
+            Kind.GOSSIP,
+            apart_one,
+            updates=[said(4, 1, State.DEAD, apart_one), said(5, 1, State.SUSPECT, apart_one), said(6)],
+        ),
+        0.3,
+    )
     assert {swim.table.members[f"127.0.0.1:{number}"].said.state for number in (3, 4, 5, 6)} == {State.ALIVE}
     swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(4, 1, State.DEAD)]), 0.4)
     assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD  # others are believed
@@ -473,8 +541,9 @@
     assert swim.table.members["127.0.0.1:5"].said.state is State.DEAD  # and so is it, later
 
 
-@pytest.mark.parametrize(("pieces", "least", "mean"), [
-    (10, 13, 13.5), (200, 13, 13.5), (1000, 5, 8), (3000, 5, 7)])
+@pytest.mark.parametrize(
+    ("pieces", "least", "mean"), [(10, 13, 13.5), (200, 13, 13.5), (1000, 5, 8), (3000, 5, 7)]
+)
 def test_a_piece_is_sent_on_the_more_rarely_the_more_there_are(pieces: int, least: int, mean: float) -> None:
     """A region that loses all others has 3,000 deaths to tell: at 28 times each they waited for minutes."""
     swim = Swim(said(1), Random(1), 0.0)
@@ -502,11 +571,19 @@
 def test_who_hears_from_one_that_it_holds_for_dead_tells_no_more_of_deaths() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(4), said(5)], 0.0)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[
-        said(3, 1, State.DEAD), said(4, 1, State.DEAD), said(6)]), 0.1)
+    swim.receive(
+        Message(
+            Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, State.DEAD), said(4, 1, State.DEAD), said(6)]
+        ),
+        0.1,
+    )
     swim.receive(Message(Kind.PING, "127.0.0.1:3", 1), 0.2)
-    told = {one.place[-1]: one.state for to, message in swim.tick(0.4).out for one in message.updates
-            if to != one.place}
+    told = {
+        one.place[-1]: one.state
+        for to, message in swim.tick(0.4).out
+        for one in message.updates
+        if to != one.place
+    }
     assert told["6"] is State.ALIVE and "4" not in told
     assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD  # until it hears otherwise
 
@@ -514,7 +591,8 @@
 @pytest.mark.parametrize("found_out_s", [2, 3, 4])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_new_lives_among_those_that_were_apart_cause_hardly_any_false_death(
-        seed: int, found_out_s: float) -> None:
+    seed: int, found_out_s: float
+) -> None:
     """They heard of the others' deaths while these were told; believed, they caused 66 to 359 false ones."""
     fleet = Members(100, seed)
     fleet.run(3)
@@ -540,17 +618,24 @@
     return Seal(secret, fleet, place, life)
 
 
-@pytest.mark.parametrize(("spoil", "why"), [
-    (lambda data: data[:-1], "forged"), (lambda data: data[:10], "cut"), (lambda data: b"", "cut"),
-    (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "forged"),
-    (lambda data: data + b"\0" * MOST_DATAGRAM, "oversized"),
-    (lambda data: seal(secret=b"another secret of theirs").close(Message(Kind.PING, "x")), "forged"),
-    (lambda data: seal(fleet="g").close(Message(Kind.PING, "x")), "other_fleet"),
-    (lambda data: seal().close([1, 2, 3]), "malformed"),
-    (lambda data: seal().close([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
-    (lambda data: data, "replayed")])
-def test_what_is_not_of_this_fleet_or_comes_twice_is_refused(spoil: Callable[[bytes], bytes], why: str
-                                                             ) -> None:
+@pytest.mark.parametrize(
+    ("spoil", "why"),
+    [
+        (lambda data: data[:-1], "forged"),
+        (lambda data: data[:10], "cut"),
+        (lambda data: b"", "cut"),
+        (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "forged"),
+        (lambda data: data + b"\0" * MOST_DATAGRAM, "oversized"),
+        (lambda data: seal(secret=b"another secret of theirs").close(Message(Kind.PING, "x")), "forged"),
+        (lambda data: seal(fleet="g").close(Message(Kind.PING, "x")), "other_fleet"),
+        (lambda data: seal().close([1, 2, 3]), "malformed"),
+        (lambda data: seal().close([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
+        (lambda data: data, "replayed"),
+    ],
+)
+def test_what_is_not_of_this_fleet_or_comes_twice_is_refused(
+    spoil: Callable[[bytes], bytes], why: str
+) -> None:
     here = seal("127.0.0.1:9")
     data = seal().close(Message(Kind.PING, "127.0.0.1:1", 7))
     assert here.open(data, Message)[1].seq == 7
@@ -591,8 +676,12 @@
 
     def make(name: str, seeds: list[Membership], secret: str = "secret") -> Membership:
         at = "127.0.0.1", 0
-        one = Membership(Fleet("f", at, at, tuple(seed.address for seed in seeds), "z", "r",
-                               str(tmp_path / secret)), name, Random(name), Counters())
+        one = Membership(
+            Fleet("f", at, at, tuple(seed.address for seed in seeds), "z", "r", str(tmp_path / secret)),
+            name,
+            Random(name),
+            Counters(),
+        )
         made.append(one)
         one.start()
         return one
@@ -618,8 +707,12 @@
     states = {member["name"]: member["state"] for member in first.status()["members"]}
     assert states == {"b": "alive", "c": "alive", "d": "dead", "e": "left"}
     assert first.forget("b") is False and first.forget("x") is None and first.forget("d") is True
-    assert soon(lambda: {"d": "left"}.items() <= {
-        member["name"]: member["state"] for member in others[0].status()["members"]}.items())
+    assert soon(
+        lambda: (
+            {"d": "left"}.items()
+            <= {member["name"]: member["state"] for member in others[0].status()["members"]}.items()
+        )
+    )
     json.dumps(first.status())
 
 
@@ -633,7 +726,8 @@
 
 
 def test_other_modules_ride_on_datagrams_call_members_and_answer_requests_of_their_own(
-        start: Callable[..., Membership]) -> None:
+    start: Callable[..., Membership],
+) -> None:
     first, heard = start("a", []), dict[str, list[int]]()
     second = start("b", [first])
     assert soon(lambda: names(first) == names(second) == ["a", "b"])
@@ -652,7 +746,8 @@
 
 
 def test_who_asks_once_can_tell_one_that_was_told_nothing_from_one_that_did_not_answer(
-        start: Callable[..., Membership]) -> None:
+    start: Callable[..., Membership],
+) -> None:
     first, second, gone = start("a", []), start("b", []), start("c", [])
     at, asked, heard = second.live()[0].place, Question("x", "abc"), list[str]()
     gone.close()
@@ -666,8 +761,9 @@
     assert first.ask_once(at, asked, Answer) == Answer("abc")
 
 
-def test_an_answer_may_take_as_long_as_the_asker_waits(start: Callable[..., Membership],
-                                                       monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_may_take_as_long_as_the_asker_waits(
+    start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(service, "STATE_S", 0.2)
     first, second = start("a", []), start("b", [])
 
@@ -707,7 +803,8 @@
 
 
 def test_members_that_know_the_same_exchange_a_digest_and_others_only_what_differs(
-        start: Callable[..., Membership]) -> None:
+    start: Callable[..., Membership],
+) -> None:
     first, second = start("a", []), start("b", [])
     at = first.live()[0].place
     second._compare(at)
@@ -720,7 +817,8 @@
 
 @pytest.mark.parametrize("part", [0.0, 1.0])
 def test_one_that_knows_no_digests_is_asked_for_a_full_state_but_not_by_all_at_once(
-        start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch, part: float) -> None:
+    start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch, part: float
+) -> None:
     monkeypatch.setattr(service, "FULL_PART", part)
     older, newer = start("a", []), start("b", [])
     del older.serve[DigestRequest], older.serve[BucketsRequest]
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -67,6 +67,7 @@
     def of(seed: int) -> Callable[[float], str]:
         drawn = Random(f"net {seed}")
         return lambda now: "lost" if drawn.random() < part else answer
+
     return of
 
 
@@ -175,7 +176,8 @@
 
 
 def test_a_report_is_made_again_at_once_for_a_stale_connection_but_not_for_an_error(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     stale = ConnectionResetError("stale")
     catalog, made = catalog_of(monkeypatch, Troubled("500", 0.0), TimeoutError(), stale, None, stale)
     for wanted in (1, 2, 4, 5):  # the last: one such second try is all until reports have earned another
@@ -202,9 +204,14 @@
 
 
 def test_one_request_at_a_time_asks_a_worker_that_was_away_and_more_rarely_the_longer_it_stays() -> None:
-    own = parse_operator({"node": {"name": "h"}, "capacity": {"cores": 2, "memory_kb": 1000},
-                          "classes": [{"name": "s", "deadline_ms": 1000}],
-                          "workers": [{"name": "w", "recover_ms": 1000}]})
+    own = parse_operator(
+        {
+            "node": {"name": "h"},
+            "capacity": {"cores": 2, "memory_kb": 1000},
+            "classes": [{"name": "s", "deadline_ms": 1000}],
+            "workers": [{"name": "w", "recover_ms": 1000}],
+        }
+    )
     pool = Pool(own.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1))
     member: Member = pool.members["w"]
 
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -68,8 +68,11 @@
         known = self.lines.get(one.name)
         if known is None:
             self.last += 1
-        self.lines = self.lines | {one.name: Line(one.name, known.number if known else self.last, state,
-                                                  json.dumps(one.to_json()).encode())}
+        self.lines = self.lines | {
+            one.name: Line(
+                one.name, known.number if known else self.last, state, json.dumps(one.to_json()).encode()
+            )
+        }
         if tell:
             self.on_change([one.name])
 
@@ -83,14 +86,24 @@
 
     def match(self, host: str, path: str) -> Line | None:
         self.calls["match"] += 1
-        found = rule([Entry(tenant(line.name, tuple(told["hosts"]), told["prefix"]), line.number)
-                      for line, told in self.told()], "GET", host, path)
+        found = rule(
+            [
+                Entry(tenant(line.name, tuple(told["hosts"]), told["prefix"]), line.number)
+                for line, told in self.told()
+            ],
+            "GET",
+            host,
+            path,
+        )
         return None if found is None else self.lines[found.tenant.name]
 
     def prefixes(self, host: str, most: int) -> Sequence[tuple[bool, str, str]] | None:
         self.calls["prefixes"] += 1
-        found = [(bool(told["hosts"]), told["prefix"], line.name) for line, told in self.told()
-                 if not told["hosts"] or host in told["hosts"]]
+        found = [
+            (bool(told["hosts"]), told["prefix"], line.name)
+            for line, told in self.told()
+            if not told["hosts"] or host in told["hosts"]
+        ]
         self.prefixes_reached.release()
         assert self.prefixes_held.wait(WAIT_S)
         return found if len(found) <= most else None
@@ -117,11 +130,25 @@
         told = settings(SAFE, KEYED, **{"cores": 2, **changes})
         self.shares = Shares(told.cores, told.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
-        self.core = Core(told, [], 1, self.runners["w"], clock=Clock(*[lambda: self.now_us * 1000] * 2),
-                         standing=self.shares)
+        self.core = Core(
+            told,
+            [],
+            1,
+            self.runners["w"],
+            clock=Clock(*[lambda: self.now_us * 1000] * 2),
+            standing=self.shares,
+        )
         self.core.turn([])
-        self.tenants = Tenants((), ("safe", "keyed"), self.runners.get, self.core, self.shares,
-                               frozenset(self.runners), source=source or self.rows, idle_us=IDLE_US)
+        self.tenants = Tenants(
+            (),
+            ("safe", "keyed"),
+            self.runners.get,
+            self.core,
+            self.shares,
+            frozenset(self.runners),
+            source=source or self.rows,
+            idle_us=IDLE_US,
+        )
         (source or self.rows).on_change = self.tenants.changed
         assert self.tenants._pager is not None
         self.pager = self.tenants._pager
@@ -159,6 +186,7 @@
         def look() -> Match | None:
             with self.tenants.matched(method, host, path) as match:
                 return match
+
         try:
             found: Match | None = self.end(self.begin(look))
         finally:
@@ -167,15 +195,30 @@
 
     def post(self, call: str, match: Match, kind: int = 0, key: str = "") -> None:
         self.answers[call] = []
-        self.core.post(Arrived(Request(call, kind, b"x", self.now_us, self.answers[call].append,
-                                       match.tenant.name, match.number, held_kb=20.0, key=key)))
+        self.core.post(
+            Arrived(
+                Request(
+                    call,
+                    kind,
+                    b"x",
+                    self.now_us,
+                    self.answers[call].append,
+                    match.tenant.name,
+                    match.number,
+                    held_kb=20.0,
+                    key=key,
+                )
+            )
+        )
 
     def ask(self, call: str, host: str = "h", kind: int = 0, key: str = "") -> None:
         """Do as a front does."""
+
         def hand_over() -> None:
             with self.tenants.matched("GET", host, "/x") as match:
                 assert match
                 self.post(call, match, kind, key)
+
         self.end(self.begin(hand_over))
         self.turn()
 
@@ -241,8 +284,10 @@
     assert world.rows.calls["match"] == 3 and world.rows.calls["prefixes"] == 1
 
 
-steps = st.lists(st.tuples(st.sampled_from(["put", "put", "remove", "suspend"]), tenants,
-                           st.lists(asked, max_size=4)), max_size=12)
+steps = st.lists(
+    st.tuples(st.sampled_from(["put", "put", "remove", "suspend"]), tenants, st.lists(asked, max_size=4)),
+    max_size=12,
+)
 
 
 @given(steps)
@@ -267,8 +312,9 @@
 
 @given(steps)
 @bounds(max_examples=25, deadline=None)
-def test_it_finds_whom_the_rule_names_in_a_local_copy(tmp_path_factory: pytest.TempPathFactory,
-                                                      played: list[Any]) -> None:
+def test_it_finds_whom_the_rule_names_in_a_local_copy(
+    tmp_path_factory: pytest.TempPathFactory, played: list[Any]
+) -> None:
     copy = LocalCopy(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
     world, number, rows = World(copy), 0, dict[str, tuple[Tenant, State]]()
     try:
@@ -281,14 +327,22 @@
             number += 1
             state = rows[one.name][1].value if one.name in rows else ""
             told = json.dumps(one.to_json()).encode() if state else b""
-            copy.changed(copy.apply("c1", [Row(number, one.name, 0, "me", state, told)],
-                                    StreamState(1, number, covered=number, goal=number)))
+            copy.changed(
+                copy.apply(
+                    "c1",
+                    [Row(number, one.name, 0, "me", state, told)],
+                    StreamState(1, number, covered=number, goal=number),
+                )
+            )
             world.turn()
             for method, host, path in requests:
-                found, wanted = world.find(host, path, method), rule(
-                    [Entry(tenant, 0, state) for tenant, state in rows.values()], method, host, path)
+                found, wanted = (
+                    world.find(host, path, method),
+                    rule([Entry(tenant, 0, state) for tenant, state in rows.values()], method, host, path),
+                )
                 assert (found and (found.tenant, found.admitted, found.class_name)) == (
-                    wanted and (wanted.tenant, wanted.admitted, wanted.class_name))
+                    wanted and (wanted.tenant, wanted.admitted, wanted.class_name)
+                )
     finally:
         world.tenants.close()
         world.pool.shutdown()
@@ -320,12 +374,14 @@
 CHANGED: list[tuple[Callable[[Rows], None], list[Verdict], str]] = [
     (lambda rows: rows.put(on("a", backend="v")), [], "v"),
     (lambda rows: rows.put(on("a"), "suspended"), [Verdict.REFUSED], ""),
-    (lambda rows: rows.remove("a"), [Verdict.REFUSED], "")]
+    (lambda rows: rows.remove("a"), [Verdict.REFUSED], ""),
+]
 
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
 def test_a_request_read_under_the_old_row_goes_by_the_new_one(
-        world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str) -> None:
+    world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str
+) -> None:
     world.rows.put(on("a"))
     old = world.find()
     assert old
@@ -335,7 +391,8 @@
     world.turn()
     assert world.verdicts("c") == verdicts
     assert [name for name, runner in world.runners.items() if ("start", "c") in runner.said] == [
-        runs_on] * bool(runs_on)
+        runs_on
+    ] * bool(runs_on)
 
 
 def test_a_tenant_that_moves_has_what_runs_where_it_is_and_a_repeat_finds_its_result(world: World) -> None:
@@ -350,8 +407,10 @@
     assert world.verdicts("one") == world.verdicts("again") == [Verdict.SERVED]
     world.over("two")
     assert world.verdicts("two") == world.verdicts("meanwhile") == [Verdict.SERVED]
-    told = {name: [call for word, call, *_ in runner.said if word == "start"]
-            for name, runner in world.runners.items()}
+    told = {
+        name: [call for word, call, *_ in runner.said if word == "start"]
+        for name, runner in world.runners.items()
+    }
     assert told == {"w": ["one", "two"], "v": ["new"]}
 
 
@@ -390,8 +449,8 @@
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
 @pytest.mark.parametrize("posted_first", [False, True])
 def test_a_row_that_changes_before_the_owner_has_heard_of_its_tenant_counts_as_it_was_made(
-        world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str,
-        posted_first: bool) -> None:
+    world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str, posted_first: bool
+) -> None:
     """The owner takes in the tenant, then the change; the request goes by what came before it."""
     world.rows.put(on("a"), tell=False)
     match = world.begin(lambda: world.tenants.match("GET", "h", "/")).result(WAIT_S)
@@ -574,13 +633,19 @@
     readers.close()
 
 
-@pytest.mark.parametrize("changed", [
-    lambda row: replace(row, tenant=row.tenant.replace(b'"w"', b'"elsewhere"')),
-    lambda row: replace(row, tenant=row.tenant.replace(b'"safe"', b'"newer"')),
-    lambda row: replace(row, tenant=row.tenant.replace(b'"prefix"', b'"newer": 1, "prefix"')),
-    lambda row: replace(row, tenant=b"{"), lambda row: replace(row, state="newer")])
+@pytest.mark.parametrize(
+    "changed",
+    [
+        lambda row: replace(row, tenant=row.tenant.replace(b'"w"', b'"elsewhere"')),
+        lambda row: replace(row, tenant=row.tenant.replace(b'"safe"', b'"newer"')),
+        lambda row: replace(row, tenant=row.tenant.replace(b'"prefix"', b'"newer": 1, "prefix"')),
+        lambda row: replace(row, tenant=b"{"),
+        lambda row: replace(row, state="newer"),
+    ],
+)
 def test_a_row_that_this_node_cannot_read_is_not_served_and_told_of(
-        world: World, changed: Callable[[Line], Line]) -> None:
+    world: World, changed: Callable[[Line], Line]
+) -> None:
     world.rows.put(on("a"))
     good = world.rows.lines["a"]
     assert world.find()
@@ -663,6 +728,7 @@
 
 # Shares of who is let go
 
+
 def request(number: int, of: int) -> io.Request:
     return io.Request(number, 0, 0, 0, of, 20.0, 0, 0, 0, 0)
 
@@ -753,6 +819,7 @@
     front.start()
     try:
         with socket.create_connection(front.address, WAIT_S) as sock:
+
             def status(host: str) -> int:
                 sock.sendall(ajp13.write_forward(ajp13.Forward("GET", "/x", server_name=host)))
                 packets, found = ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), 0
@@ -773,8 +840,11 @@
         assert made._pager is not None and not front._in_hand
         assert all(not resident.pins for resident in made._pager._residents.values())
         counted = core.counters.snapshot()
-        assert [counted[name] for name in (
-            "tenants.unserved", "tenant.a.served", "tenant.b.served")] == [1, 2, 1]
+        assert [counted[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
+            1,
+            2,
+            1,
+        ]
     finally:
         rows.held.set()
         front.close()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -57,7 +57,7 @@
     outbox = Outbox(near, limit=8 << 20)
     data = bytes(range(256)) * 4096
     for at in range(0, len(data), 10_000):
-        assert outbox.send(data[at:at + 10_000])
+        assert outbox.send(data[at : at + 10_000])
     got = bytearray()
     while len(got) < len(data):
         got += far.recv(1 << 16)
@@ -112,66 +112,104 @@
     return made
 
 
-@pytest.mark.parametrize(("path", "value", "named"), [
-    ("name", None, "name"), ("name", 3, "name"), ("listen", "nowhere", "listen"),
-    ("runtime", None, "runtime"),
-    ("vault", "x:99999", "vault"), ("directory", "x:y", "directory"), ("seed", "xyz", "seed"),
-    ("stop_ms", 1, "stop_ms"), ("stop_ms", True, "stop_ms"), ("limits", [], "limits"),
-    ("limits.memory_mb", "much", "limits.memory_mb"), ("limits.sockets", 1.5, "limits.sockets"),
-    ("settings", None, "settings"), ("settings.rules", None, "settings: missing key rules"),
-    ("settings.family_info.cores", None, "family_info.cores"), ("settings.family_info.cores", -1, "settings"),
-])
+@pytest.mark.parametrize(
+    ("path", "value", "named"),
+    [
+        ("name", None, "name"),
+        ("name", 3, "name"),
+        ("listen", "nowhere", "listen"),
+        ("runtime", None, "runtime"),
+        ("vault", "x:99999", "vault"),
+        ("directory", "x:y", "directory"),
+        ("seed", "xyz", "seed"),
+        ("stop_ms", 1, "stop_ms"),
+        ("stop_ms", True, "stop_ms"),
+        ("limits", [], "limits"),
+        ("limits.memory_mb", "much", "limits.memory_mb"),
+        ("limits.sockets", 1.5, "limits.sockets"),
+        ("settings", None, "settings"),
+        ("settings.rules", None, "settings: missing key rules"),
+        ("settings.family_info.cores", None, "family_info.cores"),
+        ("settings.family_info.cores", -1, "settings"),
+    ],
+)
 def test_a_fault_in_the_platforms_configuration_is_named(path: str, value: Any, named: str) -> None:
     with pytest.raises(ConfigError, match=named.replace("settings: missing", "missing")):
         parse_platform(changed(PLATFORM, path, value), {})
 
 
 OPERATOR: dict[str, Any] = {
-    "ajp": {"listen": "127.0.0.1:0"}, "admin": {"listen": "127.0.0.1:0", "token": scenario.TOKEN},
+    "ajp": {"listen": "127.0.0.1:0"},
+    "admin": {"listen": "127.0.0.1:0", "token": scenario.TOKEN},
     "classes": [{"name": "book", "effect": "keyed", "deadline_ms": 5000, "window_ms": 9000}],
     "fleet": {"listen": "127.0.0.1:0", "secret_file": "secret", "seeds": ["127.0.0.1:7946"]},
-    "workers": [{"name": "w1"}], "balancers": [{"name": "b", "members": ["w1"]}],
-    "tenants": [{"name": "t", "backend": "b", "routes": [{"class": "book"}]}]}
-
-
-@pytest.mark.parametrize(("path", "value", "named"), [
-    ("ajp.listen", "0.0.0.0:8009", "ajp.secret"), ("ajp.listen", 3, "ajp.listen"),
-    ("ajp.bogus", 1, "ajp.bogus"),
-    ("ajp.packet_size", 100, "ajp.packet_size"), ("admin.listen", "10.0.0.1:1", "admin.listen"),
-    ("admin.token", "short", "admin.token"), ("classes", None, "classes"),
-    ("classes.0.name", None, "name"),
-    ("classes.0.effect", "odd", r"classes\[0\].effect"), ("classes.0.window_ms", None, "window_ms"),
-    ("workers.0.port", 0, r"workers\[0\].port"), ("workers.0.name", "runtime", r"workers\[0\].name"),
-    ("balancers.0.members", ["w9"], r"balancers\[0\].members"), ("balancers.0.name", "w1", "workers"),
-    ("tenants.0.backend", "w9", r"tenants\[0\].backend"), ("tenants.0.name", "a b", r"tenants\[0\].name"),
-    ("tenants.0.routes.0.class", "none", r"tenants\[0\].routes\[0\].class"),
-    ("fleet.listen", "localhost:7946", "fleet.listen"), ("fleet.seeds", ["there"], r"fleet.seeds\[0\]"),
-    ("fleet.secret_file", None, "fleet.secret_file"), ("fleet.zone", "z" * 65, "fleet.zone"),
-    ("fleet.bogus", 1, "fleet.bogus"), ("fleet.advertise", "there:1", "fleet.advertise"),
-    ("tenants.0.prefix", "x", r"tenants\[0\].prefix"), ("bogus", 1, "bogus"), ("node.seed", "g", "node.seed"),
-])
+    "workers": [{"name": "w1"}],
+    "balancers": [{"name": "b", "members": ["w1"]}],
+    "tenants": [{"name": "t", "backend": "b", "routes": [{"class": "book"}]}],
+}
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "named"),
+    [
+        ("ajp.listen", "0.0.0.0:8009", "ajp.secret"),
+        ("ajp.listen", 3, "ajp.listen"),
+        ("ajp.bogus", 1, "ajp.bogus"),
+        ("ajp.packet_size", 100, "ajp.packet_size"),
+        ("admin.listen", "10.0.0.1:1", "admin.listen"),
+        ("admin.token", "short", "admin.token"),
+        ("classes", None, "classes"),
+        ("classes.0.name", None, "name"),
+        ("classes.0.effect", "odd", r"classes\[0\].effect"),
+        ("classes.0.window_ms", None, "window_ms"),
+        ("workers.0.port", 0, r"workers\[0\].port"),
+        ("workers.0.name", "runtime", r"workers\[0\].name"),
+        ("balancers.0.members", ["w9"], r"balancers\[0\].members"),
+        ("balancers.0.name", "w1", "workers"),
+        ("tenants.0.backend", "w9", r"tenants\[0\].backend"),
+        ("tenants.0.name", "a b", r"tenants\[0\].name"),
+        ("tenants.0.routes.0.class", "none", r"tenants\[0\].routes\[0\].class"),
+        ("fleet.listen", "localhost:7946", "fleet.listen"),
+        ("fleet.seeds", ["there"], r"fleet.seeds\[0\]"),
+        ("fleet.secret_file", None, "fleet.secret_file"),
+        ("fleet.zone", "z" * 65, "fleet.zone"),
+        ("fleet.bogus", 1, "fleet.bogus"),
+        ("fleet.advertise", "there:1", "fleet.advertise"),
+        ("tenants.0.prefix", "x", r"tenants\[0\].prefix"),
+        ("bogus", 1, "bogus"),
+        ("node.seed", "g", "node.seed"),
+    ],
+)
 def test_a_fault_in_the_operators_file_is_named(path: str, value: Any, named: str) -> None:
     parse_operator(OPERATOR)
     with pytest.raises(ConfigError, match=f"^{named}|{named}: "):
         parse_operator(changed(OPERATOR, path, value))
 
 
-REPLICATED = changed({**OPERATOR, "replication": {"copy": "tenants.db", "control": ["c1", "c2"]}},
-                     "tenants", None)
-
-
-@pytest.mark.parametrize(("path", "value", "named"), [
-    ("replication.copy", None, "replication.copy"), ("replication.control", None, "replication.control"),
-    ("replication.copy", "", "replication.copy"), ("replication.bogus", 1, "replication.bogus"),
-    ("replication.control", [], "replication.control"), ("replication", ["c1"], "replication"),
-    ("replication.control", "c1", "replication.control"),
-    ("replication.control", [f"c{number}" for number in range(9)], "replication.control"),
-    ("replication.control", ["c1", "c1"], "replication.control"),
-    ("replication.control", ["c1", "c" * 65], r"replication.control\[1\]"),
-    ("replication.control", ["a/b"], r"replication.control\[0\]"),
-    ("tenants", OPERATOR["tenants"], "tenants"), ("admin.state_dir", "state", "admin.state_dir"),
-    ("admin.state_file", "state.json", "admin.state_file"),
-])
+REPLICATED = changed(
+    {**OPERATOR, "replication": {"copy": "tenants.db", "control": ["c1", "c2"]}}, "tenants", None
+)
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "named"),
+    [
+        ("replication.copy", None, "replication.copy"),
+        ("replication.control", None, "replication.control"),
+        ("replication.copy", "", "replication.copy"),
+        ("replication.bogus", 1, "replication.bogus"),
+        ("replication.control", [], "replication.control"),
+        ("replication", ["c1"], "replication"),
+        ("replication.control", "c1", "replication.control"),
+        ("replication.control", [f"c{number}" for number in range(9)], "replication.control"),
+        ("replication.control", ["c1", "c1"], "replication.control"),
+        ("replication.control", ["c1", "c" * 65], r"replication.control\[1\]"),
+        ("replication.control", ["a/b"], r"replication.control\[0\]"),
+        ("tenants", OPERATOR["tenants"], "tenants"),
+        ("admin.state_dir", "state", "admin.state_dir"),
+        ("admin.state_file", "state.json", "admin.state_file"),
+    ],
+)
 def test_a_fault_in_the_replication_of_an_operators_file_is_named(path: str, value: Any, named: str) -> None:
     made = parse_operator(REPLICATED).replication
     assert made is not None and (made.copy, made.control) == ("tenants.db", ("c1", "c2"))
@@ -184,8 +222,7 @@
         parse_operator(changed(changed(REPLICATED, "admin.state_dir", "state"), "admin.durable_keys", True))
 
 
-@pytest.mark.parametrize(("control", "fits"), [
-    (["n1"], True), (["own"], False), (["n1", "own"], False)])
+@pytest.mark.parametrize(("control", "fits"), [(["n1"], True), (["own"], False), (["n1", "own"], False)])
 def test_without_a_fleet_only_the_node_itself_can_write_the_table(control: list[str], fits: bool) -> None:
     """The platform's name for the node goes before the operator's."""
     table = changed(changed(REPLICATED, "fleet", None), "replication.control", control)
@@ -228,11 +265,13 @@
 worker.lost.host=1.2.3.4
 """
 JK_LEFT = [
-    "w:7: worker n1: socket_timeout has no counterpart", "w:7: worker n2: socket_timeout has no counterpart",
+    "w:7: worker n1: socket_timeout has no counterpart",
+    "w:7: worker n2: socket_timeout has no counterpart",
     "w:18: balancer lb: method=N has no counterpart",
     "w:20: worker alone: port=many is no value that can be read",
     "w:22: worker status: the type status has no counterpart",
-    "w:23: worker lost is neither in worker.list nor in a balancer"]
+    "w:23: worker lost is neither in worker.list nor in a balancer",
+]
 
 
 def test_worker_files_are_imported_and_the_rest_is_reported_by_line() -> None:
@@ -241,14 +280,16 @@
     assert made.workers == {
         "n1": {"name": "n1", "host": "10.0.0.9", "port": 8101, "factor": 3},
         "n2": {"name": "n2", "host": "10.0.0.9", "port": 8102, "activation": "disabled"},
-        "alone": {"name": "alone", "host": "127.0.0.1", "reply_timeout_ms": 2000}}
+        "alone": {"name": "alone", "host": "127.0.0.1", "reply_timeout_ms": 2000},
+    }
     assert made.balancers == {"lb": {"name": "lb", "members": ["n1", "n2"], "sticky": False}}
     assert sorted(map(str, made.left)) == sorted(JK_LEFT)
     httpd.read("JkMount /a/* lb\n", "h", made)
     made.left.clear()
     made.leave_unmounted()
     assert list(map(str, made.left)) == [
-        "w:3: alone: no JkMount or ProxyPass leads to it, so no tenant names it"]
+        "w:3: alone: no JkMount or ProxyPass leads to it, so no tenant names it"
+    ]
 
 
 HTTPD = """\
@@ -272,24 +313,41 @@
     "h:3: ajp://127.0.0.1:8202/app: the path /app is dropped, paths are forwarded unchanged",
     "h:3: status=+H: the flag H has no counterpart",
     "h:4: http://127.0.0.1:80: only ajp:// has a counterpart",
-    "h:7: nofailover=On has no counterpart", "h:8: ProxyPass /old to /new: paths are forwarded unchanged",
+    "h:7: nofailover=On has no counterpart",
+    "h:8: ProxyPass /old to /new: paths are forwarded unchanged",
     "h:10: ProxyPass /static !: paths that are left out have no counterpart",
     "h:11: ProxyPassMatch has no counterpart",
     "h:12: ProxyPass /: only balancer:// and ajp:// have a counterpart",
-    "h:14: JkMount /jk/*: no worker is named nobody"]
+    "h:14: JkMount /jk/*: no worker is named nobody",
+]
 
 
 def test_apaches_balancers_are_imported_and_the_rest_is_reported_by_line(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     made = Imported()
     httpd.read(HTTPD, "h", made)
-    assert made.balancers == {"clinics": {"name": "clinics", "sticky": True, "method": "busyness",
-                                          "members": ["127.0.0.1-8201", "127.0.0.1-8202"]}}
+    assert made.balancers == {
+        "clinics": {
+            "name": "clinics",
+            "sticky": True,
+            "method": "busyness",
+            "members": ["127.0.0.1-8201", "127.0.0.1-8202"],
+        }
+    }
     assert made.workers["127.0.0.1-8201"] == {
-        "name": "127.0.0.1-8201", "host": "127.0.0.1", "port": 8201, "factor": 2, "route": "a",
-        "cping_timeout_ms": 500}
+        "name": "127.0.0.1-8201",
+        "host": "127.0.0.1",
+        "port": 8201,
+        "factor": 2,
+        "route": "a",
+        "cping_timeout_ms": 500,
+    }
     assert {name: made.tenants[name]["prefix"] for name in made.tenants} == {
-        "clinics": "/clinics", "old": "/old", "jk": "/jk"}
+        "clinics": "/clinics",
+        "old": "/old",
+        "jk": "/jk",
+    }
     assert list(map(str, made.left)) == HTTPD_LEFT
     own = parse_operator(tomllib.loads(made.to_toml()))
     assert [balancer.method for balancer in own.balancers] == ["busyness"]
@@ -317,8 +375,9 @@
     path.write_text(json.dumps({**PLATFORM, "listen": f"127.0.0.1:{place[1]}", "stop_ms": 1000}))
     command = deployed("run")
     assert " -O " in command[-1]
-    process = subprocess.Popen(command, cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)},
-                               stderr=subprocess.PIPE)
+    process = subprocess.Popen(
+        command, cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE
+    )
     try:
         until = time.monotonic() + 30
         while time.monotonic() < until:
@@ -343,9 +402,14 @@
         process.kill()
 
 
-@pytest.mark.parametrize(("environ", "named"), [
-    ({}, "PROXY_CONFIG"), ({"PROXY_CONFIG": "/nowhere"}, "PROXY_CONFIG"),
-    ({"REELUSHER_OPERATOR": "/nowhere"}, "REELUSHER_OPERATOR")])
+@pytest.mark.parametrize(
+    ("environ", "named"),
+    [
+        ({}, "PROXY_CONFIG"),
+        ({"PROXY_CONFIG": "/nowhere"}, "PROXY_CONFIG"),
+        ({"REELUSHER_OPERATOR": "/nowhere"}, "REELUSHER_OPERATOR"),
+    ],
+)
 def test_a_node_that_is_told_nothing_says_what_is_missing(environ: dict[str, str], named: str) -> None:
     with pytest.raises(ConfigError, match=named):
         load(environ)
@@ -354,8 +418,15 @@
 def test_a_fault_in_the_configuration_ends_the_program_with_the_key_and_a_status(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(PLATFORM, "runtime", None)))
-    done = subprocess.run(deployed("run"), cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=60, check=False)
+    done = subprocess.run(
+        deployed("run"),
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     assert done.returncode == 2 and "runtime: missing" in done.stderr
 
 
@@ -363,8 +434,9 @@
     """The interpreter takes a while to come to the first line: a reload of all nodes may meet one there."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**PLATFORM, "listen": "127.0.0.1:0", "stop_ms": 1000}))
-    process = subprocess.Popen(deployed("run"), cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)},
-                               stderr=subprocess.PIPE)
+    process = subprocess.Popen(
+        deployed("run"), cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE
+    )
     assert process.stderr is not None
     os.set_blocking(process.stderr.fileno(), False)
     try:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -47,10 +47,20 @@
         self.runtime.ready = case != "runtime late"
         self.place = f"127.0.3.{number + 1}", port
         self.path = folder / f"{number}.json"
-        self.path.write_text(json.dumps({
-            "name": f"n{number}", "seed": "8c1f", "stop_ms": 2000, "settings": SETTINGS,
-            "listen": "{}:{}".format(*self.place), "runtime": "{}:{}".format(*self.runtime.address),
-            "directory": "{}:{}".format(*catalog), "limits": {"sockets": 512}}))
+        self.path.write_text(
+            json.dumps(
+                {
+                    "name": f"n{number}",
+                    "seed": "8c1f",
+                    "stop_ms": 2000,
+                    "settings": SETTINGS,
+                    "listen": "{}:{}".format(*self.place),
+                    "runtime": "{}:{}".format(*self.runtime.address),
+                    "directory": "{}:{}".format(*catalog),
+                    "limits": {"sockets": 512},
+                }
+            )
+        )
         self.process: subprocess.Popen[bytes] | None = None
         self.late = case == "runtime late"
         self.began_s = self.ready_s = 0.0
@@ -58,8 +68,11 @@
     def start(self) -> None:
         self.began_s, self.ready_s = time.monotonic(), 0.0
         self.process = subprocess.Popen(
-            deployed("run"), cwd=ROOT, stderr=subprocess.DEVNULL,
-            env={**os.environ, "PROXY_CONFIG": str(self.path)})
+            deployed("run"),
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "PROXY_CONFIG": str(self.path)},
+        )
 
     def end(self) -> None:
         if self.process is not None:
@@ -149,10 +162,16 @@
             until = time.monotonic() + READY_S
             while len(catalog.first) < count and time.monotonic() < until:
                 time.sleep(0.02)
-            listed = [catalog.first.get(f"n{number}", float("inf")) - machine.began_s
-                      for number, machine in enumerate(machines)]
-            took = sorted(max(ready, report) for ready, report in zip(
-                (machine.ready_s or 2 * READY_S for machine in machines), listed, strict=True))
+            listed = [
+                catalog.first.get(f"n{number}", float("inf")) - machine.began_s
+                for number, machine in enumerate(machines)
+            ]
+            took = sorted(
+                max(ready, report)
+                for ready, report in zip(
+                    (machine.ready_s or 2 * READY_S for machine in machines), listed, strict=True
+                )
+            )
         one = machines[0]
         one.end()
         one.runtime.came = queue.Queue()
@@ -168,6 +187,9 @@
 if __name__ == "__main__":
     for name in CASES:
         all_of_them, single = restarted(name)
-        print(f"{name}: all at once median {all_of_them[COUNT // 2]:.2f} s, nine in ten "
-              f"{all_of_them[COUNT * 9 // 10 - 1]:.2f} s, last {all_of_them[-1]:.2f} s; singly "
-              f"{single[0]:.2f} s; load {os.getloadavg()[0]:.1f}", flush=True)
+        print(
+            f"{name}: all at once median {all_of_them[COUNT // 2]:.2f} s, nine in ten "
+            f"{all_of_them[COUNT * 9 // 10 - 1]:.2f} s, last {all_of_them[-1]:.2f} s; singly "
+            f"{single[0]:.2f} s; load {os.getloadavg()[0]:.1f}",
+            flush=True,
+        )
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -46,25 +46,37 @@
 def config(folder: Path, name: str, seeds: list[str], **changes: Any) -> dict[str, Any]:
     """Return an operator's file of a node that has a copy of the table."""
     made = {
-        "node": {"name": name}, "ajp": {"listen": "127.0.0.1:0"},
+        "node": {"name": name},
+        "ajp": {"listen": "127.0.0.1:0"},
         "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
         "fleet": {"listen": "127.0.0.1:0", "secret_file": str(folder / "secret"), "seeds": seeds},
         "replication": {"copy": str(folder / f"{name}.db"), "control": CONTROL},
-        "classes": [{"name": "day-view", "deadline_ms": 5000}], "workers": [{"name": "w1"}, {"name": "w2"}]}
+        "classes": [{"name": "day-view", "deadline_ms": 5000}],
+        "workers": [{"name": "w1"}, {"name": "w2"}],
+    }
     return made | changes
 
 
 def called(place: Address, method: str, path: str, value: Any = None, **headers: str) -> Called:
     """Call an administration API."""
     line = http.client.HTTPConnection(*place, timeout=15)
-    line.request(method, path, None if value is None else json.dumps(value), {
-        "Authorization": f"Bearer {TOKEN}",
-        **{name.replace("_", "-"): text for name, text in headers.items()}})
+    line.request(
+        method,
+        path,
+        None if value is None else json.dumps(value),
+        {
+            "Authorization": f"Bearer {TOKEN}",
+            **{name.replace("_", "-"): text for name, text in headers.items()},
+        },
+    )
     answer = line.getresponse()
     body = answer.read()
     line.close()
-    return answer.status, json.loads(body) if body else None, {
-        name.lower(): text for name, text in answer.getheaders()}
+    return (
+        answer.status,
+        json.loads(body) if body else None,
+        {name.lower(): text for name, text in answer.getheaders()},
+    )
 
 
 REFUSED = "(refused)"  # no name
@@ -84,8 +96,9 @@
             told.pop(without, None)
             node = self.all[name] = Node(merge(None, parse(told)))
             node.start()
-        assert soon(lambda: all(len(node.fleet.live()) == len(self.all)
-                                for node in self.all.values() if node.fleet))
+        assert soon(
+            lambda: all(len(node.fleet.live()) == len(self.all) for node in self.all.values() if node.fleet)
+        )
         assert soon(lambda: not any(self.refusal(at) for at in self.all if at in CONTROL))
 
     def stop(self, name: str) -> None:
@@ -113,8 +126,9 @@
     def refusal(self, at: str) -> str:
         """Return why a control member does not write at present."""
         own = self.replication(at).writer
-        return next((why for stream in own.replica.control
-                     if own.holds(stream) and (why := own.refusal(stream))), "")
+        return next(
+            (why for stream in own.replica.control if own.holds(stream) and (why := own.refusal(stream))), ""
+        )
 
     def positions(self, at: str) -> list[int]:
         """Return how far a node is in each stream."""
@@ -207,15 +221,25 @@
     assert trail[-1]["after"] is None
 
 
-@pytest.mark.parametrize(("value", "status", "named"), [
-    (tenant(C2[0], backend="w9"), 400, "backend"), (tenant(C2[0], bogus=1), 400, "bogus"),
-    (tenant(C2[0], prefix="x"), 400, "prefix"), ({"name": C2[0]}, 400, "backend"),
-    (tenant("a b"), 400, "name"), ({"backend": "w1"}, 400, "name"), ([], 400, "the whole"),
-    (tenant(C2[0], share={"guarantee": 0.8}), 400, "share.guarantee"),
-    (tenant(C2[0], hosts=["h" * 60_000]), 400, C2[0]),
-    (tenant(C2[0], prefix="/\ud800"), 400, C2[0]), (tenant(C2[1]), 409, "name")])
+@pytest.mark.parametrize(
+    ("value", "status", "named"),
+    [
+        (tenant(C2[0], backend="w9"), 400, "backend"),
+        (tenant(C2[0], bogus=1), 400, "bogus"),
+        (tenant(C2[0], prefix="x"), 400, "prefix"),
+        ({"name": C2[0]}, 400, "backend"),
+        (tenant("a b"), 400, "name"),
+        ({"backend": "w1"}, 400, "name"),
+        ([], 400, "the whole"),
+        (tenant(C2[0], share={"guarantee": 0.8}), 400, "share.guarantee"),
+        (tenant(C2[0], hosts=["h" * 60_000]), 400, C2[0]),
+        (tenant(C2[0], prefix="/\ud800"), 400, C2[0]),
+        (tenant(C2[1]), 409, "name"),
+    ],
+)
 def test_a_wrong_row_is_refused_with_its_key_and_numbered_nowhere(
-        pair: Nodes, value: Any, status: int, named: str) -> None:
+    pair: Nodes, value: Any, status: int, named: str
+) -> None:
     before = pair.positions("c1"), pair.positions("c2")
     for at in ("c1", "c2"):
         answer = pair.call(at, "POST", "/v1/tenants", value)
@@ -269,8 +293,9 @@
 
     replica.rows.apply = slow  # type: ignore[method-assign]
     answers: list[Called] = []
-    caller = threading.Thread(target=lambda: answers.append(
-        nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))))
+    caller = threading.Thread(
+        target=lambda: answers.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
+    )
     caller.start()
     assert asked.wait(10)
     caller.join(0.3)
@@ -282,7 +307,8 @@
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
 def test_a_change_that_the_disk_refuses_is_not_made_and_the_next_gets_its_number(
-        nodes: Nodes, at: str) -> None:
+    nodes: Nodes, at: str
+) -> None:
     nodes.start("c1", "c2")
     replica = nodes.replica("c2")
     apply, before = replica.rows.apply, nodes.positions("c2")
@@ -299,7 +325,8 @@
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
 def test_while_its_copy_can_not_be_read_a_member_answers_so_and_changes_nothing(
-        nodes: Nodes, at: str) -> None:
+    nodes: Nodes, at: str
+) -> None:
     nodes.start("c1", "c2")
     copy, before = nodes.replication("c2").copy, nodes.positions("c2")
 
@@ -324,7 +351,8 @@
 
 
 def test_while_one_change_is_made_another_waits_for_so_long_and_is_then_refused(
-        nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
+    nodes: Nodes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(replicated, "CHANGING_S", 0.1)
     nodes.start("c1")
     with nodes.table("c1").changing():
@@ -359,7 +387,8 @@
 
 @pytest.mark.parametrize("winner_first", [True, False])
 def test_a_host_that_two_tenants_take_through_two_writers_is_the_same_ones_on_all(
-        nodes: Nodes, winner_first: bool) -> None:
+    nodes: Nodes, winner_first: bool
+) -> None:
     nodes.start("c1", "c2", "n1")
     won, lost = sorted((C1[0], C2[0]))
     for name in (won, lost) if winner_first else (lost, won):
@@ -371,7 +400,8 @@
     for at in nodes.all:
         assert soon(lambda: nodes.owner(at, "same.example") == won)  # noqa: B023
         assert nodes.call(at, "GET", f"/v1/tenants/{lost}")[1]["shadowed"] == [
-            {"host": "same.example", "tenant": won}]
+            {"host": "same.example", "tenant": won}
+        ]
     value = nodes.call("n1", "PATCH", f"/v1/tenants/{won}?dry_run=true", {"hosts": ["other.example"]})[1]
     assert "shadows" not in value["after"]
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{won}", {"hosts": ["other.example"]})[0] == 200
@@ -405,12 +435,18 @@
     assert (told["own"], told["control"], told["tenants"]) == ("n1", CONTROL, 3)
     assert told["guaranteed"] == pytest.approx(0.3) and told["orphans"] == []
     assert [(one["stream"], one["holder"], one["position"]) for one in told["streams"]] == [
-        ("c1", "c1", "8.1"), ("c2", "c2", "9.2")]
+        ("c1", "c1", "8.1"),
+        ("c2", "c2", "9.2"),
+    ]
 
     def counted() -> list[Any]:
         streams = nodes.call("n1", "GET", "/v1/fleet/changes")[1]["streams"]
-        return [(one["counted"]["have"], one["counted"]["members"], one["counted"]["everywhere"]["position"])
-                if one["counted"] and one["counted"]["everywhere"] else None for one in streams]
+        return [
+            (one["counted"]["have"], one["counted"]["members"], one["counted"]["everywhere"]["position"])
+            if one["counted"] and one["counted"]["everywhere"]
+            else None
+            for one in streams
+        ]
 
     assert soon(lambda: counted() == [(2, 2, "8.1"), (2, 2, "9.2")])
     nodes.deaf("n1")
@@ -453,8 +489,11 @@
     nodes.stop("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[3]))[0] == 503
     for at, where, status, named in (
-            ("n1", path, 409, "c1, c2"), ("c1", "/v1/fleet/take-over/x", 404, "c1, c2"),
-            ("c1", "/v1/fleet/take-over/c1", 409, "already"), ("c1", path, 503, "9.3")):
+        ("n1", path, 409, "c1, c2"),
+        ("c1", "/v1/fleet/take-over/x", 404, "c1, c2"),
+        ("c1", "/v1/fleet/take-over/c1", 409, "already"),
+        ("c1", path, 503, "9.3"),
+    ):
         found = nodes.call(at, "POST", where)
         assert found[0] == status and named in found[1]["error"]
     status, value, _ = nodes.call("c1", "POST", path + "?dry_run=true")
@@ -525,8 +564,23 @@
     nodes.start("c1")
     nodes.stop("c1")
     with pytest.raises(ConfigError, match=r"^replication\.copy: .*fleet"):
-        Node(merge(None, parse(config(nodes.folder, "c1", [], fleet={
-            "name": "other", "listen": "127.0.0.1:0", "secret_file": str(nodes.folder / "secret")}))))
+        Node(
+            merge(
+                None,
+                parse(
+                    config(
+                        nodes.folder,
+                        "c1",
+                        [],
+                        fleet={
+                            "name": "other",
+                            "listen": "127.0.0.1:0",
+                            "secret_file": str(nodes.folder / "secret"),
+                        },
+                    )
+                ),
+            )
+        )
 
 
 # Members that are away
@@ -538,7 +592,8 @@
     assert status == 503 and "c2" in value["error"] and 2 <= int(headers["retry-after"]) <= 6
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))[0] == 201
     assert nodes.call("c1", "GET", "/v1/tenants")[1]["tenants"] == [
-        nodes.call("c1", "GET", f"/v1/tenants/{C1[0]}")[1]]
+        nodes.call("c1", "GET", f"/v1/tenants/{C1[0]}")[1]
+    ]
     nodes.start("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]))[0] == 201
     nodes.stop("c2")  # not known to be dead yet
@@ -547,7 +602,8 @@
 
 
 def test_a_change_whose_answer_is_lost_may_have_been_made_and_that_is_told(
-        nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
+    nodes: Nodes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     nodes.start("c1", "c2")
     holder = nodes.all["c2"].fleet
     assert holder is not None
@@ -585,8 +641,12 @@
     path = folder / "operator.toml"
     path.write_text(tomli_w.dumps(told))
     with (folder / "log").open("wb") as out:
-        made = subprocess.Popen([sys.executable, "-O", "-m", "reelusher"], cwd=ROOT, stderr=out, env={
-            **os.environ, "REELUSHER_OPERATOR": str(path), "PYTHONPATH": str(ROOT)})
+        made = subprocess.Popen(
+            [sys.executable, "-O", "-m", "reelusher"],
+            cwd=ROOT,
+            stderr=out,
+            env={**os.environ, "REELUSHER_OPERATOR": str(path), "PYTHONPATH": str(ROOT)},
+        )
     try:
         yield made
     finally:
@@ -596,25 +656,34 @@
 
 def free_places(count: int) -> list[tuple[str, int]]:
     with contextlib.ExitStack() as held:
-        return [held.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname()
-                for _ in range(count)]
+        return [
+            held.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(count)
+        ]
 
 
 def test_alone_with_all_others_and_all_writers_away_a_node_starts_and_serves_from_its_copy(
-        tmp_path: Path) -> None:
+    tmp_path: Path,
+) -> None:
     copy = LocalCopy(tmp_path / "n1.db", "reelusher", CONTROL)
     replica = Replica("x", CONTROL, copy, Random(1))
     for number, name in enumerate((C1[0], C2[0]), 1):
         data = json.dumps(tenant(name)).encode()
-        replica.accept(stream_of(name, CONTROL), stream_of(name, CONTROL),
-                       Entry(0, name, number, "x", "active", data))
+        replica.accept(
+            stream_of(name, CONTROL), stream_of(name, CONTROL), Entry(0, name, number, "x", "active", data)
+        )
     copy.close()
     ajp, admin, away = ("{}:{}".format(*place) for place in free_places(3))
     (tmp_path / "secret").write_text("a secret of sixteen or more")
     world: dict[str, Any] = {"names": {}}
     worker = parties.Container(world)
-    told = config(tmp_path, "n1", [away], ajp={"listen": ajp}, admin={"listen": admin, "token": TOKEN},
-                  workers=[{"name": "w1", "port": worker.address[1]}])
+    told = config(
+        tmp_path,
+        "n1",
+        [away],
+        ajp={"listen": ajp},
+        admin={"listen": admin, "token": TOKEN},
+        workers=[{"name": "w1", "port": worker.address[1]}],
+    )
     with process(tmp_path, told) as made:
         world["places"] = {"ajp": address_of(ajp, "ajp")}
         web = parties.Web(world)
@@ -646,8 +715,13 @@
 
 def test_a_writer_that_is_killed_has_lost_nothing_that_it_acknowledged(tmp_path: Path) -> None:
     (admin,) = free_places(1)
-    told = config(tmp_path, "c1", [], admin={"listen": "{}:{}".format(*admin), "token": TOKEN},
-                  replication={"copy": str(tmp_path / "c1.db"), "control": ["c1"]})
+    told = config(
+        tmp_path,
+        "c1",
+        [],
+        admin={"listen": "{}:{}".format(*admin), "token": TOKEN},
+        replication={"copy": str(tmp_path / "c1.db"), "control": ["c1"]},
+    )
     del told["fleet"]
     tags: dict[str, str] = {}
     for round_ in range(2):
@@ -712,17 +786,42 @@
     if where == "without [replication]":
         del value["replication"]
     own.write_text(tomli_w.dumps(value))
-    told.write_text(json.dumps({
-        "name": "n1", "settings": SETTINGS, "listen": "127.0.0.1:0", "operator": "127.0.0.1:0",
-        **dict.fromkeys(("runtime", "vault", "directory"), "127.0.0.1:1")}))
+    told.write_text(
+        json.dumps(
+            {
+                "name": "n1",
+                "settings": SETTINGS,
+                "listen": "127.0.0.1:0",
+                "operator": "127.0.0.1:0",
+                **dict.fromkeys(("runtime", "vault", "directory"), "127.0.0.1:1"),
+            }
+        )
+    )
     names = {"PROXY_CONFIG": str(told)} if where == "on the platform" else {"REELUSHER_OPERATOR": str(own)}
-    done = subprocess.run([sys.executable, "-c", LOADS], cwd=ROOT, capture_output=True, text=True, timeout=60,
-                          env={**os.environ, **names, "PYTHONPATH": str(ROOT)}, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", LOADS],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={**os.environ, **names, "PYTHONPATH": str(ROOT)},
+        check=True,
+    )
     loaded = set(json.loads(done.stdout))
-    replicated = {"sqlite3", "reelusher.fleet.replication", "reelusher.tenancy.replicated",
-                  "reelusher.admin.replicated_api"}
+    replicated = {
+        "sqlite3",
+        "reelusher.fleet.replication",
+        "reelusher.tenancy.replicated",
+        "reelusher.admin.replicated_api",
+    }
     assert loaded & replicated == (replicated if where == "with [replication]" else set())
     if where == "on the platform":
-        rest = ("reelusher.admin", "reelusher.fleet", "reelusher.fronts.ajp", "reelusher.tenancy", "msgspec",
-                "reelusher.upgrade")
+        rest = (
+            "reelusher.admin",
+            "reelusher.fleet",
+            "reelusher.fronts.ajp",
+            "reelusher.tenancy",
+            "msgspec",
+            "reelusher.upgrade",
+        )
         assert [name for name in loaded if name.startswith(rest)] == []
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -17,11 +17,31 @@
 
 from reelusher.fleet.replication import streams
 from reelusher.fleet.replication.messages import (
-    MOST_PIECE, MOST_REPLY, MOST_TENANT, EntriesReply, EntriesRequest, Entry, Piece)
+    MOST_PIECE,
+    MOST_REPLY,
+    MOST_TENANT,
+    EntriesReply,
+    EntriesRequest,
+    Entry,
+    Piece,
+)
 from reelusher.fleet.replication.rows import Broken, MemoryRows, StreamState
 from reelusher.fleet.replication.streams import (
-    FILL_PER_S, JITTER_S, LEAST_S, Behind, Position, Replica, control_digest, first_epoch, holder_of,
-    next_epoch, pack, shared_upto, stream_of, unpack)
+    FILL_PER_S,
+    JITTER_S,
+    LEAST_S,
+    Behind,
+    Position,
+    Replica,
+    control_digest,
+    first_epoch,
+    holder_of,
+    next_epoch,
+    pack,
+    shared_upto,
+    stream_of,
+    unpack,
+)
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
@@ -37,8 +57,10 @@
 
 
 def all_alike(fleet: Replicas) -> bool:
-    return all(live(fleet, name) == live(fleet, "c1") for name in fleet.all) and len(
-        {tuple(one.announce()) for one in fleet.all.values()}) == 1
+    return (
+        all(live(fleet, name) == live(fleet, "c1") for name in fleet.all)
+        and len({tuple(one.announce()) for one in fleet.all.values()}) == 1
+    )
 
 
 def piece(state: StreamState, entries: list[Entry], since: int = 0, **more: Any) -> Piece:
@@ -76,10 +98,17 @@
     assert (holder_of(one, CONTROL), holder_of(other, CONTROL)) == CONTROL
 
 
-@pytest.mark.parametrize(("first", "second", "upto"), [
-    ([], [], float("inf")), ([], [(17, 5)], 5), ([(17, 5)], [(17, 5)], float("inf")),
-    ([(17, 5)], [(18, 9)], 5), ([(17, 5)], [(17, 5), (24, 7)], 7),
-    ([(17, 5), (24, 7)], [(17, 5), (25, 6)], 6)])
+@pytest.mark.parametrize(
+    ("first", "second", "upto"),
+    [
+        ([], [], float("inf")),
+        ([], [(17, 5)], 5),
+        ([(17, 5)], [(17, 5)], float("inf")),
+        ([(17, 5)], [(18, 9)], 5),
+        ([(17, 5)], [(17, 5), (24, 7)], 7),
+        ([(17, 5), (24, 7)], [(17, 5), (25, 6)], 6),
+    ],
+)
 def test_histories_are_one_up_to_where_the_first_of_them_leaves(first: Any, second: Any, upto: float) -> None:
     assert shared_upto(first, second) == shared_upto(second, first) == upto
 
@@ -112,7 +141,8 @@
 
 @pytest.mark.parametrize("first", ["n1", "n2"])
 def test_a_removal_and_an_addition_of_one_name_that_cross_end_as_the_writer_made_them(
-        folder: Path | None, first: str) -> None:
+    folder: Path | None, first: str
+) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.settle()
@@ -129,7 +159,8 @@
 
 
 def test_a_reply_that_is_cut_leaves_no_trace_and_one_that_comes_late_is_not_taken(
-        folder: Path | None) -> None:
+    folder: Path | None,
+) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
     asked = fleet.ask("n1", "c1")
@@ -190,10 +221,13 @@
     assert pull is not None and pull.place == "n4"
 
 
-@pytest.mark.parametrize(("rows", "least_s", "most_s"), [
-    (1, 0.8 * LEAST_S, 1.2 * LEAST_S), (1000, 0.8 * 3.5 / FILL_PER_S, 1.2 * 4.5 / FILL_PER_S)])
+@pytest.mark.parametrize(
+    ("rows", "least_s", "most_s"),
+    [(1, 0.8 * LEAST_S, 1.2 * LEAST_S), (1000, 0.8 * 3.5 / FILL_PER_S, 1.2 * 4.5 / FILL_PER_S)],
+)
 def test_the_next_pull_waits_for_the_bytes_of_the_last_and_not_for_its_streams(
-        rows: int, least_s: float, most_s: float) -> None:
+    rows: int, least_s: float, most_s: float
+) -> None:
     """Six streams with a change each made six pieces, and a wait of 1.2 s as after six full ones."""
     control = tuple(f"c{number}" for number in range(1, 7))
     fleet = Replicas(1, None, control)
@@ -270,16 +304,27 @@
     return pytest.param(more, label, id=f"{label}-{'-'.join(more)}")
 
 
-@pytest.mark.parametrize(("more", "word"), [
-    bad("stream", stream="c9"), bad("epoch", epoch=3), bad("epoch", epoch=8 + 7),
-    bad("bases", bases=((8, 1),)), bad("bases", epoch=16), bad("bases", epoch=16, bases=((16, 4), (16, 4))),
-    bad("bases", epoch=24, bases=((16, 9), (24, 4))), bad("numbers", upto=1), bad("numbers", goal=1),
-    bad("numbers", since=1), bad("numbers", entries=[entry(C1[0], 2), entry(C1[1], 1)]),
-    bad("numbers", entries=[entry(C1[0], 1), entry(C1[0], 2)]), bad("numbers", entries=[entry(C1[0], 3)]),
-    bad("name", entries=[entry(C2[0], 1)]),
-    bad("epoch", entries=[Entry(1, C1[0], 0, "", "active", b"{}", "", 9)])])
-def test_what_can_not_be_true_is_refused_whole(
-        folder: Path | None, more: dict[str, Any], word: str) -> None:
+@pytest.mark.parametrize(
+    ("more", "word"),
+    [
+        bad("stream", stream="c9"),
+        bad("epoch", epoch=3),
+        bad("epoch", epoch=8 + 7),
+        bad("bases", bases=((8, 1),)),
+        bad("bases", epoch=16),
+        bad("bases", epoch=16, bases=((16, 4), (16, 4))),
+        bad("bases", epoch=24, bases=((16, 9), (24, 4))),
+        bad("numbers", upto=1),
+        bad("numbers", goal=1),
+        bad("numbers", since=1),
+        bad("numbers", entries=[entry(C1[0], 2), entry(C1[1], 1)]),
+        bad("numbers", entries=[entry(C1[0], 1), entry(C1[0], 2)]),
+        bad("numbers", entries=[entry(C1[0], 3)]),
+        bad("name", entries=[entry(C2[0], 1)]),
+        bad("epoch", entries=[Entry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
+    ],
+)
+def test_what_can_not_be_true_is_refused_whole(folder: Path | None, more: dict[str, Any], word: str) -> None:
     fleet = Replicas(1, folder)
     replica = fleet.all["n1"]
     fleet.change(C1[0])
@@ -289,12 +334,14 @@
     made = piece(replica.states["c1"], **(good | more))
     taken = replica.take(asked[0], EntriesReply([made]), fleet.now)
     assert taken.refused == [word] and not live(fleet, "n1") and taken.pieces == 0
-    assert replica.announce() == pack({name: Position(first_epoch(name, CONTROL), 0) for name in CONTROL},
-                                      CONTROL)
+    assert replica.announce() == pack(
+        {name: Position(first_epoch(name, CONTROL), 0) for name in CONTROL}, CONTROL
+    )
 
 
 def test_one_that_gives_what_is_bad_is_left_alone_for_a_while_and_others_are_asked(
-        folder: Path | None) -> None:
+    folder: Path | None,
+) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.pull("n2", "c1")
@@ -330,9 +377,16 @@
     assert all_alike(fleet)
 
 
-@pytest.mark.parametrize("made", [
-    entry(C2[0]), entry(C1[0], pad="x" * MOST_TENANT), Entry(0, C1[0], 0, "o" * 257, "active", b"{}"),
-    Entry(0, C1[0], -1, "", "active", b"{}"), Entry(0, C1[0], 0, "", "active", b"{}", "k" * 257)])
+@pytest.mark.parametrize(
+    "made",
+    [
+        entry(C2[0]),
+        entry(C1[0], pad="x" * MOST_TENANT),
+        Entry(0, C1[0], 0, "o" * 257, "active", b"{}"),
+        Entry(0, C1[0], -1, "", "active", b"{}"),
+        Entry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
+    ],
+)
 def test_what_no_other_member_would_take_is_not_numbered(made: Entry) -> None:
     fleet = Replicas(0)
     with pytest.raises(ValueError, match="stream|length|>="):
@@ -359,7 +413,8 @@
 
 
 def test_who_missed_a_removal_that_is_forgotten_is_refilled_and_drops_that_row_and_no_other(
-        folder: Path | None) -> None:
+    folder: Path | None,
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     before = live(fleet, "n1")
@@ -373,7 +428,8 @@
 
 
 def test_a_refill_serves_the_old_rows_and_announces_the_old_position_until_its_end(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     monkeypatch.setattr(streams, "MOST_PIECE", 1)
@@ -391,7 +447,8 @@
 
 
 def test_a_fresh_node_that_is_filled_by_several_is_not_begun_anew_by_what_they_forget(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.settle()
@@ -410,7 +467,8 @@
 
 
 def test_a_row_whose_removal_is_forgotten_does_not_come_back_by_one_that_was_filled_later(
-        folder: Path | None) -> None:
+    folder: Path | None,
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")  # has never seen the tombstone, nor that there was one
@@ -421,7 +479,8 @@
 
 
 def test_a_fill_remembers_how_far_the_least_of_its_givers_was(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What an early giver did not know to be removed is found out, though a later one knew more."""
     fleet = Replicas(4, folder)
     for name in C1[:5]:
@@ -443,7 +502,8 @@
 
 
 def test_a_refill_goes_on_to_the_furthest_of_its_givers_so_that_no_row_is_missing_between(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     monkeypatch.setattr(streams, "MOST_PIECE", 1)
@@ -455,7 +515,8 @@
 
 
 def test_who_is_refilled_gives_nothing_of_that_stream(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
@@ -471,7 +532,8 @@
 
 
 def test_one_whose_tombstones_are_gone_takes_nothing_of_one_that_never_had_them(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
@@ -524,7 +586,9 @@
     fleet.change(C1[2], by="c2")
     told = {name: fleet.pull(name, "c2") for name in ("c1", "n1")}
     assert {name: taken.orphans for name, taken in told.items() if taken} == {
-        "c1": {"c1": 2}, "n1": {"c1": 2}}
+        "c1": {"c1": 2},
+        "n1": {"c1": 2},
+    }
     fleet.settle()
     assert all_alike(fleet)
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (2, "active")}
@@ -560,7 +624,8 @@
 
 
 def test_rows_left_out_for_newer_ones_that_a_take_over_loses_are_found_again(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What a giver left out as superseded is the newest there is, once its superseder is of no history."""
     fleet = Replicas(2, folder)
     for name in C1[:4]:
@@ -574,12 +639,14 @@
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
     fleet.all["c2"].begin_term("c1", "c2")
     fleet.settle("n1", "n2", "c2")
-    assert live(fleet, "n1") == live(fleet, "c2") == {name: (at + 1, "active")
-                                                       for at, name in enumerate(C1[:4])}
+    assert (
+        live(fleet, "n1") == live(fleet, "c2") == {name: (at + 1, "active") for at, name in enumerate(C1[:4])}
+    )
 
 
 def test_a_refill_after_a_take_over_does_not_end_before_the_position_that_it_serves(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.pull("n2", "c1")
@@ -603,7 +670,8 @@
 
 
 def test_who_has_not_all_that_it_began_to_pull_does_not_take_over_unless_forced(
-        folder: Path | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    folder: Path | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     fleet = Replicas(1, folder)
     for name in C1[:4]:
         fleet.change(name)
@@ -641,13 +709,15 @@
     """
     random, control = Random(seed), ("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8")
     names = [*control, *(f"n{number}" for number in range(size - len(control)))]
-    all_of = {name: Replica(name, control, MemoryRows(), Random(random.random()), own_name=name)
-              for name in names}
+    all_of = {
+        name: Replica(name, control, MemoryRows(), Random(random.random()), own_name=name) for name in names
+    }
     for name in names_of("c1", changes, control):
         all_of["c1"].accept("c1", "c1", entry(name))
     told, given, had_s = list(all_of["c1"].announce()), dict.fromkeys(names, 0), {"c1": 0.0}
     events: list[tuple[float, int, str, Any]] = [
-        (random.uniform(0, 0.4), number, name, None) for number, name in enumerate(names)]
+        (random.uniform(0, 0.4), number, name, None) for number, name in enumerate(names)
+    ]
     heapify(events)
     number = len(events)
 
@@ -703,7 +773,8 @@
     st.tuples(st.just("cut"), st.integers(0, 4), st.integers(0, 4)),
     st.tuples(st.just("twice"), st.integers(0, 4), st.integers(0, 4)),
     st.tuples(st.just("restart"), st.integers(0, 4), st.just(0)),
-    st.tuples(st.just("collect"), st.integers(0, 4), st.just(0)))
+    st.tuples(st.just("collect"), st.integers(0, 4), st.just(0)),
+)
 TAKE_OVERS = st.tuples(st.just("take-over"), st.integers(0, 1), st.booleans())
 
 
@@ -769,14 +840,16 @@
         assert all_alike(fleet)
         kept = live(fleet, "n3")
         assert {name: number for name, (number, removed) in acknowledged.items() if not removed} == {
-            name: number for name, (number, _) in kept.items()}
+            name: number for name, (number, _) in kept.items()
+        }
 
 
 @pytest.mark.parametrize("most", [1, 300, MOST_PIECE])
 @given(steps=st.lists(STEP, max_size=60))
 @settings(max_examples=150, deadline=None)
 def test_whatever_the_order_all_end_with_the_same_rows_and_nothing_acknowledged_is_lost(
-        most: int, steps: list[tuple[Any, ...]]) -> None:
+    most: int, steps: list[tuple[Any, ...]]
+) -> None:
     holds_whatever_the_order(most, False, steps)
 
 
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -45,11 +45,22 @@
     return Writer(fleet.all[name], Counters(), clock)
 
 
-@pytest.mark.parametrize(("others", "heard", "since_s", "may"), [
-    (0, 0, ALONE_S - 0.1, False), (0, 0, ALONE_S, True), (5, 0, ALONE_S, False), (5, 2, 1.0, False),
-    (5, 3, 0.1, True), (1, 1, 0.1, True), (2, 1, 0.1, False), (5, 0, SETTLE_S, True)])
-def test_nothing_is_accepted_before_others_were_heard(others: int, heard: int, since_s: float,
-                                                      may: bool) -> None:
+@pytest.mark.parametrize(
+    ("others", "heard", "since_s", "may"),
+    [
+        (0, 0, ALONE_S - 0.1, False),
+        (0, 0, ALONE_S, True),
+        (5, 0, ALONE_S, False),
+        (5, 2, 1.0, False),
+        (5, 3, 0.1, True),
+        (1, 1, 0.1, True),
+        (2, 1, 0.1, False),
+        (5, 0, SETTLE_S, True),
+    ],
+)
+def test_nothing_is_accepted_before_others_were_heard(
+    others: int, heard: int, since_s: float, may: bool
+) -> None:
     fleet, clock = Replicas(0), Clock()
     writer = writer_of(fleet, clock)
     for number in range(heard):
@@ -87,8 +98,9 @@
 
 
 @pytest.mark.parametrize("kept", [0, 2])
-def test_a_holder_with_an_older_copy_pulls_its_own_changes_back_and_begins_a_term(tmp_path: Path,
-                                                                                  kept: int) -> None:
+def test_a_holder_with_an_older_copy_pulls_its_own_changes_back_and_begins_a_term(
+    tmp_path: Path, kept: int
+) -> None:
     fleet, clock = Replicas(2, tmp_path), Clock()
     for name in C1[:kept]:
         fleet.change(name)
@@ -150,8 +162,12 @@
     assert (made.epoch, made.number) == (16, 2)
     fleet.settle()
     assert fleet.orphans("n2") == [(C1[1], 2)]
-    assert fleet.live("n2") == fleet.live("n1") == fleet.live("c1") == {
-        C1[0]: (1, "active"), C1[2]: (2, "active")}
+    assert (
+        fleet.live("n2")
+        == fleet.live("n1")
+        == fleet.live("c1")
+        == {C1[0]: (1, "active"), C1[2]: (2, "active")}
+    )
     fleet.close()
 
 
@@ -218,8 +234,9 @@
 
 
 @pytest.mark.parametrize("killed_after", ["check", "disk", "first pull", "answer"])
-def test_a_writer_killed_between_accept_and_answer_never_gives_a_number_twice(tmp_path: Path,
-                                                                              killed_after: str) -> None:
+def test_a_writer_killed_between_accept_and_answer_never_gives_a_number_twice(
+    tmp_path: Path, killed_after: str
+) -> None:
     fleet = Replicas(2, tmp_path)
     fleet.change(C1[0])
     fleet.settle()
@@ -256,18 +273,24 @@
         fleet.pull(name, "c1")
         census.heard(name, list(fleet.all[name].announce()), 11.0)
     census.heard("n3", list(fleet.all["n3"].announce()), 12.0)
-    told, = census.told(members, 13.0)
+    (told,) = census.told(members, 13.0)
     assert (told["stream"], told["position"], told["members"], told["have"], told["everywhere"]) == (
-        "c1", "8.1", 4, 2, None)
+        "c1",
+        "8.1",
+        4,
+        2,
+        None,
+    )
     assert told["slowest"] == [
         {"name": "c2", "address": "c2", "position": None, "heard_s": None},
-        {"name": "n3", "address": "n3", "position": "8.0", "heard_s": 1.0}]
+        {"name": "n3", "address": "n3", "position": "8.0", "heard_s": 1.0},
+    ]
     fleet.settle()
     for name in ("c2", "n3"):
         census.heard(name, list(fleet.all[name].announce()), 14.0)
     assert census.wants(15.0)
     census.tick(members, 15.0)
-    told, = census.told(members, 18.0)
+    (told,) = census.told(members, 18.0)
     assert told["have"] == 4 and told["slowest"] == []
     assert told["everywhere"] == {"position": "8.1", "since_s": 3.0, "took_s": 5.0}
     assert not census.wants(20.0)
@@ -291,8 +314,8 @@
     assert 190 <= total <= 20 * counting.CALLS_PER_S + 1
     census.told(members, 140.0)
     quick = census.tick(members, 141.0)
-    never = places[11 + total:]
-    assert len(quick) == counting.QUICK_PER_S and quick[:len(never)] == never  # and then the first again
+    never = places[11 + total :]
+    assert len(quick) == counting.QUICK_PER_S and quick[: len(never)] == never  # and then the first again
     for place in places:
         census.heard(place, list(fleet.all["c1"].announce()), 142.0)
     assert census.tick(members, 143.0) == []
@@ -339,9 +362,12 @@
     def __init__(self, folder: Path, name: str, seeds: list[tuple[str, int]]) -> None:
         (folder / "secret").write_text("a secret of sixteen or more")
         self.counters = Counters()
-        self.membership = Membership(Fleet(
-            "f", ("127.0.0.1", 0), ("127.0.0.1", 0), tuple(seeds), "z", "r", str(folder / "secret")), name,
-            Random(name), self.counters)
+        self.membership = Membership(
+            Fleet("f", ("127.0.0.1", 0), ("127.0.0.1", 0), tuple(seeds), "z", "r", str(folder / "secret")),
+            name,
+            Random(name),
+            self.counters,
+        )
         place = self.membership.live()[0].place
         self.copy = LocalCopy(folder / f"{name}.db", "f", CONTROL)
         self.replica = Replica(place, CONTROL, self.copy, Random(name), "z", time.monotonic(), name)
@@ -396,7 +422,7 @@
     assert soon(lambda: all(node.copy.count() == 31 for node in [c1, *others]))
     assert time.monotonic() - begun_s < 5
     assert soon(lambda: bool(c1.replication.changes()[0]["everywhere"]))
-    told, = c1.replication.changes()
+    (told,) = c1.replication.changes()
     assert (told["members"], told["have"], told["slowest"]) == (3, 3, [])
     pulls = others[1].counters.snapshot()["replication.pulls"]
     assert pulls < 25  # several changes come with one
@@ -419,7 +445,8 @@
 
 
 def test_a_damaged_copy_of_a_node_is_renewed_and_filled_while_it_runs(
-        start: Start, monkeypatch: pytest.MonkeyPatch) -> None:
+    start: Start, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(serving, "RENEW_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
@@ -439,7 +466,8 @@
 
 
 def test_a_holder_whose_copy_is_damaged_writes_only_after_an_order(
-        start: Start, monkeypatch: pytest.MonkeyPatch) -> None:
+    start: Start, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(serving, "RENEW_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
@@ -465,7 +493,8 @@
 
 
 def test_a_node_is_filling_until_it_has_what_it_heard_of_and_alone_for_a_bounded_time(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     class Deaf:
         serve: dict[type, Callable[..., object]] = {}
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -70,8 +70,12 @@
 
 def test_events_for_finished_or_unknown_work_are_harmless() -> None:
     made = controller()
-    events: list[io.Event] = [io.Gone(7), io.CallNeeded(7), io.CallEnded(7, io.Outcome.OK),
-                              io.RunEnded(7, io.Outcome.OK)]
+    events: list[io.Event] = [
+        io.Gone(7),
+        io.CallNeeded(7),
+        io.CallEnded(7, io.Outcome.OK),
+        io.RunEnded(7, io.Outcome.OK),
+    ]
     assert made.handle(1, events) == []
     made.handle(2, [io.Request(1, 0)])
     assert made.handle(3, [io.RunEnded(1, io.Outcome.MOOT), *events]) == []
@@ -189,8 +193,10 @@
             ends[call.id] = call.until_us
             busy.append((now, call.until_us + 200_000))
     steps = range(5_000_000, spans_us, 100_000)
-    return max(sum(max(0, min(end, now) - max(start, now - 5_000_000)) for start, end in busy) / 5_000_000
-               for now in steps)
+    return max(
+        sum(max(0, min(end, now) - max(start, now - 5_000_000)) for start, end in busy) / 5_000_000
+        for now in steps
+    )
 
 
 def test_calls_in_hand_stay_under_our_share_also_below_one() -> None:
@@ -219,10 +225,21 @@
     assert made._in_hand() == 1
 
 
-@pytest.mark.parametrize("changes", [
-    {"callers": 0, "heard_us": 0}, {"callers": 100_000}, {"call_share": 0.0, "call_over_us": 5_000_000},
-    {"call_share": 1e-6, "call_over_us": 5_000_000}, {"call_share": 0.3, "call_over_us": 0}, {"cores": 1},
-    {"peers": 1}, {"peers": 5_000}, {"idle_us": 1}, {"say": io.Say.TOKENS, "callers": 0}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"callers": 0, "heard_us": 0},
+        {"callers": 100_000},
+        {"call_share": 0.0, "call_over_us": 5_000_000},
+        {"call_share": 1e-6, "call_over_us": 5_000_000},
+        {"call_share": 0.3, "call_over_us": 0},
+        {"cores": 1},
+        {"peers": 1},
+        {"peers": 5_000},
+        {"idle_us": 1},
+        {"say": io.Say.TOKENS, "callers": 0},
+    ],
+)
 def test_odd_settings_neither_raise_nor_lock_a_worker_out(changes: dict[str, Any]) -> None:
     made = controller(SAFE, **changes)
     served = []
@@ -239,8 +256,9 @@
 
 @pytest.mark.parametrize("busy", [0.0, 1.0])
 @pytest.mark.parametrize("runnable", [0.0, 1e9])
-def test_stuck_gauges_neither_lock_a_worker_out_nor_let_it_crowd_its_cores(busy: float, runnable: float
-                                                                           ) -> None:
+def test_stuck_gauges_neither_lock_a_worker_out_nor_let_it_crowd_its_cores(
+    busy: float, runnable: float
+) -> None:
     made = controller(MUST_CALL, cores=2, crowd_per_core=4)
     served: list[int] = []
     running: list[tuple[int, int]] = []
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -127,9 +127,14 @@
     "of a connection that sends nothing but bad requests nothing more is run": """
         c1 send 1 slot-search
         runtime expect start * as X
-        """ + "".join(f"""
+        """
+    + "".join(
+        f"""
         c1 send {number} no-such-class
-        c1 expect {number} Bad""" for number in range(2, 10)) + """
+        c1 expect {number} Bad"""
+        for number in range(2, 10)
+    )
+    + """
         c1 send 10 slot-search
         c1 expect 10 Full
         runtime expect nothing
@@ -141,8 +146,13 @@
         runtime expect start * as X
         runtime send end $X ok r
         c1 expect 1 ok r""",
-    "more open requests than the protocol allows are turned away at once": "with busy=1" + "".join(f"""
-        c1 send {number} slot-search""" for number in range(1, 70)) + """
+    "more open requests than the protocol allows are turned away at once": "with busy=1"
+    + "".join(
+        f"""
+        c1 send {number} slot-search"""
+        for number in range(1, 70)
+    )
+    + """
         node expect count platform.closed_bad 1""",
     "a connection that says nothing, or half a request, is closed within three seconds": """
         c1 send raw 94
@@ -165,8 +175,13 @@
         with sockets=270             # less what is kept, and half of it for AJP: 40
         c50 send 1 slot-search
         runtime expect start * as X
-        """ + "".join(f"""
-        c{number} send 1 health""" for number in range(1, 40)) + """
+        """
+    + "".join(
+        f"""
+        c{number} send 1 health"""
+        for number in range(1, 40)
+    )
+    + """
         wait 0.3
         c99 send 1 slot-search
         runtime expect start * as Y
@@ -409,8 +424,13 @@
         desk send GET /stats
         desk expect 200 * * * sighup_applied=1""",
     "operators who connect and say nothing hold up no other, and wrong calls are told so": """
-""" + "".join(f"""
-        d{number} send raw 47""" for number in range(1, 40)) + """
+"""
+    + "".join(
+        f"""
+        d{number} send raw 47"""
+        for number in range(1, 40)
+    )
+    + """
         desk send GET /healthcheck
         desk expect 200
         desk send DELETE /stats
@@ -1126,7 +1146,9 @@
         admin expect 404
         admin send GET /v1/counters
         admin expect 200
-        admin send POST /v1/tenants """ + "x" * 300_000 + """
+        admin send POST /v1/tenants """
+    + "x" * 300_000
+    + """
         admin expect 413
         admin expect closed""",
     "a drain is asked for once": """
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,8 +18,9 @@
 
 @effort(max_examples=300, derandomize=True, database=None)
 @given(st.lists(CLAIMS, min_size=1, max_size=12), st.floats(0.1, 100))
-def test_an_allocation_is_full_and_none_could_have_more_by_its_weight(claims: list[Claim], capacity: float
-                                                                      ) -> None:
+def test_an_allocation_is_full_and_none_could_have_more_by_its_weight(
+    claims: list[Claim], capacity: float
+) -> None:
     given_to = allocate(claims, capacity)
     wanted = sum(claim.most for claim in claims)
     assert sum(given_to) == pytest.approx(min(wanted, capacity), rel=1e-6)
@@ -28,21 +29,29 @@
         assert -1e-9 <= has <= claim.most + 1e-9
         assert has >= claim.least * min(1, capacity / least if least else 1) - 1e-6
     if least < capacity < wanted:  # whoever is cut has no lower level than any above its least
-        short = [has / claim.weight for claim, has in zip(claims, given_to, strict=True)
-                 if has < claim.most - 1e-6]
-        above = [has / claim.weight for claim, has in zip(claims, given_to, strict=True)
-                 if has > claim.least + 1e-6]
+        short = [
+            has / claim.weight for claim, has in zip(claims, given_to, strict=True) if has < claim.most - 1e-6
+        ]
+        above = [
+            has / claim.weight
+            for claim, has in zip(claims, given_to, strict=True)
+            if has > claim.least + 1e-6
+        ]
         assert not short or not above or min(short) >= max(above) - 1e-6 * (1 + max(above))
 
 
-@pytest.mark.parametrize(("claims", "capacity", "wanted"), [
-    ([Claim(0.8, 1), Claim(6, 1)], 4, [0.8, 3.2]),
-    ([Claim(6, 1), Claim(6, 2), Claim(6, 4)], 3.5, [0.5, 1, 2]),
-    ([Claim(9, 1, guarantee=2.4), Claim(9, 4), Claim(9, 8)], 4, [2.4, 1.6 / 3, 3.2 / 3]),
-    ([Claim(9, 1, ceiling=1), Claim(9, 1)], 4, [1, 3]),
-    ([Claim(9, 1, guarantee=3), Claim(9, 1, guarantee=3)], 4, [2, 2]),
-    ([Claim(0, 1), Claim(1, 1)], 4, [0, 1]),
-    ([], 4, [])])
+@pytest.mark.parametrize(
+    ("claims", "capacity", "wanted"),
+    [
+        ([Claim(0.8, 1), Claim(6, 1)], 4, [0.8, 3.2]),
+        ([Claim(6, 1), Claim(6, 2), Claim(6, 4)], 3.5, [0.5, 1, 2]),
+        ([Claim(9, 1, guarantee=2.4), Claim(9, 4), Claim(9, 8)], 4, [2.4, 1.6 / 3, 3.2 / 3]),
+        ([Claim(9, 1, ceiling=1), Claim(9, 1)], 4, [1, 3]),
+        ([Claim(9, 1, guarantee=3), Claim(9, 1, guarantee=3)], 4, [2, 2]),
+        ([Claim(0, 1), Claim(1, 1)], 4, [0, 1]),
+        ([], 4, []),
+    ],
+)
 def test_allocations_computed_by_hand(claims: list[Claim], capacity: float, wanted: list[float]) -> None:
     assert allocate(claims, capacity) == pytest.approx(wanted)
 
@@ -81,7 +90,8 @@
     node = SharedNode({n: Share() for n in range(10)}, {n: Demand(12.0) for n in range(10)}).run(60 * SEC)
     assert jain([node.work_us[n] for n in range(10)]) > 0.98 and node.done() > 0.95
     node = SharedNode({n: Share(weight=n) for n in (1, 2, 4)}, {n: Demand(60.0) for n in (1, 2, 4)}).run(
-        60 * SEC)
+        60 * SEC
+    )
     total = sum(node.work_us.values())
     assert [node.work_us[n] / total for n in (1, 2, 4)] == pytest.approx([1 / 7, 2 / 7, 4 / 7], rel=0.05)
 
@@ -176,8 +186,10 @@
     assert not of(other, io.Decline) and (not bound.running or ids(other, io.Run) == [100])
 
 
-@pytest.mark.parametrize("given_", [{"weight": 0}, {"weight": math.inf}, {"guarantee": 1.1}, {"ceiling": 0},
-                                    {"class_weights": {0: 0.0}}])
+@pytest.mark.parametrize(
+    "given_",
+    [{"weight": 0}, {"weight": math.inf}, {"guarantee": 1.1}, {"ceiling": 0}, {"class_weights": {0: 0.0}}],
+)
 def test_shares_that_no_order_can_be_made_of_are_refused(given_: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="above 0"):
         Share(**given_)  # type: ignore[arg-type]
