--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -27,51 +27,84 @@
 PATHS = ("/", "/a", "/a/", "/a/b", "/ab", "/a/b/", "/a/b/c", "//", "/a//", "/b")
 
 
-def tenant(name: str, hosts: tuple[str, ...] = (), prefix: str = "/", routes: tuple[Route, ...] = (),
-           guarantee: float = 0.0) -> Tenant:
-    return Tenant(name, "runtime", hosts, prefix, "x-request-key", "", 0, 16.0, routes,
-                  ShareOf(guarantee=guarantee))
+def tenant(
+    name: str,
+    hosts: tuple[str, ...] = (),
+    prefix: str = "/",
+    routes: tuple[Route, ...] = (),
+    guarantee: float = 0.0,
+) -> Tenant:
+    return Tenant(
+        name, "runtime", hosts, prefix, "x-request-key", "", 0, 16.0, routes, ShareOf(guarantee=guarantee)
+    )
 
 
 # The rule, as it was before there was an index: all tenants are gone through for each request.
 
+
 def lies_under(path: str, prefix: str) -> bool:
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
 def rule(entries: list[Entry], method: str, host: str, path: str) -> Match | None:
     host = host.lower()
-    for entry in sorted(entries, key=lambda entry: (
-            not entry.tenant.hosts, -len(entry.tenant.prefix), entry.tenant.name)):
+    for entry in sorted(
+        entries, key=lambda entry: (not entry.tenant.hosts, -len(entry.tenant.prefix), entry.tenant.name)
+    ):
         one = entry.tenant
         if (not one.hosts or host in one.hosts) and lies_under(path, one.prefix):
-            kind = next((route.class_name for route in one.routes
-                         if route.method in ("*", method) and lies_under(path, route.path)),
-                        one.default_class)
+            kind = next(
+                (
+                    route.class_name
+                    for route in one.routes
+                    if route.method in ("*", method) and lies_under(path, route.path)
+                ),
+                one.default_class,
+            )
             return Match(one, entry.number, kind, entry.state is State.ACTIVE)
     return None
 
 
 def found(made: Index, method: str, host: str, path: str) -> Match | None:
     leaf = made.find(host.lower(), path)
-    return None if leaf is None else Match(leaf.entry.tenant, leaf.entry.number, leaf.class_of(method, path),
-                                           leaf.entry.state is State.ACTIVE)
-
-
-routes = st.lists(st.builds(Route, st.sampled_from(["*", "GET", "PUT"]), st.sampled_from(PATHS),
-                            st.sampled_from("xyz")), max_size=14).map(tuple)
-tenants = st.builds(tenant, st.sampled_from([f"t{number}" for number in range(8)]),
-                    st.lists(st.sampled_from(HOSTS), max_size=3).map(tuple), st.sampled_from(PATHS), routes,
-                    st.sampled_from([0.0, 0.1, 0.3, 1e-300]))
-changes = st.lists(st.tuples(
-    st.sampled_from(["put", "put", "remove", "suspend", "resume", "drain"]), tenants), max_size=40)
-asked = st.tuples(st.sampled_from(["GET", "PUT"]), st.sampled_from([*HOSTS, "A", "elsewhere", ""]),
-                  st.sampled_from([*PATHS, "/a/b/c/d", "/a/bc", "/abc", "", "*", "/" * 3000]))
+    return (
+        None
+        if leaf is None
+        else Match(
+            leaf.entry.tenant,
+            leaf.entry.number,
+            leaf.class_of(method, path),
+            leaf.entry.state is State.ACTIVE,
+        )
+    )
+
+
+routes = st.lists(
+    st.builds(Route, st.sampled_from(["*", "GET", "PUT"]), st.sampled_from(PATHS), st.sampled_from("xyz")),
+    max_size=14,
+).map(tuple)
+tenants = st.builds(
+    tenant,
+    st.sampled_from([f"t{number}" for number in range(8)]),
+    st.lists(st.sampled_from(HOSTS), max_size=3).map(tuple),
+    st.sampled_from(PATHS),
+    routes,
+    st.sampled_from([0.0, 0.1, 0.3, 1e-300]),
+)
+changes = st.lists(
+    st.tuples(st.sampled_from(["put", "put", "remove", "suspend", "resume", "drain"]), tenants), max_size=40
+)
+asked = st.tuples(
+    st.sampled_from(["GET", "PUT"]),
+    st.sampled_from([*HOSTS, "A", "elsewhere", ""]),
+    st.sampled_from([*PATHS, "/a/b/c/d", "/a/bc", "/abc", "", "*", "/" * 3000]),
+)
 
 
 @given(changes, st.lists(asked, min_size=5, max_size=10))
 def test_it_finds_whom_the_rule_names_after_any_changes(
-        steps: list[tuple[str, Tenant]], requests: list[tuple[str, str, str]]) -> None:
+    steps: list[tuple[str, Tenant]], requests: list[tuple[str, str, str]]
+) -> None:
     made, life = Index(), Lifecycle()
     for what, one in steps:
         known = life.get(one.name)
@@ -104,13 +137,19 @@
 
 @given(routes, st.lists(asked, min_size=1))
 def test_of_many_routes_the_first_that_fits_is_taken(
-        told: tuple[Route, ...], requests: list[tuple[str, str, str]]) -> None:
+    told: tuple[Route, ...], requests: list[tuple[str, str, str]]
+) -> None:
     never = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.FEW_ROUTES))
     made = Routes(told * 3 + never)
     for method, _, path in requests:
-        assert made.class_of(method, path) == next((
-            route.class_name for route in told
-            if route.method in ("*", method) and lies_under(path, route.path)), None)
+        assert made.class_of(method, path) == next(
+            (
+                route.class_name
+                for route in told
+                if route.method in ("*", method) and lies_under(path, route.path)
+            ),
+            None,
+        )
 
 
 @pytest.mark.parametrize("hosts", [(), ("a",)])
@@ -140,9 +179,12 @@
     assert made.find("h", "/x/y") is None and not made._rivals
 
 
-MOVES = [(tenant("t"), tenant("t", ("h",))), (tenant("t", ("h",)), tenant("t", ("h",), "/x")),
-         (tenant("t", ("h", "i")), tenant("t", ("g", "h"), "/x/y")),
-         (tenant("t", (), "/x"), tenant("t", ("h",)))]
+MOVES = [
+    (tenant("t"), tenant("t", ("h",))),
+    (tenant("t", ("h",)), tenant("t", ("h",), "/x")),
+    (tenant("t", ("h", "i")), tenant("t", ("g", "h"), "/x/y")),
+    (tenant("t", (), "/x"), tenant("t", ("h",))),
+]
 
 
 @pytest.mark.parametrize(("one", "other"), MOVES)
@@ -213,7 +255,8 @@
             page, _ = made.page("n0099", 100)
             names = [entry.tenant.name for entry in page if "x" not in entry.tenant.name]
             if any(one >= other for one, other in pairwise(names)) or names != [
-                    f"n{number:04d}" for number in range(100, 100 + len(names))]:
+                f"n{number:04d}" for number in range(100, 100 + len(names))
+            ]:
                 wrong.append(names)
 
     threads = [threading.Thread(target=look) for _ in range(2)]
@@ -242,8 +285,15 @@
         return super().__getitem__(key)
 
 
-@pytest.mark.parametrize("move", [lambda names: names.remove("n0"), lambda names: names.insert(0, "m"),
-                                  lambda names: names.remove("n1"), lambda names: names.insert(2, "n1x")])
+@pytest.mark.parametrize(
+    "move",
+    [
+        lambda names: names.remove("n0"),
+        lambda names: names.insert(0, "m"),
+        lambda names: names.remove("n1"),
+        lambda names: names.insert(2, "n1x"),
+    ],
+)
 def test_a_page_that_moves_under_a_look_is_looked_at_again(move: Callable[[Moving], None]) -> None:
     made = Index()
     for number in range(6):
@@ -290,8 +340,11 @@
 
 
 def test_two_tenants_of_one_name_are_refused() -> None:
-    value = {"classes": [{"name": "safe", "deadline_ms": 1}], "workers": [{"name": "w"}],
-             "tenants": [{"name": name, "backend": "w"} for name in ("a", "b", "a")]}
+    value = {
+        "classes": [{"name": "safe", "deadline_ms": 1}],
+        "workers": [{"name": "w"}],
+        "tenants": [{"name": name, "backend": "w"} for name in ("a", "b", "a")],
+    }
     with pytest.raises(ConfigError, match="tenants: two have the name 'a'"):
         parse(value)
 
@@ -302,11 +355,20 @@
     made.add("requests.read", 4)
     for name, what in (("a", "served"), ("b", "served"), ("a", "refused"), ("c", "served"), ("d", "failed")):
         made.add_for(name, what)
-    assert made.snapshot() == {"requests.read": 4, "tenant.c.served": 1, "tenant.d.failed": 1,
-                               "tenants.others.refused": 1, "tenants.others.served": 2}
+    assert made.snapshot() == {
+        "requests.read": 4,
+        "tenant.c.served": 1,
+        "tenant.d.failed": 1,
+        "tenants.others.refused": 1,
+        "tenants.others.served": 2,
+    }
     assert made.of_tenant("c") == {"served": 1} and made.of_tenant("a") == {}
-    assert made.summary() == {"requests.read": 4, "tenants.all.failed": 1, "tenants.all.refused": 1,
-                              "tenants.all.served": 3}
+    assert made.summary() == {
+        "requests.read": 4,
+        "tenants.all.failed": 1,
+        "tenants.all.refused": 1,
+        "tenants.all.served": 3,
+    }
 
 
 def test_usage_tells_the_answers_of_a_tenant() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -37,8 +37,17 @@
     def ask(self, which: int, body: str = "b", door_s: float = 0.0, due_s: float = 60.0) -> list[Any]:
         """Claim the key at one of the two; what it is told comes into the list."""
         told: list[Any] = []
-        self.claims[which].keep(Claim(KEY, self.now_us + int(door_s * 1e6), self.now_us + 20 * SECOND_US,
-                                      self.now_us + int(due_s * 1e6), body, told.append, told.append))
+        self.claims[which].keep(
+            Claim(
+                KEY,
+                self.now_us + int(door_s * 1e6),
+                self.now_us + 20 * SECOND_US,
+                self.now_us + int(due_s * 1e6),
+                body,
+                told.append,
+                told.append,
+            )
+        )
         return told
 
     def close(self) -> None:
@@ -166,12 +175,27 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.operator = free.getsockname()
         path = folder / f"p{number}.json"
-        path.write_text(json.dumps({
-            "name": "n3", "listen": listen, "seed": f"{number:x}", "stop_ms": 4000, "directory": catalog,
-            "runtime": "{}:{}".format(*self.runtime.address), "operator": "{}:{}".format(*self.operator),
-            "limits": {"sockets": 256}, "settings": SETTINGS}))
-        self.process = subprocess.Popen(deployed("run"), cwd=ROOT, stderr=subprocess.DEVNULL, env={
-            **os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(folder)})
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n3",
+                    "listen": listen,
+                    "seed": f"{number:x}",
+                    "stop_ms": 4000,
+                    "directory": catalog,
+                    "runtime": "{}:{}".format(*self.runtime.address),
+                    "operator": "{}:{}".format(*self.operator),
+                    "limits": {"sockets": 256},
+                    "settings": SETTINGS,
+                }
+            )
+        )
+        self.process = subprocess.Popen(
+            deployed("run"),
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(folder)},
+        )
 
     def ready(self) -> bool:
         try:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,14 +16,34 @@
 
 
 VALUES = [
-    (None, "c0"), (True, "c3"), (False, "c2"), (0, "00"), (127, "7f"), (128, "cc80"), (256, "cd0100"),
-    (65536, "ce00010000"), (1 << 32, "cf0000000100000000"), (-1, "ff"), (-32, "e0"), (-33, "d0df"),
-    (-129, "d1ff7f"), (-32769, "d2ffff7fff"), (-(1 << 31) - 1, "d3ffffffff7fffffff"),
+    (None, "c0"),
+    (True, "c3"),
+    (False, "c2"),
+    (0, "00"),
+    (127, "7f"),
+    (128, "cc80"),
+    (256, "cd0100"),
+    (65536, "ce00010000"),
+    (1 << 32, "cf0000000100000000"),
+    (-1, "ff"),
+    (-32, "e0"),
+    (-33, "d0df"),
+    (-129, "d1ff7f"),
+    (-32769, "d2ffff7fff"),
+    (-(1 << 31) - 1, "d3ffffffff7fffffff"),
     (1.5, "cb3ff8000000000000"),
-    ("", "a0"), ("abc", "a3616263"), ("x" * 32, "d920" + "78" * 32), ("x" * 256, "da0100" + "78" * 256),
-    (b"", "c400"), (b"\1\2", "c4020102"), (b"x" * 256, "c50100" + "78" * 256), ([], "90"),
+    ("", "a0"),
+    ("abc", "a3616263"),
+    ("x" * 32, "d920" + "78" * 32),
+    ("x" * 256, "da0100" + "78" * 256),
+    (b"", "c400"),
+    (b"\1\2", "c4020102"),
+    (b"x" * 256, "c50100" + "78" * 256),
+    ([], "90"),
     ([1, [2]], "92019102"),
-    ([0] * 16, "dc0010" + "00" * 16), ({}, "80"), ({"a": 1}, "81a16101"),
+    ([0] * 16, "dc0010" + "00" * 16),
+    ({}, "80"),
+    ({"a": 1}, "81a16101"),
     ([1, 7, None, [b"r", {"feedback": "2.5"}]], "940107c092c4017281a8666565646261636ba3322e35"),
 ]
 
@@ -34,8 +54,10 @@
     assert list(msgpack.Decoder().feed(unhex(text))) == [value]
 
 
-@pytest.mark.parametrize("text", [
-    "c1", "c7010041", "d90180", "81c001", "dbffffffff", "c6ffffffff", "ddffffffff", "dfffffffff", "91" * 10])
+@pytest.mark.parametrize(
+    "text",
+    ["c1", "c7010041", "d90180", "81c001", "dbffffffff", "c6ffffffff", "ddffffffff", "dfffffffff", "91" * 10],
+)
 def test_messagepack_that_is_malformed_or_passes_a_limit_is_refused(text: str) -> None:
     with pytest.raises(msgpack.Malformed):
         list(msgpack.Decoder().feed(unhex(text)))
@@ -61,14 +83,16 @@
 
     decoder = Counted()
     for at in range(len(data)):
-        found += decoder.feed(data[at:at + 1])
+        found += decoder.feed(data[at : at + 1])
     assert found == [[[number] * 200 for number in range(200)]] and not decoder.partial
     assert reads < 2 * len(data)
 
 
-AJP_REQUEST = ("1234006c 02 02 0008 485454502f312e31 00 0005 2f64617973 00 0009 3132372e302e302e31 00 ffff"
-               " 0006 636c696e6963 00 0050 00 0002 a00b 0006 636c696e6963 00 0003 782d61 00 0001 31 00"
-               " 05 0003 613d31 00 0a 000f 414a505f52454d4f54455f504f5254 00 0004 35303030 00 ff")
+AJP_REQUEST = (
+    "1234006c 02 02 0008 485454502f312e31 00 0005 2f64617973 00 0009 3132372e302e302e31 00 ffff"
+    " 0006 636c696e6963 00 0050 00 0002 a00b 0006 636c696e6963 00 0003 782d61 00 0001 31 00"
+    " 05 0003 613d31 00 0a 000f 414a505f52454d4f54455f504f5254 00 0004 35303030 00 ff"
+)
 
 
 def ajp_packet(text: str) -> bytes:
@@ -82,20 +106,35 @@
     (payload,) = ajp13.Packets(ajp13.TO_CONTAINER).feed(data)
     request = ajp13.read_forward(payload)
     assert request == ajp13.Forward(
-        "GET", "/days", "HTTP/1.1", "127.0.0.1", None, "clinic", 80, False,
-        [("host", "clinic"), ("x-a", "1")], {"query_string": "a=1"}, [("AJP_REMOTE_PORT", "5000")])
+        "GET",
+        "/days",
+        "HTTP/1.1",
+        "127.0.0.1",
+        None,
+        "clinic",
+        80,
+        False,
+        [("host", "clinic"), ("x-a", "1")],
+        {"query_string": "a=1"},
+        [("AJP_REMOTE_PORT", "5000")],
+    )
     assert ajp13.write_forward(request) == data
 
 
-@pytest.mark.parametrize(("reply", "text"), [
-    (ajp13.ResponseHead(200, "OK", (("Content-Type", "text/plain"), ("X-A", "1"))),
-     "4142 0023 04 00c8 0002 4f4b 00 0002 a001 000a 746578742f706c61696e 00 0003 582d41 00 0001 31 00"),
-    (ajp13.ResponseBody(b"abc"), "4142 0007 03 0003 616263 00"),
-    (ajp13.ResponseEnd(True), "4142 0002 05 01"),
-    (ajp13.ResponseEnd(False), "4142 0002 05 00"),
-    (ajp13.BodyWanted(8186), "4142 0003 06 1ffa"),
-    (ajp13.Pong(), "4142 0001 09"),
-])
+@pytest.mark.parametrize(
+    ("reply", "text"),
+    [
+        (
+            ajp13.ResponseHead(200, "OK", (("Content-Type", "text/plain"), ("X-A", "1"))),
+            "4142 0023 04 00c8 0002 4f4b 00 0002 a001 000a 746578742f706c61696e 00 0003 582d41 00 0001 31 00",
+        ),
+        (ajp13.ResponseBody(b"abc"), "4142 0007 03 0003 616263 00"),
+        (ajp13.ResponseEnd(True), "4142 0002 05 01"),
+        (ajp13.ResponseEnd(False), "4142 0002 05 00"),
+        (ajp13.BodyWanted(8186), "4142 0003 06 1ffa"),
+        (ajp13.Pong(), "4142 0001 09"),
+    ],
+)
 def test_replies_of_a_container(reply: ajp13.Reply, text: str) -> None:
     data = bytes.fromhex(text)
     assert ajp13.write_reply(reply) == data
@@ -126,8 +165,9 @@
     return payload[:-1] + bytes.fromhex(attributes)
 
 
-@pytest.mark.parametrize("attributes", [
-    "01 0001 78 00 ff", "02 0001 78 00 ff", "0a 0003 782e79 00 0001 31 00 ff"])
+@pytest.mark.parametrize(
+    "attributes", ["01 0001 78 00 ff", "02 0001 78 00 ff", "0a 0003 782e79 00 0001 31 00 ff"]
+)
 def test_attributes_that_web_servers_never_send_are_forbidden(attributes: str) -> None:
     with pytest.raises(ajp13.Forbidden):
         ajp13.read_forward(forward_with(attributes))
@@ -154,25 +194,35 @@
         list(ajp13.Packets(ajp13.TO_CONTAINER).feed(bytes.fromhex(data) + b"\0\0"))
 
 
-@pytest.mark.parametrize(("make", "data"), [
-    (http1.Decoder, b"nonsense\r\n\r\n"), (http1.Decoder, b"GET / HTTP/1.1\r\nno-colon\r\n\r\n"),
-    (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
-    (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
-    (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: 9999999999\r\n\r\n"),
-    (http1.Decoder, b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), (http1.Decoder, b"x" * 20_000),
-    (lines.JsonLines, b"[1]\n"), (lines.JsonLines, b"{\n"), (lines.JsonLines, b"x" * (1 << 20) + b"x"),
-    (lines.VaultReplies, b"one\r\n"), (lines.VaultReplies, b"a yes -1\r\n"),
-    (lines.VaultReplies, b"a yes x\r\n"), (lines.VaultReplies, b"a yes\r\n"),
-    (lines.VaultReplies, b"x" * 300), (lines.VaultReplies, b"\xff\xfe\r\n"),
-    (lines.VaultReplies, b"a yes 999999999\r\n"), (lines.VaultReplies, b"a yes 1\r\nab\r\n"),
-])
+@pytest.mark.parametrize(
+    ("make", "data"),
+    [
+        (http1.Decoder, b"nonsense\r\n\r\n"),
+        (http1.Decoder, b"GET / HTTP/1.1\r\nno-colon\r\n\r\n"),
+        (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
+        (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"),
+        (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: 9999999999\r\n\r\n"),
+        (http1.Decoder, b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        (http1.Decoder, b"x" * 20_000),
+        (lines.JsonLines, b"[1]\n"),
+        (lines.JsonLines, b"{\n"),
+        (lines.JsonLines, b"x" * (1 << 20) + b"x"),
+        (lines.VaultReplies, b"one\r\n"),
+        (lines.VaultReplies, b"a yes -1\r\n"),
+        (lines.VaultReplies, b"a yes x\r\n"),
+        (lines.VaultReplies, b"a yes\r\n"),
+        (lines.VaultReplies, b"x" * 300),
+        (lines.VaultReplies, b"\xff\xfe\r\n"),
+        (lines.VaultReplies, b"a yes 999999999\r\n"),
+        (lines.VaultReplies, b"a yes 1\r\nab\r\n"),
+    ],
+)
 def test_malformed_lines_and_messages_are_refused(make: Callable[[], Any], data: bytes) -> None:
     with pytest.raises((http1.Malformed, lines.Malformed)):
         list(make().feed(data))
 
 
-REPORT = (b"PUT /catalog/register/n3 HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n"
-          b'{"status":"passing"}')
+REPORT = b'PUT /catalog/register/n3 HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n{"status":"passing"}'
 
 
 def test_a_report_and_a_call_are_written_as_the_protocol_says() -> None:
@@ -187,23 +237,27 @@
 
 STREAMS: list[tuple[Callable[[], Any], bytes]] = [
     (msgpack.Decoder, b"".join(msgpack.pack(value) for value, _ in VALUES)),
-    (lines.JsonLines, b'{"a":1}\n\n{"b":"x"}\n'), (lines.VaultReplies, b"a yes 3\r\n\r\nx\r\nb notnow\r\n"),
+    (lines.JsonLines, b'{"a":1}\n\n{"b":"x"}\n'),
+    (lines.VaultReplies, b"a yes 3\r\n\r\nx\r\nb notnow\r\n"),
     (http1.Decoder, REPORT + b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"),
-    (lambda: ajp13.Packets(ajp13.TO_SERVER),
-     ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"x" * 99, True)),
+    (
+        lambda: ajp13.Packets(ajp13.TO_SERVER),
+        ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"x" * 99, True),
+    ),
 ]
 
 
 @seed(1)
 @effort(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.sampled_from(STREAMS), st.lists(st.integers(1, 40), min_size=1, max_size=30))
-def test_streams_are_read_alike_in_any_pieces(stream: tuple[Callable[[], Any], bytes],
-                                              sizes: list[int]) -> None:
+def test_streams_are_read_alike_in_any_pieces(
+    stream: tuple[Callable[[], Any], bytes], sizes: list[int]
+) -> None:
     make, data = stream
     whole, decoder, found, at = list(make().feed(data)), make(), [], 0
     while at < len(data):
         size = sizes[at % len(sizes)]
-        found += list(decoder.feed(data[at:at + size]))
+        found += list(decoder.feed(data[at : at + size]))
         at += size
     assert found == whole and len(whole) > 1
 
