--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -12,15 +12,15 @@
 from loguru import logger
 
 from reelusher.admin import openapi
-from reelusher.admin.tenant_api import Asked, Handler, Refused, Reply, TenantApi, refusing
+from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, refusing
 from reelusher.backends.workers import Pool
+from reelusher.codecs import http1
 from reelusher.config.operator import ACTIVATIONS, Admin, Token
 from reelusher.config.table import Table
 from reelusher.core.owner import Core
 from reelusher.net import Address, Listener
 from reelusher.tenancy.registry import Tenants
 from reelusher.tenancy.store import TenantTable
-from reelusher.wire import http1
 
 if TYPE_CHECKING:
     from reelusher.fleet.membership.service import Membership
@@ -102,7 +102,7 @@
                         sock.sendall(self._answer(message))
                         if not message.keeps_open:
                             return
-            except http1.Malformed as error:
+            except http1.MalformedHttpError as error:
                 self._parts.core.counters.add("admin.malformed")
                 logger.warning("admin: {}:{} closed: {}", peer[0], peer[1], error)
                 sock.sendall(_response(error.status, {"error": str(error)}, {"Connection": "close"}))
@@ -115,7 +115,7 @@
         try:
             token = self._authorize(message)
             reply = self._dispatch(method, target, message, token)
-        except Refused as error:
+        except ApiError as error:
             extra = {"WWW-Authenticate": "Bearer"} if error.status == 401 else {}
             return _response(error.status, error.value, extra | error.headers)
         except Exception:  # an operator sees that it failed, the log says why; the node goes on
@@ -133,7 +133,7 @@
         fits = [token for token in self._tokens if hmac.compare_digest(given, token.sha256)]
         if scheme.lower() != "bearer" or not fits:
             self._parts.core.counters.add("admin.unauthorized")
-            raise Refused(401, "a valid bearer token is needed")
+            raise ApiError(401, "a valid bearer token is needed")
         return fits[0]
 
     def _dispatch(self, method: str, target: str, message: http1.Message, token: Token) -> Reply:
@@ -150,23 +150,23 @@
             case ["v1", "fleet", part, name] if name:
                 kind = f"fleet/{part}"
             case _:
-                raise Refused(404, "no such resource")
+                raise ApiError(404, "no such resource")
         if token.tenant and (method, kind, name) not in {
             ("GET", "tenants", token.tenant),
             ("GET", "tenants/usage", token.tenant),
         }:
             self._parts.core.counters.add("admin.forbidden")
-            raise Refused(403, f"this token may only look at {token.tenant!r}")
+            raise ApiError(403, f"this token may only look at {token.tenant!r}")
         react = self._routes.get((method, kind, bool(name)))
         if react is None:
             known = any((kind, bool(name)) == key[1:] for key in self._routes)
-            raise Refused(405 if known else 404, "no such method here" if known else "no such resource")
+            raise ApiError(405 if known else 404, "no such method here" if known else "no such resource")
         value = None
         if method in ("POST", "PUT", "PATCH") and kind in ("tenants", "workers"):
             try:
                 value = json.loads(message.body)
             except (ValueError, RecursionError) as error:
-                raise Refused(400, f"the body is not JSON: {error}") from None
+                raise ApiError(400, f"the body is not JSON: {error}") from None
         with refusing(method, target):
             return react(Asked(token.name, name, value, dict(parse_qsl(query)), message.headers))
 
@@ -178,7 +178,7 @@
     def _worker(self, asked: Asked) -> Reply:
         found = [worker for worker in self._parts.pool.status() if worker["name"] == asked.name]
         if not found:
-            raise Refused(404, f"no worker is named {asked.name!r}")
+            raise ApiError(404, f"no worker is named {asked.name!r}")
         return Reply(200, found[0])
 
     def _activate(self, asked: Asked) -> Reply:
@@ -186,7 +186,7 @@
         table.only("activation")
         activation = table.word("activation", ACTIVATIONS)
         if not self._parts.core.ask(lambda: self._parts.pool.activate(asked.name, activation)):
-            raise Refused(404, f"no worker is named {asked.name!r}")
+            raise ApiError(404, f"no worker is named {asked.name!r}")
         return self._worker(asked)
 
     def _status(self, _asked: Asked) -> Reply:
@@ -199,24 +199,24 @@
         return Reply(200, self._membership().status())
 
     def _no_replication(self, _asked: Asked) -> Reply:
-        raise Refused(404, "this node's tenants are its own: its configuration has no [replication]")
+        raise ApiError(404, "this node's tenants are its own: its configuration has no [replication]")
 
     def _forget(self, asked: Asked) -> Reply:
         done = self._membership().forget(asked.name)
         if done is None:
-            raise Refused(404, f"no member is named {asked.name!r}")
+            raise ApiError(404, f"no member is named {asked.name!r}")
         if not done:
-            raise Refused(409, f"{asked.name!r} lives; it leaves by its own drain")
+            raise ApiError(409, f"{asked.name!r} lives; it leaves by its own drain")
         return Reply(202, {"forgotten": asked.name})
 
     def _membership(self) -> "Membership":
         if self._parts.fleet is None:
-            raise Refused(404, "this node is in no fleet: its configuration has no [fleet]")
+            raise ApiError(404, "this node is in no fleet: its configuration has no [fleet]")
         return self._parts.fleet
 
     def _drain(self, _asked: Asked) -> Reply:
         if not self._parts.drain():
-            raise Refused(409, "it drains already")
+            raise ApiError(409, "it drains already")
         return Reply(202, {"draining": True})
 
 
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -14,18 +14,18 @@
 
 from loguru import logger
 
-from reelusher.admin.tenant_api import Asked, Handler, Refused, Reply, TenantApi, etag, refusing
+from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, etag, refusing
 from reelusher.config.operator import Tenant
 from reelusher.core.owner import Core
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.membership.service import Unanswered, Unreached
+from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
 from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
-from reelusher.fleet.replication.rows import Broken
+from reelusher.fleet.replication.rows import ReplicaError
 from reelusher.fleet.replication.streams import Position
 from reelusher.tenancy.durable.state import Standing as Kept
 from reelusher.tenancy.durable.state import shown
 from reelusher.tenancy.registry import Tenants
-from reelusher.tenancy.replicated import MOST_WHO, Busy, ReplicatedTable, Standing, told
+from reelusher.tenancy.replicated import MOST_WHO, ReplicatedTable, Standing, TableBusyError, told
 
 COPIES_S = 5.0  # that a call waits for copies
 CARRIED_S = 4.0  # that the holder has for a call that is carried there, beside the wait for copies
@@ -48,7 +48,7 @@
         """Return the live members, this one first."""
 
     def ask_once(self, place: str, request: Any, kind: type[ChangeReply], within_s: float) -> ChangeReply:
-        """Ask a member. Raises `Unreached` where it was told nothing, and `Unanswered`."""
+        """Ask a member. Raises `MemberUnreachableError` where it was told nothing, and `NoReplyError`."""
 
 
 class ReplicatedTenantApi(TenantApi):
@@ -167,7 +167,7 @@
 
     def _delete(self, asked: Asked) -> Reply:
         if "within_ms" in asked.query:
-            raise Refused(400, "each node ends what it has in hand within its own time", "within_ms")
+            raise ApiError(400, "each node ends what it has in hand within its own time", "within_ms")
         with self._table.changing():
             before = self._current(asked)
             if asked.dry:
@@ -188,14 +188,14 @@
                 position = self._replicated.position(stream)
                 have = self._replicated.replication.wait(stream, position, copies, COPIES_S)
                 if have < copies:
-                    raise Refused(
+                    raise ApiError(
                         504,
                         f"made, and {have} other members have it so far, not {copies}",
                         "copies",
                         reply.headers,
                         {"made": True, "copies": have, "value": reply.value},
                     )
-        except Busy as error:
+        except TableBusyError as error:
             raise self._later(f"{error}: nothing was changed") from None
         finally:
             if copies:
@@ -214,12 +214,12 @@
         """Have this member write a stream from now on, as an operator orders."""
         table, stream, own = self._replicated, asked.name, self._replicated.own_name
         if stream not in table.replica.control:
-            raise Refused(404, f"there is no stream {stream!r}: they are {', '.join(table.replica.control)}")
+            raise ApiError(404, f"there is no stream {stream!r}: they are {', '.join(table.replica.control)}")
         if own not in table.replica.control:
-            raise Refused(409, f"{own!r} writes nothing: call one of {', '.join(table.replica.control)}")
+            raise ApiError(409, f"{own!r} writes nothing: call one of {', '.join(table.replica.control)}")
         force, holder = asked.flag("force"), table.holder(stream)
         if holder == own and not table.replica.states[stream].lost:
-            raise Refused(409, f"{own!r} writes stream {stream!r} already")
+            raise ApiError(409, f"{own!r} writes stream {stream!r} already")
         self._sole(own)
         lives = holder != own and any(member.name == holder for member in self._live())
         position, further = table.position(stream), table.lacks(stream)
@@ -244,7 +244,7 @@
             )
         try:
             begun = table.take_over(stream, force)
-        except Busy as error:
+        except TableBusyError as error:
             raise self._later(f"{error}: nothing was changed") from None
         self._counters.add("replication.taken_over")
         logger.warning(
@@ -277,7 +277,7 @@
         request = ChangeRequest(self._live()[0].place, "GET", target, {})
         try:
             reply = self._fleet.ask_once(self._sole(name), request, ChangeReply, ASK_S)
-        except (Unreached, Unanswered):
+        except (MemberUnreachableError, NoReplyError):
             return otherwise
         return json.loads(reply.value) if reply.status == 200 else otherwise
 
@@ -286,11 +286,11 @@
     def _live(self) -> list[Update]:
         return self._fleet.live() if self._fleet else []
 
-    def _later(self, text: str, **more: Any) -> Refused:
-        return Refused(503, text, headers={"Retry-After": str(self._random.randint(*RETRY_S))}, more=more)
+    def _later(self, text: str, **more: Any) -> ApiError:
+        return ApiError(503, text, headers={"Retry-After": str(self._random.randint(*RETRY_S))}, more=more)
 
     def _sole(self, name: str) -> str:
-        """Return the place of the one live member of a name. Raises `Refused`."""
+        """Return the place of the one live member of a name. Raises `ApiError`."""
         places = [member.place for member in self._live() if member.name == name]
         if len(places) > 1:  # two that number the same stream would never be one table again
             raise self._later(f"{len(places)} live members are named {name!r}: nothing was changed")
@@ -302,7 +302,7 @@
         def answer(asked: Asked) -> Reply:
             try:
                 return react(asked)
-            except Broken as error:
+            except ReplicaError as error:
                 raise self._later(f"this node's copy can't be read: {error}: nothing was changed") from None
 
         return answer
@@ -331,7 +331,7 @@
         target = f"{path}?{urlencode(asked.query)}"
         body = b"" if asked.value is None else json.dumps(asked.value).encode()
         if len(target) > MOST_TARGET or len(body) > MOST_CHANGE:
-            raise Refused(413, "it is too long to be carried to the member that makes the change")
+            raise ApiError(413, "it is too long to be carried to the member that makes the change")
         request = ChangeRequest(
             self._live()[0].place,
             method,
@@ -345,15 +345,15 @@
         try:
             within_s = CARRIED_S + (COPIES_S if "copies" in asked.query else 0.0)
             reply = self._fleet.ask_once(place, request, ChangeReply, within_s)
-        except Unreached:
+        except MemberUnreachableError:
             self._counters.add("replication.holder_away")
             raise self._later(
                 f"{holder!r} makes the changes of {self._name(asked)!r} and can't be reached: "
                 "nothing was changed"
             ) from None
-        except Unanswered:
+        except NoReplyError:
             self._counters.add("replication.answers_lost")
-            raise Refused(
+            raise ApiError(
                 504,
                 f"{holder!r} was asked and did not answer: it may have been made; the same "
                 "Idempotency-Key, or If-Match, tells",
@@ -369,12 +369,12 @@
         try:
             with refusing(request.method, request.target):
                 reply = self._carried(request)
-        except Broken as error:
+        except ReplicaError as error:
             later = self._later(
                 f"the copy of {self._replicated.own_name!r} can't be read: {error}: nothing was changed"
             )
             reply = Reply(later.status, later.value, later.headers)
-        except Refused as error:
+        except ApiError as error:
             reply = Reply(error.status, error.value, error.headers)
         except Exception:
             logger.exception("admin: {} {} failed", request.method, request.target)
@@ -401,14 +401,14 @@
             case ["v1", "tenants", name, part]:
                 kind = f"tenants/{part}"
             case _:
-                raise Refused(404, "no such resource")
+                raise ApiError(404, "no such resource")
         key = request.method, kind, bool(name)
         if key not in self._makes:
-            raise Refused(404, "no such change")
+            raise ApiError(404, "no such change")
         try:
             value = json.loads(request.body) if request.body else None
         except (ValueError, RecursionError) as error:
-            raise Refused(400, f"the body is not JSON: {error}") from None
+            raise ApiError(400, f"the body is not JSON: {error}") from None
         asked = Asked(request.who, name, value, dict(parse_qsl(query)), request.headers)
         stream = self._replicated.stream_of(self._name(asked))
         holder = self._replicated.holder(stream)
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -14,9 +14,9 @@
 from reelusher.config.operator import Tenant
 from reelusher.config.table import ConfigError
 from reelusher.core.owner import Core
-from reelusher.tenancy.durable.journal import Broken
+from reelusher.tenancy.durable.journal import JournalError
 from reelusher.tenancy.durable.state import Kept, Standing, shown
-from reelusher.tenancy.lifecycle import DRAIN_US, State, WrongState
+from reelusher.tenancy.lifecycle import DRAIN_US, State, TenantStateError
 from reelusher.tenancy.registry import Tenants
 from reelusher.tenancy.store import TenantTable
 
@@ -25,7 +25,7 @@
 MOST_KEY = 128  # characters of an idempotency key
 
 
-class Refused(Exception):
+class ApiError(Exception):
     """A request that is answered with an error."""
 
     def __init__(
@@ -48,16 +48,16 @@
 
 @contextmanager
 def refusing(method: str, target: str) -> Iterator[None]:
-    """Turn what can't be done into an answer: raises `Refused` in place of other errors that callers make."""
+    """Raise `ApiError` in place of the errors that a faulty or impossible call raises."""
     try:
         yield
     except ConfigError as error:
-        raise Refused(400, str(error), error.key) from None
-    except WrongState as error:
-        raise Refused(409, str(error)) from None
-    except Broken as error:  # a full disk, say: nothing was changed
+        raise ApiError(400, str(error), error.key) from None
+    except TenantStateError as error:
+        raise ApiError(409, str(error)) from None
+    except JournalError as error:  # a full disk, say: nothing was changed
         logger.error("admin: {} {} was not made durable: {}", method, target, error)
-        raise Refused(507, f"not made durable, so not made: {error}") from None
+        raise ApiError(507, f"not made durable, so not made: {error}") from None
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,14 +74,14 @@
         """Read a whole number from the query."""
         text = self.query.get(key, str(default))
         if not (text.isascii() and text.isdigit() and len(text) < 16 and least <= int(text) <= most):
-            raise Refused(400, f"a whole number from {least} to {most} is wanted", key)
+            raise ApiError(400, f"a whole number from {least} to {most} is wanted", key)
         return int(text)
 
     def flag(self, key: str) -> bool:
         """Read true or false from the query; without it, it is false."""
         text = self.query.get(key, "false")
         if text not in ("true", "false"):
-            raise Refused(400, "true or false is wanted", key)
+            raise ApiError(400, "true or false is wanted", key)
         return text == "true"
 
     @property
@@ -197,14 +197,14 @@
     def _create(self, asked: Asked) -> Reply:
         key = asked.headers.get("idempotency-key", "")
         if len(key) > MOST_KEY:
-            raise Refused(400, f"more than {MOST_KEY} characters", "Idempotency-Key")
+            raise ApiError(400, f"more than {MOST_KEY} characters", "Idempotency-Key")
         with self._table.changing():
             made_before = self._table.made_by(key) if key else None
             tenant = self._read(asked.value)
             if made_before is not None:
                 return self._again(made_before, tenant)
             if self._known(tenant.name):
-                raise Refused(409, f"a tenant is named {tenant.name!r} already", "name")
+                raise ApiError(409, f"a tenant is named {tenant.name!r} already", "name")
             if asked.dry:
                 return self._would(None, Kept(tenant.to_json(), State.ACTIVE.value, 0))
             kept = self._table.change("put", tenant.name, asked.who, tenant.to_json(), key=key)
@@ -215,9 +215,9 @@
         """Answer a call whose key made a tenant before: as then, if it still asks for the same."""
         kept = self._table.kept(name)
         if tenant.name != name:
-            raise Refused(422, f"this key was used to make {name!r}", "Idempotency-Key")
+            raise ApiError(422, f"this key was used to make {name!r}", "Idempotency-Key")
         if kept is None:
-            raise Refused(409, f"{name!r} was made with this key, and has been removed", "Idempotency-Key")
+            raise ApiError(409, f"{name!r} was made with this key, and has been removed", "Idempotency-Key")
         return Reply(201, self._told(kept), {**etag(kept), "Idempotent-Replayed": "true"})
 
     def _replace(self, asked: Asked) -> Reply:
@@ -227,7 +227,7 @@
 
     def _patch(self, asked: Asked) -> Reply:
         if not isinstance(asked.value, dict):
-            raise Refused(400, "a merge patch is an object")
+            raise ApiError(400, "a merge patch is an object")
         with self._table.changing():
             before = self._current(asked)
             patched = merged(before.tenant, asked.value)
@@ -274,10 +274,12 @@
         if kept is None and not self._known(asked.name):
             raise self._nobody(asked.name)
         if kept is None:
-            raise WrongState(f"{asked.name!r} is being removed")
+            raise TenantStateError(f"{asked.name!r} is being removed")
         wanted = [tag.strip() for tag in asked.headers.get("if-match", "*").split(",")]
         if "*" not in wanted and etag(kept)["ETag"] not in wanted:
-            raise Refused(412, f"{asked.name!r} has been changed: it is {etag(kept)['ETag']} now", "If-Match")
+            raise ApiError(
+                412, f"{asked.name!r} has been changed: it is {etag(kept)['ETag']} now", "If-Match"
+            )
         return kept
 
     def _told(self, kept: Standing | None) -> dict[str, Any] | None:
@@ -291,8 +293,8 @@
         )
 
     @staticmethod
-    def _nobody(name: str) -> Refused:
-        return Refused(404, f"no tenant is named {name!r}")
+    def _nobody(name: str) -> ApiError:
+        return ApiError(404, f"no tenant is named {name!r}")
 
 
 def etag(kept: Standing | None) -> dict[str, str]:
--- a/reelusher/backends/catalog.py
+++ b/reelusher/backends/catalog.py
@@ -10,18 +10,18 @@
 
 from loguru import logger
 
+from reelusher.codecs import http1
 from reelusher.core.counters import Counters
 from reelusher.net import Address, connect, spawn
 from reelusher.pacing.backoff import Tries
 from reelusher.pacing.cadence import Cadence, Loss
-from reelusher.wire import http1
 
 DESCRIPTORS = 1
 PATH = "/catalog/register/"
 STALE_MOST, STALE_EARNED = 1.0, 0.5  # second tries at once, for a kept connection that has gone stale
 
 
-class Troubled(OSError):
+class RegistryUnavailableError(OSError):
     """The catalog answered, but with an error; `advised_s`: come back no sooner."""
 
     def __init__(self, status: str, advised_s: float) -> None:
@@ -84,17 +84,17 @@
         sent_s = time.monotonic()
         try:
             self._put()
-        except (OSError, http1.Malformed) as error:
+        except (OSError, http1.MalformedHttpError) as error:
             self._drop()
             self._counters.add("catalog.failed")
             if not self._failing:
                 logger.warning("catalog: no report: {}", error)
             self._failing = True
-            lost = isinstance(error, (TimeoutError, http1.Malformed))
+            lost = isinstance(error, (TimeoutError, http1.MalformedHttpError))
             return self._cadence.lost(
                 Loss.SILENCE if lost else Loss.AWAY,
                 time.monotonic(),
-                error.advised_s if isinstance(error, Troubled) else 0.0,
+                error.advised_s if isinstance(error, RegistryUnavailableError) else 0.0,
             )
         self._counters.add("catalog.reports")
         if self._failing:
@@ -116,7 +116,10 @@
         kept = self._sock is not None
         try:
             self._exchange(address, message)
-        except (Troubled, TimeoutError):  # the catalog itself: a second report at once would be one too many
+        except (
+            RegistryUnavailableError,
+            TimeoutError,
+        ):  # the catalog itself: a second report at once would be one too many
             raise
         except OSError:
             if not kept or not self._stale.take():
@@ -134,7 +137,9 @@
         while data := self._sock.recv(1 << 12):
             for answer in decoder.feed(data):
                 if answer.start[1] != "204":
-                    raise Troubled(answer.start[1], _seconds(answer.headers.get("retry-after", "")))
+                    raise RegistryUnavailableError(
+                        answer.start[1], _seconds(answer.headers.get("retry-after", ""))
+                    )
                 if not answer.keeps_open:
                     self._drop()
                 return
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -11,11 +11,12 @@
 from loguru import logger
 
 from reelusher import interface as io
+from reelusher.codecs import lines
+from reelusher.codecs.errors import MalformedError
 from reelusher.core.counters import Counters
 from reelusher.core.model import CallWanted, GaugesRead, Message, Request, Result, RunOver, RunsLost
 from reelusher.net import Address, Outbox, connect, spawn
 from reelusher.pacing.backoff import Backoff
-from reelusher.wire import lines
 
 BASE_S, CAP_S = 0.02, 0.25  # between tries to connect; the cap is what a restart may cost at most
 LIVED_S = 1.0  # a link that lived for less gets no next one at once
@@ -245,16 +246,7 @@
                 if self._next is not None or self._closed:
                     outbox.close()
             outbox.send(lines.json_line({"msg": "sync", "serial": self._serial}))
-            try:
-                decoder = lines.JsonLines()
-                while data := sock.recv(1 << 16):
-                    for message in decoder.feed(data):
-                        self._take(message)
-            except lines.Malformed as error:
-                self._counters.add("runtime.malformed")
-                logger.warning("runtime: link closed for what it sent: {}", error)
-            except OSError as error:
-                logger.debug("runtime: {}", error)
+            self._read(sock)
             with self._lock:
                 self._ready, self._outbox, self._linked = False, None, None
                 moved = self._next is not None
@@ -270,11 +262,24 @@
             else:  # at once: runs wait for their commands
                 backoff.reset()
 
+    def _read(self, sock: socket.socket) -> None:
+        """Read notices until the link ends."""
+        decoder = lines.JsonLines()
+        try:
+            while data := sock.recv(1 << 16):
+                for message in decoder.feed(data):
+                    self._take(message)
+        except MalformedError as error:
+            self._counters.add("runtime.malformed")
+            logger.warning("runtime: link closed for what it sent: {}", error)
+        except OSError as error:
+            logger.debug("runtime: {}", error)
+
     def _take(self, message: dict[str, Any]) -> None:
         word = message.get("msg")
         react = self._tells.get(word) if isinstance(word, str) else None
         if react is None:
-            raise lines.Malformed(f"an unknown notice {word!r}")
+            raise MalformedError(f"an unknown notice {word!r}")
         serial = message.get("serial")
         if isinstance(serial, int) and serial <= self._serial:
             self._counters.add("runtime.replayed")
@@ -284,7 +289,7 @@
         except (KeyError, TypeError, ValueError) as error:
             if not isinstance(serial, int) or self._spoilt != serial:
                 self._spoilt = serial  # it may have been spoilt on its way: the next link brings it again
-                raise lines.Malformed(f"a notice {word} with a bad field: {error!r}") from None
+                raise MalformedError(f"a notice {word} with a bad field: {error!r}") from None
             self._counters.warn(
                 "runtime.spoilt_twice",
                 "runtime: the notice {} can't be read, its run counts as failed",
--- a/reelusher/backends/workers.py
+++ b/reelusher/backends/workers.py
@@ -16,13 +16,14 @@
 
 from loguru import logger
 
+from reelusher.codecs import ajp13
+from reelusher.codecs.errors import MalformedError
 from reelusher.config.operator import Balancer, Worker
 from reelusher.core.counters import Counters
 from reelusher.core.model import GaugesRead, Message, Request, Result, Runner, RunOver
 from reelusher.interface import Outcome
 from reelusher.net import connect
 from reelusher.pacing.backoff import Backoff
-from reelusher.wire import ajp13
 
 HOP_BY_HOP = frozenset({"connection", "keep-alive", "transfer-encoding", "upgrade", "proxy-connection", "te"})
 SESSION = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
@@ -30,7 +31,7 @@
 RECOVER_MOST = 4  # times `recover_ms`: a worker that stays away is tried more and more rarely, down to this
 
 
-class NotSent(Exception):
+class WorkerUnreachableError(Exception):
     """The worker can't be reached: nothing was sent, so nothing ran."""
 
 
@@ -56,7 +57,7 @@
         self.sock.settimeout(timeout)
         self.sock.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
         if not isinstance(self.reply(), ajp13.Pong):
-            raise ajp13.Malformed("something other than a CPong")
+            raise MalformedError("something other than a CPong")
 
     def stale(self) -> bool:
         """Tell whether the container has closed, or sent what nobody asked for."""
@@ -95,7 +96,7 @@
         )
 
     def open(self) -> Channel:
-        """Return a connection that is proved to work, if CPing is on; raise `NotSent` where there is none."""
+        """Return a connection, tested by CPing if that is on. Raises `WorkerUnreachableError`."""
         timeout = self.config.cping_timeout_ms / 1000
         while True:
             with self._lock:
@@ -110,11 +111,11 @@
                 if timeout:
                     channel.ping(timeout)
                 return channel
-            except (OSError, ajp13.Malformed) as error:
+            except (OSError, MalformedError) as error:
                 if channel is not None:
                     channel.close()
                 if not kept:  # a kept connection may just be old; a new one tells of the worker
-                    raise NotSent(str(error)) from None
+                    raise WorkerUnreachableError(str(error)) from None
 
     def give_back(self, channel: Channel, reuse: bool) -> None:
         """Keep a connection for the next request, or end it."""
@@ -329,7 +330,7 @@
             tried.add(member.config.name)
             try:
                 channel = member.open()
-            except NotSent as error:
+            except WorkerUnreachableError as error:
                 member.failed()
                 self._pool.release(member)
                 self._pool.counters.add("workers.unreachable")
@@ -357,7 +358,7 @@
                 channel, member.config.secret, forward, request.body, self._pool.most_response
             )
             return Outcome.OK, result
-        except (OSError, ajp13.Malformed, ValueError) as error:
+        except (OSError, MalformedError, ValueError) as error:
             member.errors += 1
             self._pool.counters.add("workers.broken")
             logger.warning(
@@ -396,7 +397,7 @@
                     raise ValueError(f"a response of more than {most} bytes")
             case ajp13.ResponseEnd(reuse):
                 if head is None:
-                    raise ajp13.Malformed("an end without a head")
+                    raise MalformedError("an end without a head")
                 headers = tuple(
                     (name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP
                 )
--- a/reelusher/choice.py
+++ b/reelusher/choice.py
@@ -88,17 +88,17 @@
     """A request that is not over."""
 
     __slots__ = (
-        "request",
-        "kind",
-        "state",
-        "kb",
-        "arrived_us",
         "aim_us",
-        "due_us",
         "answered",
+        "arrived_us",
+        "asked_again",
+        "due_us",
+        "kb",
+        "kind",
         "ran",
+        "request",
+        "state",
         "until_us",
-        "asked_again",
     )
 
     def __init__(self, request: Request, settings: Settings, now: int) -> None:
@@ -279,7 +279,7 @@
         grown = self.ages[2] / self.aim_us
         self.late = grown > LATE
         self.refusal *= REFUSE_FADE
-        if self.late or self.degraded >= 1 and self.ages[0] < self.ages[1] < self.ages[2]:
+        if self.late or (self.degraded >= 1 and self.ages[0] < self.ages[1] < self.ages[2]):
             self.refusal = min(max(self.refusal, grown), REFUSE_MOST)
 
     def _set_health(self) -> None:
@@ -339,14 +339,14 @@
             self.out.append(Join(request.id))
         full = self._memory() + self.settings.entry_kb * keyed > MEMORY_HOLD * self.settings.memory_kb
         # what callers were told wears off while they wait, and some heed nothing: no more than that is held
-        full = full or self._cold() and len(self.work) > self._crowd()
+        full = full or (self._cold() and len(self.work) > self._crowd())
         chance = self.refusal ** (max(work.kind.worth, self.lowest) / self.lowest)
         if self.standing and not joined:
             self.standing.arrived(request, self.now)
             chance = self.standing.chance(request.tenant, chance)
             full = full or self.standing.full(request, self.settings.entry_kb * keyed, keyed, self._memory())
-        refused = self.late and request.retry or self.random.random() < chance
-        if self._hopeless(work) or not joined and (full or refused or work.arrived_us > self.grace_us):
+        refused = (self.late and request.retry) or self.random.random() < chance
+        if self._hopeless(work) or (not joined and (full or refused or work.arrived_us > self.grace_us)):
             self._answer(work)
         elif keyed and not joined:
             span = work.arrived_us + work.kind.window_us + self.settings.slack_us - self.now
--- a/reelusher/wire/ajp13.py
+++ b/reelusher/codecs/ajp13.py
@@ -7,6 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from reelusher.codecs.errors import CodecError, MalformedError
+
 TO_CONTAINER, TO_SERVER = b"\x12\x34", b"AB"
 FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10  # to the container
 BODY_CHUNK, HEADERS, END, GET_BODY, CPONG = 3, 4, 5, 6, 9  # to the server
@@ -110,11 +112,7 @@
 KNOWN_NAMES = frozenset({"AJP_REMOTE_PORT", "AJP_LOCAL_ADDR", "AJP_SSL_PROTOCOL", "JK_LB_ACTIVATION"})
 
 
-class Malformed(Exception):
-    """The bytes are not AJP13, or pass a limit."""
-
-
-class Forbidden(Exception):
+class ForbiddenAttributeError(CodecError):
     """A well-formed request that is refused whatever it asks for: an attribute that no web server sends."""
 
 
@@ -145,7 +143,7 @@
         if text is None:
             return None if "chunked" in (self.header("transfer-encoding") or "").lower() else 0
         if not (text.isascii() and text.isdigit() and len(text) < 16):
-            raise Malformed("a content-length that is no number")
+            raise MalformedError("a content-length that is no number")
         return int(text)
 
 
@@ -162,10 +160,10 @@
         self._buffer += data
         while len(self._buffer) >= 4:
             if self._buffer[:2] != self._magic:
-                raise Malformed("a packet that does not begin as AJP13 packets do")
+                raise MalformedError("a packet that does not begin as AJP13 packets do")
             size = self._buffer[2] << 8 | self._buffer[3]
             if size > self._most:
-                raise Malformed(f"a packet of {size} bytes, {self._most} at most")
+                raise MalformedError(f"a packet of {size} bytes, {self._most} at most")
             if len(self._buffer) < 4 + size:
                 return
             payload = bytes(self._buffer[4 : 4 + size])
@@ -184,7 +182,7 @@
         """Take so many bytes."""
         end = self._at + size
         if end > len(self._data):
-            raise Malformed("a packet that ends too soon")
+            raise MalformedError("a packet that ends too soon")
         data = self._data[self._at : end]
         self._at = end
         return data
@@ -213,13 +211,13 @@
         if size & 0xFF00 != 0xA000:
             return self._text(size)
         if size not in codes:
-            raise Malformed(f"an unknown header code {size:#06x}")
+            raise MalformedError(f"an unknown header code {size:#06x}")
         return codes[size]
 
     def _text(self, size: int) -> str:
         data = self.take(size + 1)
         if data[-1]:
-            raise Malformed("a string without its closing zero")
+            raise MalformedError("a string without its closing zero")
         return data[:-1].decode("latin-1")
 
 
@@ -248,7 +246,7 @@
     """Read a forwarded request, type byte included."""
     reader = Reader(payload)
     if reader.byte() != FORWARD:
-        raise Malformed("not a forwarded request")
+        raise MalformedError("not a forwarded request")
     code = reader.byte()
     made = Forward(
         METHODS.get(code, ""),
@@ -262,17 +260,17 @@
     )
     count = reader.word()
     if count > MOST_HEADERS:
-        raise Malformed(f"{count} headers, {MOST_HEADERS} at most")
+        raise MalformedError(f"{count} headers, {MOST_HEADERS} at most")
     made.headers = [(reader.header(REQUEST_HEADERS).lower(), reader.text()) for _ in range(count)]
     if sum(name == "content-length" for name, _ in made.headers) > 1:
-        raise Malformed("two content-lengths")
+        raise MalformedError("two content-lengths")
     refused = _read_attributes(reader, made, allowed)
     if code == STORED_METHOD:
         made.method = made.attributes.get("stored_method", "")
     if not made.method:
-        raise Malformed(f"an unknown method {code}")
+        raise MalformedError(f"an unknown method {code}")
     if refused:
-        raise Forbidden(f"the attribute {refused} is not one that web servers send")
+        raise ForbiddenAttributeError(f"the attribute {refused} is not one that web servers send")
     return made
 
 
@@ -292,7 +290,7 @@
             reader.text()
             refused = refused or NEVER_SENT[code]
         else:
-            raise Malformed(f"an unknown attribute {code:#04x}")
+            raise MalformedError(f"an unknown attribute {code:#04x}")
     return refused
 
 
@@ -383,7 +381,7 @@
     if kind == HEADERS:
         status, reason, count = reader.word(), reader.text(), reader.word()
         if count > MOST_HEADERS:
-            raise Malformed(f"{count} headers, {MOST_HEADERS} at most")
+            raise MalformedError(f"{count} headers, {MOST_HEADERS} at most")
         headers = tuple((reader.header(RESPONSE_HEADERS), reader.text()) for _ in range(count))
         return ResponseHead(status, reason, headers)
     if kind == BODY_CHUNK:
@@ -394,7 +392,7 @@
         return BodyWanted(reader.word())
     if kind == CPONG:
         return Pong()
-    raise Malformed(f"an unknown packet type {kind}")
+    raise MalformedError(f"an unknown packet type {kind}")
 
 
 def write_reply(reply: Reply) -> bytes:
--- a/reelusher/wire/http1.py
+++ b/reelusher/codecs/http1.py
@@ -3,6 +3,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from reelusher.codecs.errors import MalformedError
+
 MOST_HEAD = 1 << 14
 MOST_BODY = 1 << 20
 MOST_HEADERS = 100
@@ -13,7 +15,7 @@
     204: "No Content",
     400: "Bad Request",
     401: "Unauthorized",
-    403: "Forbidden",
+    403: "ForbiddenAttributeError",
     404: "Not Found",
     405: "Method Not Allowed",
     409: "Conflict",
@@ -28,7 +30,7 @@
 }
 
 
-class Malformed(Exception):
+class MalformedHttpError(MalformedError):
     """The bytes are not HTTP/1.1, or pass a limit; `status` says what a server answers to that."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -76,39 +78,39 @@
     def _read_head(self) -> bool:
         end = self._buffer.find(b"\r\n\r\n")
         if max(end, len(self._buffer) if end < 0 else 0) > MOST_HEAD:
-            raise Malformed(f"a head of more than {MOST_HEAD} bytes", 431)
+            raise MalformedHttpError(f"a head of more than {MOST_HEAD} bytes", 431)
         if end < 0:
             return False
         lines = bytes(self._buffer[:end]).decode("latin-1").split("\r\n")
         del self._buffer[: end + 4]
         start = lines[0].split(" ", 2)
         if len(start) < 2 or not (start[0].startswith("HTTP/1.") or start[-1].startswith("HTTP/1.")):
-            raise Malformed("a start line that is not HTTP/1")
+            raise MalformedHttpError("a start line that is not HTTP/1")
         self._head = Message((start[0], start[1], start[2] if len(start) > 2 else ""), _headers(lines[1:]))
         self._size = self._length(self._head)
         return True
 
     def _length(self, message: Message) -> int:
         if "transfer-encoding" in message.headers:
-            raise Malformed("transfer codings are not supported", 501)
+            raise MalformedHttpError("transfer codings are not supported", 501)
         text = message.headers.get("content-length", "0")
         if not (text.isascii() and text.isdigit()):
-            raise Malformed("a content-length that is no number")
+            raise MalformedHttpError("a content-length that is no number")
         if len(text) > 12 or int(text) > self._most_body:
-            raise Malformed(f"a body of more than {self._most_body} bytes", 413)
+            raise MalformedHttpError(f"a body of more than {self._most_body} bytes", 413)
         return int(text)
 
 
 def _headers(lines: list[str]) -> dict[str, str]:
     if len(lines) > MOST_HEADERS:
-        raise Malformed(f"more than {MOST_HEADERS} headers", 431)
+        raise MalformedHttpError(f"more than {MOST_HEADERS} headers", 431)
     found: dict[str, str] = {}
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise Malformed("a header line without a name")
+            raise MalformedHttpError("a header line without a name")
         if name.lower() == "content-length" and name.lower() in found:
-            raise Malformed("two content-lengths")
+            raise MalformedHttpError("two content-lengths")
         found[name.lower()] = value.strip()
     return found
 
--- a/reelusher/wire/lines.py
+++ b/reelusher/codecs/lines.py
@@ -7,15 +7,13 @@
 from dataclasses import dataclass
 from typing import Any
 
+from reelusher.codecs.errors import MalformedError
+
 MOST_LINE = 1 << 20
 MOST_REPLY = 1 << 18
 MOST_REPLY_LINE = 256  # of the line that begins a reply
 
 
-class Malformed(Exception):
-    """The bytes are not what the protocol describes, or pass a limit."""
-
-
 class JsonLines:
     """Decodes one JSON object a line."""
 
@@ -31,16 +29,16 @@
             if line.strip():
                 yield self._object(line)
         if len(self._buffer) > MOST_LINE:
-            raise Malformed(f"a line of more than {MOST_LINE} bytes")
+            raise MalformedError(f"a line of more than {MOST_LINE} bytes")
 
     @staticmethod
     def _object(line: bytes) -> dict[str, Any]:
         try:
             value = json.loads(line)
         except (ValueError, RecursionError) as error:
-            raise Malformed(f"a line that is not JSON: {error}") from None
+            raise MalformedError(f"a line that is not JSON: {error}") from None
         if not isinstance(value, dict):
-            raise Malformed("a line that is not a JSON object")
+            raise MalformedError("a line that is not a JSON object")
         return value
 
 
@@ -59,7 +57,7 @@
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, TypeError, ValueError):
-        raise Malformed("a body that is not base64") from None
+        raise MalformedError("a body that is not base64") from None
 
 
 @dataclass(slots=True, frozen=True)
@@ -89,20 +87,20 @@
                 yield VaultReply(words[0], words[1])
                 continue
             if len(words) != 3 or not words[2].isascii() or not words[2].isdigit() or len(words[2]) > 9:
-                raise Malformed("a reply that is not ID WORD or ID WORD LENGTH")
+                raise MalformedError("a reply that is not ID WORD or ID WORD LENGTH")
             size = int(words[2])
             if size > MOST_REPLY:
-                raise Malformed(f"a reply of {size} bytes, {MOST_REPLY} at most")
+                raise MalformedError(f"a reply of {size} bytes, {MOST_REPLY} at most")
             stop = end + 2 + size
             if len(self._buffer) < stop + 2:
                 return
             if self._buffer[stop : stop + 2] != b"\r\n":
-                raise Malformed("a reply longer than it says")
+                raise MalformedError("a reply longer than it says")
             body = bytes(self._buffer[end + 2 : stop])
             del self._buffer[: stop + 2]
             yield VaultReply(words[0], words[1], body)
         if len(self._buffer) > MOST_REPLY_LINE:
-            raise Malformed(f"a line of more than {MOST_REPLY_LINE} bytes")
+            raise MalformedError(f"a line of more than {MOST_REPLY_LINE} bytes")
 
 
 def vault_ask(call: str, wait_ms: int, body: bytes) -> bytes:
--- a/reelusher/wire/msgpack.py
+++ b/reelusher/codecs/msgpack.py
@@ -8,17 +8,15 @@
 from collections.abc import Iterator
 from typing import Any
 
+from reelusher.codecs.errors import MalformedError
+
 MOST_BYTES = 1 << 16  # of one string or binary
 MOST_ITEMS = 256  # of one array or map
 MOST_DEPTH = 8
 MOST_FRAME = 1 << 18  # of one whole value
 
 
-class Malformed(Exception):
-    """The bytes are not MessagePack, or pass a limit."""
-
-
-class _Short(Exception):
+class _IncompleteValueError(Exception):
     """The value is not whole yet."""
 
 
@@ -53,7 +51,7 @@
 class _Open:
     """An array or a map whose items are still being read."""
 
-    __slots__ = ("left", "items", "is_map")
+    __slots__ = ("is_map", "items", "left")
 
     def __init__(self, left: int, is_map: bool) -> None:
         self.left = 2 * left if is_map else left  # values still to come
@@ -89,13 +87,13 @@
                 begun = self._at
                 try:
                     value = self._item()
-                except _Short:
+                except _IncompleteValueError:
                     self._at = begun
                     break
                 finally:
                     self._frame += self._at - begun
                 if self._frame > self._most_frame:
-                    raise Malformed(f"a value of more than {self._most_frame} bytes")
+                    raise MalformedError(f"a value of more than {self._most_frame} bytes")
                 if not isinstance(value, _Open):
                     value = self._placed(value)
                 if not isinstance(value, _Open):
@@ -105,14 +103,14 @@
             del self._buffer[: self._at]
             self._at = 0
         if self._frame + len(self._buffer) > self._most_frame:
-            raise Malformed(f"a value of more than {self._most_frame} bytes")
+            raise MalformedError(f"a value of more than {self._most_frame} bytes")
 
     def _placed(self, value: Any) -> Any:
         """Put a value into what is open; return the outermost once it is whole, else what is still open."""
         while self._open:
             top = self._open[-1]
             if top.is_map and top.left % 2 == 0 and not isinstance(value, (str, int, bytes)):
-                raise Malformed("a map key that is neither a string nor a number")
+                raise MalformedError("a map key that is neither a string nor a number")
             top.items.append(value)
             top.left -= 1
             if top.left:
@@ -123,7 +121,7 @@
     def _take(self, size: int) -> bytes:
         end = self._at + size
         if end > len(self._buffer):
-            raise _Short
+            raise _IncompleteValueError
         data = bytes(self._buffer[self._at : end])
         self._at = end
         return data
@@ -131,7 +129,7 @@
     def _number(self, code: int) -> Any:
         form = _STRUCTS[code]
         if self._at + form.size > len(self._buffer):
-            raise _Short
+            raise _IncompleteValueError
         (number,) = form.unpack_from(self._buffer, self._at)
         self._at += form.size
         return number
@@ -155,7 +153,7 @@
         if code in _FIXED:
             return self._number(code)
         if code not in _LENGTHS:
-            raise Malformed(f"type byte {code:#04x} is not supported")
+            raise MalformedError(f"type byte {code:#04x} is not supported")
         length = self._number(code)
         if code >= 0xDC:
             return self._opened(length, is_map=code >= 0xDE)
@@ -164,18 +162,18 @@
     @staticmethod
     def _checked(length: int, most: int) -> int:
         if length > most:
-            raise Malformed(f"a length of {length}, {most} at most")
+            raise MalformedError(f"a length of {length}, {most} at most")
         return length
 
     def _text(self, length: int) -> str:
         try:
             return self._take(self._checked(length, MOST_BYTES)).decode()
         except UnicodeDecodeError:
-            raise Malformed("a string that is not UTF-8") from None
+            raise MalformedError("a string that is not UTF-8") from None
 
     def _opened(self, length: int, is_map: bool) -> Any:
         if len(self._open) >= MOST_DEPTH:
-            raise Malformed(f"nested more than {MOST_DEPTH} deep")
+            raise MalformedError(f"nested more than {MOST_DEPTH} deep")
         opened = _Open(self._checked(length, MOST_ITEMS), is_map)
         if not length:
             return opened.closed()
@@ -201,19 +199,6 @@
 
 def _pack(value: Any, out: bytearray) -> None:
     match value:
-        case None:
-            out.append(0xC0)
-        case bool():
-            out.append(0xC3 if value else 0xC2)
-        case int():
-            out += _pack_int(value)
-        case float():
-            out += struct.pack(">Bd", 0xCB, value)
-        case str():
-            data = value.encode()
-            out += _sized(len(data), 0xA0, 31, (0xD9, 0xDA, 0xDB)) + data
-        case bytes():
-            out += _sized(len(value), None, 0, (0xC4, 0xC5, 0xC6)) + value
         case list() | tuple():
             out += _sized(len(value), 0x90, 15, (None, 0xDC, 0xDD))
             for item in value:
@@ -223,6 +208,25 @@
             for key, item in value.items():
                 _pack(key, out)
                 _pack(item, out)
+        case _:
+            out += _pack_scalar(value)
+
+
+def _pack_scalar(value: Any) -> bytes:
+    match value:
+        case None:
+            return b"\xc0"
+        case bool():
+            return b"\xc3" if value else b"\xc2"
+        case int():
+            return _pack_int(value)
+        case float():
+            return struct.pack(">Bd", 0xCB, value)
+        case str():
+            data = value.encode()
+            return _sized(len(data), 0xA0, 31, (0xD9, 0xDA, 0xDB)) + data
+        case bytes():
+            return _sized(len(value), None, 0, (0xC4, 0xC5, 0xC6)) + value
         case _:
             raise TypeError(f"{type(value).__name__} has no MessagePack form here")
 
--- a/reelusher/config/operator.py
+++ b/reelusher/config/operator.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from reelusher import interface as io
+from reelusher.codecs.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
 from reelusher.config.platform import seed_of
 from reelusher.config.table import Address, ConfigError, Table, address_of
-from reelusher.wire.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
 
 RUNTIME = "runtime"  # the backend of tenants whose requests run on the platform's runtime
 UNIT_BITS = 1074  # every float is a whole multiple of 2 to the power of -1074 (IEEE 754)
--- a/reelusher/config/platform.py
+++ b/reelusher/config/platform.py
@@ -8,7 +8,7 @@
 
 from reelusher import interface as io
 from reelusher.config.table import Address, ConfigError, Table, address_of
-from reelusher.settings import Missing, settings_from
+from reelusher.settings import SettingsError, settings_from
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,7 +56,7 @@
     try:
         settings, gauges = settings_from(value)
         names = [str(entry.get("name", place)) for place, entry in enumerate(value["categories"])]
-    except Missing as error:
+    except SettingsError as error:
         raise ConfigError("settings", str(error).removeprefix("settings: ")) from None
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError("settings", str(error)) from None
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -22,18 +22,18 @@
     """A request in hand."""
 
     __slots__ = (
+        "answered",
+        "due_us",
         "id",
+        "ran",
         "request",
         "runner",
-        "stage",
-        "answered",
-        "ran",
-        "due_us",
-        "ticket",
-        "wanted",
         "serial",
         "since_us",
+        "stage",
+        "ticket",
         "waits",
+        "wanted",
     )
 
     def __init__(self, number: int, request: Request, runner: Runner, due_us: int) -> None:
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -7,7 +7,6 @@
 
 from loguru import logger
 
-
 MOST_TENANTS = 1000  # whose counts are told one by one; of those used longest ago they are summed up
 QUIET_S = 10.0  # a warning is logged once, then summed up for so long
 
--- a/reelusher/fleet/learning/facts.py
+++ b/reelusher/fleet/learning/facts.py
@@ -26,7 +26,7 @@
 
 def trust(fact: Fact, now_s: float) -> float:
     """Return what a fact counts, from 0 to 1; the kind is the part of its name before the colon."""
-    kind, _, name = fact.about.partition(":")
+    kind, _, _ = fact.about.partition(":")
     half_s = HALF_S.get(kind)
     if half_s is None or not isfinite(fact.value):
         return 0.0
--- a/reelusher/fleet/membership/messages.py
+++ b/reelusher/fleet/membership/messages.py
@@ -145,7 +145,7 @@
     )
 
 
-class Refused(Exception):
+class RejectedMessageError(Exception):
     """What came is not taken; the text is a word for the counters."""
 
 
@@ -210,25 +210,25 @@
         return self._digest(inner) + inner
 
     def open(self, data: bytes, kind: Any, most: int = MOST_DATAGRAM) -> tuple[str, Any]:
-        """Return who sealed it and what it says; raise `Refused` with the reason."""
+        """Return who sealed it and what it says; raise `RejectedMessageError` with the reason."""
         if len(data) > most:
-            raise Refused("oversized")
+            raise RejectedMessageError("oversized")
         if len(data) <= DIGEST_BYTES:
-            raise Refused("cut")
+            raise RejectedMessageError("cut")
         given, inner = data[:DIGEST_BYTES], data[DIGEST_BYTES:]
         if not hmac.compare_digest(given, self._digest(inner)):
-            raise Refused("forged")
+            raise RejectedMessageError("forged")
         if inner[0] != VERSION:
-            raise Refused("version")
+            raise RejectedMessageError("version")
         try:
             envelope = self._envelopes.decode(inner[1:])
             if kind not in self._decoders:
                 self._decoders[kind] = msgspec.msgpack.Decoder(kind)
             body = self._decoders[kind].decode(envelope.body)
         except msgspec.MsgspecError:
-            raise Refused("malformed") from None
+            raise RejectedMessageError("malformed") from None
         if envelope.fleet != self._fleet:
-            raise Refused("other_fleet")
+            raise RejectedMessageError("other_fleet")
         if not self._senders.take(envelope.sender, envelope.life, envelope.number):
-            raise Refused("replayed")
+            raise RejectedMessageError("replayed")
         return envelope.sender, body
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -28,7 +28,7 @@
     FactsReply,
     FactsRequest,
     Message,
-    Refused,
+    RejectedMessageError,
     Seal,
     State,
     StateReply,
@@ -69,11 +69,11 @@
     return secret
 
 
-class Unreached(Exception):
+class MemberUnreachableError(Exception):
     """A member can't be reached: it was told nothing."""
 
 
-class Unanswered(Exception):
+class NoReplyError(Exception):
     """A member was told something, and no answer came: it may have heeded it."""
 
 
@@ -252,7 +252,7 @@
         """Open what came; what is refused is counted and never answered."""
         try:
             return self._seal.open(data, kind, most)[1]
-        except Refused as error:
+        except RejectedMessageError as error:
             self._counters.warn(f"fleet.refused_{error}", "fleet: what came was refused: {}", error)
             return None
 
@@ -396,30 +396,30 @@
         """Ask a member over TCP; None where it can't be reached or does not answer within so many seconds."""
         try:
             return self.ask_once(place, request, kind, within_s)
-        except (Unreached, Unanswered) as error:
+        except (MemberUnreachableError, NoReplyError) as error:
             logger.debug("fleet: no answer of {}: {}", place, error)
             return None
 
     def ask_once(self, place: str, request: Any, kind: type[T], within_s: float = STATE_S) -> T:
-        """Do the same, and tell apart: raises `Unreached` where it was told nothing, else `Unanswered`."""
+        """Do the same; raises `MemberUnreachableError` where nothing was sent, else `NoReplyError`."""
         with self._lock:
             data = self._seal.close(request)
         try:
             # from its own address, by which others may tell who comes
             sock = connect(address_of(place, "place"), STATE_S, (self.address[0], 0))
         except (OSError, ConfigError) as error:
-            raise Unreached(str(error)) from None
+            raise MemberUnreachableError(str(error)) from None
         try:
             with sock:
                 sock.settimeout(within_s)
                 sock.sendall(_framed(data))
                 answer = _read_frame(sock, within_s)
         except OSError as error:
-            raise Unanswered(str(error)) from None
+            raise NoReplyError(str(error)) from None
         with self._lock:
             reply: T | None = self._open(answer, kind, MOST_STATE)
         if reply is None:
-            raise Unanswered("what came was refused")
+            raise NoReplyError("what came was refused")
         return reply
 
     def _sync(self) -> None:
--- a/reelusher/fleet/replication/census.py
+++ b/reelusher/fleet/replication/census.py
@@ -106,9 +106,8 @@
 
     def wants(self, now: float) -> bool:
         """Tell whether `tick` is wanted now: live members are listed for it."""
-        return (
-            bool(self._waiting)
-            or now - self._looked_s >= LOOK_S
+        return bool(self._waiting) or (
+            now - self._looked_s >= LOOK_S
             and any(
                 self._everywhere[stream].position != position if stream in self._everywhere else True
                 for stream, position in self._held()
--- a/reelusher/fleet/replication/copy.py
+++ b/reelusher/fleet/replication/copy.py
@@ -5,20 +5,21 @@
 their own. All pages are looked through by `check`, which the service calls now and then in its own thread
 (reading all of 260,000 rows at each start would take longer than the start may).
 
-A copy that turns out to be damaged, at whatever read or write, raises `Damaged` from then on. `renew` puts
-the file aside and begins another; the node serves what it has in memory meanwhile, and pulls all rows again.
-Every stream is then marked `lost`: nobody knows from this file which numbers were given, so a holder takes no
-change until an operator has ordered a take-over, which begins an epoch of its own (see `writer`).
+A copy that turns out to be damaged, at whatever read or write, raises `DamagedReplicaError` from then on.
+`renew` puts the file aside and begins another; the node serves what it has in memory meanwhile, and pulls
+all rows again. Every stream is then marked `lost`: nobody knows from this file which numbers were given, so
+a holder takes no change until an operator has ordered a take-over, which begins an epoch of its own (see
+`writer`).
 
-A full disk or a failed write: the transaction is rolled back as a whole and `Broken` raised. A pull tries
-again later, a change is refused.
+A full disk or a failed write: the transaction is rolled back as a whole and `ReplicaError` raised. A pull
+tries again later, a change is refused.
 
 Durable means: what a holder has accepted is synced before `apply` returns (`synchronous=FULL`); what was
 pulled may be lost by a power cut (`NORMAL`), together with the position that told of it, and is pulled again.
 A kill of the process loses neither.
 
 All calls may come from any thread. One connection writes, one reads what members are given, a few all else;
-who finds none free within `READ_WAIT_S` or `GIVE_WAIT_S` gets `Broken`.
+who finds none free within `READ_WAIT_S` or `GIVE_WAIT_S` gets `ReplicaError`.
 """
 
 import contextlib
@@ -37,7 +38,7 @@
 import msgspec
 
 from reelusher.fleet.replication.messages import MOST_PIECE, Entry
-from reelusher.fleet.replication.rows import SPARE, Broken, Given, StreamState
+from reelusher.fleet.replication.rows import SPARE, Given, ReplicaError, StreamState
 from reelusher.fleet.replication.streams import first_epoch, ordered
 
 APPLICATION = 0x7265656C  # what the header says of a copy
@@ -57,6 +58,20 @@
 ANY = ""  # in place of a host, of tenants that name none; hosts have a mark before them
 CHUNK = 64  # prefixes looked up at once
 
+ORPHAN_FIELDS = (
+    "number",
+    "stream",
+    "epoch",
+    "past_by",
+    "revision",
+    "name",
+    "at_ms",
+    "who",
+    "state",
+    "tenant",
+    "kept_ms",
+)
+
 SCHEMA = """
 CREATE TABLE meta(key TEXT PRIMARY KEY, value) WITHOUT ROWID;
 CREATE TABLE streams(stream INTEGER PRIMARY KEY, epoch INTEGER, number INTEGER, bases TEXT, horizon INTEGER,
@@ -82,11 +97,11 @@
 )
 
 
-class Damaged(Broken):
+class DamagedReplicaError(ReplicaError):
     """The file is no sound copy; `renew` begins another."""
 
 
-class Foreign(Broken):
+class ForeignReplicaError(ReplicaError):
     """The file is sound, and not this node's to change: of another fleet, control list or newer program."""
 
 
@@ -154,7 +169,7 @@
     found = []
     for length in lengths:
         prefix = path[:length]
-        if length == len(path) or length < len(path) and (path[length] == "/" or prefix.endswith("/")):
+        if length == len(path) or (length < len(path) and (path[length] == "/" or prefix.endswith("/"))):
             found.append(prefix)
     return sorted(found, key=len, reverse=True)
 
@@ -185,7 +200,7 @@
         readable: Callable[[str, bytes], str] = lambda name, tenant: "",
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """Open the copy, or begin one; one that is damaged is put aside first. Raises `Broken`.
+        """Open the copy, or begin one; one that is damaged is put aside first. Raises `ReplicaError`.
 
         `readable` returns "" or why this node can't serve a tenant.
         """
@@ -207,21 +222,21 @@
             path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
             self._held = os.open(path.with_name(path.name + ".lock"), CREATE, 0o600)
         except OSError as error:
-            raise Broken(str(error)) from None
+            raise ReplicaError(str(error)) from None
         try:
             fcntl.flock(self._held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._held)
-            raise Broken(f"{path} is in use by another process") from None
+            raise ReplicaError(f"{path} is in use by another process") from None
         try:
             try:
                 self._open(lost=False)
-            except Damaged as error:
+            except DamagedReplicaError as error:
                 self._shut()
                 self._aside()
                 self._open(lost=True)
                 self.damaged, self.damaged_at_start = "", str(error)
-        except Broken:
+        except ReplicaError:
             self.close()
             raise
 
@@ -253,9 +268,11 @@
         version = conn.execute("PRAGMA user_version").fetchone()[0]
         tables = conn.execute("SELECT count(*) FROM sqlite_master").fetchone()[0]
         if tables and begun != APPLICATION:
-            raise Foreign(f"{self.path} is a database of something else")
+            raise ForeignReplicaError(f"{self.path} is a database of something else")
         if version > FORMAT:
-            raise Foreign(f"{self.path} has format {version}, {FORMAT} is the newest that is known here")
+            raise ForeignReplicaError(
+                f"{self.path} has format {version}, {FORMAT} is the newest that is known here"
+            )
         conn.execute("PRAGMA journal_mode = WAL")
         conn.execute(f"PRAGMA journal_size_limit = {LOG_BYTES}")
         conn.execute("PRAGMA synchronous = FULL")
@@ -286,9 +303,11 @@
             conn.execute("COMMIT")
         kept = dict(conn.execute("SELECT key, value FROM meta"))
         if kept.get("fleet") != self._fleet:
-            raise Foreign(f"{self.path} is of the fleet {kept.get('fleet')!r}")
+            raise ForeignReplicaError(f"{self.path} is of the fleet {kept.get('fleet')!r}")
         if kept.get("control") != " ".join(self._control):
-            raise Foreign(f"{self.path} is of another list of control members: {kept.get('control')}")
+            raise ForeignReplicaError(
+                f"{self.path} is of another list of control members: {kept.get('control')}"
+            )
 
     def _look_over(self, conn: sqlite3.Connection) -> None:
         """Read what is kept in memory, and see that no row is past its stream."""
@@ -297,13 +316,15 @@
         try:
             self._totals = _Totals(int(kept["count"]), int(kept["guarantee"]), lengths)
         except (KeyError, TypeError, ValueError) as error:
-            raise Damaged(f"{self.path}: totals: {error}") from None
+            raise DamagedReplicaError(f"{self.path}: totals: {error}") from None
         for stream, state in self._read_states(conn).items():
             last = conn.execute(
                 "SELECT max(number) FROM rows WHERE stream = ?", (self._ids[stream],)
             ).fetchone()[0]
             if (last or 0) > max(state.number, state.cursor):
-                raise Damaged(f"{self.path}: a row of {stream} is numbered {last}, past its position")
+                raise DamagedReplicaError(
+                    f"{self.path}: a row of {stream} is numbered {last}, past its position"
+                )
 
     def _shut(self) -> None:
         """Close what nobody uses; a connection in use is closed by whoever lets go of it last."""
@@ -336,10 +357,10 @@
                 one.unlink(missing_ok=True)
                 one.with_name(one.name + "-wal").unlink(missing_ok=True)
         except OSError as error:
-            raise Broken(str(error)) from None
+            raise ReplicaError(str(error)) from None
 
     def renew(self) -> Path:
-        """Put a damaged file aside and begin another; return what it is called now. Raises `Broken`."""
+        """Put a damaged file aside and begin another; return what it is called now. Raises `ReplicaError`."""
         with self._lock:
             self._shut()
             self._aside()
@@ -365,18 +386,18 @@
             code = getattr(error, "sqlite_errorcode", 0) & 0xFF  # without what is particular
             if code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB) or "no such table" in str(error):
                 self.damaged = self.damaged or str(error)
-                raise Damaged(f"{self.path}: {error}") from None
-            raise Broken(f"{self.path}: {error}") from None
+                raise DamagedReplicaError(f"{self.path}: {error}") from None
+            raise ReplicaError(f"{self.path}: {error}") from None
 
     @contextmanager
     def _changing(self, durable: bool = True) -> Iterator[sqlite3.Connection]:
         """Make one transaction; whatever is raised within, nothing of it stays."""
         with self._lock, self._told():
             if self.damaged:
-                raise Damaged(f"{self.path}: {self.damaged}")
+                raise DamagedReplicaError(f"{self.path}: {self.damaged}")
             conn = self._conn
             if conn is None:
-                raise Broken(f"{self.path} is closed")
+                raise ReplicaError(f"{self.path} is closed")
             wanted = "FULL" if durable else "NORMAL"
             if wanted != self._sync:
                 conn.execute(f"PRAGMA synchronous = {wanted}")
@@ -397,12 +418,12 @@
     @contextmanager
     def _reading(self, giving: bool = False) -> Iterator[sqlite3.Connection]:
         if self.damaged:
-            raise Damaged(f"{self.path}: {self.damaged}")
+            raise DamagedReplicaError(f"{self.path}: {self.damaged}")
         free = self._giving if giving else self._free
         try:
             conn = free.get(timeout=GIVE_WAIT_S if giving else READ_WAIT_S)
         except queue.Empty:
-            raise Broken(f"{self.path}: too many read at once") from None
+            raise ReplicaError(f"{self.path}: too many read at once") from None
         try:
             with self._told():
                 yield conn
@@ -415,7 +436,7 @@
         """Return where each stream stands."""
         with self._lock, self._told():
             if self._conn is None:
-                raise Broken(f"{self.path} is closed")
+                raise ReplicaError(f"{self.path} is closed")
             return self._read_states(self._conn)
 
     def _read_states(self, conn: sqlite3.Connection, stream: str = "") -> dict[str, StreamState]:
@@ -439,7 +460,7 @@
                 )
             except (msgspec.MsgspecError, IndexError, TypeError, ValueError) as error:
                 self.damaged = self.damaged or str(error)
-                raise Damaged(f"{self.path}: streams: {error}") from None
+                raise DamagedReplicaError(f"{self.path}: streams: {error}") from None
         return made
 
     def _store(self, conn: sqlite3.Connection, stream: str, state: StreamState) -> None:
@@ -502,7 +523,7 @@
                     "SELECT id, number, state, tenant, guarantee FROM rows WHERE name = ?", (entry.name,)
                 ).fetchone()
                 if before is None or entry.number > before[1]:
-                    if before is None or not before[2] and entry.state:
+                    if before is None or (not before[2] and entry.state):
                         next_id += 1
                     self._replace(conn, at, entry, state.generation, before, next_id, now_ms, trail)
                     names.append(entry.name)
@@ -667,23 +688,10 @@
     def orphans(self, after: int = 0, limit: int = 100) -> list[dict[str, Any]]:
         """Return rows that were kept aside, oldest first."""
         with self._reading() as conn:
+            rows = conn.execute("SELECT * FROM orphans WHERE id > ? ORDER BY id LIMIT ?", (after, limit))
             return [
-                {
-                    "number": number,
-                    "stream": self._control[stream],
-                    "epoch": epoch,
-                    "past_by": past_by,
-                    "revision": revision,
-                    "name": name,
-                    "at_ms": at_ms,
-                    "who": who,
-                    "state": state,
-                    "tenant": tenant,
-                    "kept_ms": kept_ms,
-                }
-                for number, stream, epoch, past_by, revision, name, at_ms, who, state, tenant, kept_ms in conn.execute(
-                    "SELECT * FROM orphans WHERE id > ? ORDER BY id LIMIT ?", (after, limit)
-                )
+                {**dict(zip(ORPHAN_FIELDS, row, strict=True)), "stream": self._control[row[1]]}
+                for row in rows
             ]
 
     def collect(self, stream: str, before_ms: int, spare: int = SPARE) -> int:
@@ -852,7 +860,7 @@
 
     def check(self) -> bool:
         """Look through all pages; False where the copy turns out to be damaged. Takes long."""
-        with contextlib.suppress(Damaged), self._reading() as conn:
+        with contextlib.suppress(DamagedReplicaError), self._reading() as conn:
             found = conn.execute("PRAGMA quick_check(1)").fetchone()[0]
             if found == "ok":
                 return True
--- a/reelusher/fleet/replication/rows.py
+++ b/reelusher/fleet/replication/rows.py
@@ -12,7 +12,7 @@
 SPARE = 5000  # of a stream's newest numbers none is collected: who lags by less is never refilled
 
 
-class Broken(Exception):
+class ReplicaError(Exception):
     """What is kept can't be read or written; nothing was half done."""
 
 
@@ -47,7 +47,7 @@
 
 
 class Rows(Protocol):
-    """Each call that changes something is one transaction; where it raises `Broken`, nothing changed."""
+    """Each call that writes is one transaction; where it raises `ReplicaError`, nothing changed."""
 
     def states(self) -> dict[str, StreamState]:
         """Return where each stream stands; one that was never written is absent."""
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -17,7 +17,7 @@
 from reelusher.fleet.replication.census import Census
 from reelusher.fleet.replication.copy import LocalCopy
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest
-from reelusher.fleet.replication.rows import Broken
+from reelusher.fleet.replication.rows import ReplicaError
 from reelusher.fleet.replication.streams import KEPT_S, Replica, Taken
 from reelusher.fleet.replication.writer import SETTLE_S, Writer
 
@@ -143,7 +143,7 @@
     def _asked(self, request: EntriesRequest) -> EntriesReply:
         try:
             reply = self.replica.asked(request, time.monotonic())
-        except Broken as error:
+        except ReplicaError as error:
             self._tell(error)
             return EntriesReply([])
         self._counters.add("replication.pieces_given", len(reply.pieces))
@@ -199,9 +199,9 @@
                 stream,
             )
         if taken.broken:
-            self._tell(Broken(taken.broken))
+            self._tell(ReplicaError(taken.broken))
 
-    def _tell(self, error: Broken) -> None:
+    def _tell(self, error: ReplicaError) -> None:
         if self._stop.is_set():  # the copy is closed: whoever is late finds it so
             return
         self._counters.warn("replication.copy_failed", "replication: the copy failed: {}", error)
@@ -217,7 +217,7 @@
                 return
             try:
                 self._look(time.monotonic())
-            except Broken as error:
+            except ReplicaError as error:
                 self._tell(error)
             except Exception:
                 logger.exception("replication: a round of upkeep failed")
--- a/reelusher/fleet/replication/streams.py
+++ b/reelusher/fleet/replication/streams.py
@@ -46,7 +46,7 @@
     Entry,
     Piece,
 )
-from reelusher.fleet.replication.rows import Broken, Rows, StreamState
+from reelusher.fleet.replication.rows import ReplicaError, Rows, StreamState
 from reelusher.pacing.backoff import Backoff
 
 FORMAT = 1  # of entries and pieces; members of another do not exchange any
@@ -187,7 +187,7 @@
     broken: str = ""  # the copy could not be written
 
 
-class Behind(Exception):
+class NotLeaderError(Exception):
     """This node does not write the stream, or may not at present; the text says why."""
 
 
@@ -261,7 +261,7 @@
             return False
         for at in range(1, len(own), 2):
             epoch = own[at]
-            if vector[at] > epoch or vector[at] == epoch and vector[at + 1] > own[at + 1]:
+            if vector[at] > epoch or (vector[at] == epoch and vector[at + 1] > own[at + 1]):
                 return True
         return False
 
@@ -314,8 +314,7 @@
         return any(
             state.cursor >= 0
             or state.goal > state.number
-            or not state.number
-            and (state.lost and not self._level or self._claimed_much(stream, now))
+            or (not state.number and ((state.lost and not self._level) or self._claimed_much(stream, now)))
             for stream, state in self.states.items()
         )
 
@@ -399,7 +398,7 @@
                 break  # whoever gives one that is bad is asked for nothing more
             try:
                 self._take_piece(piece, taken)
-            except Broken as error:
+            except ReplicaError as error:
                 taken.broken = str(error)
                 break
         self.rows.changed(taken.names)
@@ -516,7 +515,7 @@
     # Giving
 
     def asked(self, request: EntriesRequest, now: float) -> EntriesReply:
-        """Return what a member lacks, within what this one gives. Raises `Broken`."""
+        """Return what a member lacks, within what this one gives. Raises `ReplicaError`."""
         if request.control != self._digest or len(request.vector) != len(self._announced):
             return EntriesReply([])
         with self._lock:
@@ -552,7 +551,7 @@
             return  # while it is refilled, some of its rows may be of no history, or removed
         since = asker.number
         later = [base for epoch, base in state.bases if epoch > asker.epoch]
-        if since > min(later, default=inf) or since > 0 and covered < state.horizon:
+        if since > min(later, default=inf) or (since > 0 and covered < state.horizon):
             since = 0
         while most > 0:
             given = self.rows.given(stream, since, min(most, MOST_PIECE))
@@ -590,7 +589,7 @@
     def accept(self, stream: str, own_name: str, made: Entry) -> Entry:
         """Number a change of the holder's and make it durable.
 
-        Raises `Behind` and `Broken`, and ValueError where no other member would take it.
+        Raises `NotLeaderError` and `ReplicaError`, and ValueError where no other member would take it.
         """
         if stream_of(made.name, self.control) != stream:
             raise ValueError(f"{made.name!r} is not of stream {stream}")
@@ -601,16 +600,18 @@
         with self._writing:
             state = self.states[stream]
             if not self.holds(stream, own_name):
-                raise Behind(f"{holder_of(state.epoch, self.control)} writes stream {stream}")
+                raise NotLeaderError(f"{holder_of(state.epoch, self.control)} writes stream {stream}")
             if state.cursor >= 0 or state.goal > state.number:
-                raise Behind(f"stream {stream} is being refilled")
+                raise NotLeaderError(f"stream {stream} is being refilled")
             if state.lost:
-                raise Behind(f"the copy of stream {stream} was damaged: a take-over has to be ordered")
+                raise NotLeaderError(
+                    f"the copy of stream {stream} was damaged: a take-over has to be ordered"
+                )
             if state.put_back:
-                raise Behind(f"the copy of stream {stream} is an older one: a new term has to begin")
+                raise NotLeaderError(f"the copy of stream {stream} is an older one: a new term has to begin")
             refused = self.guard(stream)
             if refused:
-                raise Behind(refused)
+                raise NotLeaderError(refused)
             number = state.number + 1
             entry = Entry(
                 number, made.name, made.at_ms, made.who, made.state, made.tenant, made.key, state.epoch
@@ -624,20 +625,24 @@
     def begin_term(self, stream: str, own_name: str, force: bool = False) -> Position:
         """Take a stream over: begin an epoch of which a member of this name is the holder.
 
-        Raises `Behind` where this node lacks what others were seen to have, unless forced, and `Broken`. Who
-        has changes past this node's number keeps them aside once it hears of the epoch.
+        Raises `NotLeaderError` where this node lacks what others were seen to have, unless forced, and
+        `ReplicaError`. Who has changes past this node's number keeps them aside once it hears of the epoch.
         """
         with self._writing:
             state = self.states[stream]
             if not force and (state.cursor >= 0 or state.goal > state.number):
-                raise Behind(f"stream {stream} is being refilled here")
+                raise NotLeaderError(f"stream {stream} is being refilled here")
             refused = "" if force else self.guard(stream)
             if refused:
-                raise Behind(refused)
+                raise NotLeaderError(refused)
             if state.lost and not state.number and not self._level and not force:
-                raise Behind(f"the copy was damaged, and nobody was heard yet who has stream {stream}")
+                raise NotLeaderError(
+                    f"the copy was damaged, and nobody was heard yet who has stream {stream}"
+                )
             if len(state.bases) >= MOST_BASES:
-                raise Behind(f"stream {stream} was taken over {MOST_BASES} times, which is all there are")
+                raise NotLeaderError(
+                    f"stream {stream} was taken over {MOST_BASES} times, which is all there are"
+                )
             epoch = next_epoch(state.epoch, own_name, self.control)
             state = replace(
                 state,
@@ -654,7 +659,7 @@
             return Position(epoch, state.number)
 
     def collect(self, before_ms: int) -> int:
-        """Forget tombstones that were taken before a time; return how many. Raises `Broken`."""
+        """Forget tombstones that were taken before a time; return how many. Raises `ReplicaError`."""
         count = 0
         for stream in self.control:
             with self._writing:
--- a/reelusher/fleet/replication/writer.py
+++ b/reelusher/fleet/replication/writer.py
@@ -28,8 +28,8 @@
 
 from reelusher.core.counters import Counters
 from reelusher.fleet.replication.messages import Entry
-from reelusher.fleet.replication.rows import Broken
-from reelusher.fleet.replication.streams import Behind, Position, Replica
+from reelusher.fleet.replication.rows import ReplicaError
+from reelusher.fleet.replication.streams import NotLeaderError, Position, Replica
 
 HEARD = 3  # other members that are heard before anything is accepted, or all there are
 ALONE_S = 5.0  # after a start with nobody else there
@@ -74,14 +74,14 @@
         return ""
 
     def accept(self, stream: str, made: Entry) -> Entry:
-        """Number a change and make it durable. Raises `Behind` and `Broken`."""
+        """Number a change and make it durable. Raises `NotLeaderError` and `ReplicaError`."""
         entry = self.replica.accept(stream, self.replica.own_name, made)
         self._counters.add("replication.accepted")
         self._made(stream, Position(entry.epoch, entry.number), self._clock())
         return entry
 
     def take_over(self, stream: str, force: bool = False) -> Position:
-        """Take a stream over for good, as an operator orders. Raises `Behind` and `Broken`."""
+        """Take a stream over for good, as an operator orders. Raises `NotLeaderError` and `ReplicaError`."""
         begun = self.replica.begin_term(stream, self.replica.own_name, force)
         self._counters.add("replication.terms")
         logger.warning(
@@ -122,7 +122,7 @@
         number = self.replica.states[stream].number
         try:
             begun = self.replica.begin_term(stream, self.replica.own_name)
-        except (Behind, Broken) as error:
+        except (NotLeaderError, ReplicaError) as error:
             logger.warning("replication: no new term of stream {} yet: {}", stream, error)
             return
         self._counters.add("replication.terms")
--- a/reelusher/fronts/ajp.py
+++ b/reelusher/fronts/ajp.py
@@ -16,6 +16,8 @@
 from loguru import logger
 
 from reelusher import interface as io
+from reelusher.codecs import ajp13
+from reelusher.codecs.errors import MalformedError
 from reelusher.config.operator import Ajp, Tenant
 from reelusher.core.model import Answer, Arrived, Request, Verdict
 from reelusher.core.owner import Core
@@ -24,9 +26,8 @@
 from reelusher.drain.plan import Facts, Stages
 from reelusher.fronts.platform import subject_of
 from reelusher.net import Address, Listener, spawn
-from reelusher.tenancy.paging import Unserved
+from reelusher.tenancy.paging import TenantUnavailableError
 from reelusher.tenancy.registry import Match, Tenants
-from reelusher.wire import ajp13
 
 SEND_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
 BODY_S = 10.0  # a piece of a body that is asked for has come within this
@@ -38,7 +39,7 @@
 LONGEST_WAIT_S = 3600.0  # no answer takes as long: the core answers by the due time
 REASONS = {
     400: "Bad Request",
-    403: "Forbidden",
+    403: "ForbiddenAttributeError",
     404: "Not Found",
     408: "Request Timeout",
     413: "Content Too Large",
@@ -47,7 +48,7 @@
 }
 
 
-class Rejected(Exception):
+class RejectedRequestError(Exception):
     """A request that is answered here and never reaches the core."""
 
     def __init__(self, status: int, why: str, closes: bool = False) -> None:
@@ -165,7 +166,7 @@
             return
         try:
             self._carry(sock)
-        except ajp13.Malformed as error:
+        except MalformedError as error:
             self._core.counters.warn(
                 "ajp.malformed", "ajp: {}:{} closed for a malformed packet: {}", *peer, error
             )
@@ -268,9 +269,9 @@
         try:
             forward = ajp13.read_forward(payload, self._config.allowed_attributes)
             answer = self._ask(stream, forward)
-        except ajp13.Forbidden as error:
-            return self._reject(stream, Rejected(403, str(error), closes=True))
-        except Rejected as error:
+        except ajp13.ForbiddenAttributeError as error:
+            return self._reject(stream, RejectedRequestError(403, str(error), closes=True))
+        except RejectedRequestError as error:
             return self._reject(stream, error)
         return self._send(stream, forward.method, answer)
 
@@ -280,7 +281,7 @@
         """Hand a request to the core and wait for its one answer."""
         secret = forward.attributes.get("secret", "")
         if self._config.secret and not hmac.compare_digest(secret.encode(), self._config.secret.encode()):
-            raise Rejected(403, "the secret is missing or wrong", closes=True)
+            raise RejectedRequestError(403, "the secret is missing or wrong", closes=True)
         if self._plan is not None and time.monotonic() >= self._plan.refuse_s:
             self._core.counters.add("drain.refused_at_the_door")
             return Answer(Verdict.REFUSED)  # its body stays unread, and the connection ends
@@ -292,7 +293,7 @@
                     self._core.counters.add_for(match.tenant.name, "turned_away")
                     return Answer(Verdict.REFUSED)
                 answers = self._hand_over(stream, forward, match, body, door_us)
-        except Unserved:
+        except TenantUnavailableError:
             return Answer(Verdict.REFUSED)  # counted where it was found
         tenant = match.tenant
         if answers is None:
@@ -312,7 +313,9 @@
         kind = self._kinds[match.class_name]
         key = forward.header(match.tenant.key_header) or ""
         if self._core.settings.classes[kind].effect is io.Effect.KEYED and not 0 < len(key) <= 128:
-            raise Rejected(400, f"requests of {match.class_name} need the header {match.tenant.key_header}")
+            raise RejectedRequestError(
+                400, f"requests of {match.class_name} need the header {match.tenant.key_header}"
+            )
         tenant = match.tenant
         most = tenant.share.connections
         with self._lock:
@@ -320,7 +323,7 @@
             beyond = place.tenant != tenant.name and self._belongs(place, tenant.name) > most > 0
             place.asked = True
         if beyond:
-            raise Rejected(503, f"{tenant.name} has {most} connections", closes=True)
+            raise RejectedRequestError(503, f"{tenant.name} has {most} connections", closes=True)
         if not self._enter(tenant):
             return None
         answers: queue.SimpleQueue[Answer] = queue.SimpleQueue()
@@ -377,14 +380,14 @@
         path = forward.uri.partition(";")[0]
         with self._tenants.matched(forward.method, forward.server_name, path) as match:
             if match is None or not match.class_name:
-                raise Rejected(404, f"no tenant's route has {forward.method} {path}")
+                raise RejectedRequestError(404, f"no tenant's route has {forward.method} {path}")
             yield match
 
     def _body(self, stream: Stream, forward: ajp13.Forward) -> bytes:
         """Read the body: the first piece comes by itself where a length is told, the rest is asked for."""
         size, most = forward.body_size(), self._config.max_body_kb * 1024
         if size is not None and size > most:
-            raise Rejected(413, f"a body of {size} bytes, {most} at most", closes=True)
+            raise RejectedRequestError(413, f"a body of {size} bytes, {most} at most", closes=True)
         body, asked, until = bytearray(), size is not None, time.monotonic() + BODY_MOST_S
         piece = self._config.packet_size - ajp13.BODY_OVERHEAD
         while size is None or len(body) < size:
@@ -402,19 +405,19 @@
             if not data and size is None:
                 break
             if not data:
-                raise ajp13.Malformed("a body shorter than its content-length")
+                raise MalformedError("a body shorter than its content-length")
             body += data
             if time.monotonic() > until:  # each piece came in time, and still it has no end
-                raise Rejected(408, "the body takes too long", closes=True)
+                raise RejectedRequestError(408, "the body takes too long", closes=True)
             if len(body) > most:
-                raise Rejected(413, f"a body of more than {most} bytes", closes=True)
+                raise RejectedRequestError(413, f"a body of more than {most} bytes", closes=True)
         if size is not None and len(body) > size:
-            raise ajp13.Malformed("a body longer than its content-length")
+            raise MalformedError("a body longer than its content-length")
         return bytes(body)
 
     # An answer
 
-    def _reject(self, stream: Stream, error: Rejected) -> bool:
+    def _reject(self, stream: Stream, error: RejectedRequestError) -> bool:
         self._core.counters.add(f"ajp.rejected_{error.status}")
         logger.warning("ajp: request answered {}: {}", error.status, error)
         later = (("Retry-After", "1"),) if error.status == 503 else ()
--- a/reelusher/fronts/operator.py
+++ b/reelusher/fronts/operator.py
@@ -13,9 +13,9 @@
 
 from loguru import logger
 
+from reelusher.codecs import http1
 from reelusher.core.counters import Counters
 from reelusher.net import Address, Listener
-from reelusher.wire import http1
 
 MOST_CALLS, LEAST_CALLS, CALLS_PART = 24, 4, 16  # at once; of few descriptors one in so many
 CALL_S = 6.0  # for a call to come in
@@ -105,7 +105,7 @@
                     raise OSError("closed before the call was whole")
                 for message in decoder.feed(data):
                     return self._written(*self._dispatch(message.start[0], message.start[1]))
-        except http1.Malformed as error:
+        except http1.MalformedHttpError as error:
             return self._written(error.status, {"error": str(error)})
 
     def _dispatch(self, method: str, target: str) -> Reply:
--- a/reelusher/fronts/platform.py
+++ b/reelusher/fronts/platform.py
@@ -11,13 +11,14 @@
 from typing import Any
 
 from reelusher import interface as io
+from reelusher.codecs import msgpack
+from reelusher.codecs.errors import MalformedError
 from reelusher.core.model import Answer, Arrived, Left, Request, Verdict
 from reelusher.core.owner import Core
 from reelusher.drain.ending import Endings, unread_bytes
 from reelusher.drain.plan import Facts, Stages, Step
-from reelusher.net import Address, Budget, Exhausted, Listener, Outbox
+from reelusher.net import Address, Budget, ConnectionResourcesError, Listener, Outbox
 from reelusher.poller import Poller
-from reelusher.wire import msgpack
 
 CALL, ANSWER, NOTICE = 0, 1, 2  # of MessagePack-RPC
 MOST_BODY = 2048
@@ -52,7 +53,7 @@
 LATER_MS = 100  # how long a caller refused at the door is asked to stay away, as the module asks at least
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """A request that gets an error answer and never reaches the core; the text names what is wrong."""
 
 
@@ -137,9 +138,9 @@
     try:
         value = float(text)
     except (TypeError, ValueError):
-        raise BadRequest(f"{name} is no number") from None
+        raise BadRequestError(f"{name} is no number") from None
     if not (math.isfinite(value) and least <= value <= most):
-        raise BadRequest(f"{name} is out of range")
+        raise BadRequestError(f"{name} is out of range")
     return value
 
 
@@ -208,7 +209,7 @@
         if kind is None:
             kind, until = self._dropped.get(method, (0, 0.0))
             if time.monotonic() >= until:
-                raise BadRequest("no such class")
+                raise BadRequestError("no such class")
         return kind
 
     def drain(self, plan: Stages) -> None:
@@ -276,7 +277,7 @@
                 taken = self._listener.take()
             except BlockingIOError:
                 return False
-            except Exhausted:
+            except ConnectionResourcesError:
                 self._rest()
                 return False
             if taken is None:
@@ -350,7 +351,7 @@
             for message in connection.decoder.feed(data):
                 connection.partial_since = 0.0
                 self._take(connection, message)
-        except msgpack.Malformed as error:
+        except MalformedError as error:
             self._core.counters.warn(
                 "platform.malformed",
                 "platform: {}:{} closed for a malformed frame: {}",
@@ -374,7 +375,7 @@
 
     def _let_go(self, connection: Connection) -> None:
         """End a connection once all that is owed on it has gone out, so that no answer is lost on its way."""
-        if connection.owed or connection.outbox.backlog and not connection.outbox.closed:
+        if connection.owed or (connection.outbox.backlog and not connection.outbox.closed):
             return  # the next sweep looks again
         if connection.heard_out:
             self._release(connection)
@@ -464,9 +465,9 @@
                 not isinstance(number, bool) and 0 <= number < 1 << 32
             ):
                 if number in connection.open:
-                    raise msgpack.Malformed(f"the id {number} is open already")
+                    raise MalformedError(f"the id {number} is open already")
             case _:
-                raise msgpack.Malformed("not a request of MessagePack-RPC")
+                raise MalformedError("not a request of MessagePack-RPC")
         told = self._core.told
         connection.heard += 1
         with connection.lock:
@@ -487,7 +488,7 @@
             return
         try:
             request = self._request(connection, number, method, params)
-        except BadRequest as error:
+        except BadRequestError as error:
             self._core.counters.warn("requests.bad", "platform: request answered with an error: {}", error)
             connection.say(number, ["Bad", {**self._fields(told.feedback), "why": str(error)}], None)
             connection.bad += 1
@@ -511,18 +512,18 @@
             case [dict(fields), bytes(body)]:
                 pass
             case _:
-                raise BadRequest("the parameters are not fields and a body")
+                raise BadRequestError("the parameters are not fields and a body")
         if len(body) > MOST_BODY:
-            raise BadRequest(f"a body of more than {MOST_BODY} bytes")
+            raise BadRequestError(f"a body of more than {MOST_BODY} bytes")
         if len(connection.open) >= MOST_OPEN:
-            raise BadRequest("too many open requests on this connection")
+            raise BadRequestError("too many open requests on this connection")
         call, key, item = fields.get("txn"), fields.get("unique", ""), fields.get("item", "")
         if not isinstance(call, str) or not 0 < len(call) <= 64 or not call.isascii() or not call.isalnum():
-            raise BadRequest("txn is missing or malformed")
+            raise BadRequestError("txn is missing or malformed")
         if not isinstance(key, str) or not isinstance(item, str) or len(key) > 128 or len(item) > 128:
-            raise BadRequest("unique or item is malformed")
+            raise BadRequestError("unique or item is malformed")
         if self._core.settings.classes[kind].effect is io.Effect.KEYED and not key:
-            raise BadRequest("unique is missing")
+            raise BadRequestError("unique is missing")
         number_of(fields, "standing", 0, 1, 0)  # the module ranks by class alone; a bad one is still an error
         ahead_us = self._core.clock.unix_ahead_us()
         unix_us = self._core.clock.now() + ahead_us
@@ -590,6 +591,20 @@
                 once_s, idle_s, leave_s = min(once_s, once), min(idle_s, other), CROWDED_LEAVE_S
         return once_s, idle_s, leave_s
 
+    def _end_refused(self, connection: Connection, now: float) -> None:
+        """End a connection that was refused, once its time is over."""
+        if now - connection.refused_since > LINGER_S:
+            self.read_out(connection)  # on a busy core what it asked may lie there still
+            if not connection.ended:
+                self._end(connection, heard_out=False)
+
+    def _end_partial(self, connection: Connection, begun: float) -> None:
+        """End a connection whose message does not get complete."""
+        self.read_out(connection)
+        if not connection.ended and connection.partial_since == begun:
+            self._core.counters.add("platform.closed_partial")
+            self._end(connection, heard_out=False)
+
     def _look_at(self, connection: Connection, now: float, limit_s: float, leave_s: float) -> None:
         """Close one connection if it is time: `lastCall` first, and never with open requests."""
         if connection.outbox.stalled_for(now) * 1e6 > self._longest_us:  # nobody waits for what it holds
@@ -604,15 +619,9 @@
         idle = connection.idle_for(now)
         begun = connection.partial_since
         if connection.refused_since:
-            if now - connection.refused_since > LINGER_S:
-                self.read_out(connection)  # on a busy core what it asked may lie there still
-                if not connection.ended:
-                    self._end(connection, heard_out=False)
+            self._end_refused(connection, now)
         elif begun and now - begun > FRAME_S:
-            self.read_out(connection)
-            if not connection.ended and connection.partial_since == begun:
-                self._core.counters.add("platform.closed_partial")
-                self._end(connection, heard_out=False)
+            self._end_partial(connection, begun)
         elif connection.told_last:
             if idle and now - connection.told_last > (leave_s if connection.heard else SILENT_LEAVE_S):
                 self._close_idle(connection)
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -5,11 +5,11 @@
 from functools import partial
 from pathlib import Path
 
+from reelusher.codecs import ajp13
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.harness import Figures, Scale, there
 from reelusher.net import connect
 from reelusher.server import Node
-from reelusher.wire import ajp13
 
 SECONDS = 5.0
 
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -23,7 +23,14 @@
 from reelusher.fleet.replication.copy import LocalCopy
 from reelusher.fleet.replication.messages import Entry
 from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
-from reelusher.lab.capacity.wires import Callers, NamedWorker, NoAnswer, Unreached, answers, call
+from reelusher.lab.capacity.wires import (
+    Callers,
+    NamedWorker,
+    NoAnswerError,
+    NodeUnreachableError,
+    answers,
+    call,
+)
 from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
 
 WRITER, FRESH, SERVED, WORKER = "n1", "n2", "served", "w0"
@@ -157,7 +164,7 @@
         """Wait until the other node shows a tenant."""
         ends_s = self.loop.time() + most_s
         while self.loop.time() < ends_s:
-            with contextlib.suppress(Unreached):
+            with contextlib.suppress(NodeUnreachableError):
                 told = await call(self.places[FRESH].admin, "GET", f"/v1/tenants/{name}")
                 if told is not None and told.status == 200:
                     return
@@ -183,7 +190,7 @@
             status, _ = await callers.ask(
                 f"{SERVED}.example", ANSWER_S, lambda: self.counts.update(["twice"])
             )
-        except (NoAnswer, Unreached):
+        except (NoAnswerError, NodeUnreachableError):
             self.counts[f"{phase}_unanswered"] += 1
             return
         if status == 200:
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -43,7 +43,7 @@
 from reelusher.fleet.membership.table import Table
 from reelusher.fleet.replication.messages import EntriesReply, Entry
 from reelusher.fleet.replication.rows import MemoryRows
-from reelusher.fleet.replication.streams import Behind, Pull, Replica, stream_of
+from reelusher.fleet.replication.streams import NotLeaderError, Pull, Replica, stream_of
 from reelusher.lab.fleet.virtual import VirtualLine
 
 ZONES, REGIONS = 17, 7
@@ -91,26 +91,26 @@
     """One hollow node, and what it has sent."""
 
     __slots__ = (
+        "asked",
+        "due_s",
+        "exchange_bytes",
+        "exchanges",
+        "got_bytes",
         "index",
         "name",
         "place",
-        "zone",
-        "up",
-        "swim",
-        "rows",
-        "replica",
-        "due_s",
+        "position",
         "pull_due_s",
-        "sync_due_s",
-        "syncing",
-        "asked",
-        "states",
+        "replica",
+        "rows",
         "sent",
         "sent_bytes",
-        "got_bytes",
-        "exchanges",
-        "exchange_bytes",
-        "position",
+        "states",
+        "swim",
+        "sync_due_s",
+        "syncing",
+        "up",
+        "zone",
     )
 
     def __init__(self, index: int, name: str) -> None:
@@ -516,7 +516,7 @@
             entry = node.replica.accept(
                 holder, node.name, Entry(0, name, int(now * 1000), "ops", "active", body)
             )
-        except Behind:
+        except NotLeaderError:
             return False
         stream = CONTROL.index(holder)
         self.changes.append(Change(now, stream, entry.number))
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -38,7 +38,15 @@
 )
 from reelusher.lab.capacity.hollow import hosts_of
 from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
-from reelusher.lab.capacity.wires import Callers, NamedWorker, NoAnswer, Told, Unreached, answers, call
+from reelusher.lab.capacity.wires import (
+    Callers,
+    NamedWorker,
+    NoAnswerError,
+    NodeUnreachableError,
+    Told,
+    answers,
+    call,
+)
 from reelusher.lab.fleet.plan import Fault
 from reelusher.lab.fleet.processes import ROOT
 from reelusher.lab.fleet.relay import Net
@@ -246,7 +254,7 @@
         began_s, wanted = self.loop.time(), len(self.names) + hollow
 
         async def sees(name: str) -> bool:
-            with contextlib.suppress(Unreached):
+            with contextlib.suppress(NodeUnreachableError):
                 told = await self._api(name, "GET", "/v1/fleet")
                 return told is not None and told.status == 200 and told.value["live"] >= wanted
             return False
@@ -356,7 +364,7 @@
         self.books.counts["looks"] += 1
         try:
             told = await self._api(node, "GET", "/v1/tenants?limit=1000")
-        except Unreached:
+        except NodeUnreachableError:
             return False
         if told is None or told.status != 200 or self.state[node] not in ("up", "leaving"):
             self.books.counts["looks_in_vain"] += 1
@@ -389,7 +397,7 @@
             status, worker = await self.callers[node].ask(
                 f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_twice(node, name)
             )
-        except (NoAnswer, Unreached) as error:
+        except (NoAnswerError, NodeUnreachableError) as error:
             books.note_lost(node, name, began_s, self.loop.time(), str(error))
             return None
         books.note_answer(node, name, status, worker, floor, self.loop.time(), began_s)
@@ -448,7 +456,7 @@
                 method, path, value, headers = self._call_of(name, step, key)
                 try:
                     told = await self._api(node, method, path, value, headers)
-                except Unreached:
+                except NodeUnreachableError:
                     step.out = False
                 else:
                     if await self._answered(name, step, told) or name in books.spoilt:
@@ -501,7 +509,7 @@
         if not await self.until(lambda: bool(showing()), 5.0):
             step.out = True
             return False
-        with contextlib.suppress(Unreached, IndexError):
+        with contextlib.suppress(NodeUnreachableError, IndexError):
             told = await self._api(showing()[0], "GET", f"/v1/tenants/{name}")
             if told is not None and told.status == 200 and row_of(told.value) == step.row:
                 self.tags[name] = told.headers["etag"]
@@ -719,7 +727,7 @@
     async def _revisions(self, node: str) -> dict[str, Revision]:
         found = {}
         for name, row in self.books.expected().items():
-            with contextlib.suppress(Unreached):
+            with contextlib.suppress(NodeUnreachableError):
                 told = await self._api(node, "GET", f"/v1/tenants/{name}")
                 if row and told and (revision := revision_of(told.headers)):
                     found[name] = revision
--- a/reelusher/lab/capacity/parts.py
+++ b/reelusher/lab/capacity/parts.py
@@ -21,7 +21,7 @@
 T = TypeVar("T")
 
 
-class Failed(Exception):
+class ShardFailedError(Exception):
     """A part failed; the text is its fault."""
 
 
@@ -49,7 +49,7 @@
             else:
                 answer = what(fleet, *told[0], **told[1])
         except Exception as error:
-            answer = Failed(f"part {part}: {error!r}")
+            answer = ShardFailedError(f"part {part}: {error!r}")
         link.send_bytes(pickle.dumps(answer))
 
 
@@ -88,12 +88,12 @@
             process.kill()
 
     def _all(self, messages: list[bytes]) -> list[Any]:
-        """Have each part do something at the same time; return what came of it. Raises `Failed`."""
+        """Have each part do something at the same time; return what came of it. Raises `ShardFailedError`."""
         for link, message in zip(self._links, messages, strict=True):
             link.send_bytes(message)
         answers = [pickle.loads(link.recv_bytes()) for link in self._links]
         for answer in answers:
-            if isinstance(answer, Failed):
+            if isinstance(answer, ShardFailedError):
                 raise answer
         return answers
 
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -4,11 +4,11 @@
 from functools import partial
 from random import Random
 
+from reelusher.codecs import http1
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
 from reelusher.lab.fleet.virtual import VirtualLine
 from reelusher.pacing.cadence import LAPSE_S, Cadence, Loss
-from reelusher.wire import http1
 
 ANSWER_S = 0.002  # of the list, on the virtual clock
 SLOT_S = 0.1
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Missing:
+class SettingsError:
     """One mechanism that there is not; all else is taken to grow with the fleet, in proportion."""
 
     what: str
@@ -569,13 +569,13 @@
 ROLES = {"node": NODE, "control": CONTROL, "list": LIST, "around": AROUND}
 
 
-def missing(slope: Slope) -> list[Missing]:
+def missing(slope: Slope) -> list[SettingsError]:
     """Return what there is not, in the order in which it breaks as the fleet grows."""
     idle_fixed, idle_each = slope("callers-idle", "core")
     workers = ratio("routes", "nodes")
     push = derived("list_push_mb_per_s") * 1e6
     found = [
-        Missing(
+        SettingsError(
             "placing tenants on parts of the fleet",
             lambda: 2,
             "a node knows the keys that it has seen itself: a repeat that comes to another of two runs "
@@ -586,46 +586,46 @@
             "[[tenants-node-copy.request_us@260000]] of processor time",
             "rendezvous over the live members, a few nodes a tenant; it needs the table on all first",
         ),
-        Missing(
+        SettingsError(
             "callers' subsets",
             lambda: MOST_CONNECTIONS / ratio("callers", "nodes"),
             "each caller at each node: [[derived.callers_per_node]] connections for each node of the "
             "fleet, against 400",
             "deterministic subsets by zone, told with the list",
         ),
-        Missing(
+        SettingsError(
             "one poller for idle connections of web servers",
             lambda: (expected("control_core") / 100 - idle_fixed) / idle_each / ratio("callers", "nodes"),
             "each idle connection has a thread that looks five times a second whether the node leaves: "
             "at 400 of them [[callers-idle.core@400]] of a core, against 0.035 for all control",
             "the platform's poller, which reads all its callers in one thread",
         ),
-        Missing(
+        SettingsError(
             "facts of workers by need",
             lambda: MOST_FACTS / workers,
             "a fresh node heeds the first 512 facts; an answer past 512 KB is not taken at all",
             "only what is away, and only of workers in use",
         ),
-        Missing(
+        SettingsError(
             "descriptors of workers in use only",
             lambda: SOCKETS / WORKER_CONNECTIONS / workers,
             "16 for each worker are kept from callers, of 65,536",
             "a bound on connections to all workers together, idle ones let go",
         ),
-        Missing(
+        SettingsError(
             "subsets at workers",
             lambda: CONTAINER_MOST / WORKER_CONNECTIONS,
             "16 connections of each node, against 8,192 of a container",
             "the same bound, and tenants on parts of the fleet",
         ),
-        Missing(
+        SettingsError(
             "the list service's own design",
             lambda: expected("nodes") * (LINK_BYTES / push) ** (1 / 3),
             "the whole list to each caller at each change grows with the cube of the fleet: "
             "[[derived.list_push_mb_per_s]] a machine at 3,600 nodes, against 125",
             "entries that changed, numbered, as the tenants' table has them; a tree of machines",
         ),
-        Missing(
+        SettingsError(
             "room for more members",
             lambda: MOST_MEMBERS * expected("nodes") / derived("members_remembered"),
             f"[[derived.members_remembered]] are remembered at 3,600, against {MOST_MEMBERS:,}",
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -12,12 +12,12 @@
 
 import tomli_w
 
+from reelusher.codecs import ajp13, http1
 from reelusher.config.load import Config, merge
 from reelusher.config.operator import parse
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.fleet.processes import deployed
 from reelusher.net import connect
-from reelusher.wire import ajp13, http1
 
 TOKEN = "a-token-of-the-scale-tests"
 READY_MOST_S = 300.0
--- a/reelusher/lab/fleet/census.py
+++ b/reelusher/lab/fleet/census.py
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
+from reelusher.codecs import http1
 from reelusher.config.table import Address
-from reelusher.wire import http1
 
 TOKEN = "a-token-of-the-rig"
 EVERY_S = 0.2
@@ -78,6 +78,6 @@
                         ]
                     )
                 sock.settimeout(max(0.001, until - time.monotonic()))
-    except (OSError, KeyError, ValueError, http1.Malformed):
+    except (OSError, KeyError, ValueError, http1.MalformedHttpError):
         return None
     return None
--- a/reelusher/lab/fleet/virtual.py
+++ b/reelusher/lab/fleet/virtual.py
@@ -9,7 +9,7 @@
 class Later:
     """Something that is to be done later."""
 
-    __slots__ = ("callback", "args")
+    __slots__ = ("args", "callback")
 
     def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.callback: Callable[..., Any] | None = callback
--- a/reelusher/net.py
+++ b/reelusher/net.py
@@ -181,7 +181,7 @@
                 self._sock.close()
 
 
-class Exhausted(OSError):
+class ConnectionResourcesError(OSError):
     """There is no descriptor or memory for another connection; callers wait in the backlog meanwhile."""
 
 
@@ -236,7 +236,7 @@
     def take(self) -> tuple[socket.socket, Address] | None:
         """Accept one connection; None where it failed or was turned away.
 
-        Raises BlockingIOError or TimeoutError where none waits, and `Exhausted`.
+        Raises BlockingIOError or TimeoutError where none waits, and `ConnectionResourcesError`.
         """
         try:
             sock, peer = self.sock.accept()
@@ -250,7 +250,7 @@
                     "{}: out of descriptors or memory, accepting rests",
                     self._name,
                 )
-                raise Exhausted(*error.args) from None
+                raise ConnectionResourcesError(*error.args) from None
             return None
         if not self._admit(sock) or not (self._places is None or self._places.acquire(blocking=False)):
             self._counters.add(f"{self._name}.turned_away")
@@ -280,7 +280,7 @@
                 if not self._open:
                     break
                 continue
-            except Exhausted:
+            except ConnectionResourcesError:
                 time.sleep(FULL_WAIT_S)
                 continue
             if taken is None:
--- a/reelusher/settings.py
+++ b/reelusher/settings.py
@@ -13,28 +13,28 @@
 GAUGES = {"cpu_busy": "busy", "runnable": "runnable", "mem_used": "memory", "sockets": "connections"}
 
 
-class Missing(Exception):
+class SettingsError(Exception):
     """A settings key that the rules need is not there."""
 
 
 def need(table: Mapping[str, Any], key: str, path: str = "") -> Any:
     """Return what stands under a key, or name the key that is missing."""
     if not isinstance(table, Mapping) or key not in table:
-        raise Missing(f"settings: missing key {path}{key}")
+        raise SettingsError(f"settings: missing key {path}{key}")
     return table[key]
 
 
 def word(words: Mapping[str, Any], value: Any, path: str) -> Any:
     """Translate one of the wire's words."""
     if value not in words:
-        raise Missing(f"settings: {path} has the unknown value {value!r}")
+        raise SettingsError(f"settings: {path} has the unknown value {value!r}")
     return words[value]
 
 
 def positive(value: Any, path: str) -> int:
     """Return a time that is a number above 0."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < math.inf:
-        raise Missing(f"settings: {path} is no number above 0: {value!r:.40}")
+        raise SettingsError(f"settings: {path} is no number above 0: {value!r:.40}")
     return int(value) or 1
 
 
@@ -43,7 +43,7 @@
     try:
         info = json.loads(text)
     except ValueError as error:
-        raise Missing(f"settings: not JSON: {error}") from None
+        raise SettingsError(f"settings: not JSON: {error}") from None
     return settings_from(info)
 
 
--- a/reelusher/tenancy/durable/disk.py
+++ b/reelusher/tenancy/durable/disk.py
@@ -35,7 +35,7 @@
         """Make the names durable."""
 
 
-class Locked(OSError):
+class FolderLockedError(OSError):
     """Another process has the folder."""
 
 
@@ -43,7 +43,7 @@
     """A folder of the file system, for one process at a time."""
 
     def __init__(self, path: Path) -> None:
-        """Make the folder where there is none, and lock it; raises `Locked`."""
+        """Make the folder where there is none, and lock it; raises `FolderLockedError`."""
         path.mkdir(mode=0o700, parents=True, exist_ok=True)
         self._path = path
         self._names = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
@@ -52,7 +52,7 @@
             fcntl.flock(self._names, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._names)
-            raise Locked(f"{path} is in use by another process") from None
+            raise FolderLockedError(f"{path} is in use by another process") from None
 
     def close(self) -> None:
         """Let go of the folder."""
--- a/reelusher/tenancy/durable/frames.py
+++ b/reelusher/tenancy/durable/frames.py
@@ -19,7 +19,7 @@
 MOST_PAYLOAD = 1 << 26  # bytes of one payload: a snapshot of 100,000 tenants has room
 
 
-class Damaged(Exception):
+class DamagedFileError(Exception):
     """A file holds what can't be read and is no append that was cut short."""
 
     def __init__(self, position: int, why: str) -> None:
@@ -54,7 +54,7 @@
 
 
 def scan(data: bytes, first: int | None = None) -> Scan:
-    """Read a whole file; raises `Damaged`.
+    """Read a whole file; raises `DamagedFileError`.
 
     Frames are numbered without a gap, from `first` where that is known: a file that lacks its beginning, or
     a stale one of the same name, does not pass.
@@ -62,7 +62,7 @@
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data) or not data.strip(b"\0"):
             return Scan((), 0, len(data))
-        raise Damaged(0, "this is no state file, or of a version that is not known")
+        raise DamagedFileError(0, "this is no state file, or of a version that is not known")
     frames: list[Frame] = []
     at, wanted = len(MAGIC), first
     while at < len(data):
@@ -70,7 +70,7 @@
         if frame is None:
             return Scan(tuple(frames), at, len(data) - at)
         if wanted is not None and frame.number != wanted:
-            raise Damaged(at, f"the frame has the number {frame.number}, not {wanted}")
+            raise DamagedFileError(at, f"the frame has the number {frame.number}, not {wanted}")
         frames.append(frame)
         at, wanted = frame.end, frame.number + 1
     return Scan(tuple(frames), at, 0)
@@ -85,9 +85,9 @@
     if google_crc32c.value(data[at : at + HEADER.size - 4]) != head_crc:
         if not data[at + HEADER.size - 1 :].strip(b"\0"):
             return None  # the file grew, and of the frame no more came than the beginning of its header
-        raise Damaged(at, "the checksum of a header does not fit")
+        raise DamagedFileError(at, "the checksum of a header does not fit")
     if length > MOST_PAYLOAD:
-        raise Damaged(at, f"a payload of {length} bytes, {MOST_PAYLOAD} at most")
+        raise DamagedFileError(at, f"a payload of {length} bytes, {MOST_PAYLOAD} at most")
     begin, end = at + HEADER.size, at + HEADER.size + length
     if end > len(data):
         return None
@@ -95,5 +95,5 @@
     if google_crc32c.value(payload) != payload_crc:
         if end == len(data) and length and not payload[-1]:
             return None  # payloads end in a byte that is not zero, so its end never came
-        raise Damaged(begin, "the checksum of a payload does not fit")
+        raise DamagedFileError(begin, "the checksum of a payload does not fit")
     return Frame(number, payload, end)
--- a/reelusher/tenancy/durable/journal.py
+++ b/reelusher/tenancy/durable/journal.py
@@ -18,7 +18,7 @@
 from loguru import logger
 
 from reelusher.tenancy.durable.disk import Disk
-from reelusher.tenancy.durable.frames import MAGIC, Damaged, Scan, encode, scan
+from reelusher.tenancy.durable.frames import MAGIC, DamagedFileError, Scan, encode, scan
 
 NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
 FRESH = "snapshot.new"
@@ -26,7 +26,7 @@
 COMPACT_BYTES = 1 << 22  # of them
 
 
-class Broken(Exception):
+class JournalError(Exception):
     """The state can't be read, or can't be changed any more; the text names file and position."""
 
 
@@ -47,7 +47,7 @@
     # Recovery
 
     def recover(self) -> tuple[bytes | None, list[tuple[int, bytes]]]:
-        """Read what is there: the snapshot, if any, and the changes after it. Raises `Broken`."""
+        """Read what is there: the snapshot, if any, and the changes after it. Raises `JournalError`."""
         snapshots, journals = self._found()
         state = None
         if snapshots:
@@ -55,9 +55,11 @@
             state = self._read_snapshot(f"snapshot-{self._base}", self._base)
         for number in journals:
             if number > self._base and self._scan(f"journal-{number}", number + 1).frames:
-                raise Broken(f"journal-{number}: snapshot-{number}, which it goes on from, is missing")
+                raise JournalError(f"journal-{number}: snapshot-{number}, which it goes on from, is missing")
         if self._base not in journals and (snapshots or journals):
-            raise Broken(f"journal-{self._base}: it is missing, with the changes since snapshot-{self._base}")
+            raise JournalError(
+                f"journal-{self._base}: it is missing, with the changes since snapshot-{self._base}"
+            )
         changes = self._read_journal() if journals else []
         if self._size < len(MAGIC):
             self._begin(self._base)
@@ -76,8 +78,8 @@
     def _scan(self, name: str, first: int) -> Scan:
         try:
             return scan(self._disk.read(name), first)
-        except Damaged as error:
-            raise Broken(f"{name}: {error}") from None
+        except DamagedFileError as error:
+            raise JournalError(f"{name}: {error}") from None
 
     def _found(self) -> tuple[list[int], list[int]]:
         found: dict[str, list[int]] = {"snapshot": [], "journal": []}
@@ -90,7 +92,9 @@
     def _read_snapshot(self, name: str, number: int) -> bytes:
         read = self._scan(name, number)
         if len(read.frames) != 1 or read.torn:  # it was synced before it got its name
-            raise Broken(f"{name}: at byte {read.end}: it holds {len(read.frames)} whole frames, not one")
+            raise JournalError(
+                f"{name}: at byte {read.end}: it holds {len(read.frames)} whole frames, not one"
+            )
         return read.frames[0].payload
 
     def _read_journal(self) -> list[tuple[int, bytes]]:
@@ -117,26 +121,26 @@
         return f"journal-{self._base}"
 
     def append(self, payload: bytes) -> int:
-        """Make a change durable and return its number. Raises `Broken`: then it was not made.
+        """Make a change durable and return its number. Raises `JournalError`: then it was not made.
 
         A write that fails (a full disk) is taken back, and the next may go well. Where that fails too, or a
         sync fails, what the disk holds is not known: the journal is then closed to changes until a restart
         has read it again.
         """
         if self._failed:
-            raise Broken(self._failed)
+            raise JournalError(self._failed)
         data = encode(self.number + 1, payload)
         try:
             self._disk.append(self._journal, data, self._size)
         except OSError as error:
             self._take_back(error)
-            raise Broken(f"{self._journal}: at byte {self._size}: {error}") from None
+            raise JournalError(f"{self._journal}: at byte {self._size}: {error}") from None
         try:
             self._disk.sync(self._journal)
         except OSError as error:
             self._failed = f"{self._journal}: a sync failed, the state is closed to changes: {error}"
             logger.error("state: {}", self._failed)
-            raise Broken(self._failed) from None
+            raise JournalError(self._failed) from None
         self._size += len(data)
         self.number += 1
         self._changes.append(len(payload))
--- a/reelusher/tenancy/durable/keys.py
+++ b/reelusher/tenancy/durable/keys.py
@@ -16,7 +16,7 @@
 from reelusher.core.keys import Key
 from reelusher.net import spawn
 from reelusher.tenancy.durable.disk import Disk
-from reelusher.tenancy.durable.journal import Broken, Journal
+from reelusher.tenancy.durable.journal import Journal, JournalError
 
 MOST_BATCH = 500  # keys in one write
 VERSION = 1
@@ -56,9 +56,9 @@
     try:
         made = msgspec.json.decode(payload, type=Batch)
     except msgspec.MsgspecError as error:
-        raise Broken(f"kept keys: {error}") from None
+        raise JournalError(f"kept keys: {error}") from None
     if made.v != VERSION:
-        raise Broken(f"kept keys: version {made.v} is not known here")
+        raise JournalError(f"kept keys: version {made.v} is not known here")
     return made
 
 
@@ -66,7 +66,7 @@
     """The journal of keys. `keep` and `forget` never block; all else is done by its thread."""
 
     def __init__(self, disk: Disk, now_us: Callable[[], int] = lambda: time.time_ns() // 1000) -> None:
-        """Read the keys that are there; raises `Broken`."""
+        """Read the keys that are there; raises `JournalError`."""
         self._now_us = now_us
         self._live: dict[Key, Line] = {}
         self._journal = Journal(disk, self._snapshot)
@@ -112,7 +112,7 @@
     def _write(self, lines: list[Line]) -> bool:
         try:
             self._journal.append(msgspec.json.encode(Batch(lines)))
-        except Broken as error:
+        except JournalError as error:
             logger.error("state: keys are not durable, nothing keyed is run: {}", error)
             return False
         self._apply(lines)
--- a/reelusher/tenancy/durable/state.py
+++ b/reelusher/tenancy/durable/state.py
@@ -10,7 +10,7 @@
 MOST_KEYS = 1000  # idempotency keys that are remembered, the newest
 
 
-class Unreadable(Exception):
+class UnreadableStateError(Exception):
     """A change or a state is not of a form that this version knows; the text names the field."""
 
 
@@ -61,7 +61,7 @@
     v: int = VERSION
 
     def apply(self, number: int, change: Change) -> None:
-        """Make a change; raises `Unreadable` where it can't follow from this state."""
+        """Make a change; raises `UnreadableStateError` where it can't follow from this state."""
         before = self.tenants.get(change.name)
         if change.op == "put" and change.tenant is not None:
             state = before.state if before else change.state
@@ -71,7 +71,9 @@
         elif change.op == "remove" and before is not None:
             del self.tenants[change.name]
         else:
-            raise Unreadable(f"change {number}: {change.op!r} of {change.name!r} does not fit the state")
+            raise UnreadableStateError(
+                f"change {number}: {change.op!r} of {change.name!r} does not fit the state"
+            )
         after = self.tenants.get(change.name)
         self.audit.append(
             Trail(number, change.op, change.name, change.who, change.at_ms, shown(before), shown(after))
@@ -116,22 +118,22 @@
             raise msgspec.ValidationError("an object is wanted")
         version = value.get("v", VERSION)
         if not isinstance(version, int) or not 1 <= version <= VERSION:
-            raise Unreadable(f"version {version!r} is not known here, {VERSION} is the newest")
+            raise UnreadableStateError(f"version {version!r} is not known here, {VERSION} is the newest")
         for step in range(version, VERSION):
             value = MIGRATIONS[step](value)
         return msgspec.convert(value, kind)
     except msgspec.MsgspecError as error:
-        raise Unreadable(str(error)) from None
+        raise UnreadableStateError(str(error)) from None
 
 
 def read_state(payload: bytes) -> State:
-    """Read a snapshot's payload; raises `Unreadable`."""
+    """Read a snapshot's payload; raises `UnreadableStateError`."""
     made: State = _decode(payload, State)
     return made
 
 
 def read_change(payload: bytes) -> Change:
-    """Read a journal's payload; raises `Unreadable`."""
+    """Read a journal's payload; raises `UnreadableStateError`."""
     made: Change = _decode(payload, Change)
     return made
 
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -34,7 +34,7 @@
 class Routes:
     """The routes of one tenant, by the lengths of their paths where they are many."""
 
-    __slots__ = ("_routes", "_first", "_lengths")
+    __slots__ = ("_first", "_lengths", "_routes")
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
         self._routes = routes
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -28,7 +28,7 @@
     DRAINING = "draining"  # the same, and it is gone when that is over
 
 
-class WrongState(Exception):
+class TenantStateError(Exception):
     """What was asked for can't be done with the tenant as it stands."""
 
 
@@ -81,7 +81,7 @@
             self._last = number or self._last + 1
             return self._store(Entry(tenant, self._last, state)), True
         if known.state is State.DRAINING:
-            raise WrongState(f"{tenant.name!r} is being removed")
+            raise TenantStateError(f"{tenant.name!r} is being removed")
         return self._store(replace(known, tenant=tenant)), False
 
     def move(self, name: str, to: State) -> Entry | None:
@@ -90,7 +90,7 @@
         if entry is None:
             return None
         if entry.state is State.DRAINING:
-            raise WrongState(f"{name!r} is being removed")
+            raise TenantStateError(f"{name!r} is being removed")
         return self._store(replace(entry, state=to))
 
     def remove(self, name: str, now_us: int, within_us: int = DRAIN_US) -> Entry | None:
--- a/reelusher/tenancy/paging.py
+++ b/reelusher/tenancy/paging.py
@@ -76,10 +76,10 @@
     """What runs an action that reads, and returns what that returns."""
 
     def __call__(self, action: Callable[[], T]) -> T:
-        """Raise `Unserved` where it fails or is not over in time."""
+        """Raise `TenantUnavailableError` where it fails or is not over in time."""
 
 
-class Unserved(Exception):
+class TenantUnavailableError(Exception):
     """A request whose tenant can't be put in memory now; it may come again."""
 
 
@@ -167,7 +167,7 @@
         """Return whose a request is, pinned; None: nobody's.
 
         `load` reads a tenant and puts it; False: there is none of this name, or what was read is stale.
-        Raises `Unserved`, and what `read` raises.
+        Raises `TenantUnavailableError`, and what `read` raises.
         """
         until_us = self._now_us() + int(TRIES_S * 1e6)
         for _ in range(TRIES):
@@ -181,7 +181,7 @@
             self._drop_tables([host])  # it names a tenant that is gone
             if self._now_us() > until_us:
                 break
-        raise Unserved("the table of tenants changes too fast")
+        raise TenantUnavailableError("the table of tenants changes too fast")
 
     def release(self, resident: Resident) -> None:
         """Note that the owner has been handed a request, or that there is none after all."""
@@ -208,7 +208,7 @@
                     self._looks[host] = mine
             if under_way is not None:  # the table may be there after that
                 if not under_way.wait(self._wait_s):
-                    raise Unserved(f"the table of {host!r} was not read in time")
+                    raise TenantUnavailableError(f"the table of {host!r} was not read in time")
                 continue
             try:
                 table, row = self._read(lambda: self._look(host, path))
@@ -278,7 +278,7 @@
                     mine = self._loads[name] = Load(row if changes == self._changes else None)
             if under_way is not None:
                 if not under_way.done.wait(self._wait_s):
-                    raise Unserved(f"{name!r} was not read in time")
+                    raise TenantUnavailableError(f"{name!r} was not read in time")
                 continue
             try:
                 if not load(name, mine) and not mine.stale:
@@ -287,7 +287,7 @@
                 with self._lock:
                     del self._loads[name]
                 mine.done.set()
-        raise Unserved(f"{name!r} changes too fast, or is wanted too often")
+        raise TenantUnavailableError(f"{name!r} changes too fast, or is wanted too often")
 
     # Changes, by whoever made them
 
--- a/reelusher/tenancy/readers.py
+++ b/reelusher/tenancy/readers.py
@@ -8,7 +8,7 @@
 
 from reelusher.core.counters import Counters
 from reelusher.net import spawn
-from reelusher.tenancy.paging import Unserved
+from reelusher.tenancy.paging import TenantUnavailableError
 
 T = TypeVar("T")
 READERS = 3  # threads, as many as a copy has connections to read by
@@ -28,10 +28,10 @@
             spawn(f"tenant-reader-{number}", self._run)
 
     def read(self, action: Callable[[], T]) -> T:
-        """Return what an action reads; raises `Unserved` where that fails or is not over in time."""
+        """Return what an action reads. Raises `TenantUnavailableError` where it fails or takes too long."""
         if not self._places.acquire(blocking=False):
             self._counters.add("tenants.refused_waiting")
-            raise Unserved("too many requests wait for the table of tenants")
+            raise TenantUnavailableError("too many requests wait for the table of tenants")
         try:
             done: Future[T] = Future()
             self._jobs.put((done, action))
@@ -40,10 +40,10 @@
             except TimeoutError:
                 done.cancel()  # where it has not begun, it never will
                 self._counters.add("tenants.refused_late")
-                raise Unserved("the table of tenants was not read in time") from None
+                raise TenantUnavailableError("the table of tenants was not read in time") from None
             except Exception as error:
                 self._counters.warn("tenants.refused_unread", "tenants: the table can't be read: {}", error)
-                raise Unserved(str(error)) from None
+                raise TenantUnavailableError(str(error)) from None
         finally:
             self._places.release()
 
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -19,10 +19,10 @@
 from reelusher.fleet.replication.copy import Row
 from reelusher.fleet.replication.copy import Trail as Change
 from reelusher.fleet.replication.messages import MOST_TENANT, Entry
-from reelusher.fleet.replication.rows import Broken as CopyBroken
+from reelusher.fleet.replication.rows import ReplicaError
 from reelusher.fleet.replication.service import Replication
-from reelusher.fleet.replication.streams import Behind, Position, holder_of, stream_of
-from reelusher.tenancy.durable.journal import Broken
+from reelusher.fleet.replication.streams import NotLeaderError, Position, holder_of, stream_of
+from reelusher.tenancy.durable.journal import JournalError
 from reelusher.tenancy.durable.state import Trail
 
 CHANGING_S = 1.0  # that a change waits for another; whoever asked over the fleet waits a little longer
@@ -33,7 +33,7 @@
 MOST_WHO = 256  # characters of who made a change, as entries carry it
 
 
-class Busy(Exception):
+class TableBusyError(Exception):
     """A change can't be made here at present; nothing was changed."""
 
 
@@ -185,9 +185,9 @@
 
     @contextmanager
     def changing(self) -> Iterator[None]:
-        """Keep others from changing what this node holds. Raises `Busy`."""
+        """Keep others from changing what this node holds. Raises `TableBusyError`."""
         if not self._lock.acquire(timeout=CHANGING_S):
-            raise Busy("other changes are being made")
+            raise TableBusyError("other changes are being made")
         try:
             yield
         finally:
@@ -202,7 +202,7 @@
         state: str = "active",
         key: str = "",
     ) -> Standing | None:
-        """Number one change and have it on the disk. Raises `Busy`, and `Broken` where the disk refuses."""
+        """Number one change and store it durably. Raises `TableBusyError` and `JournalError`."""
         before = self.kept(name)
         if op == "put":
             state = before.state if before else state
@@ -215,10 +215,10 @@
         wanted = Entry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
         try:
             entry = self.replication.writer.accept(self.stream_of(name), wanted)
-        except Behind as error:
-            raise Busy(str(error)) from None
-        except CopyBroken as error:
-            raise Broken(str(error)) from None
+        except NotLeaderError as error:
+            raise TableBusyError(str(error)) from None
+        except ReplicaError as error:
+            raise JournalError(str(error)) from None
         if made is None:
             return None
         self._tell(made)
@@ -234,7 +234,7 @@
         for name in names:
             if self.holder(self.stream_of(name)) == self.own_name:
                 continue  # told when it was made
-            with suppress(CopyBroken):
+            with suppress(ReplicaError):
                 kept = self.kept(name)
                 made = self.overlapping(kept) if kept is not None else None
                 if made is not None:
@@ -254,14 +254,17 @@
             )
 
     def take_over(self, stream: str, force: bool) -> Position:
-        """Begin an epoch of a stream with this member as its holder. Raises `Busy` and `Broken`."""
+        """Begin an epoch of a stream with this member as its holder.
+
+        Raises `TableBusyError` and `JournalError`.
+        """
         with self.changing():
             try:
                 return self.replication.writer.take_over(stream, force)
-            except Behind as error:
-                raise Busy(str(error)) from None
-            except CopyBroken as error:
-                raise Broken(str(error)) from None
+            except NotLeaderError as error:
+                raise TableBusyError(str(error)) from None
+            except ReplicaError as error:
+                raise JournalError(str(error)) from None
 
 
 def _guarantee(tenant: dict[str, Any]) -> float:
--- a/reelusher/tenancy/shares.py
+++ b/reelusher/tenancy/shares.py
@@ -83,25 +83,25 @@
     """One tenant."""
 
     __slots__ = (
-        "number",
-        "share",
+        "demand",
+        "demand_us",
+        "excess",
         "finish",
-        "lanes",
-        "reserve",
-        "limit",
+        "floor_us",
+        "gone",
         "held",
-        "running",
-        "long",
         "kb",
         "keys",
-        "floor_us",
-        "demand",
-        "demand_us",
-        "excess",
+        "lanes",
+        "limit",
+        "long",
         "means",
-        "used_us",
+        "number",
+        "reserve",
+        "running",
+        "share",
         "turn",
-        "gone",
+        "used_us",
     )
 
     def __init__(self, number: int, share: Share, cores: int, virtual: float) -> None:
@@ -259,7 +259,7 @@
         """
         flow = self._flow(request.tenant)
         share = flow.share
-        if share.held and flow.held >= share.held or keyed and share.keys and flow.keys >= share.keys:
+        if (share.held and flow.held >= share.held) or (keyed and share.keys and flow.keys >= share.keys):
             return True
         if share.memory_kb and flow.kb + extra_kb > share.memory_kb:
             return True
--- a/reelusher/tenancy/store.py
+++ b/reelusher/tenancy/store.py
@@ -17,7 +17,7 @@
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.config.table import ConfigError, Table
 from reelusher.tenancy.durable.disk import Disk, Folder
-from reelusher.tenancy.durable.journal import Broken, Journal
+from reelusher.tenancy.durable.journal import Journal, JournalError
 from reelusher.tenancy.durable.keys import KeyLog
 from reelusher.tenancy.durable.state import (
     Change,
@@ -25,7 +25,7 @@
     Standing,
     State,
     Trail,
-    Unreadable,
+    UnreadableStateError,
     read_change,
     read_state,
     write,
@@ -59,7 +59,7 @@
         state: str = "active",
         key: str = "",
     ) -> Standing | None:
-        """Make one change durable and return what is kept of the tenant then. Raises `Broken`."""
+        """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
 
 
 class Store:
@@ -71,7 +71,7 @@
     def __init__(
         self, disk: Disk | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
     ) -> None:
-        """Read what is there; raises `Broken`. Without a disk the state lasts as long as the process."""
+        """Read the stored state; without a disk it lasts as long as the process. Raises `JournalError`."""
         self.state = State()
         self.fresh = True  # nothing was kept
         self._lock = threading.RLock()
@@ -88,8 +88,8 @@
                 self.state = read_state(kept)
             for number, payload in changes:
                 self.state.apply(number, read_change(payload))
-        except Unreadable as error:
-            raise Broken(str(error)) from None
+        except UnreadableStateError as error:
+            raise JournalError(str(error)) from None
         self._number = journal.number
         self.fresh = kept is None and not changes
 
@@ -121,7 +121,7 @@
         state: str = "active",
         key: str = "",
     ) -> Kept | None:
-        """Make one change durable and return what is kept of the tenant then. Raises `Broken`."""
+        """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
         with self._lock:
             made = Change(op, name, who, self._wall_ms(), tenant, state, key)
             self._number = self._journal.append(write(made)) if self._journal else self._number + 1
@@ -131,14 +131,14 @@
             return self.state.tenants.get(name)
 
     def take_over(self, tenants: Iterable[Tenant], who: str = BY_FILE) -> None:
-        """Begin with these tenants, all or none of them, where nothing was kept. Raises `Broken`."""
+        """Begin with these tenants, all or none of them, where nothing was kept. Raises `JournalError`."""
         for tenant in tenants:
             self._number += 1
             self.state.apply(self._number, Change("put", tenant.name, who, self._wall_ms(), tenant.to_json()))
         if self._journal is not None:
             self._journal.number = self._number
             if not self._journal.compact():
-                raise Broken("the first snapshot could not be written")
+                raise JournalError("the first snapshot could not be written")
 
     def tenants(self, class_names: tuple[str, ...], backends: frozenset[str]) -> list[tuple[Tenant, str]]:
         """Return the kept tenants, checked against the configuration, with their states."""
@@ -172,7 +172,7 @@
             old.rename(old.with_name(old.name + MIGRATED))
             logger.info("state: the tenants of {} are kept in {} from now on", old, folder)
         return store
-    except (Broken, OSError) as error:
+    except (JournalError, OSError) as error:
         raise ConfigError("admin.state_dir" if old is None else "admin.state_file", str(error)) from None
 
 
@@ -180,7 +180,7 @@
     """Open the journal of keys below a state folder; a fault is a `ConfigError` that says where it lies."""
     try:
         return KeyLog(Folder(folder / "keys"))
-    except (Broken, OSError) as error:
+    except (JournalError, OSError) as error:
         raise ConfigError("admin.durable_keys", str(error)) from None
 
 
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -12,7 +12,6 @@
 from golden.recordings import path_of, save
 from reelusher.admin import openapi
 
-
 OLD_STATE_FILE = {
     "tenants": [
         {"name": "clinic", "backend": "w", "hosts": ["clinic.example"]},
--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -12,9 +12,9 @@
 
 from golden.recordings import load
 from reelusher.backends.runtime import RuntimeLink
+from reelusher.codecs.lines import JsonLines
 from reelusher.core.counters import Counters
 from reelusher.core.model import Request
-from reelusher.wire.lines import JsonLines
 
 GOLDEN = "exchanges.json"
 SCENARIO = """
