--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -18,23 +18,23 @@
 from test_core import Backend
 from test_tenant_index import asked, rule, tenant, tenants
 
-from reelusher import interface as io
 from reelusher.codecs import ajp13
 from reelusher.config.operator import Ajp, ShareOf, Tenant
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
-from reelusher.core.model import Answer, Arrived, Request, Result, RunOver, Verdict
-from reelusher.core.owner import Core
-from reelusher.fleet.replication.copy import LocalCopy
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import Answer, IncomingRequest, RequestArrived, Result, RunFinished, Verdict
 from reelusher.fleet.replication.messages import Entry as Row
-from reelusher.fleet.replication.rows import StreamState
-from reelusher.fronts.ajp import AjpFront
-from reelusher.tenancy import paging
+from reelusher.fleet.replication.replica_store import StreamState
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.frontends.ajp.frontend import AjpFront
+from reelusher.policy.events import Outcome, Request
+from reelusher.tenancy import tenant_cache
+from reelusher.tenancy.fair_queue import DEMAND_US, Share, Shares
 from reelusher.tenancy.lifecycle import Entry, State
-from reelusher.tenancy.paging import TenantUnavailableError
-from reelusher.tenancy.readers import Readers
+from reelusher.tenancy.reader_pool import Readers
 from reelusher.tenancy.registry import IDLE_LOOK_US, Match, Tenants, reason
-from reelusher.tenancy.shares import DEMAND_US, Share, Shares
+from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 WAIT_S = 10.0  # for what must happen
 IDLE_US = 10_000_000  # that a tenant here is kept unused: tests pass time in steps
@@ -196,8 +196,8 @@
     def post(self, call: str, match: Match, kind: int = 0, key: str = "") -> None:
         self.answers[call] = []
         self.core.post(
-            Arrived(
-                Request(
+            RequestArrived(
+                IncomingRequest(
                     call,
                     kind,
                     b"x",
@@ -223,7 +223,7 @@
         self.turn()
 
     def over(self, call: str) -> None:
-        self.core.post(RunOver(call, io.Outcome.OK, 10_000, Result(call.encode())))
+        self.core.post(RunFinished(call, Outcome.OK, 10_000, Result(call.encode())))
         self.turn()
 
     def verdicts(self, call: str) -> list[Verdict]:
@@ -279,7 +279,7 @@
 
 
 def test_a_host_of_many_prefixes_is_asked_of_the_table(world: World) -> None:
-    for number in range(paging.FEW_PREFIXES + 1):
+    for number in range(tenant_cache.FEW_PREFIXES + 1):
         world.rows.put(replace(on(f"t{number}"), prefix=f"/p{number}"))
     for number in (0, 3, 0):
         found = world.find("h", f"/p{number}/x")
@@ -541,9 +541,12 @@
     world.ask("keyed", "i", 1, "k")
     world.over("keyed")
     world.pass_s(14)
-    assert [name for name in ("a", "b") if world.pager.get(name)] == ["a", *["b"] * (KEYED.window_us > 14e6)]
+    assert [name for name in ("a", "b") if world.pager.get(name)] == [
+        "a",
+        *["b"] * (KEYED.idempotency_window_us > 14e6),
+    ]
     world.over("runs")
-    world.pass_s(KEYED.window_us / 1e6 + 14)
+    world.pass_s(KEYED.idempotency_window_us / 1e6 + 14)
     assert len(world.pager) == 0
 
 
@@ -717,7 +720,7 @@
     world.rows.put(on("a"))
     assert world.find()
     assert world.find("i") is None
-    names = [f"t{number}" for number in range(paging.MANY_CHANGES + 1)]
+    names = [f"t{number}" for number in range(tenant_cache.MANY_CHANGES + 1)]
     for name in names:
         world.rows.put(on(name, "i"), tell=False)
     world.rows.put(on("a", backend="v"), tell=False)
@@ -732,7 +735,7 @@
 
 
 def test_tables_of_hosts_are_bounded_and_forgotten_with_their_tenants(world: World, monkeypatch: Any) -> None:
-    monkeypatch.setattr(paging, "MOST_HOSTS", 2)
+    monkeypatch.setattr(tenant_cache, "MOST_HOSTS", 2)
     world.rows.put(on("a"))
     for host in ("h", "i", "j", "h"):
         world.find(host)
@@ -768,23 +771,23 @@
 # Shares of who is let go
 
 
-def request(number: int, of: int) -> io.Request:
-    return io.Request(number, 0, 0, 0, of, 20.0, 0, 0, 0, 0)
+def request(number: int, of: int) -> Request:
+    return Request(number, 0, 0, 0, of, 20.0, 0, 0, 0, 0)
 
 
 def test_who_is_ahead_of_the_others_or_of_its_clocks_is_not_let_go() -> None:
     shares = Shares(1, 1000.0)
     shares.entitle(1, Share(guarantee=0.5, ceiling=0.5))
     one, other = request(1, 1), request(2, 2)
-    shares.arrived(one, 0)
+    shares.request_arrived(one, 0)
     assert not shares.let_go(1, 0)  # it asks for something
-    shares.started(one, 0)
-    shares.ended(one, 400_000, 400_000)
+    shares.run_started(one, 0)
+    shares.run_ended(one, 400_000, 400_000)
     quiet_us = 20 * DEMAND_US
     assert not shares.let_go(1, quiet_us)  # ahead by its run
     for number in range(3):
-        shares.started(replace_id(other, 10 + number), quiet_us)
-        shares.ended(replace_id(other, 10 + number), 400_000, quiet_us)
+        shares.run_started(replace_id(other, 10 + number), quiet_us)
+        shares.run_ended(replace_id(other, 10 + number), 400_000, quiet_us)
     assert shares._virtual >= 400_000
     flow = shares._flows[1]
     assert flow.limit
@@ -800,7 +803,7 @@
     assert shares.let_go(1, quiet_us)
 
 
-def replace_id(made: io.Request, number: int) -> io.Request:
+def replace_id(made: Request, number: int) -> Request:
     return request(number, made.tenant)
 
 
@@ -808,19 +811,19 @@
     shares = Shares(1, 1000.0)
     shares.forgetful = True
     one = request(1, 1)
-    shares.started(one, 0)
-    shares.ended(one, 400_000, 400_000)
-    shares.period(500_000)
+    shares.run_started(one, 0)
+    shares.run_ended(one, 400_000, 400_000)
+    shares.period_elapsed(500_000)
     assert not shares.let_go(1, 500_000)
-    shares.period(850_000)
+    shares.period_elapsed(850_000)
     assert not shares.let_go(1, 850_000)
-    shares.moved(request(2, 2), 1, 20.0)  # somebody waits: virtual time is what starts make it
+    shares.holding_changed(request(2, 2), 1, 20.0)  # somebody waits: virtual time is what starts make it
     for now_us in range(900_000, 9_000_000, 100_000):
-        shares.period(now_us)
+        shares.period_elapsed(now_us)
     assert not shares.let_go(1, 9_000_000)
-    shares.moved(request(2, 2), -1, -20.0)
-    shares.period(9_100_000)
-    shares.period(9_200_000)
+    shares.holding_changed(request(2, 2), -1, -20.0)
+    shares.period_elapsed(9_100_000)
+    shares.period_elapsed(9_200_000)
     assert shares.let_go(1, 9_200_000)
 
 
@@ -831,7 +834,7 @@
 
 
 def test_looks_at_who_is_idle_end_with_the_last_tenant(world: World) -> None:
-    assert IDLE_LOOK_US < IDLE_US < paging.IDLE_US
+    assert IDLE_LOOK_US < IDLE_US < tenant_cache.IDLE_US
     world.rows.put(on("a"))
     world.find()
     world.pass_s(14)
@@ -846,8 +849,8 @@
 
     core: Core
 
-    def start(self, request: Request, class_name: str) -> None:
-        self.core.post(RunOver(request.call, io.Outcome.OK, 1000, Result(b"ok")))
+    def start(self, request: IncomingRequest, class_name: str) -> None:
+        self.core.post(RunFinished(request.call, Outcome.OK, 1000, Result(b"ok")))
 
 
 def test_the_ajp_front_refuses_a_request_whose_tenant_cannot_be_read_and_serves_on() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -18,24 +18,26 @@
 from helpers import settings
 from test_core import Backend
 
-from reelusher.backends import vault
+from reelusher.backends import downstream_client
 from reelusher.backends.runtime import Unproved
 from reelusher.codecs import msgpack
 from reelusher.config import ConfigError, load
 from reelusher.config.load import merge
 from reelusher.config.operator import parse as parse_operator
-from reelusher.config.platform import parse as parse_platform
+from reelusher.config.platform_config import parse as parse_platform
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
-from reelusher.core.model import CallOver, Message
-from reelusher.core.owner import Core
-from reelusher.fronts.platform import Connection, PlatformFront
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import CallFinished, Message
+from reelusher.frontends.rpc.frontend import Connection, PlatformFront
 from reelusher.importer import httpd, jk
 from reelusher.importer.__main__ import main as run_importer
 from reelusher.importer.model import Imported
-from reelusher.interface import Outcome
 from reelusher.lab.fleet import processes
-from reelusher.net import Address, Budget, Listener, Outbox
+from reelusher.net.listener import Listener
+from reelusher.net.send_buffer import Budget, Outbox
+from reelusher.net.sockets import Address
+from reelusher.policy.events import Outcome
 
 ROOT = Path(__file__).parent.parent
 PLATFORM = {"name": "n1", "listen": "127.0.0.1:0", "runtime": "127.0.0.1:1", "settings": scenario.SETTINGS}
@@ -516,7 +518,7 @@
     """The vault forgets idle ones, and a call that is reset there would prove nothing and be failed."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = vault.Vault(listener.getsockname(), came.put, Counters(), Clock())
+        made = downstream_client.Vault(listener.getsockname(), came.put, Counters(), Clock())
         lines_open = []
         for number, call in enumerate(("aa", "bb", "cc")):
             made.ask(call, number, Clock().now() + 60_000_000, b"q")
@@ -524,9 +526,9 @@
                 lines_open.append(listener.accept()[0])
             assert lines_open[-1].recv(100).startswith(f"ask {call} ".encode())
             lines_open[-1].sendall(f"{call} notnow\r\n".encode())
-            assert came.get(timeout=10) == CallOver(call, number, Outcome.REJECTED)
+            assert came.get(timeout=10) == CallFinished(call, number, Outcome.REJECTED)
             if call == "bb":
-                made._idle[-1].used -= vault.IDLE_S
+                made._idle[-1].used -= downstream_client.IDLE_S
         made.close()
 
 
@@ -534,19 +536,19 @@
     """A refused connection proves that nothing ran; a reload had come while it was being opened."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = vault.Vault(("127.0.0.1", 1), came.put, Counters(), Clock())
+        made = downstream_client.Vault(("127.0.0.1", 1), came.put, Counters(), Clock())
 
         def refused(address: Address, timeout: float) -> socket.socket:
             monkeypatch.undo()
             made.move(listener.getsockname())
             raise ConnectionRefusedError
 
-        monkeypatch.setattr(vault, "connect", refused)
+        monkeypatch.setattr(downstream_client, "connect", refused)
         made.ask("aa", 1, Clock().now() + 60_000_000, b"q")
         sock = listener.accept()[0]
         assert sock.recv(100).startswith(b"ask aa ")
         sock.sendall(b"aa yes 1\r\nr\r\n")
-        assert came.get(timeout=10) == CallOver("aa", 1, Outcome.OK, b"r")
+        assert came.get(timeout=10) == CallFinished("aa", 1, Outcome.OK, b"r")
         made.close()
 
 
@@ -554,7 +556,7 @@
     """A late reply to the first could be taken for the second one's: both carry one id."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = vault.Vault(listener.getsockname(), came.put, Counters(), Clock())
+        made = downstream_client.Vault(listener.getsockname(), came.put, Counters(), Clock())
         made.ask("aa", 1, Clock().now() + 60_000_000, b"q")
         first = listener.accept()[0]
         assert first.recv(100).startswith(b"ask aa ")
@@ -565,5 +567,5 @@
         assert second.recv(100).startswith(b"ask aa ")
         first.sendall(b"aa yes 4\r\nlate\r\n")
         second.sendall(b"aa yes 3\r\nnew\r\n")
-        assert came.get(timeout=10) == CallOver("aa", 2, Outcome.OK, b"new")
+        assert came.get(timeout=10) == CallFinished("aa", 2, Outcome.OK, b"new")
         made.close()
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -22,20 +22,20 @@
 
 from reelusher.admin import replicated_api
 from reelusher.codecs import ajp13
+from reelusher.config.checked_table import ConfigError, address_of
 from reelusher.config.load import merge
 from reelusher.config.operator import parse
-from reelusher.config.table import ConfigError, address_of
-from reelusher.fleet.replication import service, writer
-from reelusher.fleet.replication.copy import LocalCopy
+from reelusher.fleet.replication import leadership, service
 from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, Entry
-from reelusher.fleet.replication.rows import ReplicaError
-from reelusher.fleet.replication.streams import Replica, stream_of
-from reelusher.fronts.ajp import AjpFront
-from reelusher.net import Address
-from reelusher.server import COPY_FILES, Node
+from reelusher.fleet.replication.replica import Replica, stream_of
+from reelusher.fleet.replication.replica_store import ReplicaError
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.frontends.ajp.frontend import AjpFront
+from reelusher.net.sockets import Address
+from reelusher.node import COPY_FILES, Node
 from reelusher.tenancy import replicated
-from reelusher.tenancy.paging import TenantUnavailableError
 from reelusher.tenancy.replicated import ReplicatedTable
+from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 CONTROL = ["c1", "c2"]
 C1, C2 = (names_of(stream, 10) for stream in CONTROL)
@@ -171,7 +171,7 @@
     """Have nodes that see early whether they may write, and take them down again."""
     made = Nodes(folder)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(writer, "ALONE_S", 0.1)
+        patch.setattr(leadership, "ALONE_S", 0.1)
         patch.setattr(service, "LOOK_S", 0.05)
         yield made
         for name in list(made.all):
@@ -796,7 +796,7 @@
 LOADS = """
 import json, sys
 from reelusher.config.load import load
-from reelusher.server import COPY_FILES, Node
+from reelusher.node import COPY_FILES, Node
 node = Node(load())
 node.close()
 print(json.dumps(sorted(sys.modules)))
@@ -844,7 +844,7 @@
         rest = (
             "reelusher.admin",
             "reelusher.fleet",
-            "reelusher.fronts.ajp",
+            "reelusher.frontends.ajp.frontend",
             "reelusher.tenancy",
             "msgspec",
             "reelusher.upgrade",
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from replicas import CONTROL, Replicas, entry, names_of
 
-from reelusher.fleet.replication import streams
+from reelusher.fleet.replication import replica as replica_module
 from reelusher.fleet.replication.messages import (
     MOST_PIECE,
     MOST_REPLY,
@@ -25,8 +25,7 @@
     Entry,
     Piece,
 )
-from reelusher.fleet.replication.rows import MemoryRows, ReplicaError, StreamState
-from reelusher.fleet.replication.streams import (
+from reelusher.fleet.replication.replica import (
     FILL_PER_S,
     JITTER_S,
     LEAST_S,
@@ -42,6 +41,7 @@
     stream_of,
     unpack,
 )
+from reelusher.fleet.replication.replica_store import MemoryRows, ReplicaError, StreamState
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
@@ -458,8 +458,8 @@
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     before, told = set(live(fleet, "n1")), list(fleet.all["n1"].announce())
     steps = 0
     while fleet.all["n1"].announce() == told:
@@ -479,8 +479,8 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.settle()
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.add("n4")
     seen = []
     for giver in ("c1", "n2", "n3", "c1", "n2"):
@@ -516,8 +516,8 @@
     fleet.pull("n1", "c1")
     fleet.change(C1[0], "")
     fleet.change(C1[1], pad="newer")
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.pull("n4", "n1")
     fleet.pull("n4", "c1")
     assert set(live(fleet, "n4")) == {C1[0], C1[2]}
@@ -537,8 +537,8 @@
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     for giver in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 is one behind
         fleet.pull("n1", giver)
         assert C1[2] in live(fleet, "n1")
@@ -552,8 +552,8 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.pull("n1", "c1")
     assert fleet.all["n1"].states["c1"].cursor > 0
     for _ in range(3):
@@ -570,8 +570,8 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.pull("n4", "c1")
     assert fleet.all["n4"].states["c1"].horizon == 6
     taken = fleet.pull("n4", "n1")
@@ -670,8 +670,8 @@
         fleet.change(name)
     fleet.pull("c2", "c1")
     fleet.change(C1[1], pad="lost")  # number 5 supersedes 2
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     for _ in range(2):
         fleet.pull("n1", "c1")  # 1 and 3, no 2
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
@@ -692,8 +692,8 @@
         fleet.change(name)
     fleet.pull("c2", "c1")
     fleet.change(C1[0], pad="lost")
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.pull("n1", "c1")
     fleet.pull("n1", "c1")
     state = fleet.all["n1"].states["c1"]
@@ -714,8 +714,8 @@
     fleet = Replicas(1, folder)
     for name in C1[:4]:
         fleet.change(name)
-    monkeypatch.setattr(streams, "MOST_PIECE", 1)
-    monkeypatch.setattr(streams, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
+    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
     fleet.pull("c2", "c1")
     with pytest.raises(NotLeaderError, match="refilled"):
         fleet.all["c2"].begin_term("c1", "c2")
@@ -868,8 +868,8 @@
 def small_fleet(most: int, files: bool) -> Iterator[Replicas]:
     """Give five members that exchange pieces of so many bytes."""
     with pytest.MonkeyPatch.context() as patched, tempfile.TemporaryDirectory() as kept:
-        patched.setattr(streams, "MOST_PIECE", most)
-        patched.setattr(streams, "MOST_REPLY", most)
+        patched.setattr(replica_module, "MOST_PIECE", most)
+        patched.setattr(replica_module, "MOST_REPLY", most)
         fleet = Replicas(3, Path(kept) if files else None)
         yield fleet
         fleet.close()
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -16,15 +16,12 @@
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import State, Update
 from reelusher.fleet.membership.service import Membership
-from reelusher.fleet.replication import census as counting
+from reelusher.fleet.replication import replica as replica_module
+from reelusher.fleet.replication import replication_progress
 from reelusher.fleet.replication import service as serving
-from reelusher.fleet.replication import streams
-from reelusher.fleet.replication.census import Census
-from reelusher.fleet.replication.copy import LocalCopy
+from reelusher.fleet.replication.leadership import ALONE_S, QUIET_S, SETTLE_S, Writer
 from reelusher.fleet.replication.messages import MOST_TENANT, EntriesReply, EntriesRequest, Entry
-from reelusher.fleet.replication.rows import MemoryRows, ReplicaError
-from reelusher.fleet.replication.service import Replication
-from reelusher.fleet.replication.streams import (
+from reelusher.fleet.replication.replica import (
     CLAIM_S,
     NotLeaderError,
     Position,
@@ -32,8 +29,11 @@
     first_epoch,
     holder_of,
 )
-from reelusher.fleet.replication.writer import ALONE_S, QUIET_S, SETTLE_S, Writer
-from reelusher.net import spawn
+from reelusher.fleet.replication.replica_store import MemoryRows, ReplicaError
+from reelusher.fleet.replication.replication_progress import Census
+from reelusher.fleet.replication.service import Replication
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.net.threads import spawn
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
@@ -318,16 +318,16 @@
     old = list(fleet.all["c2"].announce())
     for at, place in enumerate(places):
         census.heard(place, old, 50.0 + at / 10)
-    assert census.tick(members, 100.0 + counting.GRACE_S - 0.1) == []
+    assert census.tick(members, 100.0 + replication_progress.GRACE_S - 0.1) == []
     first = census.tick(members, 110.0)
     assert first == places[:10]
     assert census.tick(members, 110.15) == places[10:11]
     total = sum(len(census.tick(members, 110.0 + step)) for step in range(1, 21))
-    assert 190 <= total <= 20 * counting.CALLS_PER_S + 1
+    assert 190 <= total <= 20 * replication_progress.CALLS_PER_S + 1
     census.told(members, 140.0)
     quick = census.tick(members, 141.0)
     never = places[11 + total :]
-    assert len(quick) == counting.QUICK_PER_S
+    assert len(quick) == replication_progress.QUICK_PER_S
     assert quick[: len(never)] == never
     for place in places:
         census.heard(place, list(fleet.all["c1"].announce()), 142.0)
@@ -355,7 +355,7 @@
 
 
 def test_the_census_is_bounded_and_forgets_who_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counting, "MOST_MEMBERS", 5)
+    monkeypatch.setattr(replication_progress, "MOST_MEMBERS", 5)
     fleet = Replicas(0)
     census = Census(fleet.all["c1"], "c1")
     for number in range(9):
@@ -525,7 +525,7 @@
     fleet.change(C1[0])
     replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
     assert not node.filling()  # the first change is no fill
-    for number in range(streams.MUCH):
+    for number in range(replica_module.MUCH):
         fleet.change(C1[0], pad=number)
     replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
     assert node.filling()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,9 +9,11 @@
 from hypothesis import strategies as st
 from shared_node import SEC, Demand, SharedNode
 
-from reelusher import interface as io
-from reelusher.tenancy.fairness import Claim, Gcra, allocate, jain
-from reelusher.tenancy.shares import Share, Shares
+from reelusher.policy.actions import Reject, Run
+from reelusher.policy.events import Request
+from reelusher.policy.settings import RequestClass
+from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.rate_limit import Claim, Gcra, allocate, jain
 
 CLAIMS = st.builds(Claim, st.floats(0, 100), st.floats(0.01, 100), st.floats(0, 5), st.floats(0.1, 50))
 
@@ -166,11 +168,11 @@
 def test_classes_of_one_tenant_share_by_their_weights() -> None:
     shares = Shares(2, 1000.0)
     shares.entitle(1, Share(class_weights={0: 3.0, 1: 1.0}))
-    held = [Item(io.Request(n, n % 2, tenant=1)) for n in range(80)]
+    held = [Item(Request(n, n % 2, tenant=1)) for n in range(80)]
     taken = []
     for item in shares.order(held, 0):
-        shares.started(item.request, 0)
-        taken.append(item.request.kind)
+        shares.run_started(item.request, 0)
+        taken.append(item.request.class_index)
         if len(taken) == 40:
             break
     assert taken.count(0) == pytest.approx(30, abs=1)
@@ -180,21 +182,22 @@
 def test_bounds_of_a_tenant_hold_for_it_alone(bound: Share) -> None:
     shares = Shares(2, 10_000.0)
     shares.entitle(1, bound)
-    made = controller(io.RequestClass(deadline_us=8_000_000), memory_kb=10_000.0, run_factor=4.0)
-    made.standing = shares
-    asked = [io.Request(n, 0, tenant=1, held_kb=20.0) for n in range(1, 31)]
+    made = controller(
+        RequestClass(deadline_us=8_000_000), scheduler=shares, memory_kb=10_000.0, running_memory_factor=4.0
+    )
+    asked = [Request(n, 0, tenant=1, held_kb=20.0) for n in range(1, 31)]
     first = made.handle(1, list(asked))
-    refused, ran = ids(first, io.Decline), ids(first, io.Run)
+    refused, ran = ids(first, Reject), ids(first, Run)
     if bound.running:
-        made.cap = 10.0
+        made.concurrency.limit = 10.0
         assert len(ran) == 2
         assert not refused
-        assert not ids(made.handle(2, []), io.Run)  # places are free, its bound is reached
+        assert not ids(made.handle(2, []), Run)  # places are free, its bound is reached
     else:
         assert len(refused) >= 20
-    other = made.handle(3, [io.Request(100, 0, tenant=2, held_kb=20.0)])
-    assert not of(other, io.Decline)
-    assert not bound.running or ids(other, io.Run) == [100]
+    other = made.handle(3, [Request(100, 0, tenant=2, held_kb=20.0)])
+    assert not of(other, Reject)
+    assert not bound.running or ids(other, Run) == [100]
 
 
 @pytest.mark.parametrize(
@@ -209,5 +212,5 @@
 class Item:
     """Something held."""
 
-    def __init__(self, request: io.Request) -> None:
+    def __init__(self, request: Request) -> None:
         self.request = request
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -12,16 +12,16 @@
 from hypothesis import strategies as st
 from test_core import Backend
 
+from reelusher.config.checked_table import ConfigError
 from reelusher.config.operator import Route, ShareOf, Tenant, over_guaranteed, parse
-from reelusher.config.table import ConfigError
 from reelusher.core import counters
 from reelusher.core.counters import Counters
-from reelusher.core.owner import Core
+from reelusher.core.event_loop import Core
 from reelusher.tenancy import index
+from reelusher.tenancy.fair_queue import Shares
 from reelusher.tenancy.index import Index, Routes
 from reelusher.tenancy.lifecycle import Entry, Lifecycle, State
 from reelusher.tenancy.registry import Match, Tenants
-from reelusher.tenancy.shares import Shares
 
 HOSTS = ("a", "b", "c")
 PATHS = ("/", "/a", "/a/", "/a/b", "/ab", "/a/b/", "/a/b/c", "//", "/a//", "/b")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,9 +17,9 @@
 from test_parts import ROOT, deployed
 
 from reelusher.codecs import http1, msgpack
-from reelusher.core.model import Claim, Result
-from reelusher.upgrade.claims import Claims
-from reelusher.upgrade.lives import Lives
+from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.upgrade.key_locks import Claims
+from reelusher.upgrade.process_registry import Lives
 
 KEY = "platform", 2, "k1"
 SECOND_US = 1_000_000
@@ -38,7 +38,7 @@
         """Claim the key at one of the two; what it is told comes into the list."""
         told: list[Any] = []
         self.claims[which].keep(
-            Claim(
+            KeyLockRequest(
                 KEY,
                 self.now_us + int(door_s * 1e6),
                 self.now_us + 20 * SECOND_US,
@@ -109,7 +109,9 @@
     claims._path(KEY).write_bytes(garbage)
     assert comes(both.ask(0), None)  # it may have been run: it is neither run again nor turned away
     told: list[Any] = []
-    claims.keep(Claim(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append))
+    claims.keep(
+        KeyLockRequest(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append)
+    )
     assert comes(told, True)
 
 
