--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -12,15 +12,15 @@
 from loguru import logger
 
 from reelusher.admin import openapi
-from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, refusing
-from reelusher.backends.ajp.worker_pool import Pool
+from reelusher.admin.tenant_api import ApiCall, ApiError, Handler, Reply, TenantApi, refusing
+from reelusher.backends.ajp.worker_pool import WorkerPool
 from reelusher.codecs import http1
-from reelusher.config.checked_table import Table
+from reelusher.config.checked_table import CheckedTable
 from reelusher.config.operator import ACTIVATIONS, Admin, Token
 from reelusher.core.event_loop import Core
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
-from reelusher.tenancy.registry import Tenants
+from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
 
 if TYPE_CHECKING:
@@ -38,9 +38,9 @@
     """What the API administers."""
 
     core: Core
-    tenants: Tenants
+    tenants: TenantRegistry
     table: TenantTable
-    pool: Pool
+    pool: WorkerPool
     status: Callable[[], dict[str, Any]]
     drain: Callable[[], bool]  # False: it drains already
     fleet: "Membership | None" = None
@@ -169,40 +169,40 @@
             except (ValueError, RecursionError) as error:
                 raise ApiError(400, f"the body is not JSON: {error}") from None
         with refusing(method, target):
-            return react(Asked(token.name, name, value, dict(parse_qsl(query)), message.headers))
+            return react(ApiCall(token.name, name, value, dict(parse_qsl(query)), message.headers))
 
     # The rest
 
-    def _workers(self, _asked: Asked) -> Reply:
+    def _workers(self, _asked: ApiCall) -> Reply:
         return Reply(200, {"workers": self._parts.pool.status()})
 
-    def _worker(self, asked: Asked) -> Reply:
+    def _worker(self, asked: ApiCall) -> Reply:
         found = [worker for worker in self._parts.pool.status() if worker["name"] == asked.name]
         if not found:
             raise ApiError(404, f"no worker is named {asked.name!r}")
         return Reply(200, found[0])
 
-    def _activate(self, asked: Asked) -> Reply:
-        table = Table(asked.value)
+    def _activate(self, asked: ApiCall) -> Reply:
+        table = CheckedTable(asked.value)
         table.only("activation")
         activation = table.word("activation", ACTIVATIONS)
-        if not self._parts.core.ask(lambda: self._parts.pool.activate(asked.name, activation)):
+        if not self._parts.core.run_on_loop(lambda: self._parts.pool.activate(asked.name, activation)):
             raise ApiError(404, f"no worker is named {asked.name!r}")
         return self._worker(asked)
 
-    def _status(self, _asked: Asked) -> Reply:
-        return Reply(200, self._parts.core.ask(self._parts.status))
+    def _status(self, _asked: ApiCall) -> Reply:
+        return Reply(200, self._parts.core.run_on_loop(self._parts.status))
 
-    def _counters(self, _asked: Asked) -> Reply:
+    def _counters(self, _asked: ApiCall) -> Reply:
         return Reply(200, self._parts.core.counters.snapshot())
 
-    def _fleet(self, _asked: Asked) -> Reply:
+    def _fleet(self, _asked: ApiCall) -> Reply:
         return Reply(200, self._membership().status())
 
-    def _no_replication(self, _asked: Asked) -> Reply:
+    def _no_replication(self, _asked: ApiCall) -> Reply:
         raise ApiError(404, "this node's tenants are its own: its configuration has no [replication]")
 
-    def _forget(self, asked: Asked) -> Reply:
+    def _forget(self, asked: ApiCall) -> Reply:
         done = self._membership().forget(asked.name)
         if done is None:
             raise ApiError(404, f"no member is named {asked.name!r}")
@@ -215,7 +215,7 @@
             raise ApiError(404, "this node is in no fleet: its configuration has no [fleet]")
         return self._parts.fleet
 
-    def _drain(self, _asked: Asked) -> Reply:
+    def _drain(self, _asked: ApiCall) -> Reply:
         if not self._parts.drain():
             raise ApiError(409, "it drains already")
         return Reply(202, {"draining": True})
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -14,7 +14,7 @@
 
 from loguru import logger
 
-from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, etag, refusing
+from reelusher.admin.tenant_api import ApiCall, ApiError, Handler, Reply, TenantApi, etag, refusing
 from reelusher.config.operator import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.fleet.membership.messages import Update
@@ -22,10 +22,10 @@
 from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
 from reelusher.fleet.replication.replica import Position
 from reelusher.fleet.replication.replica_store import ReplicaError
-from reelusher.storage.tenant_state import Standing as Kept
+from reelusher.storage.tenant_state import TenantVersion as Kept
 from reelusher.storage.tenant_state import shown
-from reelusher.tenancy.registry import Tenants
-from reelusher.tenancy.replicated import MOST_WHO, ReplicatedTable, Standing, TableBusyError, told
+from reelusher.tenancy.registry import TenantRegistry
+from reelusher.tenancy.replicated import MOST_WHO, ReplicatedTable, ReplicatedTenant, TableBusyError, told
 
 COPIES_S = 5.0  # that a call waits for copies
 CARRIED_S = 4.0  # that the holder has for a call that is carried there, beside the wait for copies
@@ -55,7 +55,7 @@
     """The calls that have to do with tenants, where they are kept in the replicated table."""
 
     def __init__(
-        self, core: Core, tenants: Tenants, table: ReplicatedTable, fleet: Fleet | None, random: Random
+        self, core: Core, tenants: TenantRegistry, table: ReplicatedTable, fleet: Fleet | None, random: Random
     ) -> None:
         super().__init__(core, tenants, table)
         self._replicated, self._fleet = table, fleet
@@ -73,21 +73,21 @@
 
     # Looking, at this node's copy
 
-    def _list(self, asked: Asked) -> Reply:
+    def _list(self, asked: ApiCall) -> Reply:
         limit, after = asked.whole("limit", 1000, 1000, 1), asked.query.get("after", "")
         found = self._replicated.page(after, limit + 1)
         page = found[:limit]
         more = {"next": page[-1].tenant["name"]} if len(found) > limit else {}
         return Reply(200, {"tenants": [shown(one) for one in page], **more})
 
-    def _show(self, asked: Asked) -> Reply:
+    def _show(self, asked: ApiCall) -> Reply:
         kept = self._replicated.kept(asked.name)
         if kept is None:
             raise self._nobody(asked.name)
         more = {"unreadable": kept.unreadable} if kept.unreadable else {}
         return Reply(200, {**(self._told(self._replicated.overlapping(kept)) or {}), **more}, etag(kept))
 
-    def _changes(self, asked: Asked) -> Reply:
+    def _changes(self, asked: ApiCall) -> Reply:
         """Tell how far the members have the changes."""
         table = self._replicated
         places: dict[str, list[str]] = {}
@@ -154,7 +154,7 @@
 
     def _told(self, kept: Kept | None) -> dict[str, Any] | None:
         made = shown(kept)
-        if made is not None and isinstance(kept, Standing):
+        if made is not None and isinstance(kept, ReplicatedTenant):
             for key, overlaps in (("shadowed", kept.lost), ("shadows", kept.won)):
                 if overlaps:
                     made[key] = [one.to_json() for one in overlaps]
@@ -162,10 +162,10 @@
 
     def _would(self, before: Kept | None, after: Kept | None) -> Reply:
         if after is not None:
-            after = self._replicated.overlapping(Standing(after.tenant, after.state, ""))
+            after = self._replicated.overlapping(ReplicatedTenant(after.tenant, after.state, ""))
         return super()._would(before, after)
 
-    def _delete(self, asked: Asked) -> Reply:
+    def _delete(self, asked: ApiCall) -> Reply:
         if "within_ms" in asked.query:
             raise ApiError(400, "each node ends what it has in hand within its own time", "within_ms")
         with self._table.changing():
@@ -175,7 +175,7 @@
             self._table.change("remove", asked.name, asked.who)
         return Reply(204)
 
-    def _make(self, key: Key, asked: Asked) -> Reply:
+    def _make(self, key: Key, asked: ApiCall) -> Reply:
         """Make a change at its holder, and wait until as many others have it as the caller wants."""
         copies = asked.whole("copies", 0, max(0, len(self._live()) - 1))
         stream = self._replicated.stream_of(self._name(asked))
@@ -202,7 +202,7 @@
                 self._waits.release()
         return reply
 
-    def _name(self, asked: Asked) -> str:
+    def _name(self, asked: ApiCall) -> str:
         """Return the name of the tenant that a call is about."""
         if asked.name:
             return asked.name
@@ -210,7 +210,7 @@
         name = asked.value.get("name") if isinstance(asked.value, dict) else None
         return name if isinstance(name, str) else ""
 
-    def _take_over(self, asked: Asked) -> Reply:
+    def _take_over(self, asked: ApiCall) -> Reply:
         """Have this member write a stream from now on, as an operator orders."""
         table, stream, own = self._replicated, asked.name, self._replicated.own_name
         if stream not in table.replica.control:
@@ -299,7 +299,7 @@
     def _readable(self, react: Handler) -> Handler:
         """Return what answers the same, and 503 where this node's copy can't be read."""
 
-        def answer(asked: Asked) -> Reply:
+        def answer(asked: ApiCall) -> Reply:
             try:
                 return react(asked)
             except ReplicaError as error:
@@ -310,7 +310,7 @@
     def _sender(self, key: Key) -> Handler:
         """Return what makes a change here or sends it on to its holder."""
 
-        def react(asked: Asked) -> Reply:
+        def react(asked: ApiCall) -> Reply:
             stream = self._replicated.stream_of(self._name(asked))
             holder = self._replicated.holder(stream)
             if holder == self._replicated.own_name:
@@ -319,7 +319,7 @@
 
         return react
 
-    def _send_on(self, key: Key, asked: Asked, holder: str) -> Reply:
+    def _send_on(self, key: Key, asked: ApiCall, holder: str) -> Reply:
         method, kind, _ = key
         place = self._sole(holder)
         if not place or self._fleet is None:
@@ -409,7 +409,7 @@
             value = json.loads(request.body) if request.body else None
         except (ValueError, RecursionError) as error:
             raise ApiError(400, f"the body is not JSON: {error}") from None
-        asked = Asked(request.who, name, value, dict(parse_qsl(query)), request.headers)
+        asked = ApiCall(request.who, name, value, dict(parse_qsl(query)), request.headers)
         stream = self._replicated.stream_of(self._name(asked))
         holder = self._replicated.holder(stream)
         if holder != self._replicated.own_name:  # who asked knows it otherwise; one of the two will learn
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -15,9 +15,9 @@
 from reelusher.config.operator import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.storage.journal import JournalError
-from reelusher.storage.tenant_state import Kept, Standing, shown
-from reelusher.tenancy.lifecycle import DRAIN_US, State, TenantStateError
-from reelusher.tenancy.registry import Tenants
+from reelusher.storage.tenant_state import StoredTenant, TenantVersion, shown
+from reelusher.tenancy.lifecycle import DRAIN_US, TenantState, TenantStateError
+from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
 
 MOST_WITHIN_MS = 3_600_000  # a tenant that is removed is gone by then at the latest
@@ -61,7 +61,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class ApiCall:
     """One call."""
 
     who: str  # name of the token that came with it, for the audit trail
@@ -99,7 +99,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-Handler = Callable[[Asked], Reply]
+Handler = Callable[[ApiCall], Reply]
 
 
 def merged(value: Any, patch: Any) -> Any:
@@ -118,7 +118,7 @@
 class TenantApi:
     """The calls that have to do with tenants, by method, kind and whether a name is given."""
 
-    def __init__(self, core: Core, tenants: Tenants, table: TenantTable) -> None:
+    def __init__(self, core: Core, tenants: TenantRegistry, table: TenantTable) -> None:
         self._core = core
         self._tenants = tenants
         self._table = table
@@ -137,26 +137,26 @@
 
     # Looking
 
-    def _list(self, asked: Asked) -> Reply:
+    def _list(self, asked: ApiCall) -> Reply:
         limit, after = asked.whole("limit", MOST_PAGE, MOST_PAGE, 1), asked.query.get("after", "")
         page, last = self._tenants.page(after, limit)
         more = {"next": last} if last else {}
         return Reply(200, {"tenants": [self._tenants.shown(entry) for entry in page], **more})
 
-    def _show(self, asked: Asked) -> Reply:
+    def _show(self, asked: ApiCall) -> Reply:
         entry = self._tenants.entry(asked.name)
         if entry is None:
             raise self._nobody(asked.name)
         kept = self._table.kept(asked.name)
         return Reply(200, self._tenants.shown(entry), etag(kept))
 
-    def _usage(self, asked: Asked) -> Reply:
+    def _usage(self, asked: ApiCall) -> Reply:
         entry = self._tenants.entry(asked.name)
         if entry is None:
             raise self._nobody(asked.name)
-        return Reply(200, self._core.ask(lambda: self._tenants.usage(entry)))
+        return Reply(200, self._core.run_on_loop(lambda: self._tenants.usage(entry)))
 
-    def _audit(self, asked: Asked) -> Reply:
+    def _audit(self, asked: ApiCall) -> Reply:
         limit, after = asked.whole("limit", 100, MOST_PAGE, 1), asked.whole("after", 0, 1 << 53)
         trail = self._table.audit(after, limit + 1)
         page = trail[:limit]
@@ -192,9 +192,9 @@
 
     def _apply(self, change: Callable[[], object]) -> None:
         """Have the owner go by a change that is durable."""
-        self._core.ask(change)
+        self._core.run_on_loop(change)
 
-    def _create(self, asked: Asked) -> Reply:
+    def _create(self, asked: ApiCall) -> Reply:
         key = asked.headers.get("idempotency-key", "")
         if len(key) > MOST_KEY:
             raise ApiError(400, f"more than {MOST_KEY} characters", "Idempotency-Key")
@@ -206,7 +206,7 @@
             if self._known(tenant.name):
                 raise ApiError(409, f"a tenant is named {tenant.name!r} already", "name")
             if asked.dry:
-                return self._would(None, Kept(tenant.to_json(), State.ACTIVE.value, 0))
+                return self._would(None, StoredTenant(tenant.to_json(), TenantState.ACTIVE.value, 0))
             kept = self._table.change("put", tenant.name, asked.who, tenant.to_json(), key=key)
             self._apply(lambda: self._tenants.put(tenant))
             return Reply(201, self._told(kept), etag(kept))
@@ -220,12 +220,12 @@
             raise ApiError(409, f"{name!r} was made with this key, and has been removed", "Idempotency-Key")
         return Reply(201, self._told(kept), {**etag(kept), "Idempotent-Replayed": "true"})
 
-    def _replace(self, asked: Asked) -> Reply:
+    def _replace(self, asked: ApiCall) -> Reply:
         with self._table.changing():
             before = self._current(asked)
             return self._put(asked, before, self._read(asked.value, asked.name))
 
-    def _patch(self, asked: Asked) -> Reply:
+    def _patch(self, asked: ApiCall) -> Reply:
         if not isinstance(asked.value, dict):
             raise ApiError(400, "a merge patch is an object")
         with self._table.changing():
@@ -233,42 +233,42 @@
             patched = merged(before.tenant, asked.value)
             return self._put(asked, before, self._read(patched, asked.name))
 
-    def _put(self, asked: Asked, before: Standing, tenant: Tenant) -> Reply:
+    def _put(self, asked: ApiCall, before: TenantVersion, tenant: Tenant) -> Reply:
         if asked.dry:
-            return self._would(before, Kept(tenant.to_json(), before.state, 0))
+            return self._would(before, StoredTenant(tenant.to_json(), before.state, 0))
         kept = self._table.change("put", asked.name, asked.who, tenant.to_json())
         self._apply(lambda: self._tenants.put(tenant))
         return Reply(200, self._told(kept), etag(kept))
 
-    def _suspend(self, asked: Asked) -> Reply:
-        return self._move(asked, State.SUSPENDED)
+    def _suspend(self, asked: ApiCall) -> Reply:
+        return self._move(asked, TenantState.SUSPENDED)
 
-    def _resume(self, asked: Asked) -> Reply:
-        return self._move(asked, State.ACTIVE)
+    def _resume(self, asked: ApiCall) -> Reply:
+        return self._move(asked, TenantState.ACTIVE)
 
-    def _move(self, asked: Asked, to: State) -> Reply:
+    def _move(self, asked: ApiCall, to: TenantState) -> Reply:
         with self._table.changing():
             before = self._current(asked)
             if asked.dry:
-                return self._would(before, Kept(before.tenant, to.value, 0))
+                return self._would(before, StoredTenant(before.tenant, to.value, 0))
             kept = self._table.change("state", asked.name, asked.who, state=to.value)
             self._apply(lambda: self._tenants.move(asked.name, to))
             return Reply(200, self._told(kept), etag(kept))
 
-    def _delete(self, asked: Asked) -> Reply:
+    def _delete(self, asked: ApiCall) -> Reply:
         within_us = asked.whole("within_ms", DRAIN_US // 1000, MOST_WITHIN_MS) * 1000
         with self._table.changing():
             entry = self._tenants.entry(asked.name)
-            if entry is None or entry.state is not State.DRAINING:
+            if entry is None or entry.state is not TenantState.DRAINING:
                 before = self._current(asked)
                 if asked.dry:
                     return self._would(before, None)
                 self._table.change("remove", asked.name, asked.who)
-            self._core.ask(lambda: self._tenants.delete(asked.name, within_us))
+            self._core.run_on_loop(lambda: self._tenants.delete(asked.name, within_us))
         left = self._tenants.entry(asked.name)
         return Reply(204) if left is None else Reply(202, self._tenants.shown(left))
 
-    def _current(self, asked: Asked) -> Standing:
+    def _current(self, asked: ApiCall) -> TenantVersion:
         """Return what is kept of a tenant that may be changed, and is as the caller thinks."""
         kept = self._table.kept(asked.name)
         if kept is None and not self._known(asked.name):
@@ -282,11 +282,11 @@
             )
         return kept
 
-    def _told(self, kept: Standing | None) -> dict[str, Any] | None:
+    def _told(self, kept: TenantVersion | None) -> dict[str, Any] | None:
         """Return a tenant as a change's answer shows it."""
         return shown(kept)
 
-    def _would(self, before: Standing | None, after: Standing | None) -> Reply:
+    def _would(self, before: TenantVersion | None, after: TenantVersion | None) -> Reply:
         """Say what a change would do."""
         return Reply(
             200, {"dry_run": True, "before": shown(before), "after": self._told(after)}, etag(before)
@@ -297,6 +297,6 @@
         return ApiError(404, f"no tenant is named {name!r}")
 
 
-def etag(kept: Standing | None) -> dict[str, str]:
+def etag(kept: TenantVersion | None) -> dict[str, str]:
     """Return the header that tells a tenant's version."""
     return {} if kept is None else {"ETag": f'"{kept.version}"'}
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -162,7 +162,7 @@
         }
 
 
-class Pool:
+class WorkerPool:
     """All workers of a node, and the threads that wait for them."""
 
     def __init__(
@@ -267,7 +267,7 @@
 class BalancedRunner:
     """Runs requests on one worker or on those of a balancer."""
 
-    def __init__(self, pool: Pool, members: list[Member], sticky: bool, method: str) -> None:
+    def __init__(self, pool: WorkerPool, members: list[Member], sticky: bool, method: str) -> None:
         self._pool = pool
         self._members = members
         self._sticky = sticky
@@ -279,7 +279,7 @@
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self._open[request.call] = None
+        self._open[request.run_id] = None
         self._pool.executor.submit(self._run, request, class_name)
 
     def stop(self, call: str) -> None:
@@ -296,13 +296,13 @@
     def resume(self, call: str) -> None:
         """Do nothing: a stopped run here is over."""
 
-    def give(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, call: str, body: bytes) -> None:
         """Do nothing: workers make their calls themselves."""
 
-    def omit(self, call: str, serial: int) -> None:
+    def skip_call(self, call: str, serial: int) -> None:
         """Do nothing: workers make their calls themselves."""
 
-    def ask_gauges(self, cookie: str) -> bool:
+    def request_gauges(self, cookie: str) -> bool:
         """Tell the gauges of the pool."""
         self._pool.gauges(cookie)
         return True
@@ -314,13 +314,13 @@
         try:
             outcome, result = self._forward(request, class_name)
         except Exception:  # whatever it was, the run is over and its request is owed an answer
-            logger.exception("workers: request {} failed", request.call)
+            logger.exception("workers: request {} failed", request.run_id)
             outcome, result = Outcome.ERROR, None
-        self._open.pop(request.call, None)
-        if request.call in self._stopped:
-            self._stopped.discard(request.call)
+        self._open.pop(request.run_id, None)
+        if request.run_id in self._stopped:
+            self._stopped.discard(request.run_id)
             outcome, result = Outcome.CANCELLED, None
-        self._pool.post(RunFinished(request.call, outcome, int((time.monotonic() - began) * 1e6), result))
+        self._pool.post(RunFinished(request.run_id, outcome, int((time.monotonic() - began) * 1e6), result))
 
     def _forward(self, request: IncomingRequest, class_name: str) -> tuple[Outcome, Result | None]:
         forward = _forward_of(request, class_name)
@@ -350,7 +350,7 @@
         self, member: Member, channel: Channel, forward: ajp13.Forward, request: IncomingRequest
     ) -> tuple[Outcome, Result | None]:
         """Send the request and read the response. From here on it may have run."""
-        self._open[request.call] = channel
+        self._open[request.run_id] = channel
         reuse = False
         try:
             channel.sock.settimeout(member.config.reply_timeout_ms / 1000)
@@ -364,7 +364,7 @@
             logger.warning(
                 "workers: {} broke under request {}, which may have run: {}",
                 member.config.name,
-                request.call,
+                request.run_id,
                 error,
             )
             return Outcome.ERROR, None
@@ -408,7 +408,7 @@
 
 def _forward_of(request: IncomingRequest, class_name: str) -> ajp13.Forward:
     """Return the request as it is forwarded: its body is known by now, so its length is told."""
-    came = request.head
+    came = request.backend_data
     if not isinstance(came, ajp13.Forward):
         came = ajp13.Forward("POST", f"/{class_name}", headers=[("content-type", "application/octet-stream")])
     headers = [
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -15,9 +15,9 @@
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.messages import CallFinished, Message
-from reelusher.net.send_buffer import Outbox
+from reelusher.net.send_buffer import SendBuffer
 from reelusher.net.sockets import Address, connect
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.policy.events import Outcome
 
 IDLE_S = 0.05  # one idle for longer is not used again: the vault forgets them, from 0.1 s on as measured, and
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wanted:
+class PendingCall:
     """A call that is to be made."""
 
     call: str
@@ -45,7 +45,7 @@
     body: bytes
 
 
-class Line:
+class DownstreamConnection:
     """One connection to the vault, which carries one call at a time.
 
     The vault spoils replies, or never sends them, and such a connection is of no further use to any call
@@ -54,13 +54,13 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.outbox: Outbox | None = None  # once it is connected
-        self.wanted: Wanted | None = None  # the call that is out
+        self.outbox: SendBuffer | None = None  # once it is connected
+        self.wanted: PendingCall | None = None  # the call that is out
         self.served: set[str] = set()  # calls made here: a second copy of a reply is not a later call's
         self.used = time.monotonic()
         self.over = False  # not to be used again
 
-    def usable(self, wanted: Wanted, address: Address) -> bool:
+    def usable(self, wanted: PendingCall, address: Address) -> bool:
         """Tell whether an idle connection may carry this call."""
         return (
             not self.over
@@ -71,7 +71,7 @@
         )
 
 
-class Vault:
+class DownstreamClient:
     """Makes calls, over at most so many connections at once; calls past that wait for one.
 
     The owner sends; each connection has a thread that opens and reads it.
@@ -91,9 +91,9 @@
         self._clock = clock
         self._most = most_lines
         self._lock = threading.Lock()
-        self._idle: list[Line] = []  # the one used last at the end
-        self._busy: dict[str, Line] = {}  # by the call that is out
-        self._waiting: deque[Wanted] = deque()
+        self._idle: list[DownstreamConnection] = []  # the one used last at the end
+        self._busy: dict[str, DownstreamConnection] = {}  # by the call that is out
+        self._waiting: deque[PendingCall] = deque()
         self._lines = 0  # that have a thread
 
     def close(self) -> None:
@@ -109,13 +109,13 @@
             self._address = address
             self._drop_idle()
 
-    def ask(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
+    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
         """Make a call."""
         with self._lock:
-            self._waiting.append(Wanted(call, ticket, until_us, body))
+            self._waiting.append(PendingCall(call, ticket, until_us, body))
             self._serve_waiting()
 
-    def unask(self, call: str, ticket: int) -> None:
+    def cancel(self, call: str, ticket: int) -> None:
         """Give a call up. Its connection goes with it: nothing tells whether a reply is still to come."""
         with self._lock:
             line = self._busy.get(call)
@@ -143,9 +143,9 @@
                 self._drop_idle()
                 if self._lines >= self._most:
                     return
-                line = Line(self._address)
+                line = DownstreamConnection(self._address)
                 try:  # it reads what it is to carry under the lock, so after this step
-                    spawn("vault-line", partial(self._carry, line))
+                    start_thread("vault-line", partial(self._carry, line))
                 except RuntimeError as error:
                     self._counters.warn("vault.no_thread", "vault: no thread for a connection: {}", error)
                     self._waiting.popleft()
@@ -161,7 +161,7 @@
             if line.outbox is not None:
                 self._send(line)
 
-    def _send(self, line: Line) -> None:
+    def _send(self, line: DownstreamConnection) -> None:
         wanted = line.wanted
         assert wanted is not None
         assert line.outbox is not None
@@ -185,14 +185,14 @@
         self._idle = kept
 
     @staticmethod
-    def _end(line: Line) -> None:
+    def _end(line: DownstreamConnection) -> None:
         line.over = True
         if line.outbox is not None:
             line.outbox.close()
 
     # The thread of a connection
 
-    def _carry(self, line: Line) -> None:
+    def _carry(self, line: DownstreamConnection) -> None:
         sock = None
         try:
             sock = connect(line.address, CONNECT_S)
@@ -203,7 +203,7 @@
                 self._unmade(line)
             else:
                 self._counters.add("vault.connected")
-                line.outbox = Outbox(sock, BACKLOG_BYTES)
+                line.outbox = SendBuffer(sock, BACKLOG_BYTES)
                 if line.wanted is None or line.over:  # given up or closed meanwhile
                     self._end(line)
                 else:
@@ -224,7 +224,7 @@
             self._counters.warn("vault.broken", "vault: a connection broke under call {}", cut.call)
             self._post(CallFinished(cut.call, cut.ticket, Outcome.CONNECTION_LOST))
 
-    def _unmade(self, line: Line) -> None:
+    def _unmade(self, line: DownstreamConnection) -> None:
         """Take back the call of a connection that was not made: it never ran. The lock is held."""
         unmade, line.wanted = line.wanted, None
         if unmade is None:
@@ -235,7 +235,7 @@
         else:
             self._post(CallFinished(unmade.call, unmade.ticket, Outcome.UNREACHABLE))
 
-    def _read(self, line: Line, sock: socket.socket) -> None:
+    def _read(self, line: DownstreamConnection, sock: socket.socket) -> None:
         decoder = lines.VaultReplies()
         try:
             while data := sock.recv(1 << 14):
@@ -246,7 +246,7 @@
         except OSError as error:
             logger.debug("vault: {}", error)
 
-    def _take(self, line: Line, reply: lines.VaultReply) -> None:
+    def _take(self, line: DownstreamConnection, reply: lines.VaultReply) -> None:
         outcome = WORDS.get(reply.word)
         if outcome is None:
             raise MalformedError(f"an unknown reply {reply.word!r}")
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -22,9 +22,9 @@
     RunFinished,
     RunsLost,
 )
-from reelusher.net.send_buffer import Outbox
+from reelusher.net.send_buffer import SendBuffer
 from reelusher.net.sockets import Address, connect
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.pacing.backoff import Backoff
 from reelusher.policy.events import Outcome
 
@@ -44,7 +44,7 @@
 }
 
 
-class Unproved:
+class UnacknowledgedCommands:
     """Commands that the runtime may not have read yet, in the order in which they went out.
 
     Each notice and each answered mark settles some, so nothing here looks through all of them. What is
@@ -122,9 +122,9 @@
         self._post = post
         self._counters = counters
         self._lock = threading.Lock()
-        self._outbox: Outbox | None = None
+        self._outbox: SendBuffer | None = None
         self._ready = False  # caught up with the runtime on this link
-        self._sent = Unproved()
+        self._sent = UnacknowledgedCommands()
         self._serial = 0  # of the last notice taken
         self._spoilt: object = None  # serial of the newest notice that could not be read
         self._links = 0
@@ -141,7 +141,7 @@
 
     def connect(self) -> None:
         """Start to hold the link open."""
-        spawn("runtime", self._hold)
+        start_thread("runtime", self._hold)
 
     def move(self, address: Address) -> None:
         """Go on at another address. The old link serves until the new one stands; runs go on over it."""
@@ -149,7 +149,7 @@
             if address == self._address:
                 return
             self._address = address
-        spawn("runtime-move", lambda: self._dial(address))
+        start_thread("runtime-move", lambda: self._dial(address))
 
     def _dial(self, address: Address) -> None:
         """Open the link that is to replace the one in use, unless a later move or the reader is ahead."""
@@ -187,7 +187,7 @@
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self._command("start", request.call, service=class_name, blob=lines.blob(request.body))
+        self._command("start", request.run_id, service=class_name, blob=lines.blob(request.body))
 
     def stop(self, call: str) -> None:
         """Stop a run."""
@@ -197,15 +197,15 @@
         """Go on with a paused run."""
         self._command("cont", call)
 
-    def give(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, call: str, body: bytes) -> None:
         """Hand over the reply to a call."""
         self._command("give", call, blob=lines.blob(body))
 
-    def omit(self, call: str, serial: int) -> None:
+    def skip_call(self, call: str, serial: int) -> None:
         """Go on without a call."""
         self._command("omit", call, serial=serial)
 
-    def ask_gauges(self, cookie: str) -> bool:
+    def request_gauges(self, cookie: str) -> bool:
         """Ask for the gauges."""
         with self._lock:
             if not self._ready or self._outbox is None:
@@ -250,7 +250,7 @@
             if sock is None:
                 time.sleep(backoff.next_s())
                 continue
-            outbox, opened = Outbox(sock, BACKLOG_BYTES), time.monotonic()
+            outbox, opened = SendBuffer(sock, BACKLOG_BYTES), time.monotonic()
             with self._lock:
                 self._outbox, self._links = outbox, self._links + 1
                 if self._next is not None or self._closed:
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -13,9 +13,9 @@
 from reelusher.codecs import http1
 from reelusher.core.counters import Counters
 from reelusher.net.sockets import Address, connect
-from reelusher.net.threads import spawn
-from reelusher.pacing.backoff import Tries
-from reelusher.pacing.report_schedule import Cadence, Loss
+from reelusher.net.threads import start_thread
+from reelusher.pacing.backoff import RetryBudget
+from reelusher.pacing.report_schedule import Loss, ReportSchedule
 
 DESCRIPTORS = 1
 PATH = "/catalog/register/"
@@ -30,7 +30,7 @@
         self.advised_s = advised_s
 
 
-class Catalog:
+class ServiceRegistry:
     """Reports the state of the node, through outages of the catalog."""
 
     def __init__(
@@ -41,8 +41,8 @@
         self._path = PATH + quote(name, safe="")
         self._healthy = healthy
         self._counters = counters
-        self._cadence = Cadence(random)
-        self._stale = Tries(STALE_MOST, STALE_EARNED)
+        self._cadence = ReportSchedule(random)
+        self._stale = RetryBudget(STALE_MOST, STALE_EARNED)
         self._sock: socket.socket | None = None
         self._connected: Address | None = None  # where that leads
         self._woken = threading.Event()  # a change is to be reported, or there is nothing more to report
@@ -55,7 +55,7 @@
 
     def start(self) -> None:
         """Start to report."""
-        spawn("catalog", self._report)
+        start_thread("catalog", self._report)
 
     def changed(self) -> None:
         """Report sooner, since what `healthy` says has changed; from any thread, waits for nothing."""
@@ -101,7 +101,7 @@
         if self._failing:
             logger.info("catalog: it answers again")
         self._failing = False
-        self._stale.succeeded()
+        self._stale.record_success()
         return self._cadence.answered(sent_s, time.monotonic())
 
     def _put(self) -> None:
@@ -123,7 +123,7 @@
         ):  # the catalog itself: a second report at once would be one too many
             raise
         except OSError:
-            if not kept or not self._stale.take():
+            if not kept or not self._stale.try_acquire():
                 raise
             self._drop()
             self._exchange(address, message)
--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -14,7 +14,7 @@
         self.key = key
 
 
-class Table:
+class CheckedTable:
     """A table of the configuration, with the path that leads to it."""
 
     def __init__(self, value: Any, path: str = "") -> None:
@@ -102,16 +102,16 @@
             raise self._wrong(key, "a list of strings")
         return tuple(value)
 
-    def table(self, key: str) -> "Table":
+    def table(self, key: str) -> "CheckedTable":
         """Read a table; an absent one is empty."""
-        return Table(self._value.get(key, {}), self.path(key))
+        return CheckedTable(self._value.get(key, {}), self.path(key))
 
-    def tables(self, key: str) -> list["Table"]:
+    def tables(self, key: str) -> list["CheckedTable"]:
         """Read a list of tables; an absent one is empty."""
         value = self._value.get(key, [])
         if not isinstance(value, list):
             raise self._wrong(key, "a list of tables")
-        return [Table(item, f"{self.path(key)}[{place}]") for place, item in enumerate(value)]
+        return [CheckedTable(item, f"{self.path(key)}[{place}]") for place, item in enumerate(value)]
 
     def address(self, key: str) -> Address:
         """Read HOST:PORT."""
--- a/reelusher/config/operator.py
+++ b/reelusher/config/operator.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from reelusher.codecs.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
-from reelusher.config.checked_table import Address, ConfigError, Table, address_of
+from reelusher.config.checked_table import Address, CheckedTable, ConfigError, address_of
 from reelusher.config.platform_config import seed_of
 from reelusher.policy.settings import Idempotency, RequestClass, Settings
 
@@ -203,7 +203,7 @@
         return host == "localhost"
 
 
-def _read_ajp(table: Table) -> Ajp:
+def _read_ajp(table: CheckedTable) -> Ajp:
     table.only(
         "listen",
         "secret",
@@ -229,7 +229,7 @@
     return made
 
 
-def _read_admin(table: Table) -> Admin:
+def _read_admin(table: CheckedTable) -> Admin:
     table.only("listen", "token", "tokens", "state_file", "state_dir", "durable_keys")
     old = table.text("state_file", " ").strip()
     tokens = tuple(map(_read_token, table.tables("tokens")))
@@ -251,7 +251,7 @@
     return made
 
 
-def _read_fleet(table: Table) -> Fleet:
+def _read_fleet(table: CheckedTable) -> Fleet:
     table.only("name", "listen", "advertise", "seeds", "zone", "region", "secret_file")
     listen = _ip(table.address("listen"), table.path("listen"))
     labels = [
@@ -269,7 +269,7 @@
     return Fleet(labels[0], listen, advertise, seeds, labels[1], labels[2], table.text("secret_file"))
 
 
-def _read_replication(table: Table) -> Replication:
+def _read_replication(table: CheckedTable) -> Replication:
     table.only("copy", "control")
     made = Replication(table.text("copy"), table.texts("control"))
     if not 1 <= len(made.control) <= MOST_CONTROL:
@@ -305,7 +305,7 @@
     return address
 
 
-def _read_token(table: Table) -> Token:
+def _read_token(table: CheckedTable) -> Token:
     table.only("name", "sha256", "tenant")
     made = Token(table.text("name"), table.text("sha256").lower(), table.text("tenant", " ").strip())
     if len(made.sha256) != 64 or set(made.sha256) - set("0123456789abcdef"):
@@ -313,7 +313,7 @@
     return made
 
 
-def _read_worker(table: Table) -> Worker:
+def _read_worker(table: CheckedTable) -> Worker:
     table.only(
         "name",
         "host",
@@ -347,7 +347,7 @@
     )
 
 
-def _read_balancer(table: Table) -> Balancer:
+def _read_balancer(table: CheckedTable) -> Balancer:
     table.only("name", "members", "sticky", "method")
     return Balancer(
         table.text("name"),
@@ -357,7 +357,7 @@
     )
 
 
-def read_tenant(table: Table, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
+def read_tenant(table: CheckedTable, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
     """Check one tenant, from the operator's file or the administration API."""
     table.only(
         "name",
@@ -394,7 +394,7 @@
     )
 
 
-def _read_share(table: Table, class_names: tuple[str, ...]) -> ShareOf:
+def _read_share(table: CheckedTable, class_names: tuple[str, ...]) -> ShareOf:
     if table.empty:  # as of most of many tenants
         return STANDARD_SHARE
     table.only(
@@ -445,14 +445,14 @@
     return sum(map(guarantee_units, tenants)) > FULL_GUARANTEE
 
 
-def _path(table: Table, key: str) -> str:
+def _path(table: CheckedTable, key: str) -> str:
     path = table.text(key, "/")
     if not path.startswith("/"):
         raise ConfigError(table.path(key), "a path begins with /")
     return path
 
 
-def _read_settings(table: Table) -> tuple[Settings | None, tuple[str, ...]]:
+def _read_settings(table: CheckedTable) -> tuple[Settings | None, tuple[str, ...]]:
     entries, names, classes = table.tables("classes"), [], []
     for entry in entries:
         entry.only("name", "deadline_ms", "aim_ms", "worth", "late_share", "effect", "window_ms")
@@ -504,7 +504,7 @@
 
 def parse(value: Any, class_names: tuple[str, ...] = (), has_runtime: bool = False) -> Operator:
     """Check an operator's file. The class names are the platform's, which go before the file's own."""
-    table = Table(value)
+    table = CheckedTable(value)
     table.only(
         "node",
         "ajp",
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.config.checked_table import Address, ConfigError, Table, address_of
+from reelusher.config.checked_table import Address, CheckedTable, ConfigError, address_of
 from reelusher.config.platform_settings import SettingsError, settings_from
 from reelusher.policy.settings import Settings
 
@@ -78,7 +78,7 @@
 
 def parse(value: Any, environ: Mapping[str, str]) -> Platform:
     """Check what the file says. Keys that are not known are left alone: the platform may add some."""
-    table = Table(value)
+    table = CheckedTable(value)
     limits = table.table("limits")
     settings, gauges, names = _settings(table.raw("settings"))
     listen, operator = environ.get("PROXY_LISTEN"), environ.get("PROXY_OPERATOR")
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -58,7 +58,7 @@
         self._by_call: dict[str, Attempt] = {}
         self._last = 0
         self._of_tenant: Counter[int] = Counter()
-        self.owed = 0  # answers, for any thread to look at
+        self.unanswered = 0  # answers, for any thread to look at
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -73,28 +73,28 @@
         """Take a request in hand."""
         self._last += 1
         attempt = Attempt(self._last, request, runner, due_us)
-        self._by_id[attempt.id] = self._by_call[request.call] = attempt
-        self.owed += 1
-        self._of_tenant[request.tenant_no] += 1
+        self._by_id[attempt.id] = self._by_call[request.run_id] = attempt
+        self.unanswered += 1
+        self._of_tenant[request.tenant_number] += 1
         return attempt
 
     def get(self, number: int) -> Attempt | None:
         """Return the attempt with this id, if it is in hand."""
         return self._by_id.get(number)
 
-    def named(self, call: str) -> Attempt | None:
+    def by_run_id(self, call: str) -> Attempt | None:
         """Return the attempt that backends know by this name, if it is in hand."""
         return self._by_call.get(call)
 
     def drop(self, attempt: Attempt) -> None:
         """Let go of an attempt."""
         if self._by_id.pop(attempt.id, None) is not None:
-            number = attempt.request.tenant_no
+            number = attempt.request.tenant_number
             self._of_tenant[number] -= 1
             if not self._of_tenant[number]:
                 del self._of_tenant[number]
-        if self._by_call.get(attempt.request.call) is attempt:
-            del self._by_call[attempt.request.call]
+        if self._by_call.get(attempt.request.run_id) is attempt:
+            del self._by_call[attempt.request.run_id]
 
     def of_tenant(self, number: int) -> int:
         """Count those of one tenant, those that are answered and still run among them."""
@@ -104,4 +104,4 @@
         """Note that no answer is owed any more."""
         if not attempt.answered:
             attempt.answered = True
-            self.owed -= 1
+            self.unanswered -= 1
--- a/reelusher/core/event_loop.py
+++ b/reelusher/core/event_loop.py
@@ -15,7 +15,7 @@
 from reelusher.core.attempts import Attempt, Attempts, Stage
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
-from reelusher.core.idempotency_table import Entry, Key, KeyTable
+from reelusher.core.idempotency_table import IdempotencyEntry, IdempotencyKey, IdempotencyTable
 from reelusher.core.messages import (
     Answer,
     CallersDisconnected,
@@ -38,8 +38,8 @@
     RunsLost,
     Verdict,
 )
-from reelusher.core.request_stats import Figures
-from reelusher.core.scheduling_lag import Pace
+from reelusher.core.request_stats import RequestStats
+from reelusher.core.scheduling_lag import SchedulingLag
 from reelusher.core.timers import Timers
 from reelusher.policy.actions import (
     AdvertiseCapacity,
@@ -85,20 +85,20 @@
 
 
 @dataclass(slots=True)
-class Told:
+class ClientNotices:
     """What callers are to hear at present; written by the owner, read by fronts."""
 
     healthy: bool = True  # as the module sees it
     handing_over: bool = False  # another process of this node serves on, so the node stays good
-    away: bool = False  # operators send callers away; written by whoever they told
-    feedback: float | None = None
-    idle_us: int = 0
+    diverting_callers: bool = False  # operators send callers away; written by whoever they told
+    advertised_capacity: float | None = None
+    idle_timeout_us: int = 0
     draining: bool = False
 
     @property
-    def good(self) -> bool:
+    def reports_healthy(self) -> bool:
         """What health checks hear."""
-        return (self.healthy or self.handing_over) and not self.away
+        return (self.healthy or self.handing_over) and not self.diverting_callers
 
 
 def digest_of(request: IncomingRequest) -> bytes:
@@ -123,34 +123,36 @@
         standing: TenantScheduler | None = None,
     ) -> None:
         self.settings = settings
-        self.gauges = gauges
+        self.gauge_fields = gauges
         self.class_names = class_names or [str(number) for number in range(len(settings.classes))]
         self._first_of = {name: number for number, name in enumerate(self.class_names)}
         self.counters = counters or Counters()
         self.clock = clock or Clock()
-        self.told = Told(idle_us=settings.idle_timeout_us)
-        self.figures = Figures(self.class_names)
+        self.notices = ClientNotices(idle_timeout_us=settings.idle_timeout_us)
+        self.stats = RequestStats(self.class_names)
         self.attempts = Attempts()
-        self.keys = KeyTable(max(kind.deadline_us for kind in settings.classes), most_result_bytes)
+        self.keys = IdempotencyTable(max(kind.deadline_us for kind in settings.classes), most_result_bytes)
         self.runners: dict[str, Runner] = {}  # of tenants that have one of their own
         self.stop_us: int | None = None  # when the process is stopped, once it drains
         self._grace_end_us: int | None = None  # what reaches the machine later is not run
         self._runner = runner
         self._dependency = dependency
         self.on_health: Callable[[], None] = lambda: None  # told of a change; must not wait
-        self.keeper: DurableKeyLog | None = None  # makes keys durable, where the operator wants that
-        self.claims: KeyLocks | None = None  # keeps two processes of this node from running one key each
-        self.admits: Callable[[int], bool] | None = None  # are requests of a tenant, by number, taken at all
+        self.key_log: DurableKeyLog | None = None  # makes keys durable, where the operator wants that
+        self.key_locks: KeyLocks | None = None  # keeps two processes of this node from running one key each
+        self.admits_tenant: Callable[[int], bool] | None = (
+            None  # are requests of a tenant, by number, taken at all
+        )
         self._seed = seed
         self._controller = Controller(settings, seed, standing)
         self._timers = Timers()
         self._inbox: queue.SimpleQueue[Message | None] = queue.SimpleQueue()
         self._events: list[Event] = []  # of the batch that is being gathered
-        self._new_keys: set[Key] = set()  # keys of requests in that batch
+        self._new_keys: set[IdempotencyKey] = set()  # keys of requests in that batch
         self._guards: dict[int, list[int]] = {}  # slots of time, and the attempts to look after then
         self._ticks: dict[str, int] = {}  # cookies of ticks that wait for gauges, and their labels
         self._cookies = self._tickets = 0
-        self._pace = Pace()
+        self._pace = SchedulingLag()
         self._seen_s: dict[str, float] = {}  # when a run of a class, or a call, last ended well, Unix time
         self._armed = 0  # timers of the module that are set, or wait for their gauges
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -187,7 +189,7 @@
         """Hand a message to the owner, from any thread."""
         self._inbox.put(message)
 
-    def ask(self, action: Callable[[], Any], timeout: float = 5.0) -> Any:
+    def run_on_loop(self, action: Callable[[], Any], timeout: float = 5.0) -> Any:
         """Let the owner do something between two batches and return what it returns.
 
         Raises TimeoutError where it did not come to that in so many seconds; then it never will.
@@ -218,7 +220,7 @@
         # nodes that start together on one machine don't sweep together
         self._timers.at(self.now + Random(self._seed).randrange(SWEEP_US), self._sweep_keys)
 
-    def next_us(self) -> int | None:
+    def next_timer_us(self) -> int | None:
         """Return when the next timer is due."""
         return self._timers.next_us()
 
@@ -228,7 +230,7 @@
         while True:
             batch = self._gather()
             last = None in batch
-            self.turn([message for message in batch if message is not None])
+            self.process_batch([message for message in batch if message is not None])
             if last:
                 return
 
@@ -244,12 +246,12 @@
         except queue.Empty:
             return batch
 
-    def turn(self, batch: list[Message]) -> None:
+    def process_batch(self, batch: list[Message]) -> None:
         """Handle one batch at one time by the clock."""
         self.now = self.clock.now()
         due = self._timers.next_us()
         if due is not None and due <= self.now:
-            self._pace.note((self.now - due) / 1e6, self.now / 1e6)
+            self._pace.observe((self.now - due) / 1e6, self.now / 1e6)
         for message in batch:
             self._guarded(partial(self._handlers[type(message)], message))
         self._timers.run_due(self.now, self._guarded)
@@ -278,7 +280,7 @@
         for action in self._controller.handle(self.now, events):
             self._actions[type(action)](action)
 
-    def retune(self, settings: Settings, gauges: list[str], class_names: list[str]) -> dict[str, int]:
+    def apply_settings(self, settings: Settings, gauges: list[str], class_names: list[str]) -> dict[str, int]:
         """Go by other settings; return the number of each class, by name. Called by the owner.
 
         What is open keeps its class as it was: one that is new, or not quite the same, gets a further number.
@@ -296,14 +298,14 @@
             self._first_of.setdefault(name, number)
         # how its machine began stays as it was: the file of a warm node must not make a cold one warm
         self.settings = replace(settings, classes=classes, cold_start=self.settings.cold_start)
-        self.gauges, self.class_names = gauges, names
+        self.gauge_fields, self.class_names = gauges, names
         self.keys.widen(max(kind.deadline_us for kind in classes))
-        self.told.idle_us = settings.idle_timeout_us
-        self.figures.know(class_names)
+        self.notices.idle_timeout_us = settings.idle_timeout_us
+        self.stats.add_classes(class_names)
         self._controller.apply_settings(self.settings, numbers.values())
         return numbers
 
-    def seen(self) -> dict[str, tuple[float, float]]:
+    def observed_times(self) -> dict[str, tuple[float, float]]:
         """Return what runs and calls take here, by what it is about, and when that was seen; by the owner."""
         estimates = self._controller.run_times
         found: dict[str, tuple[float, float]] = {}
@@ -316,16 +318,16 @@
             found["call:below"] = mean_call_us, self._seen_s[CALLS]
         return found
 
-    def learn(self, pace: dict[str, float], call_us: float) -> None:
+    def apply_warm_start(self, pace: dict[str, float], call_us: float) -> None:
         """Take what others have seen, by the names of classes; called by the owner."""
         known = {kind: pace[name] for kind, name in enumerate(self.class_names) if name in pace}
         self._events.append(WarmStartData(known, call_us))
 
-    def late_s(self) -> float:
+    def lag_s(self) -> float:
         """Return by how many seconds the owner's timers are late at present; from any thread."""
-        return self._pace.late_s(self.clock.now() / 1e6)
+        return self._pace.lag_s(self.clock.now() / 1e6)
 
-    def decisions(self) -> dict[str, float]:
+    def controller_state(self) -> dict[str, float]:
         """Return what the module steers by at present; called by the owner."""
         state = self._controller.state()
         return {
@@ -344,63 +346,69 @@
     def _arrived(self, message: RequestArrived) -> None:
         request = message.request
         self.counters.add("requests.read")
-        self.figures.taken()
-        if self.attempts.named(request.call):  # two runs under one name could not be told apart
+        self.stats.request_read()
+        if self.attempts.by_run_id(request.run_id):  # two runs under one name could not be told apart
             self.counters.warn(
-                "requests.name_taken", "request refused: its id {} is in hand already", request.call
+                "requests.name_taken", "request refused: its id {} is in hand already", request.run_id
             )
             self._turn_down(request, Verdict.FAILED)
             return
-        if self.admits is not None and request.tenant_no and not self.admits(request.tenant_no):
+        if (
+            self.admits_tenant is not None
+            and request.tenant_number
+            and not self.admits_tenant(request.tenant_number)
+        ):
             # suspended or removed since the front looked; it was not handed to the module and never ran
             self.counters.add("requests.tenant_gone")
-            self._turn_down(request, Verdict.REFUSED)
+            self._turn_down(request, Verdict.REJECTED)
             return
-        kind = self.settings.classes[request.kind]
+        kind = self.settings.classes[request.class_index]
         original = 0
-        if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and request.key:
+        if kind.idempotency is Idempotency.IDEMPOTENCY_KEY and request.idempotency_key:
             key = self._key(request)
             if key in self._new_keys:  # tries read together know of each other, so the first is settled first
                 self._flush()
             self._new_keys.add(key)
             # whoever knows a key but not the body that goes with it is not served what was kept
-            if self.keys.other_body(key, request.door_us, digest_of(request)):
+            if self.keys.other_body(key, request.received_us, digest_of(request)):
                 self.counters.warn(
-                    "requests.key_taken", "request refused: its key came with another body: {}", request.call
+                    "requests.key_taken",
+                    "request refused: its key came with another body: {}",
+                    request.run_id,
                 )
                 self._turn_down(request, Verdict.FAILED)
                 return
-            original = self.keys.original(key, request.door_us)
-        due = max(self.now, request.door_us + kind.deadline_us)
+            original = self.keys.original(key, request.received_us)
+        due = max(self.now, request.received_us + kind.deadline_us)
         attempt = self.attempts.add(request, self.runner_of(request.tenant), due)
         self._set_guard(attempt)
         self._events.append(
             Request(
                 attempt.id,
-                request.kind,
+                request.class_index,
                 request.caller,
                 request.subject,
-                request.tenant_no,
+                request.tenant_number,
                 request.held_kb,
-                request.hint_us,
+                request.expected_work_us,
                 0,
-                max(0, self.now - request.door_us),
+                max(0, self.now - request.received_us),
                 original,
             )
         )
 
     def _turn_down(self, request: IncomingRequest, verdict: Verdict) -> None:
         """Answer a request that the module is not to hear of."""
-        self.figures.ended(self.class_names[request.kind], verdict)
+        self.stats.request_answered(self.class_names[request.class_index], verdict)
         request.reply(self._answer_of(verdict))
 
-    def _key(self, request: IncomingRequest) -> Key:
+    def _key(self, request: IncomingRequest) -> IdempotencyKey:
         # a class that was changed has another number, and its keys are still those of before
-        return request.tenant, self._first_of[self.class_names[request.kind]], request.key
+        return request.tenant, self._first_of[self.class_names[request.class_index]], request.idempotency_key
 
     def _left(self, message: CallersDisconnected) -> None:
-        for call in message.calls:
-            attempt = self.attempts.named(call)
+        for call in message.run_ids:
+            attempt = self.attempts.by_run_id(call)
             if attempt and not attempt.answered:
                 self.counters.add("answers.undeliverable")
                 self._gone(attempt)
@@ -408,38 +416,38 @@
     def _gone(self, attempt: Attempt) -> None:
         """Note that no answer is owed any more, and tell the module."""
         self.attempts.answer(attempt)
-        self.figures.ended(self.class_names[attempt.request.kind], Verdict.FAILED)
+        self.stats.request_answered(self.class_names[attempt.request.class_index], Verdict.FAILED)
         self._events.append(ClientDisconnected(attempt.id))
         self._settle(attempt)
 
     def _run_over(self, message: RunFinished) -> None:
-        attempt = self.attempts.named(message.call)
+        attempt = self.attempts.by_run_id(message.run_id)
         if attempt is None or not attempt.ran:
             self.counters.add("runs.unknown_end")
             return
         self._unask(attempt)
         entry = self.keys.of(attempt.id)
-        if entry and self.claims is not None and not attempt.waits:  # it was run here
+        if entry and self.key_locks is not None and not attempt.waits:  # it was run here
             if message.outcome is Outcome.NOT_STARTED:
-                self.claims.forget(entry.key)
+                self.key_locks.release(entry.key)
             else:
-                self.claims.ended(entry.key, message.result)
+                self.key_locks.complete(entry.key, message.result)
         if entry:
             dropped = self.keys.store(entry, message.result)
             if dropped:
                 self.counters.add("keys.results_dropped", dropped)
         if message.outcome is Outcome.OK and not attempt.waits:
-            self._seen_s[self.class_names[attempt.request.kind]] = self.now / 1e6
+            self._seen_s[self.class_names[attempt.request.class_index]] = self.now / 1e6
         if not attempt.answered:
             served = message.outcome is Outcome.OK and message.result is not None
             never = message.outcome is Outcome.NOT_STARTED  # proved never to have started
             self._give_answer(
                 attempt,
-                Verdict.SERVED if served else Verdict.REFUSED if never else Verdict.FAILED,
+                Verdict.SERVED if served else Verdict.REJECTED if never else Verdict.FAILED,
                 message.result if served else None,
             )
         self.counters.add("runs." + message.outcome.value)
-        self._events.append(RunEnded(attempt.id, message.outcome, message.took_us))
+        self._events.append(RunEnded(attempt.id, message.outcome, message.duration_us))
         self.attempts.drop(attempt)
         if entry:
             self._end_joins(attempt.id)
@@ -447,7 +455,7 @@
                 self.keys.forget(attempt.id)
 
     def _call_wanted(self, message: CallRequested) -> None:
-        attempt = self.attempts.named(message.call)
+        attempt = self.attempts.by_run_id(message.run_id)
         if attempt is None or not attempt.ran:
             self.counters.add("runs.unknown_call")
             return
@@ -456,14 +464,14 @@
         self._events.append(CallNeeded(attempt.id))
 
     def _call_over(self, message: CallFinished) -> None:
-        attempt = self.attempts.named(message.call)
+        attempt = self.attempts.by_run_id(message.run_id)
         if attempt is None or attempt.stage is not Stage.CALLING or attempt.ticket != message.ticket:
             self.counters.add("calls.late_reply")
             return
         self.counters.add("calls." + message.outcome.value)
         if message.outcome is Outcome.OK:
             self._seen_s[CALLS] = self.now / 1e6
-            attempt.runner.give(message.call, message.body)
+            attempt.runner.deliver_reply(message.run_id, message.body)
             attempt.stage = Stage.RUNNING
         else:
             attempt.stage = Stage.AT_CALL
@@ -472,31 +480,35 @@
     def _gauges_read(self, message: GaugesReceived) -> None:
         label = self._ticks.pop(message.cookie, None)
         if label is not None:
-            known = {name: value for name, value in zip(self.gauges, message.stats, strict=False) if name}
+            known = {
+                name: value for name, value in zip(self.gauge_fields, message.values, strict=False) if name
+            }
             self._tick(Tick(label, Gauges(**known)))
 
     def _runs_lost(self, message: RunsLost) -> None:
         for attempt in self.attempts:
             if attempt.runner is message.runner and attempt.ran and not attempt.waits:
-                self._run_over(RunFinished(attempt.request.call, Outcome.ERROR))
+                self._run_over(RunFinished(attempt.request.run_id, Outcome.ERROR))
 
     def _drain(self, message: DrainRequested) -> None:
         if self.stop_us is not None and message.stop_us >= self.stop_us:
             return
         if self._grace_end_us is None:
-            self._grace_end_us = message.told_us + self.settings.drain_grace_us
-        self.stop_us, self.told.draining = message.stop_us, True
+            self._grace_end_us = message.requested_us + self.settings.drain_grace_us
+        self.stop_us, self.notices.draining = message.stop_us, True
         for attempt in self.attempts:
             self._set_guard(attempt)
-        self._events.append(Drain(max(0, message.stop_us - self.now), max(0, self.now - message.told_us)))
+        self._events.append(
+            Drain(max(0, message.stop_us - self.now), max(0, self.now - message.requested_us))
+        )
 
     def _ask(self, message: EventLoopTask) -> None:
-        if not message.done.set_running_or_notify_cancel():
+        if not message.future.set_running_or_notify_cancel():
             return
         try:
-            message.done.set_result(message.action())
+            message.future.set_result(message.function())
         except Exception as error:  # belongs to the thread that asks, not to the owner
-            message.done.set_exception(error)
+            message.future.set_exception(error)
 
     # What the module wants
 
@@ -506,37 +518,37 @@
             return
         if attempt.stage is Stage.PAUSED:
             attempt.stage = Stage.RUNNING
-            attempt.runner.resume(attempt.request.call)
+            attempt.runner.resume(attempt.request.run_id)
             return
         if attempt.answered or attempt.stage is not Stage.HELD:
             return
-        kind = self.settings.classes[attempt.request.kind]
+        kind = self.settings.classes[attempt.request.class_index]
         entry = self.keys.of(attempt.id)
         once = (
             kind.idempotency is not Idempotency.IDEMPOTENCY_KEY
-            or not attempt.request.key
+            or not attempt.request.idempotency_key
             or entry is not None
         )
         if not self.counters.must(once, "a keyed try runs only while it holds its entry"):
             return
-        in_time = self._grace_end_us is None or attempt.request.door_us <= self._grace_end_us
+        in_time = self._grace_end_us is None or attempt.request.received_us <= self._grace_end_us
         if not self.counters.must(in_time, "a drain runs nothing that came after the grace"):
             return
         attempt.stage, attempt.ran = Stage.RUNNING, True
-        if entry is not None and (self.claims is not None or self.keeper is not None):
+        if entry is not None and (self.key_locks is not None or self.key_log is not None):
             attempt.waits = True
             self._make_safe(attempt, entry)
             return
         self._start(attempt)
 
-    def _make_safe(self, attempt: Attempt, entry: Entry) -> None:
+    def _make_safe(self, attempt: Attempt, entry: IdempotencyEntry) -> None:
         """Lock a key and persist it before its run starts; `KeyPersisted` or the end of the run follows."""
-        request, number, keeper, began_us = attempt.request, attempt.id, self.keeper, self.now
+        request, number, keeper, began_us = attempt.request, attempt.id, self.key_log, self.now
         ahead_us = self.clock.unix_ahead_us()  # other processes, and later lives, read Unix time
 
         def claimed(well: bool) -> None:
             if well and keeper is not None:
-                keeper.keep(
+                keeper.persist(
                     entry.key,
                     entry.until_us + ahead_us,
                     entry.digest,
@@ -547,15 +559,15 @@
 
         def elsewhere(result: Result | None) -> None:
             outcome = Outcome.ERROR if result is None else Outcome.OK
-            self.post(RunFinished(request.call, outcome, max(0, self.clock.now() - began_us), result))
+            self.post(RunFinished(request.run_id, outcome, max(0, self.clock.now() - began_us), result))
 
-        if self.claims is None:
+        if self.key_locks is None:
             claimed(True)
         else:
-            self.claims.keep(
+            self.key_locks.acquire(
                 KeyLockRequest(
                     entry.key,
-                    request.door_us + ahead_us,
+                    request.received_us + ahead_us,
                     entry.until_us + ahead_us,
                     attempt.due_us + ahead_us,
                     entry.digest.hex(),
@@ -566,29 +578,31 @@
 
     def _start(self, attempt: Attempt) -> None:
         self.counters.add("runs.started")
-        self.figures.forwarded()
-        attempt.runner.start(attempt.request, self.class_names[attempt.request.kind])
+        self.stats.run_started()
+        attempt.runner.start(attempt.request, self.class_names[attempt.request.class_index])
 
     def _key_kept(self, message: KeyPersisted) -> None:
         """Begin a run whose key is durable, unless it has been answered meanwhile: then it never ran."""
-        attempt = self.attempts.get(message.number)
+        attempt = self.attempts.get(message.attempt_id)
         if attempt is None or not attempt.waits:
             return
-        attempt.waits = not message.well  # a key that was not made safe is not this process's to take back
-        if message.well and not attempt.answered:
+        attempt.waits = (
+            not message.succeeded
+        )  # a key that was not made safe is not this process's to take back
+        if message.succeeded and not attempt.answered:
             self._start(attempt)
             return
         entry = self.keys.of(attempt.id)
-        if self.keeper is not None and entry is not None and message.well:
-            self.keeper.forget(entry.key)
-        self._run_over(RunFinished(attempt.request.call, Outcome.NOT_STARTED))
+        if self.key_log is not None and entry is not None and message.succeeded:
+            self.key_log.forget(entry.key)
+        self._run_over(RunFinished(attempt.request.run_id, Outcome.NOT_STARTED))
 
     def _do_pause(self, action: Preempt) -> None:
         attempt = self.attempts.get(action.id)
         if attempt and attempt.stage is Stage.RUNNING and not attempt.waits:
             if not attempt.answered:  # an answered run is over when it stops, it can't be taken up again
                 attempt.stage = Stage.PAUSED
-            attempt.runner.stop(attempt.request.call)
+            attempt.runner.stop(attempt.request.run_id)
 
     def _do_call(self, action: Call) -> None:
         attempt = self.attempts.get(action.id)
@@ -597,11 +611,11 @@
         self._tickets += 1
         ticket = attempt.ticket = self._tickets
         attempt.stage, attempt.since_us = Stage.CALLING, self.now
-        call = attempt.request.call
+        call = attempt.request.run_id
         if self._dependency is None:
             self.post(CallFinished(call, ticket, Outcome.UNREACHABLE))
             return
-        self._dependency.ask(call, ticket, action.until_us, attempt.wanted)
+        self._dependency.call(call, ticket, action.until_us, attempt.wanted)
         self._timers.at(action.until_us + CALL_GRACE_US, partial(self._call_overdue, action.id, ticket))
 
     def _call_overdue(self, number: int, ticket: int) -> None:
@@ -615,14 +629,14 @@
 
     def _unask(self, attempt: Attempt) -> None:
         if attempt.stage is Stage.CALLING and self._dependency is not None:
-            self._dependency.unask(attempt.request.call, attempt.ticket)
+            self._dependency.cancel(attempt.request.run_id, attempt.ticket)
 
     def _do_skip(self, action: SkipCall) -> None:
         attempt = self.attempts.get(action.id)
         if attempt and attempt.stage is Stage.AT_CALL:
             attempt.stage = Stage.RUNNING
             self.counters.add("calls.skipped")
-            attempt.runner.omit(attempt.request.call, attempt.serial)
+            attempt.runner.skip_call(attempt.request.run_id, attempt.serial)
 
     def _do_decline(self, action: Reject) -> None:
         attempt = self.attempts.get(action.id)
@@ -630,7 +644,7 @@
             return
         if self.counters.must(not attempt.ran, "a try that ran is not turned away"):
             self._give_answer(
-                attempt, Verdict.REFUSED, away_us=action.retry_after_us, no_retry=action.no_retry
+                attempt, Verdict.REJECTED, away_us=action.retry_after_us, no_retry=action.no_retry
             )
         else:
             self._give_answer(attempt, Verdict.FAILED)
@@ -647,7 +661,7 @@
         if attempt is None:
             return
         attempt.stage = Stage.JOINED
-        original = self.keys.original(self._key(attempt.request), attempt.request.door_us)
+        original = self.keys.original(self._key(attempt.request), attempt.request.received_us)
         entry = self.keys.of(original)
         self.counters.add("keys.joined")
         if not self.counters.must(entry is not None, "a join has an original") or entry is None:
@@ -659,7 +673,7 @@
 
     def _do_keep(self, action: RememberKey) -> None:
         attempt = self.attempts.get(action.id)
-        if attempt and attempt.request.key:
+        if attempt and attempt.request.idempotency_key:
             self.keys.keep(
                 self._key(attempt.request), action.id, self.now + action.ttl_us, digest_of(attempt.request)
             )
@@ -671,16 +685,16 @@
             self.keys.forget(action.id)
 
     def _do_health(self, action: ReportHealth) -> None:
-        if self.told.healthy is not action.healthy:
+        if self.notices.healthy is not action.healthy:
             logger.info("health is now {}", "good" if action.healthy else "bad")
-            self.told.healthy = action.healthy
+            self.notices.healthy = action.healthy
             self.on_health()
 
     def _do_advise(self, action: AdvertiseCapacity) -> None:
-        self.told.feedback = action.value
+        self.notices.advertised_capacity = action.value
 
     def _do_close_idle(self, action: CloseIdleConnections) -> None:
-        self.told.idle_us = action.idle_timeout_us or self.settings.idle_timeout_us
+        self.notices.idle_timeout_us = action.idle_timeout_us or self.settings.idle_timeout_us
 
     def _tick(self, event: Tick) -> None:
         self._armed -= 1
@@ -694,7 +708,7 @@
         """Ask for gauges; the tick follows with them, or without them when they stay out."""
         self._cookies += 1
         cookie = f"t{self._cookies}"
-        if not self._runner.ask_gauges(cookie):
+        if not self._runner.request_gauges(cookie):
             self._tick(Tick(label, Gauges()))
             return
         self._ticks[cookie] = label
@@ -711,7 +725,7 @@
     def _answer_of(
         self, verdict: Verdict, result: Result | None = None, away_us: int = 0, no_retry: bool = False
     ) -> Answer:
-        return Answer(verdict, result, away_us, no_retry, self.told.feedback)
+        return Answer(verdict, result, away_us, no_retry, self.notices.advertised_capacity)
 
     def _give_answer(
         self,
@@ -726,7 +740,7 @@
             return
         self.attempts.answer(attempt)
         self.counters.add("answers." + verdict.value)
-        self.figures.ended(self.class_names[attempt.request.kind], verdict)
+        self.stats.request_answered(self.class_names[attempt.request.class_index], verdict)
         attempt.request.reply(self._answer_of(verdict, result, away_us, no_retry))
 
     def _settle(self, attempt: Attempt) -> None:
@@ -774,19 +788,19 @@
             if attempt is not None and not attempt.answered:
                 self._guard(attempt)
 
-    def after(self, us: int, action: Callable[[], None]) -> None:
+    def call_later(self, us: int, action: Callable[[], None]) -> None:
         """Do something so many microseconds from now; called by the owner."""
         self._timers.at(self.clock.now() + us, action)
 
-    def end_tenant(self, number: int) -> None:
+    def end_tenant_requests(self, number: int) -> None:
         """Answer now all that a tenant has in hand, each once; called by the owner.
 
         Runs go on to their end, and their keys stay: a repeat must still find that they ran.
         """
         for attempt in self.attempts:
-            if attempt.request.tenant_no == number and not attempt.answered:
+            if attempt.request.tenant_number == number and not attempt.answered:
                 never = not attempt.ran and attempt.stage is Stage.HELD
-                self._end_now(attempt, Verdict.REFUSED if never else Verdict.FAILED)
+                self._end_now(attempt, Verdict.REJECTED if never else Verdict.FAILED)
         self._flush()
 
     def _end_now(self, attempt: Attempt, verdict: Verdict) -> None:
@@ -797,7 +811,9 @@
 
     def _guard(self, attempt: Attempt) -> None:
         self.counters.warn(
-            "answers.by_guard", "request {} was due with no answer: answered as failed", attempt.request.call
+            "answers.by_guard",
+            "request {} was due with no answer: answered as failed",
+            attempt.request.run_id,
         )
         self._end_now(attempt, Verdict.FAILED)
 
--- a/reelusher/core/messages.py
+++ b/reelusher/core/messages.py
@@ -13,7 +13,7 @@
     """The final answer to an attempt."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it never ran
+    REJECTED = "refused"  # it never ran
     FAILED = "failed"
 
 
@@ -32,28 +32,28 @@
 
     verdict: Verdict
     result: Result | None = None
-    away_us: int = 0  # of a refusal: how long the caller should stay away
+    retry_after_us: int = 0  # of a refusal: how long the caller should stay away
     no_retry: bool = False  # of a refusal: the wish that no other node is tried
-    feedback: float | None = None  # the free value at this time
+    advertised_capacity: float | None = None  # the free value at this time
 
 
 @dataclass(slots=True, frozen=True)
 class IncomingRequest:
     """One try of a request as a front read it."""
 
-    call: str  # unique in this node's life; names the run towards backends
-    kind: int  # its class, by position in the settings
+    run_id: str  # unique in this node's life; names the run towards backends
+    class_index: int  # its class, by position in the settings
     body: bytes
-    door_us: int  # when it reached the machine
+    received_us: int  # when it reached the machine
     reply: Callable[[Answer], None]  # called once, by the owner; must not block
     tenant: str = ""
-    tenant_no: int = 0
+    tenant_number: int = 0
     caller: int = 0
     subject: int = 0
     held_kb: float = 0.0
-    hint_us: int = 0
-    key: str = ""  # of keyed classes: the same for all tries of one request
-    head: object = None  # what a backend needs beyond the body; opaque to the core
+    expected_work_us: int = 0
+    idempotency_key: str = ""  # of keyed classes: the same for all tries of one request
+    backend_data: object = None  # what a backend needs beyond the body; opaque to the core
 
 
 class Runner(Protocol):
@@ -68,23 +68,23 @@
     def resume(self, call: str) -> None:
         """Go on with a paused run."""
 
-    def give(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, call: str, body: bytes) -> None:
         """Hand over the reply to the call that a run waits for."""
 
-    def omit(self, call: str, serial: int) -> None:
+    def skip_call(self, call: str, serial: int) -> None:
         """Let a run go on without the call that this notice asked for."""
 
-    def ask_gauges(self, cookie: str) -> bool:
+    def request_gauges(self, cookie: str) -> bool:
         """Ask for the gauges; they come back as `GaugesReceived`. False: nobody is there to be asked."""
 
 
 class Dependency(Protocol):
     """Carries calls to what lies below. Called by the owner only; nothing here may block."""
 
-    def ask(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
+    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
         """Make a call; its end comes back as `CallFinished` with this ticket."""
 
-    def unask(self, call: str, ticket: int) -> None:
+    def cancel(self, call: str, ticket: int) -> None:
         """Give a call up; no reply is wanted any more."""
 
 
@@ -99,16 +99,16 @@
 class CallersDisconnected:
     """The callers of these attempts are out of reach; no answer can be delivered."""
 
-    calls: tuple[str, ...]
+    run_ids: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class RunFinished:
     """A run has ended: OK (with the result), ERROR, CANCELLED, or MOOT where it never started."""
 
-    call: str
+    run_id: str
     outcome: Outcome
-    took_us: int = 0
+    duration_us: int = 0
     result: Result | None = None
 
 
@@ -116,7 +116,7 @@
 class CallRequested:
     """A run waits for a call."""
 
-    call: str
+    run_id: str
     serial: int
     body: bytes
 
@@ -125,7 +125,7 @@
 class CallFinished:
     """A call has ended; the body is there when it went well."""
 
-    call: str
+    run_id: str
     ticket: int
     outcome: Outcome
     body: bytes = b""
@@ -136,7 +136,7 @@
     """The gauges, in the order of the settings."""
 
     cookie: str
-    stats: tuple[float, ...]
+    values: tuple[float, ...]
 
 
 @dataclass(slots=True, frozen=True)
@@ -151,13 +151,13 @@
     """The node is told to leave. A second order may only bring the stop forward."""
 
     stop_us: int  # when the process is stopped, by the node's clock
-    told_us: int  # when it was told so, at the earliest
+    requested_us: int  # when it was told so, at the earliest
 
 
 class DurableKeyLog(Protocol):
     """Makes keys durable before what they name is run. Nothing here may block."""
 
-    def keep(
+    def persist(
         self, key: tuple[str, int, str], until_us: int, digest: bytes, done: Callable[[bool], None]
     ) -> None:
         """Make a key durable; `done` hears whether it is, from another thread."""
@@ -171,24 +171,26 @@
     """A key that is to be run by this process and no other of its node. Any thread calls one of the two."""
 
     key: tuple[str, int, str]
-    door_us: int  # when the try came to the machine, Unix time
-    until_us: int  # when the window of the key is over
+    received_us: int  # when the try came to the machine, Unix time
+    expires_us: int  # when the window of the key is over
     due_us: int  # when the try is due: nothing is waited for beyond that
     digest: str  # of the body
-    done: Callable[[bool], None]  # hears whether it may be run here; False: it can't be claimed, nor run
-    elsewhere: Callable[["Result | None"], None]  # hears what it came to in another process
+    on_decided: Callable[
+        [bool], None
+    ]  # hears whether it may be run here; False: it can't be claimed, nor run
+    on_result_elsewhere: Callable[["Result | None"], None]  # hears what it came to in another process
 
 
 class KeyLocks(Protocol):
     """Keeps two processes of one node from running the same key. Nothing here may block."""
 
-    def keep(self, claim: KeyLockRequest) -> None:
+    def acquire(self, claim: KeyLockRequest) -> None:
         """Claim a key."""
 
-    def ended(self, key: tuple[str, int, str], result: Result | None) -> None:
+    def complete(self, key: tuple[str, int, str], result: Result | None) -> None:
         """Say what the run of a claimed key came to."""
 
-    def forget(self, key: tuple[str, int, str]) -> None:
+    def release(self, key: tuple[str, int, str]) -> None:
         """Take a claim back: it never ran."""
 
 
@@ -196,16 +198,16 @@
 class KeyPersisted:
     """The key of an attempt is durable, or could not be made so."""
 
-    number: int
-    well: bool
+    attempt_id: int
+    succeeded: bool
 
 
 @dataclass(slots=True, frozen=True)
 class EventLoopTask:
     """Something that is to be done by the owner between batches, with a reply to wait for."""
 
-    action: Callable[[], Any]
-    done: "Future[Any]" = field(default_factory=Future)
+    function: Callable[[], Any]
+    future: "Future[Any]" = field(default_factory=Future)
 
 
 Message = (
--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -12,7 +12,7 @@
 
 from reelusher.drain.schedule import Facts, Stages, Step, cheapest_first, next_step
 from reelusher.net.poller import Poller
-from reelusher.net.send_buffer import Outbox
+from reelusher.net.send_buffer import SendBuffer
 
 LOOK_S = 0.02  # between two looks at what is still owed
 
@@ -28,7 +28,7 @@
 class Ending(Protocol):
     """A connection that is brought to its end."""
 
-    outbox: Outbox
+    outbox: SendBuffer
     ended: bool  # nothing more is read on it
     step: Step
 
--- a/reelusher/drain/graceful_shutdown.py
+++ b/reelusher/drain/graceful_shutdown.py
@@ -10,7 +10,7 @@
 WORTH_S = 0.02  # a plan that ends earlier by less than that is not worth another order
 
 
-class Drained(Protocol):
+class DrainableFrontend(Protocol):
     """What a drain needs of a front."""
 
     def drain(self, plan: Stages) -> None:
@@ -24,7 +24,7 @@
 
 
 def lead(
-    fronts: Collection[Drained],
+    fronts: Collection[DrainableFrontend],
     order: Callable[[float, float], None],
     late: Callable[[], float],
     signal_s: float,
@@ -55,7 +55,9 @@
     return plan
 
 
-def _spread(plan: Stages, fronts: Collection[Drained], order: Callable[[float, float], None]) -> None:
+def _spread(
+    plan: Stages, fronts: Collection[DrainableFrontend], order: Callable[[float, float], None]
+) -> None:
     now = time.monotonic()
     order(plan.module_stop_s - now, now - plan.signal_s)
     for front in fronts:
--- a/reelusher/fleet/membership/member_table.py
+++ b/reelusher/fleet/membership/member_table.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from reelusher.fleet.membership.messages import BUCKETS, State, Update
+from reelusher.fleet.membership.messages import BUCKETS, MemberState, Update
 
 MOST_MEMBERS = 6144  # 3,600 that live, 1,024 that are gone, and half as many again that come before those go
 KEPT_S = 3600.0  # one that is dead or has left is remembered so long: older news of it must not revive it
@@ -25,15 +25,15 @@
     @property
     def here(self) -> bool:
         """Tell whether it counts as live: a suspect does."""
-        return self.said.state < State.DEAD
+        return self.said.state < MemberState.DEAD
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class MemberChange:
     """A state that has changed; `before` is None for one that is new."""
 
     said: Update
-    before: State | None
+    before: MemberState | None
 
 
 def bucket_of(place: str) -> int:
@@ -47,7 +47,7 @@
     return int.from_bytes(blake2b(data, digest_size=8).digest()) >> 1
 
 
-class Table:
+class MemberTable:
     """All members but the node itself. What is asked for each datagram costs the same at any size."""
 
     def __init__(self, random: Random) -> None:
@@ -59,7 +59,7 @@
         self.digests = [0] * BUCKETS  # over the live ones
         self.refused = 0  # for want of room
 
-    def fill(self, other: "Table", besides: str) -> None:
+    def fill(self, other: "MemberTable", besides: str) -> None:
         """Begin with what another table knows, without one member."""
         self.members = dict(other.members)
         self._order, self.dead, self.digests = other.here(), list(other.dead), list(other.digests)
@@ -91,32 +91,34 @@
         elif will and not was:
             # at a random place of the round, so that joins spread over it
             self._order.insert(self._random.randint(0, len(self._order)), place)
-        if before is not None and before.said.state is State.DEAD:
+        if before is not None and before.said.state is MemberState.DEAD:
             self.dead.remove(place)
-        if after is not None and after.said.state is State.DEAD:
+        if after is not None and after.said.state is MemberState.DEAD:
             self.dead.append(place)
         marked = {one.said.incarnation: one.said for one in (before, after) if one is not None and one.here}
         if not (was and will and len(marked) == 1):
             for said in marked.values():
                 self.digests[bucket_of(place)] ^= mark_of(said)
 
-    def take(self, said: Update, now: float) -> Change | None:
+    def take(self, said: Update, now: float) -> MemberChange | None:
         """Take what someone says; None where it is nothing new."""
         member = self.members.get(said.place)
         accusers = (said.accuser,) if said.accuser else ()
         if member is None:
-            if len(self.members) >= MOST_MEMBERS and not (said.state < State.DEAD and self._drop_oldest(1)):
+            if len(self.members) >= MOST_MEMBERS and not (
+                said.state < MemberState.DEAD and self._drop_oldest(1)
+            ):
                 self.refused += 1
                 return None
             self._set(None, Member(said, now, accusers))
-            return Change(said, None)
+            return MemberChange(said, None)
         if not said.beats(member.said):
             return None
         before = member.said.state
         self._set(member, Member(said, member.since_s if before is said.state else now, accusers))
         if before is said.state:  # a newer life, or a suspicion of it
-            return Change(said, before) if said.state is not State.ALIVE else None
-        return Change(said, before)
+            return MemberChange(said, before) if said.state is not MemberState.ALIVE else None
+        return MemberChange(said, before)
 
     def accuse(self, place: str, accuser: str) -> None:
         """Note one more who does not hear from a suspect."""
@@ -126,8 +128,8 @@
     def clear(self, place: str, now: float) -> None:
         """Take a suspect for alive again."""
         member = self.members.get(place)
-        if member is not None and member.said.state is State.SUSPECT:
-            said = msgspec.structs.replace(member.said, state=State.ALIVE, accuser="")
+        if member is not None and member.said.state is MemberState.SUSPECT:
+            said = msgspec.structs.replace(member.said, state=MemberState.ALIVE, accuser="")
             self.members[place] = Member(said, now)
 
     def next_target(self) -> str | None:
--- a/reelusher/fleet/membership/messages.py
+++ b/reelusher/fleet/membership/messages.py
@@ -22,7 +22,7 @@
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """Of a member; at one incarnation a later one stands over an earlier."""
 
     ALIVE = 0
@@ -39,7 +39,7 @@
     zone: Name
     region: Name
     incarnation: Number
-    state: State
+    state: MemberState
     accuser: Place = ""  # of a suspicion: who did not hear from it
 
     def beats(self, other: "Update") -> bool:
@@ -47,7 +47,7 @@
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
 
-class Kind(IntEnum):
+class DatagramKind(IntEnum):
     """Of a datagram."""
 
     PING = 0
@@ -57,10 +57,10 @@
     GOSSIP = 4
 
 
-class Message(msgspec.Struct, array_like=True, frozen=True):
+class Datagram(msgspec.Struct, array_like=True, frozen=True):
     """One datagram. Answers go to the place that the sender is known by, not where a datagram came from."""
 
-    kind: Kind
+    kind: DatagramKind
     sender: Place
     seq: Number = 0
     target: Place = ""
@@ -103,7 +103,7 @@
     updates: list[Update]
 
 
-class Fact(msgspec.Struct, array_like=True, frozen=True):
+class Observation(msgspec.Struct, array_like=True, frozen=True):
     """Something that a node has seen: `run:CLASS`, `call:below` or `away:WORKER`, see `learning.facts`."""
 
     about: Annotated[str, msgspec.Meta(max_length=160)]
@@ -121,7 +121,7 @@
     """What a member has seen; one that is cold itself tells nothing."""
 
     warm: bool
-    facts: list[Fact]
+    facts: list[Observation]
 
 
 def text_size(text: str) -> int:
@@ -159,7 +159,7 @@
     body: msgspec.Raw
 
 
-class Senders:
+class ReplayWindow:
     """The numbers that were seen of each sender, so that nothing counts twice. Bounded."""
 
     def __init__(self, most: int = MOST_SENDERS) -> None:
@@ -187,14 +187,14 @@
         return fresh
 
 
-class Seal:
+class MessageAuthenticator:
     """Seals what goes out and opens what comes in, for one member. Not for two threads at once."""
 
     def __init__(self, secret: bytes, fleet: str, place: str, life: int) -> None:
         """`life` is told from earlier ones of this place by being larger: the time of its start will do."""
         self._secret, self._fleet, self._place, self._life = secret[:64], fleet, place, life
         self._number = 0
-        self._senders = Senders()
+        self._senders = ReplayWindow()
         self._encoder = msgspec.msgpack.Encoder()
         self._envelopes = msgspec.msgpack.Decoder(Enveloped)
         self._decoders: dict[Any, Any] = {}
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -17,21 +17,21 @@
 from reelusher.config.checked_table import Address, ConfigError, address_of
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
-from reelusher.fleet.membership.member_table import Change
+from reelusher.fleet.membership.member_table import MemberChange
 from reelusher.fleet.membership.messages import (
     BUCKETS,
     LEAST_SECRET,
     MOST_DATAGRAM,
     MOST_STATE,
     BucketsRequest,
+    Datagram,
     DigestReply,
     DigestRequest,
     FactsReply,
     FactsRequest,
-    Message,
+    MemberState,
+    MessageAuthenticator,
     RejectedMessageError,
-    Seal,
-    State,
     StateReply,
     StateRequest,
     Update,
@@ -39,7 +39,7 @@
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import connect
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.pacing.backoff import Backoff
 
 STATE_S = 2.0  # for one exchange
@@ -79,7 +79,7 @@
     """A member was told something, and no answer came: it may have heeded it."""
 
 
-class Allowance:
+class ExchangeAllowance:
     """So many a second, and so many at once. Not for two threads at once."""
 
     def __init__(self, per_s: float, at_once: float, now: float) -> None:
@@ -109,10 +109,12 @@
         if not config.advertise[1]:
             place = "{}:{}".format(*self.address)
         now = time.monotonic()
-        self._swim = Swim(Update(place, name, config.zone, config.region, life, State.ALIVE), random, now)
-        self._seal = Seal(read_secret(config.secret_file), config.name, place, life)
+        self._swim = Swim(
+            Update(place, name, config.zone, config.region, life, MemberState.ALIVE), random, now
+        )
+        self._seal = MessageAuthenticator(read_secret(config.secret_file), config.name, place, life)
         self._lock = threading.Lock()  # of the two above; held for reckoning only, never while waiting
-        self._states = Allowance(STATES_PER_S, STATES_AT_ONCE, now)
+        self._states = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, now)
         self._stop = threading.Event()
         self._poke = threading.Event()  # there is someone to exchange states with
         self.joined = not self._seeds
@@ -147,9 +149,9 @@
 
     def start(self) -> None:
         """Start to take part."""
-        spawn("fleet", self._run)
+        start_thread("fleet", self._run)
         self._listener.start()
-        spawn("fleet-sync", self._sync)
+        start_thread("fleet-sync", self._sync)
 
     def leave(self) -> None:
         """Say that this node leaves; gossip goes on until `close`."""
@@ -241,7 +243,7 @@
     def _take(self, data: bytes) -> None:
         now = time.monotonic()
         with self._lock:
-            message: Message | None = self._open(data, Message, MOST_DATAGRAM)
+            message: Datagram | None = self._open(data, Datagram, MOST_DATAGRAM)
             if message is None or message.sender == self._swim.own.place:
                 return
             said = self._swim.receive(message, now)
@@ -275,9 +277,9 @@
                 for change in said.changes:
                     self._note(change)
 
-    def _note(self, change: Change) -> None:
+    def _note(self, change: MemberChange) -> None:
         what = change.said.state.name.lower()
-        if change.said.state is State.ALIVE and change.before is not None:
+        if change.said.state is MemberState.ALIVE and change.before is not None:
             what = "back"
         self._since[what] += 1
         self._counters.add(f"fleet.{what}")
@@ -302,7 +304,7 @@
 
     def _namesakes(self) -> dict[str, list[str]]:
         found, own = self._swim.table.namesakes(), self._swim.own
-        if own.state is State.ALIVE:
+        if own.state is MemberState.ALIVE:
             others = [
                 place
                 for place, member in self._swim.table.members.items()
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -14,8 +14,15 @@
 
 from msgspec.structs import replace
 
-from reelusher.fleet.membership.member_table import Change, Table, bucket_of, mark_of
-from reelusher.fleet.membership.messages import Kind, Message, State, Update, number_size, update_size
+from reelusher.fleet.membership.member_table import MemberChange, MemberTable, bucket_of, mark_of
+from reelusher.fleet.membership.messages import (
+    Datagram,
+    DatagramKind,
+    MemberState,
+    Update,
+    number_size,
+    update_size,
+)
 
 PERIOD_S = 0.4  # between probes of one node; each member is probed by someone about that often
 DIRECT_S = 0.15  # until others are asked to probe too, at the least
@@ -94,8 +101,8 @@
 class Said:
     """What came of a call: datagrams to send, by place, and states that changed."""
 
-    out: list[tuple[str, Message]] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
+    out: list[tuple[str, Datagram]] = field(default_factory=list)
+    changes: list[MemberChange] = field(default_factory=list)
 
 
 class Swim:
@@ -103,7 +110,7 @@
 
     def __init__(self, own: Update, random: Random, now: float) -> None:
         self.own, self.random = own, random
-        self.table = Table(random)
+        self.table = MemberTable(random)
         self.health = 0  # 0 is well; Lifeguard's local health multiplier less one
         self.refuted = 0
         self.stalls = 0
@@ -165,13 +172,13 @@
     def digests(self) -> list[int]:
         """Return 32 bits for each bucket of members, this one among them."""
         made = [digest & DIGEST_MASK for digest in self.table.digests]
-        if self.own.state < State.DEAD:
+        if self.own.state < MemberState.DEAD:
             made[bucket_of(self.own.place)] ^= mark_of(self.own) & DIGEST_MASK
         return made
 
     def digest(self) -> int:
         """Return 63 bits for all live members."""
-        return reduce(xor, self.table.digests, mark_of(self.own) if self.own.state < State.DEAD else 0)
+        return reduce(xor, self.table.digests, mark_of(self.own) if self.own.state < MemberState.DEAD else 0)
 
     def compared(self, whole: int) -> list[int]:
         """Return the digests of all buckets, or none where the other's whole is the same."""
@@ -215,7 +222,7 @@
         self._ticked_s = now
         if stood_s > STALL_S + self.health * PERIOD_S:
             self._stalled(stood_s, now)
-        if self.own.state is State.LEFT:  # what it heard last is still passed on
+        if self.own.state is MemberState.LEFT:  # what it heard last is still passed on
             self._next_probe_s = now + PERIOD_S
             if now >= self._next_gossip_s:
                 self._gossip(now)
@@ -263,17 +270,17 @@
             suspicion, member = self._suspicions.get(place), self.table.members.get(place)
             if suspicion is None or suspicion.due_s != due_s:
                 continue
-            if member is None or member.said.state is not State.SUSPECT:
+            if member is None or member.said.state is not MemberState.SUSPECT:
                 self._drop_suspicion(place)
             elif now < self._suspicion_ends(place, suspicion.since_s):  # the fleet has grown
                 self._set_suspicion(place)
             elif place in self._last_calls or self.own.place not in member.accusers:
-                self._learn(replace(member.said, state=State.DEAD, accuser=self.own.place), now)
+                self._learn(replace(member.said, state=MemberState.DEAD, accuser=self.own.place), now)
             else:
                 self._last_calls[place] = now + max(LAST_CALL_S, self.direct_s(place))
                 self._set_suspicion(place)
                 self._seq += 1
-                self._send(place, Kind.PING, self._seq)
+                self._send(place, DatagramKind.PING, self._seq)
 
     # Probes
 
@@ -300,7 +307,7 @@
         far_s = max(far_s, direct_s) if direct_s > DIRECT_S * slower else far_s
         end_s = max(PERIOD_S * 0.9 * slower, direct_s + 2 * far_s)
         self._probe = Probe(target, self._seq, now + direct_s, now + end_s, now)
-        self._send(target, Kind.PING, self._seq)
+        self._send(target, DatagramKind.PING, self._seq)
 
     def direct_s(self, place: str) -> float:
         """Return how long the answer of a member may take: by the way to its region and back."""
@@ -339,17 +346,17 @@
             for place in sorted(probe.asked):
                 self._doubted.setdefault(place)
             if member is not None and member.here:
-                self._learn(replace(member.said, state=State.SUSPECT, accuser=self.own.place), now)
+                self._learn(replace(member.said, state=MemberState.SUSPECT, accuser=self.own.place), now)
         elif now >= probe.ask_s:
             helpers = self.table.some(HELPERS, probe.target)
             probe.asked, probe.indirect, probe.ask_s = set(helpers), bool(helpers), inf
             for helper in helpers:
-                self._send(helper, Kind.PING_REQUEST, probe.seq, probe.target)
+                self._send(helper, DatagramKind.PING_REQUEST, probe.seq, probe.target)
             # The one datagram may have been lost, as may the three ways round: of the 9,000 probes that 3,600
             # members make in a second, too many would end so.
             self._seq += 1
             probe.again = self._seq
-            self._send(probe.target, Kind.PING, probe.again)
+            self._send(probe.target, DatagramKind.PING, probe.again)
 
     def _relay_on(self, now: float) -> None:
         for seq, one in list(self._relayed.items()):
@@ -359,14 +366,14 @@
                 self._confirm(one.target, now)
             elif now >= one.nack_s:
                 one.nack_s = one.end_s
-                self._send(one.asker, Kind.NACK, one.seq)
+                self._send(one.asker, DatagramKind.NACK, one.seq)
 
     def _confirm(self, place: str, now: float) -> None:
         """Join a suspicion of one that has not answered here either; it begins none by itself."""
         member = self.table.members.get(place)
         if (
             member is not None
-            and member.said.state is State.SUSPECT
+            and member.said.state is MemberState.SUSPECT
             and (now - self._unheard.get(place, -inf) < UNHEARD_S and self.own.place not in member.accusers)
         ):
             self._learn(replace(member.said, accuser=self.own.place), now)
@@ -375,7 +382,7 @@
         """Try one that is held for dead: a cut may have healed. All together make few such tries."""
         if self.table.dead and self.random.random() < RECONNECTS / self.size():
             self._seq += 1
-            self._send(self.random.choice(self.table.dead), Kind.PING, self._seq)
+            self._send(self.random.choice(self.table.dead), DatagramKind.PING, self._seq)
 
     # News
 
@@ -403,7 +410,7 @@
         With the bytes that are left: negative where one piece took more.
         """
         about = self.table.members.get(to)
-        told = [about.said] if about is not None and about.said.state is not State.ALIVE else []
+        told = [about.said] if about is not None and about.said.state is not MemberState.ALIVE else []
         if told:
             left -= update_size(told[0])
         limit, again = self._limit(), list[News]()
@@ -416,7 +423,7 @@
             if told and left < news.size:
                 break
             heappop(self._least_told)
-            if place != to or news.said.state is State.ALIVE:
+            if place != to or news.said.state is MemberState.ALIVE:
                 told.append(news.said)
                 left -= news.size
             news.sent += 1
@@ -428,7 +435,7 @@
             self._queue(news)
         return told, left
 
-    def _send(self, to: str, kind: Kind, seq: int = 0, target: str = "") -> None:
+    def _send(self, to: str, kind: DatagramKind, seq: int = 0, target: str = "") -> None:
         told, left = self._pick_news(to, NEWS_BYTES - self._vector_size())
         self._emit(to, kind, seq, target, told, left >= 0)
 
@@ -438,14 +445,18 @@
             self._sized = vector, sum(map(number_size, vector))
         return self._sized[1]
 
-    def _emit(self, to: str, kind: Kind, seq: int, target: str, told: list[Update], fits: bool) -> None:
+    def _emit(
+        self, to: str, kind: DatagramKind, seq: int, target: str, told: list[Update], fits: bool
+    ) -> None:
         """Send a message, without the vector where one piece with the longest names leaves no room for it."""
         vector = self._sized[0] if fits else []
-        self._said.out.append((to, Message(kind, self.own.place, seq, target, told, vector)))
+        self._said.out.append((to, Datagram(kind, self.own.place, seq, target, told, vector)))
 
     def _tell(self, to: str, said: Update) -> None:
         """Send one piece of news by itself."""
-        self._emit(to, Kind.GOSSIP, 0, "", [said], self._vector_size() + update_size(said) <= NEWS_BYTES)
+        self._emit(
+            to, DatagramKind.GOSSIP, 0, "", [said], self._vector_size() + update_size(said) <= NEWS_BYTES
+        )
 
     def _gossip(self, now: float) -> None:
         self._next_gossip_s = now + GOSSIP_S * self.random.uniform(0.9, 1.1)
@@ -454,7 +465,7 @@
             self._tell(said.place, said)
         if self._news:
             for to in self.table.some(FANOUT):
-                self._send(to, Kind.GOSSIP)
+                self._send(to, DatagramKind.GOSSIP)
 
     def _learn(self, said: Update, now: float) -> None:
         """Take a piece of news; what is new is sent on."""
@@ -464,7 +475,7 @@
         member = self.table.members.get(said.place)
         if (
             member is not None
-            and said.state is State.SUSPECT is member.said.state
+            and said.state is MemberState.SUSPECT is member.said.state
             and (
                 said.incarnation == member.said.incarnation
                 and said.accuser not in member.accusers
@@ -482,10 +493,10 @@
             return
         self._said.changes.append(change)
         self._spread(said)
-        if change.before is State.DEAD and said.state < State.DEAD:
+        if change.before is MemberState.DEAD and said.state < MemberState.DEAD:
             self._returned[said.place] = now
             self._returned.move_to_end(said.place)
-        if said.state is State.SUSPECT:
+        if said.state is MemberState.SUSPECT:
             self._suspicions[said.place] = Suspicion(now)
             self._set_suspicion(said.place)
             self._confirm(said.place, now)
@@ -495,7 +506,9 @@
 
     def _hear_of_self(self, said: Update, now: float) -> None:
         """Refute what is wrong; whoever has to is in doubt of its own health."""
-        if self.own.state is State.LEFT or not (said.beats(self.own) or said.state is not State.ALIVE):
+        if self.own.state is MemberState.LEFT or not (
+            said.beats(self.own) or said.state is not MemberState.ALIVE
+        ):
             return
         if said.incarnation < self.own.incarnation:  # refuted already, but whoever says so has not heard
             if self.own.place not in self._news:
@@ -503,7 +516,7 @@
             return
         self.refuted += 1
         self._worse()
-        if said.state is State.DEAD:
+        if said.state is MemberState.DEAD:
             self._take_back(now)
         self.own = replace(self.own, incarnation=said.incarnation + 1)
         self._spread(self.own)
@@ -521,7 +534,7 @@
     def _hold_back(self) -> None:
         """Say no more of deaths: one that was held for dead lives, so others that were with it may too."""
         for place, news in list(self._news.items()):
-            if news.said.state in (State.SUSPECT, State.DEAD):
+            if news.said.state in (MemberState.SUSPECT, MemberState.DEAD):
                 del self._news[place]
 
     def _take_back(self, now: float) -> None:
@@ -533,11 +546,11 @@
 
     # What comes in
 
-    def receive(self, message: Message, now: float) -> Said:
+    def receive(self, message: Datagram, now: float) -> Said:
         """Take a datagram."""
         sender = self.table.members.get(message.sender)
         apart = self._returned_lately(message.sender, now)
-        if sender is not None and sender.said.state is State.DEAD:
+        if sender is not None and sender.said.state is MemberState.DEAD:
             apart = True
             self.sync_with.add(message.sender)  # it lives: there is a side that this one has not heard of
             self._hold_back()
@@ -545,12 +558,12 @@
             self.heard(message.sender, message.vector, now)
         for said in message.updates:
             # Who was apart took all others for dead, and tells so for as long as it has news of it.
-            if not apart or said.state is State.ALIVE or said.place == self.own.place:
+            if not apart or said.state is MemberState.ALIVE or said.place == self.own.place:
                 self._learn(said, now)
         match message.kind:
-            case Kind.PING if self.own.state is not State.LEFT:
-                self._send(message.sender, Kind.ACK, message.seq)
-            case Kind.PING_REQUEST if self.own.state is not State.LEFT:
+            case DatagramKind.PING if self.own.state is not MemberState.LEFT:
+                self._send(message.sender, DatagramKind.ACK, message.seq)
+            case DatagramKind.PING_REQUEST if self.own.state is not MemberState.LEFT:
                 self._seq += 1
                 slower = 1 + self.health
                 self._relayed[self._seq] = Relayed(
@@ -560,22 +573,22 @@
                     now + DIRECT_S * NACK_PART,
                     now + PERIOD_S * slower,
                 )
-                self._send(message.target, Kind.PING, self._seq)
-            case Kind.ACK:
+                self._send(message.target, DatagramKind.PING, self._seq)
+            case DatagramKind.ACK:
                 self._acked(message, now)
-            case Kind.NACK if self._probe and self._probe.seq == message.seq:
+            case DatagramKind.NACK if self._probe and self._probe.seq == message.seq:
                 self._probe.asked.discard(message.sender)
             case _:
                 pass
         return self._took()
 
-    def _acked(self, message: Message, now: float) -> None:
+    def _acked(self, message: Datagram, now: float) -> None:
         for probe in (self._probe, self._ended):
             if probe is not None and probe.seq == message.seq and probe.target == message.sender:
                 self._note_way(probe.target, now - probe.sent_s)
         relayed = self._relayed.pop(message.seq, None)
         if relayed is not None:
-            self._send(relayed.asker, Kind.ACK, relayed.seq)
+            self._send(relayed.asker, DatagramKind.ACK, relayed.seq)
         elif self._probe is not None and message.seq in (self._probe.seq, self._probe.again):
             self._probe, self._ended = None, self._probe
             self.health = max(0, self.health - 1)
@@ -587,12 +600,12 @@
         """
         for said in updates:
             member = self.table.members.get(said.place)
-            hearsay = State.ALIVE < said.state < State.LEFT
+            hearsay = MemberState.ALIVE < said.state < MemberState.LEFT
             if hearsay and member is not None and member.here and said.beats(member.said):
                 self._tells.append(said)
             elif (
                 member is not None
-                and member.said.state is State.DEAD
+                and member.said.state is MemberState.DEAD
                 and said.place != self.own.place
                 and (not said.state and said.incarnation <= member.said.incarnation)
             ):
@@ -625,12 +638,12 @@
     def call(self, place: str) -> Said:
         """Ping a member beside the probes: its answer carries its vector, and nobody is blamed for none."""
         self._seq += 1
-        self._send(place, Kind.PING, self._seq)
+        self._send(place, DatagramKind.PING, self._seq)
         return self._took()
 
     def leave(self) -> Said:
         """Say that this member leaves; told to enough that it gets round, since nothing follows."""
-        self.own = replace(self.own, state=State.LEFT)
+        self.own = replace(self.own, state=MemberState.LEFT)
         self._spread(self.own)
         for to in self.table.some(FANOUT * 3):
             self._tell(to, self.own)
@@ -641,5 +654,5 @@
         member = self.table.members.get(place)
         if member is None or member.here:
             return None
-        self._learn(replace(member.said, state=State.LEFT, accuser=""), now)
+        self._learn(replace(member.said, state=MemberState.LEFT, accuser=""), now)
         return self._took()
--- a/reelusher/fleet/replication/leadership.py
+++ b/reelusher/fleet/replication/leadership.py
@@ -27,7 +27,7 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.messages import Entry
+from reelusher.fleet.replication.messages import LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Position, Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 
@@ -37,7 +37,7 @@
 QUIET_S = 5.0  # without being told of more, until a term begins by itself
 
 
-class Writer:
+class Leadership:
     """A member's part as a holder."""
 
     def __init__(
@@ -73,7 +73,7 @@
             return f"others have stream {stream} up to {told.epoch}.{told.number}, this member does not"
         return ""
 
-    def accept(self, stream: str, made: Entry) -> Entry:
+    def accept(self, stream: str, made: LogEntry) -> LogEntry:
         """Number a change and make it durable. Raises `NotLeaderError` and `ReplicaError`."""
         entry = self.replica.accept(stream, self.replica.own_name, made)
         self._counters.add("replication.accepted")
--- a/reelusher/fleet/replication/messages.py
+++ b/reelusher/fleet/replication/messages.py
@@ -14,12 +14,12 @@
 MOST_INSTEAD = 5  # members that one is sent to
 MOST_CHANGE = 1 << 18  # bytes of a call that is carried to its writer, and of its answer
 
-Stream = Name
+Partition = Name
 Base = tuple[Number, Number]  # an epoch, and the number that its first change comes after
 Vector = Annotated[list[Number], msgspec.Meta(max_length=1 + 2 * MOST_CONTROL)]
 
 
-class Entry(msgspec.Struct, array_like=True, frozen=True):
+class LogEntry(msgspec.Struct, array_like=True, frozen=True):
     """A tenant as it stands after a change; a `state` of "" is a tombstone."""
 
     number: Number
@@ -37,15 +37,15 @@
         return len(self.tenant) + len(self.name) + len(self.who) + len(self.key) + 40
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True):
+class LogSegment(msgspec.Struct, array_like=True, frozen=True):
     """The newest entries of a stream numbered in `(since, upto]`, ascending; superseded ones are absent."""
 
-    stream: Stream
+    stream: Partition
     epoch: Number
     bases: Annotated[tuple[Base, ...], msgspec.Meta(max_length=MOST_BASES)]
     since: Number
     upto: Number
-    entries: list[Entry]
+    entries: list[LogEntry]
     more: bool  # the giver has entries past `upto`
     horizon: Number = 0  # tombstones up to this number may be absent
     covered: Number = 0  # no row of the giver was removed by a change up to this number
@@ -58,13 +58,15 @@
     sender: Place
     control: Number  # digest of the list of control members
     vector: Vector
-    covered: Annotated[list[Number], msgspec.Meta(max_length=MOST_CONTROL)] = []  # see `Piece`, by stream
+    covered: Annotated[
+        list[Number], msgspec.Meta(max_length=MOST_CONTROL)
+    ] = []  # see `LogSegment`, by stream
 
 
 class EntriesReply(msgspec.Struct, array_like=True, frozen=True):
     """Pieces, or, where the giver has given enough of late, whom to ask instead."""
 
-    pieces: Annotated[list[Piece], msgspec.Meta(max_length=MOST_CONTROL)]
+    pieces: Annotated[list[LogSegment], msgspec.Meta(max_length=MOST_CONTROL)]
     instead: Annotated[list[Place], msgspec.Meta(max_length=MOST_INSTEAD)] = []
 
 
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -10,7 +10,7 @@
 What holds of every replica at position (epoch, number): for each name, the newest entry that anybody has in
 this epoch's history, if its number is not past the position, is here. A piece that was cut from a giver's
 state keeps that true. It does not mean that the rows are those of one instant: between a piece and the next
-a name may lack an entry that is superseded by one up to `StreamState.goal`, which is still to come. So
+a name may lack an entry that is superseded by one up to `PartitionState.goal`, which is still to come. So
   - a later epoch is gone on with only where `goal` lies within the history that both share;
   - tombstones that a giver has collected may concern the asker's rows only past its `covered`.
 A replica that can't go on is refilled: from 0, beside the rows that it has, which serve on; rows that the
@@ -43,10 +43,10 @@
     Base,
     EntriesReply,
     EntriesRequest,
-    Entry,
-    Piece,
+    LogEntry,
+    LogSegment,
 )
-from reelusher.fleet.replication.replica_store import ReplicaError, Rows, StreamState
+from reelusher.fleet.replication.replica_store import PartitionState, ReplicaError, ReplicaStore
 from reelusher.pacing.backoff import Backoff
 
 FORMAT = 1  # of entries and pieces; members of another do not exchange any
@@ -138,7 +138,7 @@
     return min((base for _, base in (*first[same:], *second[same:])), default=inf)
 
 
-class Allowance:
+class TokenBucket:
     """So much a second, and so much at once."""
 
     def __init__(self, bounds: tuple[float, float], now: float = 0.0) -> None:
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class PullResult:
     """What came of a reply."""
 
     pieces: int = 0
@@ -198,7 +198,7 @@
         self,
         own_place: str,
         control: Sequence[str],
-        rows: Rows,
+        rows: ReplicaStore,
         random: Random,
         zone: str = "",
         now: float = 0.0,
@@ -217,11 +217,11 @@
         self._level: deque[str] = deque(maxlen=MOST_LEVEL)
         self._shunned: dict[str, tuple[float, Backoff]] = {}  # until when
         self._claims: dict[str, tuple[Position, str, float]] = {}  # highest position heard, by whom, when
-        self._bytes, self._replies = Allowance(GIVEN_BYTES, now), Allowance(GIVEN_REPLIES, now)
+        self._bytes, self._replies = TokenBucket(GIVEN_BYTES, now), TokenBucket(GIVEN_REPLIES, now)
         self._backoff = Backoff(random, *FAIL_S)
         self._pulling: Pull | None = None
         self._due_s = inf
-        self.states: dict[str, StreamState] = {}
+        self.states: dict[str, PartitionState] = {}
         self._announced: list[int] = []
         self.reload()
 
@@ -233,19 +233,19 @@
             self._level.clear()
             self._adopt(
                 {
-                    stream: kept.get(stream) or StreamState(first_epoch(stream, self.control))
+                    stream: kept.get(stream) or PartitionState(first_epoch(stream, self.control))
                     for stream in self.control
                 }
             )
 
-    def _adopt(self, states: dict[str, StreamState]) -> None:
+    def _adopt(self, states: dict[str, PartitionState]) -> None:
         """Note where the streams stand; both are replaced as a whole, for those who read them meanwhile."""
         self.states = states
         self._announced = pack(
             {stream: Position(state.epoch, state.number) for stream, state in states.items()}, self.control
         )
 
-    def _became(self, stream: str, state: StreamState) -> None:
+    def _became(self, stream: str, state: PartitionState) -> None:
         self._adopt(self.states | {stream: state})
 
     # What is known of others
@@ -385,9 +385,9 @@
             backoff = kept[1] if kept else Backoff(self._random, *SHUN_S)
             self._shunned[place] = now + backoff.next_s(), backoff
 
-    def take(self, pull: Pull, reply: EntriesReply, now: float) -> Taken:
+    def take(self, pull: Pull, reply: EntriesReply, now: float) -> PullResult:
         """Take what a member gave; each piece is one transaction."""
-        taken = Taken()
+        taken = PullResult()
         if self._pulling is not pull:
             return taken
         self._pulling = None
@@ -434,7 +434,7 @@
 
     # Taking
 
-    def fault(self, piece: Piece) -> str:
+    def fault(self, piece: LogSegment) -> str:
         """Return "", or a word for the counters where a piece can't be true."""
         if piece.stream not in self.control:
             return "stream"
@@ -459,7 +459,7 @@
                 return "name"
         return ""
 
-    def _take_piece(self, piece: Piece, taken: Taken) -> None:
+    def _take_piece(self, piece: LogSegment, taken: PullResult) -> None:
         with self._writing:
             state = self.states[piece.stream]
             if holder_of(piece.epoch, self.control) == self.own_name and (
@@ -493,7 +493,7 @@
         taken.pieces += 1
         taken.entries += len(piece.entries)
 
-    def _go_over(self, piece: Piece, state: StreamState, taken: Taken) -> StreamState:
+    def _go_over(self, piece: LogSegment, state: PartitionState, taken: PullResult) -> PartitionState:
         """Go over to a later epoch. Rows that are not of its history are kept aside."""
         shared = shared_upto(state.bases, piece.bases)
         later = replace(state, epoch=piece.epoch, bases=piece.bases)
@@ -544,7 +544,7 @@
             known = {*self._level.copy(), *self._ahead} - {besides}
         return self._random.sample(sorted(known), min(MOST_INSTEAD, len(known)))
 
-    def _pieces(self, stream: str, asker: Position, covered: int, most: int) -> Iterator[Piece]:
+    def _pieces(self, stream: str, asker: Position, covered: int, most: int) -> Iterator[LogSegment]:
         """Return pieces of a stream for one that stands at a position."""
         state = self.states[stream]
         if asker >= (state.epoch, state.number) or state.cursor >= 0:
@@ -563,7 +563,7 @@
                 return  # other rows were begun meanwhile
             state = given.state
             upto = given.entries[-1].number if given.more else max(since, state.number)
-            yield Piece(
+            yield LogSegment(
                 stream,
                 state.epoch,
                 state.bases,
@@ -586,7 +586,7 @@
         """Tell whether a member of this name writes a stream, as far as is known here."""
         return holder_of(self.states[stream].epoch, self.control) == own_name
 
-    def accept(self, stream: str, own_name: str, made: Entry) -> Entry:
+    def accept(self, stream: str, own_name: str, made: LogEntry) -> LogEntry:
         """Number a change of the holder's and make it durable.
 
         Raises `NotLeaderError` and `ReplicaError`, and ValueError where no other member would take it.
@@ -594,7 +594,7 @@
         if stream_of(made.name, self.control) != stream:
             raise ValueError(f"{made.name!r} is not of stream {stream}")
         try:
-            msgspec.msgpack.decode(msgspec.msgpack.encode(made), type=Entry)
+            msgspec.msgpack.decode(msgspec.msgpack.encode(made), type=LogEntry)
         except msgspec.ValidationError as error:
             raise ValueError(str(error)) from None
         with self._writing:
@@ -613,7 +613,7 @@
             if refused:
                 raise NotLeaderError(refused)
             number = state.number + 1
-            entry = Entry(
+            entry = LogEntry(
                 number, made.name, made.at_ms, made.who, made.state, made.tenant, made.key, state.epoch
             )
             state = replace(state, number=number, covered=number, goal=number)
@@ -671,7 +671,7 @@
         return count
 
 
-def advanced(state: StreamState, piece: Piece) -> tuple[StreamState, bool]:
+def advanced(state: PartitionState, piece: LogSegment) -> tuple[PartitionState, bool]:
     """Return the state once a piece from just past it is taken, and whether a refill is over by that."""
     covered = max(piece.upto, min(state.covered, piece.covered) if state.since else piece.covered)
     # rows at and before `since` are not from this giver: what it has collected concerns what it gave
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from reelusher.fleet.replication.messages import MOST_PIECE, Base, Entry
+from reelusher.fleet.replication.messages import MOST_PIECE, Base, LogEntry
 
 SPARE = 5000  # of a stream's newest numbers none is collected: who lags by less is never refilled
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StreamState:
+class PartitionState:
     """Where a replica stands in one stream. `(epoch, number)` is the position that it announces."""
 
     epoch: int
@@ -38,28 +38,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Given:
+class SegmentBatch:
     """What is read for a piece, all at one instant."""
 
-    state: StreamState
-    entries: list[Entry]
+    state: PartitionState
+    entries: list[LogEntry]
     more: bool
 
 
-class Rows(Protocol):
+class ReplicaStore(Protocol):
     """Each call that writes is one transaction; where it raises `ReplicaError`, nothing changed."""
 
-    def states(self) -> dict[str, StreamState]:
+    def states(self) -> dict[str, PartitionState]:
         """Return where each stream stands; one that was never written is absent."""
 
-    def given(self, stream: str, since: int, most_bytes: int) -> Given | None:
+    def given(self, stream: str, since: int, most_bytes: int) -> SegmentBatch | None:
         """Return entries numbered past `since` and up to the position; None for a stream never written."""
 
     def apply(
         self,
         stream: str,
-        entries: Sequence[Entry],
-        state: StreamState,
+        entries: Sequence[LogEntry],
+        state: PartitionState,
         drop: bool = False,
         durable: bool = False,
         trail: bool = True,
@@ -70,7 +70,7 @@
         Return the names that changed.
         """
 
-    def orphan(self, stream: str, past: int, state: StreamState) -> int:
+    def orphan(self, stream: str, past: int, state: PartitionState) -> int:
         """Keep rows numbered past `past` aside and number them 0; return how many."""
 
     def collect(self, stream: str, before_ms: int, spare: int = SPARE) -> int:
@@ -82,35 +82,35 @@
 
 @dataclass(slots=True)
 class _Kept:
-    entry: Entry
+    entry: LogEntry
     generation: int
     taken_ms: int
 
 
 @dataclass(slots=True)
 class _Stream:
-    state: StreamState
+    state: PartitionState
     by_number: dict[int, str] = field(default_factory=dict)
     numbers: list[int] = field(default_factory=list)  # those, ascending, and some that are gone
     ordered: bool = True
     orphaned: set[str] = field(default_factory=set)  # names numbered 0 until a refill renews or drops them
 
 
-class MemoryRows:
+class MemoryReplicaStore:
     """Rows in memory. Entries are shared with whoever else has them."""
 
     def __init__(self, wall_ms: Callable[[], int] = lambda: 0) -> None:
         self._wall_ms = wall_ms
         self._rows: dict[str, _Kept] = {}
         self._streams: dict[str, _Stream] = {}
-        self.orphans: list[tuple[str, int, Entry]] = []  # stream, epoch that it was orphaned by, entry
+        self.orphans: list[tuple[str, int, LogEntry]] = []  # stream, epoch that it was orphaned by, entry
         self.on_change: Callable[[list[str]], None] = lambda names: None
 
-    def states(self) -> dict[str, StreamState]:
+    def states(self) -> dict[str, PartitionState]:
         """Return where each stream stands."""
         return {name: stream.state for name, stream in self._streams.items()}
 
-    def given(self, stream: str, since: int, most_bytes: int = MOST_PIECE) -> Given | None:
+    def given(self, stream: str, since: int, most_bytes: int = MOST_PIECE) -> SegmentBatch | None:
         """Return entries past a number."""
         kept = self._streams.get(stream)
         if kept is None:
@@ -118,7 +118,7 @@
         if not kept.ordered or len(kept.numbers) > 2 * len(kept.by_number) + 64:
             kept.numbers = sorted(kept.by_number)
             kept.ordered = True
-        entries: list[Entry] = []
+        entries: list[LogEntry] = []
         left = most_bytes
         for at in range(bisect_right(kept.numbers, since), len(kept.numbers)):
             number = kept.numbers[at]
@@ -129,15 +129,15 @@
             entry = self._rows[kept.by_number[number]].entry
             left -= entry.size
             if left < 0 and entries:
-                return Given(kept.state, entries, True)
+                return SegmentBatch(kept.state, entries, True)
             entries.append(entry)
-        return Given(kept.state, entries, False)
+        return SegmentBatch(kept.state, entries, False)
 
     def apply(
         self,
         stream: str,
-        entries: Sequence[Entry],
-        state: StreamState,
+        entries: Sequence[LogEntry],
+        state: PartitionState,
         drop: bool = False,
         durable: bool = False,
         trail: bool = True,
@@ -175,7 +175,7 @@
         kept.orphaned.clear()
         return old
 
-    def orphan(self, stream: str, past: int, state: StreamState) -> int:
+    def orphan(self, stream: str, past: int, state: PartitionState) -> int:
         """Keep rows aside."""
         kept = self._streams[stream]
         old = [name for number, name in kept.by_number.items() if number > past]
@@ -211,6 +211,6 @@
         if told:
             self.on_change(told)
 
-    def live(self) -> dict[str, Entry]:
+    def live(self) -> dict[str, LogEntry]:
         """Return the entries that are no tombstones, by name."""
         return {name: kept.entry for name, kept in self._rows.items() if kept.entry.state}
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.replica import Allowance, Position, Replica
+from reelusher.fleet.replication.replica import Position, Replica, TokenBucket
 
 MOST_MEMBERS = 4096
 GRACE_S = 3.0  # after a change, in which nearly all members have it and are heard by themselves
@@ -31,7 +31,7 @@
     took_s: float  # from when it was made, if that was here and not long ago
 
 
-class Census:
+class ReplicationProgress:
     """What one holder knows of the others."""
 
     def __init__(self, replica: Replica, own_name: str) -> None:
@@ -45,8 +45,8 @@
         }
         self._everywhere: dict[str, Everywhere] = {}
         self._waiting: list[tuple[str, Position, int]] = []
-        self._calls = Allowance((CALLS_PER_S, CALLS_PER_S))
-        self._quick = Allowance((QUICK_PER_S, QUICK_PER_S))
+        self._calls = TokenBucket((CALLS_PER_S, CALLS_PER_S))
+        self._quick = TokenBucket((QUICK_PER_S, QUICK_PER_S))
         self._quick_until_s = self._looked_s = 0.0
         self._called_s: dict[str, float] = {}
 
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -1,7 +1,7 @@
-"""The threads of replication: one pulls, one keeps things up. Members ask by the exchange of membership.
+"""The threads of replication: one pulls, one does periodic work. Members ask by the exchange of membership.
 
-`Replica`, `Writer` and `Census` decide. Damaged or full, the copy harms nobody else: pulls fail and are tried
-again, and what the node has in memory serves on.
+`Replica`, `Leadership` and `ReplicationProgress` decide. A damaged or full replica harms nothing else: pulls
+fail and are retried, and the node serves what it has in memory.
 """
 
 import threading
@@ -14,12 +14,12 @@
 
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.leadership import SETTLE_S, Writer
+from reelusher.fleet.replication.leadership import SETTLE_S, Leadership
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest
-from reelusher.fleet.replication.replica import KEPT_S, Replica, Taken
+from reelusher.fleet.replication.replica import KEPT_S, PullResult, Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
-from reelusher.fleet.replication.replication_progress import Census
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.fleet.replication.replication_progress import ReplicationProgress
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 
 T = TypeVar("T")
 LOOK_S = 1.0  # between rounds of upkeep
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        copy: LocalCopy,
+        copy: SqliteReplica,
         replica: Replica,
         fleet: Fleet | None,
         random: Random,
@@ -65,8 +65,10 @@
         """`checked_by` tells the settings that the copy checks rows by from others. No fleet: it is alone."""
         self.copy, self.replica = copy, replica
         self._fleet, self._random, self._counters, self._checked_by = fleet, random, counters, checked_by
-        self.census = Census(replica, replica.own_name) if replica.own_name in replica.control else None
-        self.writer = Writer(replica, counters, time.monotonic, self._made, alone=fleet is None)
+        self.census = (
+            ReplicationProgress(replica, replica.own_name) if replica.own_name in replica.control else None
+        )
+        self.writer = Leadership(replica, counters, time.monotonic, self._made, alone=fleet is None)
         self._zones: dict[str, str] = {}
         self._stop = threading.Event()
         self._pull = threading.Event()  # somebody is ahead
@@ -175,7 +177,7 @@
                 logger.exception("replication: what {} gave could not be taken", pull.place)
                 self.replica.failed(pull, now)
 
-    def _count(self, place: str, taken: Taken) -> None:
+    def _count(self, place: str, taken: PullResult) -> None:
         add = self._counters.add
         add("replication.pulls")
         add("replication.pieces_taken", taken.pieces)
--- a/reelusher/fleet/replication/sqlite_replica.py
+++ b/reelusher/fleet/replication/sqlite_replica.py
@@ -37,9 +37,9 @@
 
 import msgspec
 
-from reelusher.fleet.replication.messages import MOST_PIECE, Entry
+from reelusher.fleet.replication.messages import MOST_PIECE, LogEntry
 from reelusher.fleet.replication.replica import first_epoch, ordered
-from reelusher.fleet.replication.replica_store import SPARE, Given, ReplicaError, StreamState
+from reelusher.fleet.replication.replica_store import SPARE, PartitionState, ReplicaError, SegmentBatch
 
 APPLICATION = 0x7265656C  # what the header says of a copy
 FORMAT = 1
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class ReplicaRow:
     """A tenant as it is kept."""
 
     name: str
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Trail:
+class ReplicaAuditEntry:
     """One entry of the audit trail: a change as it got here. At the writer it tells all of a stream."""
 
     number: int  # local
@@ -189,7 +189,7 @@
         self.touched.add(length)
 
 
-class LocalCopy:
+class SqliteReplica:
     """One node's copy."""
 
     def __init__(
@@ -297,7 +297,7 @@
             )
             if lost:
                 for stream in self._control:
-                    self._store(conn, stream, StreamState(first_epoch(stream, self._control), lost=True))
+                    self._store(conn, stream, PartitionState(first_epoch(stream, self._control), lost=True))
             conn.execute(f"PRAGMA application_id = {APPLICATION}")
             conn.execute(f"PRAGMA user_version = {FORMAT}")
             conn.execute("COMMIT")
@@ -432,21 +432,21 @@
 
     # Rows, as replication has them
 
-    def states(self) -> dict[str, StreamState]:
+    def states(self) -> dict[str, PartitionState]:
         """Return where each stream stands."""
         with self._lock, self._told():
             if self._conn is None:
                 raise ReplicaError(f"{self.path} is closed")
             return self._read_states(self._conn)
 
-    def _read_states(self, conn: sqlite3.Connection, stream: str = "") -> dict[str, StreamState]:
+    def _read_states(self, conn: sqlite3.Connection, stream: str = "") -> dict[str, PartitionState]:
         made = {}
         for at, epoch, number, bases, horizon, covered, goal, generation, cursor, doubt in conn.execute(
             "SELECT * FROM streams WHERE ? < 0 OR stream = ?", (self._ids.get(stream, -1),) * 2
         ):
             try:
                 told = tuple((one, base) for one, base in msgspec.json.decode(bases))
-                made[self._control[at]] = StreamState(
+                made[self._control[at]] = PartitionState(
                     epoch,
                     number,
                     told,
@@ -463,7 +463,7 @@
                 raise DamagedReplicaError(f"{self.path}: streams: {error}") from None
         return made
 
-    def _store(self, conn: sqlite3.Connection, stream: str, state: StreamState) -> None:
+    def _store(self, conn: sqlite3.Connection, stream: str, state: PartitionState) -> None:
         conn.execute(
             "INSERT OR REPLACE INTO streams VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
@@ -480,7 +480,7 @@
             ),
         )
 
-    def given(self, stream: str, since: int, most_bytes: int = MOST_PIECE) -> Given | None:
+    def given(self, stream: str, since: int, most_bytes: int = MOST_PIECE) -> SegmentBatch | None:
         """Return entries past a number, and where the stream stands at that instant."""
         with self._reading(giving=True) as conn:
             conn.execute("BEGIN")
@@ -488,18 +488,18 @@
                 state = self._read_states(conn, stream).get(stream)
                 if state is None:
                     return None
-                entries: list[Entry] = []
+                entries: list[LogEntry] = []
                 for number, name, at_ms, who, standing, tenant, key, epoch in conn.execute(
                     "SELECT number, name, at_ms, who, state, tenant, key, epoch FROM rows"
                     " WHERE stream = ? AND number > ? AND number <= ? ORDER BY number",
                     (self._ids[stream], since, state.number),
                 ):
-                    entry = Entry(number, name, at_ms, who, standing, tenant, key, epoch)
+                    entry = LogEntry(number, name, at_ms, who, standing, tenant, key, epoch)
                     most_bytes -= entry.size
                     if most_bytes < 0 and entries:
-                        return Given(state, entries, True)
+                        return SegmentBatch(state, entries, True)
                     entries.append(entry)
-                return Given(state, entries, False)
+                return SegmentBatch(state, entries, False)
             finally:
                 with contextlib.suppress(sqlite3.Error):
                     conn.execute("ROLLBACK")
@@ -507,8 +507,8 @@
     def apply(
         self,
         stream: str,
-        entries: Sequence[Entry],
-        state: StreamState,
+        entries: Sequence[LogEntry],
+        state: PartitionState,
         drop: bool = False,
         durable: bool = False,
         trail: bool = True,
@@ -544,7 +544,7 @@
         self,
         conn: sqlite3.Connection,
         at: int,
-        entry: Entry,
+        entry: LogEntry,
         generation: int,
         before: Any,
         next_id: int,
@@ -670,7 +670,7 @@
         for table, most in (("audit", MOST_AUDIT), ("keys", MOST_KEYS), ("orphans", MOST_ORPHANS)):
             conn.execute(f"DELETE FROM {table} WHERE id <= (SELECT max(id) FROM {table}) - {most}")
 
-    def orphan(self, stream: str, past: int, state: StreamState) -> int:
+    def orphan(self, stream: str, past: int, state: PartitionState) -> int:
         """Keep rows aside and number them 0."""
         with self._changing() as conn:
             at = self._ids[stream]
@@ -719,13 +719,13 @@
 
     # What serving and the administration API look up
 
-    def _row(self, found: Any) -> Row | None:
+    def _row(self, found: Any) -> ReplicaRow | None:
         if found is None:
             return None
         name, number, state, tenant, epoch, revision, stream, reason = found
-        return Row(name, number, state, tenant, epoch, revision, self._control[stream], reason)
+        return ReplicaRow(name, number, state, tenant, epoch, revision, self._control[stream], reason)
 
-    def match(self, host: str, path: str) -> Row | None:
+    def match(self, host: str, path: str) -> ReplicaRow | None:
         """Return whose a request is: a tenant with the host, else one without any; the longest prefix."""
         found = candidates(path, [length for length, count in self._totals.lengths.items() if count])
         with self._reading() as conn:
@@ -742,14 +742,14 @@
                         return self._row(row)
         return None
 
-    def get(self, name: str) -> Row | None:
+    def get(self, name: str) -> ReplicaRow | None:
         """Return one tenant; None where there is none, or it was removed."""
         with self._reading() as conn:
             return self._row(
                 conn.execute(f"SELECT {ROW} FROM rows WHERE name = ? AND state <> ''", (name,)).fetchone()
             )
 
-    def page(self, after: str = "", limit: int = 100) -> list[Row]:
+    def page(self, after: str = "", limit: int = 100) -> list[ReplicaRow]:
         """Return tenants by name, past one."""
         with self._reading() as conn:
             made = [
@@ -789,11 +789,11 @@
         """Return the sum of all guarantees."""
         return self._totals.guarantee / GUARANTEE
 
-    def audit(self, after: int = 0, limit: int = 100) -> list[Trail]:
+    def audit(self, after: int = 0, limit: int = 100) -> list[ReplicaAuditEntry]:
         """Return the trail past a number, oldest first."""
         with self._reading() as conn:
             return [
-                Trail(number, self._control[stream], *more)
+                ReplicaAuditEntry(number, self._control[stream], *more)
                 for number, stream, *more in conn.execute(
                     "SELECT * FROM audit WHERE id > ? ORDER BY id LIMIT ?", (after, limit)
                 )
--- a/reelusher/fleet/warm_start/client.py
+++ b/reelusher/fleet/warm_start/client.py
@@ -8,17 +8,17 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.fleet.membership.messages import Fact, FactsReply, FactsRequest
+from reelusher.fleet.membership.messages import FactsReply, FactsRequest, Observation
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.warm_start.facts import DONORS, donors, weighed
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 
 JOINED_S = 10.0  # beyond which there is nobody to learn from
 LOOK_S = 0.05
 MOST_ASKED = 6  # members, cold ones and those that don't answer among them
 
 
-class Learner:
+class WarmStartClient:
     """What one node learns at its start."""
 
     def __init__(
@@ -34,7 +34,7 @@
 
     def start(self) -> None:
         """Begin to ask."""
-        spawn("learning", self._learn)
+        start_thread("learning", self._learn)
 
     def close(self) -> None:
         """Ask no more."""
@@ -46,7 +46,7 @@
             if self._stop.wait(LOOK_S):
                 return
         own, *others = self._members.live()
-        told: list[list[Fact]] = []
+        told: list[list[Observation]] = []
         for place in donors(own.place, [member.place for member in others], MOST_ASKED):
             if self._stop.is_set() or len(told) == DONORS:
                 break
--- a/reelusher/fleet/warm_start/facts.py
+++ b/reelusher/fleet/warm_start/facts.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from math import isfinite
 
-from reelusher.fleet.membership.messages import Fact
+from reelusher.fleet.membership.messages import Observation
 
 DONORS = 3  # that a fresh node asks: a wrong one is outvoted by two
 HALF_S = {"run": 120.0, "call": 30.0, "away": 10.0}  # a fact counts half after so long: how soon it changes
@@ -24,7 +24,7 @@
     return sorted(members, key=rank, reverse=True)[:count]
 
 
-def trust(fact: Fact, now_s: float) -> float:
+def trust(fact: Observation, now_s: float) -> float:
     """Return what a fact counts, from 0 to 1; the kind is the part of its name before the colon."""
     kind, _, _ = fact.about.partition(":")
     half_s = HALF_S.get(kind)
@@ -48,7 +48,7 @@
     raise ValueError("no values")
 
 
-def weighed(told: Iterable[Sequence[Fact]], now_s: float) -> dict[str, float]:
+def weighed(told: Iterable[Sequence[Observation]], now_s: float) -> dict[str, float]:
     """Return what several donors together are believed, by what it is about."""
     found: dict[str, list[tuple[float, float]]] = {}
     for facts in told:
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -26,9 +26,9 @@
 from reelusher.frontends.rpc.frontend import subject_of
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.policy.settings import Idempotency
-from reelusher.tenancy.registry import Match, Tenants
+from reelusher.tenancy.registry import Match, TenantRegistry
 from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 SEND_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
@@ -88,10 +88,10 @@
     tenant: str = ""  # whose the newest request was
 
 
-class AjpFront:
+class AjpFrontend:
     """Listens for web servers. A connection carries one request at a time and has a thread of its own."""
 
-    def __init__(self, core: Core, config: Ajp, tenants: Tenants) -> None:
+    def __init__(self, core: Core, config: Ajp, tenants: TenantRegistry) -> None:
         self._core = core
         self._config = config
         self._tenants = tenants
@@ -117,7 +117,7 @@
         """End by this plan, which may come again with earlier times."""
         first, self._plan = self._plan is None, plan
         if first:
-            spawn("ajp-ending", self._end_all)
+            start_thread("ajp-ending", self._end_all)
 
     def owed(self) -> tuple[Facts, float] | None:
         """Return what was owed on all connections together at the last look, and when that was."""
@@ -286,20 +286,20 @@
             raise RejectedRequestError(403, "the secret is missing or wrong", closes=True)
         if self._plan is not None and time.monotonic() >= self._plan.refuse_s:
             self._core.counters.add("drain.refused_at_the_door")
-            return Answer(Verdict.REFUSED)  # its body stays unread, and the connection ends
+            return Answer(Verdict.REJECTED)  # its body stays unread, and the connection ends
         door_us = self._core.clock.now()
         body = self._body(stream, forward)
         try:
             with self._matched(forward) as match:
                 if not match.admitted:
                     self._core.counters.add_for(match.tenant.name, "turned_away")
-                    return Answer(Verdict.REFUSED)
+                    return Answer(Verdict.REJECTED)
                 answers = self._hand_over(stream, forward, match, body, door_us)
         except TenantUnavailableError:
-            return Answer(Verdict.REFUSED)  # counted where it was found
+            return Answer(Verdict.REJECTED)  # counted where it was found
         tenant = match.tenant
         if answers is None:
-            answer = Answer(Verdict.REFUSED)
+            answer = Answer(Verdict.REJECTED)
         else:
             try:
                 answer = answers.get(timeout=LONGEST_WAIT_S)
@@ -367,18 +367,18 @@
         reply: Callable[[Answer], None],
     ) -> IncomingRequest:
         return IncomingRequest(
-            call=f"{self._prefix}{next(self._numbers):x}",
-            kind=kind,
+            run_id=f"{self._prefix}{next(self._numbers):x}",
+            class_index=kind,
             body=body,
-            door_us=door_us,
+            received_us=door_us,
             reply=reply,
             tenant=match.tenant.name,
-            tenant_no=match.number,
+            tenant_number=match.number,
             caller=hash_of(forward.remote_addr),
             subject=subject_of(forward.uri),
             held_kb=match.tenant.held_kb + len(body) / 1024,
-            key=key,
-            head=forward,
+            idempotency_key=key,
+            backend_data=forward,
         )
 
     @contextmanager
@@ -443,8 +443,8 @@
                 headers.append(("Content-Length", str(len(result.body))))
             head = ajp13.ResponseHead(result.status, str(result.status), tuple(headers))
             return self._write(stream, head, b"" if bodiless else result.body, True)
-        if answer.verdict is Verdict.REFUSED:
-            seconds = max(1, -(-answer.away_us // 1_000_000))
+        if answer.verdict is Verdict.REJECTED:
+            seconds = max(1, -(-answer.retry_after_us // 1_000_000))
             headers = [("Retry-After", str(seconds)), *_text_headers("Full")]
             head = ajp13.ResponseHead(503, REASONS[503], tuple(headers))
             return self._write(stream, head, b"Full\n", True)
--- a/reelusher/frontends/operations.py
+++ b/reelusher/frontends/operations.py
@@ -34,7 +34,7 @@
     return most_calls(sockets) + 2
 
 
-class OperatorFront:
+class OperationsFrontend:
     """Answers operators."""
 
     def __init__(
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -18,7 +18,7 @@
 from reelusher.drain.schedule import Facts, Stages, Step
 from reelusher.net.listener import ConnectionResourcesError, Listener
 from reelusher.net.poller import Poller
-from reelusher.net.send_buffer import Budget, Outbox
+from reelusher.net.send_buffer import ByteBudget, SendBuffer
 from reelusher.net.sockets import Address
 from reelusher.policy.settings import Idempotency
 
@@ -62,10 +62,10 @@
 class Connection:
     """One caller's connection. The poller is the only thread that reads; answers come from the owner."""
 
-    def __init__(self, sock: socket.socket, budget: Budget, peer: Address = ("", 0)) -> None:
+    def __init__(self, sock: socket.socket, budget: ByteBudget, peer: Address = ("", 0)) -> None:
         self.sock = sock
         self.peer = peer
-        self.outbox = Outbox(sock, BACKLOG_BYTES, budget)
+        self.outbox = SendBuffer(sock, BACKLOG_BYTES, budget)
         self.decoder = msgpack.Decoder(MOST_FRAME)
         self.lock = threading.Lock()
         self.open: dict[int, str] = {}  # message ids that are owed an answer, and their core names
@@ -154,7 +154,7 @@
         return int.from_bytes(hashlib.blake2b(item.encode(), digest_size=8).digest(), "big") or 1
 
 
-class PlatformFront:
+class RpcFrontend:
     """Listens for callers. It spends `most` descriptors on them, and so many bytes in total on backlogs.
 
     One thread, the poller, accepts, reads, and looks after connections. What it reads goes to the owner's
@@ -174,7 +174,7 @@
         self._spare = min(SPARE, max(1, most // SPARE_PART))
         self._most_lingering = min(MOST_LINGERING, max(1, most // LINGERING_PART))
         self._most = max(1, most - self._spare - self._most_lingering)
-        self._budget = Budget(backlog_bytes)
+        self._budget = ByteBudget(backlog_bytes)
         self._longest_us = max(kind.deadline_us for kind in core.settings.classes)
         self._core = core
         self._tenant = tenant
@@ -432,7 +432,7 @@
         with connection.lock:
             calls = dict(connection.open)
         for number in calls:
-            connection.answer(number, ["Error", self._fields(self._core.told.feedback)], None)
+            connection.answer(number, ["Error", self._fields(self._core.notices.advertised_capacity)], None)
         if calls:
             self._core.counters.add("platform.failed_at_the_end", len(calls))
             self._core.post(CallersDisconnected(tuple(calls.values())))
@@ -470,20 +470,20 @@
                     raise MalformedError(f"the id {number} is open already")
             case _:
                 raise MalformedError("not a request of MessagePack-RPC")
-        told = self._core.told
+        told = self._core.notices
         connection.heard += 1
         with connection.lock:
             connection.used = time.monotonic()
         if method == "health":
             self._core.counters.add("health.asked")
-            connection.say(number, None, [told.good, self._fields(told.feedback)])
+            connection.say(number, None, [told.reports_healthy, self._fields(told.advertised_capacity)])
             return
         if self._refuses or connection.refused_since:
             self._core.counters.add("drain.refused_at_the_door" if self._refuses else "platform.refused")
             if method in self._kinds:
-                self._core.figures.taken()
-                self._core.figures.ended(method, Verdict.REFUSED)
-            fields = self._fields(told.feedback)
+                self._core.stats.request_read()
+                self._core.stats.request_answered(method, Verdict.REJECTED)
+            fields = self._fields(told.advertised_capacity)
             if self._core.settings.max_retry_after_us:
                 fields["later"] = str(min(LATER_MS, self._core.settings.max_retry_after_us // 1000))
             connection.say(number, ["Full", fields], None)
@@ -492,7 +492,9 @@
             request = self._request(connection, number, method, params)
         except BadRequestError as error:
             self._core.counters.warn("requests.bad", "platform: request answered with an error: {}", error)
-            connection.say(number, ["Bad", {**self._fields(told.feedback), "why": str(error)}], None)
+            connection.say(
+                number, ["Bad", {**self._fields(told.advertised_capacity), "why": str(error)}], None
+            )
             connection.bad += 1
             if connection.bad >= MOST_BAD:
                 connection.refused_since = time.monotonic()
@@ -504,7 +506,7 @@
                 )
             return
         with connection.lock:
-            connection.open[number] = request.call
+            connection.open[number] = request.run_id
         self._core.post(RequestArrived(request))
 
     def _request(
@@ -540,17 +542,17 @@
             unix_us / 1000,
         )
         return IncomingRequest(
-            call=call,
-            kind=kind,
+            run_id=call,
+            class_index=kind,
             body=body,
-            door_us=int(door_ms * 1000) - ahead_us,
+            received_us=int(door_ms * 1000) - ahead_us,
             reply=lambda answer: self._reply(connection, number, answer),
             tenant=self._tenant,
             caller=int(number_of(fields, "lb", 0, MOST_CALLER, 0)),
             subject=subject_of(item) if item else 0,
             held_kb=number_of(fields, "ram", 0, MOST_HELD_KB, 0.0),
-            hint_us=int(number_of(fields, "cpu", 0, 3.6e6, 0) * 1000),
-            key=key,
+            expected_work_us=int(number_of(fields, "cpu", 0, 3.6e6, 0) * 1000),
+            idempotency_key=key,
         )
 
     @staticmethod
@@ -559,12 +561,12 @@
 
     def _reply(self, connection: Connection, number: int, answer: Answer) -> None:
         """Send the core's answer; called by the owner."""
-        fields = self._fields(answer.feedback)
+        fields = self._fields(answer.advertised_capacity)
         if answer.verdict is Verdict.SERVED and answer.result is not None:
             connection.answer(number, None, [answer.result.body, fields])
-        elif answer.verdict is Verdict.REFUSED:
-            if answer.away_us:
-                fields["later"] = str(answer.away_us // 1000)
+        elif answer.verdict is Verdict.REJECTED:
+            if answer.retry_after_us:
+                fields["later"] = str(answer.retry_after_us // 1000)
             if answer.no_retry:
                 fields["giveup"] = "1"
             connection.answer(number, ["Full", fields], None)
@@ -586,7 +588,7 @@
 
     def _idle_limits(self, count: int) -> tuple[float, float, float]:
         """Return how long one used once may be idle, any other may be, and may stay after `lastCall`."""
-        usual, told = self._core.settings.idle_timeout_us, self._core.told.idle_us
+        usual, told = self._core.settings.idle_timeout_us, self._core.notices.idle_timeout_us
         # callers close idle connections themselves; only an earlier wish, or a dead peer, is for us
         idle_s = (told if 0 < told < usual else 2 * usual) / 1e6 or math.inf
         once_s, leave_s = idle_s, LEAVE_S
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from reelusher.fleet.replication.messages import Entry
+from reelusher.fleet.replication.messages import LogEntry
 from reelusher.fleet.replication.replica import first_epoch, ordered, stream_of
-from reelusher.fleet.replication.replica_store import StreamState
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.fleet.replication.replica_store import PartitionState
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
@@ -25,16 +25,16 @@
 _processes = multiprocessing.get_context("spawn")
 
 
-def entries(size: int, control: tuple[str, ...], workers: int = 1) -> Iterator[tuple[str, list[Entry]]]:
+def entries(size: int, control: tuple[str, ...], workers: int = 1) -> Iterator[tuple[str, list[LogEntry]]]:
     """Yield the entries of so many tenants, by stream, in pieces of ascending numbers."""
-    pieces: dict[str, list[Entry]] = {stream: [] for stream in control}
+    pieces: dict[str, list[LogEntry]] = {stream: [] for stream in control}
     numbers = dict.fromkeys(control, 0)
     for number in range(size):
         told = site.tenant(number, f"worker-{number % workers}")
         stream = stream_of(told["name"], control)
         numbers[stream] += 1
         pieces[stream].append(
-            Entry(
+            LogEntry(
                 numbers[stream],
                 told["name"],
                 1_700_000_000_000,
@@ -56,10 +56,10 @@
 ) -> None:
     """Fill a copy as a fresh machine does, in pieces that are not synced one by one."""
     control = ordered(control)
-    copy = LocalCopy(path, fleet, control)
+    copy = SqliteReplica(path, fleet, control)
     for stream, piece in entries(size, control, workers):
         upto = piece[-1].number
-        state = StreamState(first_epoch(stream, control), upto, covered=upto, goal=upto)
+        state = PartitionState(first_epoch(stream, control), upto, covered=upto, goal=upto)
         copy.apply(stream, piece, state, durable=False)
     copy.close()
 
@@ -82,7 +82,7 @@
 def _opened(size: int, folder: str, pipe: Any) -> None:
     path = Path(folder) / "tenants.db"
     before, began = _resident(), time.monotonic()
-    copy = LocalCopy(path, FLEET, CONTROL)
+    copy = SqliteReplica(path, FLEET, CONTROL)
     open_ms = (time.monotonic() - began) * 1000
     there(copy.count() == size, "rows are lost")
     random, control = Random(1), ordered(CONTROL)
@@ -100,7 +100,7 @@
         copy.apply(
             stream,
             [
-                Entry(
+                LogEntry(
                     number,
                     told["name"],
                     1_700_000_000_000,
@@ -111,7 +111,7 @@
                     state.epoch,
                 )
             ],
-            StreamState(state.epoch, number, covered=number, goal=number),
+            PartitionState(state.epoch, number, covered=number, goal=number),
         )
 
     match_us = each_us(look) / LOOKS
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -20,8 +20,8 @@
 from statistics import median
 from typing import Any
 
-from reelusher.fleet.replication.messages import Entry
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.fleet.replication.messages import LogEntry
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
 from reelusher.lab.capacity.wires import (
     Callers,
@@ -62,7 +62,7 @@
 
 def write(path: Path, rows: int) -> None:
     """Put so many rows past those that there are into the copy of a writer that does not run."""
-    copy = LocalCopy(path, "reelusher", [WRITER])
+    copy = SqliteReplica(path, "reelusher", [WRITER])
     state, at_ms = copy.states()[WRITER], time.time_ns() // 1_000_000
     try:
         for begin in range(0, rows, AT_ONCE):
@@ -70,7 +70,7 @@
             entries = []
             for place, number in enumerate(range(state.number + 1, upto + 1), begin):
                 row = json.dumps(tenant(name_of(place), place)).encode()
-                entries.append(Entry(number, name_of(place), at_ms, "rig", "active", row, "", state.epoch))
+                entries.append(LogEntry(number, name_of(place), at_ms, "rig", "active", row, "", state.epoch))
             state = replace(state, number=upto, covered=upto, goal=upto)
             copy.apply(WRITER, entries, state)
     finally:
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -31,28 +31,28 @@
 from msgspec.structs import replace
 
 from reelusher.config.checked_table import Address, ConfigError, address_of
-from reelusher.fleet.membership.member_table import Table
+from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import (
     BUCKETS,
     MOST_DATAGRAM,
     MOST_STATE,
     BucketsRequest,
+    Datagram,
     DigestReply,
     DigestRequest,
     FactsReply,
     FactsRequest,
-    Message,
+    MemberState,
+    MessageAuthenticator,
     RejectedMessageError,
-    Seal,
-    State,
     StateReply,
     StateRequest,
     Update,
 )
 from reelusher.fleet.membership.swim import Said, Swim
-from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, Entry
+from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, LogEntry
 from reelusher.fleet.replication.replica import Pull, Replica, stream_of
-from reelusher.fleet.replication.replica_store import MemoryRows
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.lab.fleet.rig import free_port
 
 T = TypeVar("T")
@@ -82,10 +82,10 @@
     """One hollow member."""
 
     def __init__(self, own: Update, control: list[str], secret: bytes, fleet: str, random: Random) -> None:
-        self.swim, self.rows, self.zone = Swim(own, random, 0.0), MemoryRows(), own.zone
+        self.swim, self.rows, self.zone = Swim(own, random, 0.0), MemoryReplicaStore(), own.zone
         self.place = own.place
         self.replica = Replica(own.place, control, self.rows, random, own.zone)
-        self.seal = Seal(secret, fleet, own.place, own.incarnation)
+        self.seal = MessageAuthenticator(secret, fleet, own.place, own.incarnation)
         self.swim.vector, self.swim.heard = self.replica.announce, self._heard
         self.sock: socket.socket | None = None
         self.due_s = 0.0  # for which it is in the heap
@@ -137,7 +137,7 @@
         self.members: dict[str, Member] = {}
         self.counts: Counter[str] = Counter()
         self.heap: list[tuple[float, int, Member]] = []
-        self.ways: deque[tuple[float, str, Message]] = deque()  # on their way between two hollow members
+        self.ways: deque[tuple[float, str, Datagram]] = deque()  # on their way between two hollow members
         self.exchanges: set[Exchange] = set()
         self.cut: frozenset[str] = frozenset()  # zones on one side of a cut
         self.now = self.lost_s = 0.0
@@ -147,10 +147,12 @@
         hosts = hosts_of(count)
         port, life = port or free_port(hosts), life or int(time.time() * 1000)
         everyone = [
-            Update(f"{host}:{port}", f"h{number + 1}", zones[number % len(zones)], "", life, State.ALIVE)
+            Update(
+                f"{host}:{port}", f"h{number + 1}", zones[number % len(zones)], "", life, MemberState.ALIVE
+            )
             for number, host in enumerate(hosts)
         ]
-        whole = Table(Random(seed))
+        whole = MemberTable(Random(seed))
         for own in everyone:
             whole.take(own, 0.0)
         for number, own in enumerate(everyone):
@@ -288,7 +290,7 @@
                 break
             self.counts["received"] += 1
             try:
-                _, message = member.seal.open(data, Message, MOST_DATAGRAM)
+                _, message = member.seal.open(data, Datagram, MOST_DATAGRAM)
             except RejectedMessageError as error:
                 self.counts[f"refused_{error}"] += 1
                 continue
@@ -451,7 +453,7 @@
         first = next(iter(self.members.values()))
         stream = stream_of(name, first.replica.control)
         writer = next(member for member in self.members.values() if member.swim.own.name == stream)
-        made = writer.replica.accept(stream, stream, Entry(0, name, 0, "rig", "active", b"{}"))
+        made = writer.replica.accept(stream, stream, LogEntry(0, name, 0, "rig", "active", b"{}"))
         return stream, made.number
 
     def lacking(self, stream: str, number: int) -> int:
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -18,14 +18,14 @@
 
 import msgspec
 
-from reelusher.fleet.membership.member_table import Table
+from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import (
     BucketsRequest,
+    Datagram,
     DigestReply,
     DigestRequest,
-    Message,
-    Seal,
-    State,
+    MemberState,
+    MessageAuthenticator,
     StateReply,
     StateRequest,
     Update,
@@ -38,12 +38,12 @@
     STATES_PER_S,
     SYNC_LEAST_S,
     SYNC_S,
-    Allowance,
+    ExchangeAllowance,
 )
 from reelusher.fleet.membership.swim import Said, Swim
-from reelusher.fleet.replication.messages import EntriesReply, Entry
+from reelusher.fleet.replication.messages import EntriesReply, LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Pull, Replica, stream_of
-from reelusher.fleet.replication.replica_store import MemoryRows
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.lab.fleet.virtual import VirtualLine
 
 ZONES, REGIONS = 17, 7
@@ -117,13 +117,13 @@
         self.index, self.name, self.zone = index, name, index % ZONES
         self.place = f"10.{index // 250}.{index % 250 + 1}.9:7946"
         self.up = True
-        self.rows = MemoryRows()
+        self.rows = MemoryReplicaStore()
         self.swim: Swim
         self.replica: Replica
         self.due_s = self.pull_due_s = self.sync_due_s = float("inf")
         self.syncing = False
         self.asked = 0  # askers at this instant
-        self.states: Allowance
+        self.states: ExchangeAllowance
         self.sent = self.sent_bytes = self.got_bytes = self.exchanges = self.exchange_bytes = 0
         self.position: list[int] = []
 
@@ -165,7 +165,7 @@
         self._waiting: dict[int, tuple[Node, Swim, Callable[[Any], None]]] = {}  # exchanges, by number
         self._numbers = count()
         self._known: dict[Update, Update] = {}  # one of each that came from other parts
-        self._messages = msgspec.msgpack.Decoder(Message)
+        self._messages = msgspec.msgpack.Decoder(Datagram)
         self.meter: Meter | None = None
         self.steady = set(range(size))  # neither restarted nor cut off on purpose
         self.changes: list[Change] = []
@@ -174,11 +174,11 @@
         self.false_deaths = self.failed_pulls = self.turned_away = 0.0
         self.refused: dict[str, int] = {}
         self._encoder = msgspec.msgpack.Encoder()
-        seal = Seal(b"a secret of sixteen", "reelusher", self.nodes[-1].place, LIFE_MS)
+        seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", self.nodes[-1].place, LIFE_MS)
         seal._number = 1 << 20
-        ping = Message(0, "x")  # type: ignore[arg-type]
+        ping = Datagram(0, "x")  # type: ignore[arg-type]
         self._envelope = len(seal.close(ping)) - len(self._encoder.encode(ping))
-        everyone = Table(Random(seed))
+        everyone = MemberTable(Random(seed))
         for node in self.nodes:
             everyone.take(self._own(node, LIFE_MS), 0.0)
         for node in self.mine:
@@ -228,13 +228,18 @@
 
     def _own(self, node: Node, life: int) -> Update:
         return Update(
-            node.place, node.name, f"zone-{node.zone:02}", f"region-{region_of(node.zone)}", life, State.ALIVE
+            node.place,
+            node.name,
+            f"zone-{node.zone:02}",
+            f"region-{region_of(node.zone)}",
+            life,
+            MemberState.ALIVE,
         )
 
     def _begin(self, node: Node, life: int) -> None:
         now, random = self.line.now, Random(self.random.random())
         node.swim = Swim(self._own(node, life), random, now)
-        node.states = Allowance(STATES_PER_S, STATES_AT_ONCE, now)
+        node.states = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, now)
         node.due_s = node.pull_due_s = float("inf")
         node.syncing, node.asked = False, 0
         if self.replicate:
@@ -277,7 +282,7 @@
     def _carry_out(self, node: Node, said: Said) -> None:
         random = self.random
         for change in said.changes:
-            if change.said.state is State.DEAD:
+            if change.said.state is MemberState.DEAD:
                 other = self.by_place[change.said.place]
                 self.false_deaths += other.up and not self.cut(node.index, other.index)
         for place, message in said.out:
@@ -312,7 +317,7 @@
             self._known.clear()
         return [self._known.setdefault(said, said) for said in updates]
 
-    def _take(self, node: Node, message: Message, size: int) -> None:
+    def _take(self, node: Node, message: Datagram, size: int) -> None:
         if not node.up:
             return
         node.got_bytes += size
@@ -514,7 +519,7 @@
         body = TENANT.replace(b"%s", name.encode()) + str(len(self.changes)).encode()
         try:
             entry = node.replica.accept(
-                holder, node.name, Entry(0, name, int(now * 1000), "ops", "active", body)
+                holder, node.name, LogEntry(0, name, int(now * 1000), "ops", "active", body)
             )
         except NotLeaderError:
             return False
@@ -753,15 +758,17 @@
 
 def seal_s(count: int = 2000) -> float:
     """Return the processor time of sealing a datagram and opening one, halved."""
-    seal, other = (Seal(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", life) for life in (1, 2))
+    seal, other = (
+        MessageAuthenticator(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", life) for life in (1, 2)
+    )
     said = [
-        Update(f"10.0.0.{number}:7946", "node-1234", "zone-12", "region-3", LIFE_MS, State.ALIVE)
+        Update(f"10.0.0.{number}:7946", "node-1234", "zone-12", "region-3", LIFE_MS, MemberState.ALIVE)
         for number in range(3)
     ]
-    message = Message(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
+    message = Datagram(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
     began = process_time()
     for _ in range(count):
-        other.open(seal.close(message), Message)
+        other.open(seal.close(message), Datagram)
     return (process_time() - began) / count / 2
 
 
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from reelusher.core.counters import Counters
-from reelusher.core.idempotency_table import KeyTable
+from reelusher.core.idempotency_table import IdempotencyTable
 from reelusher.core.messages import Result
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.policy.events import Request
-from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.fair_queue import FairQueue, Quota
 
 WINDOW_US, TAIL_US = 22_971_000, 7_700_000
 RESULT_BYTES = 1000
@@ -33,8 +33,8 @@
 def window(size: int) -> Figures:
     """Measure a table that keeps so many keys, with results and without, and a sweep (once a second)."""
 
-    def keep() -> KeyTable:
-        table = KeyTable(TAIL_US, 1 << 40)
+    def keep() -> IdempotencyTable:
+        table = IdempotencyTable(TAIL_US, 1 << 40)
         for number in range(size):
             table.keep(
                 (f"tenant-{number % 100}", 1, f"key-{number:016x}"),
@@ -60,15 +60,15 @@
 def accounts(size: int) -> Figures:
     """Measure the accounts of so many tenants, and the counters that each of them gets."""
 
-    def entitle() -> Shares:
-        shares = Shares(8, 65_536.0)
+    def entitle() -> FairQueue:
+        shares = FairQueue(8, 65_536.0)
         for number in range(size):
-            shares.entitle(number, Share())
+            shares.entitle(number, Quota())
         return shares
 
     def asked() -> None:
         for number in range(size):
-            made.arrived(Request(number, 0, tenant=number), 0)
+            made.request_arrived(Request(number, 0, tenant=number), 0)
 
     def count() -> Counters:
         counters = Counters()
@@ -84,7 +84,7 @@
         "counters_kb": counted / 1000,
         "snapshot_ms": each_us(counters.snapshot) / 1000,
         "line_kb": len(str(counters.summary())) / 1000,
-        "period_us": each_us(lambda: made.period(0)),
+        "period_us": each_us(lambda: made.period_elapsed(0)),
     }
 
 
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -10,8 +10,8 @@
     BucketsRequest,
     DigestReply,
     DigestRequest,
-    Seal,
-    State,
+    MemberState,
+    MessageAuthenticator,
     StateReply,
     StateRequest,
     Update,
@@ -34,7 +34,7 @@
             f"zone-{number % 17}",
             f"region-{number % 7}",
             1_700_000_000_000 + number,
-            State.ALIVE,
+            MemberState.ALIVE,
         )
         for number in range(size)
     ]
@@ -51,7 +51,7 @@
     }
 
 
-def _exchanged(one: Swim, other: Swim, seal: Seal) -> float:
+def _exchanged(one: Swim, other: Swim, seal: MessageAuthenticator) -> float:
     """Return the bytes, sealed, of all messages by which two members compare what they know."""
     asked, digests = DigestRequest(one.own.place, one.digest()), other.compared(one.digest())
     said: list[object] = [asked, DigestReply(digests)]
@@ -67,7 +67,7 @@
 def states(size: int) -> Figures:
     """Measure a full state of so many members, the table that it makes, and an exchange by digests."""
     updates = _updates(size)
-    seal = Seal(b"a secret of sixteen", "lab", updates[0].place, 1)
+    seal = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].place, 1)
     data = seal.close(StateRequest(updates[0].place, updates))
     restarted = [*updates[:-1], replace(updates[-1], incarnation=updates[-1].incarnation + 1)]
     peers = [Swim(updates[1], Random(number), 0.0) for number in range(2)]
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -8,7 +8,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.report_schedule import LAPSE_S, Cadence, Loss
+from reelusher.pacing.report_schedule import LAPSE_S, Loss, ReportSchedule
 
 ANSWER_S = 0.002  # of the list, on the virtual clock
 SLOT_S = 0.1
@@ -26,12 +26,12 @@
         self.last = [0.0] * count
         self.lapsed = 0
         for number in range(count):
-            cadence = Cadence(Random(f"report {number}"))
+            cadence = ReportSchedule(Random(f"report {number}"))
             self.line.call_later(
                 self.random.uniform(0, START_S) + cadence.first_s(), self.report, number, cadence
             )
 
-    def report(self, number: int, cadence: Cadence) -> None:
+    def report(self, number: int, cadence: ReportSchedule) -> None:
         """Make one report."""
         sent = self.line.now
         slot = int(sent / SLOT_S)
@@ -42,14 +42,14 @@
         else:
             self.line.call_later(ANSWER_S, self.counted, number, cadence, sent)
 
-    def counted(self, number: int, cadence: Cadence, sent: float) -> None:
+    def counted(self, number: int, cadence: ReportSchedule, sent: float) -> None:
         """Take an answer."""
         if self.last[number] and sent - self.last[number] > LAPSE_S:
             self.lapsed += 1
         self.last[number] = sent
         self.line.call_later(cadence.answered(sent, self.line.now), self.report, number, cadence)
 
-    def silent(self, number: int, cadence: Cadence) -> None:
+    def silent(self, number: int, cadence: ReportSchedule) -> None:
         """Get no answer."""
         self.line.call_later(cadence.lost(Loss.SILENCE, self.line.now), self.report, number, cadence)
 
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 
 from reelusher.core.messages import KeyLockRequest, Result
-from reelusher.fleet.membership.messages import MOST_STATE, Fact, FactsReply, Seal
+from reelusher.fleet.membership.messages import MOST_STATE, FactsReply, MessageAuthenticator, Observation
 from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
-from reelusher.storage.directory import Folder
-from reelusher.tenancy.tenant_store import Store
-from reelusher.upgrade.key_locks import Claims
+from reelusher.storage.directory import LockedDirectory
+from reelusher.tenancy.tenant_store import TenantStore
+from reelusher.upgrade.key_locks import KeyLockFiles
 
 CHANGES = 50
 
@@ -32,8 +32,8 @@
     """Measure the tenants' state on disk: first snapshot, a change, its bytes, recovery."""
     made = site.config(size)
     with tempfile.TemporaryDirectory() as name:
-        folder = Folder(Path(name))
-        store = Store(folder)
+        folder = LockedDirectory(Path(name))
+        store = TenantStore(folder)
         began = time.monotonic()
         store.take_over(there(made.operator).tenants)
         snapshot_s = time.monotonic() - began
@@ -44,8 +44,8 @@
         folder.close()
         kept = sum(path.stat().st_size for path in Path(name).iterdir())
         began = time.monotonic()
-        again = Folder(Path(name))
-        found = Store(again)
+        again = LockedDirectory(Path(name))
+        found = TenantStore(again)
         recover_s = time.monotonic() - began
         again.close()
         there(len(found.state.tenants) == size, "tenants are lost")
@@ -54,8 +54,10 @@
 
 def learning(size: int) -> Figures:
     """Measure what a donor tells of so many workers, and what a fresh node makes of it."""
-    facts = [Fact(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
-    told = Seal(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).close(FactsReply(True, facts))
+    facts = [Observation(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
+    told = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).close(
+        FactsReply(True, facts)
+    )
     found = weighed([facts] * 3, 1_700_000_000.0)
     return {
         "told_kb": len(told) / 1000,
@@ -68,7 +70,7 @@
 def claims(size: int) -> Figures:
     """Measure claims of keys, a file each, and a look for those whose window is over."""
     with tempfile.TemporaryDirectory() as name:
-        made = Claims(Path(name), "hosted-1", lambda: 0)
+        made = KeyLockFiles(Path(name), "hosted-1", lambda: 0)
         began = time.process_time()
         for number in range(size):
             made._claim(
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -18,9 +18,9 @@
 from reelusher.lab.capacity.copy import filled
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.lab.capacity.request import StandInProcess, rounds
-from reelusher.tenancy.fair_queue import Shares
-from reelusher.tenancy.lifecycle import State
-from reelusher.tenancy.registry import Tenants
+from reelusher.tenancy.fair_queue import FairQueue
+from reelusher.tenancy.lifecycle import TenantState
+from reelusher.tenancy.registry import TenantRegistry
 
 LOOKS, MANY = 50, 2000  # hosts that are asked for in turn
 CHANGES = 20
@@ -36,16 +36,18 @@
         """Need no workers."""
 
 
-def table_of(made: Config) -> Tenants:
+def table_of(made: Config) -> TenantRegistry:
     """Return the tenants of a configuration as a node holds them, without a node round them."""
     own = there(made.operator)
-    shares = Shares(made.settings.cores, made.settings.memory_kb)
+    shares = FairQueue(made.settings.cores, made.settings.memory_kb)
     nobody = _Nobody()
     core = Core(
         made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(), standing=shares
     )
-    entries = [(one, State.ACTIVE) for one in own.tenants]
-    return Tenants(entries, own.class_names, lambda name: nobody, core, shares, frozenset({"worker-0"}))
+    entries = [(one, TenantState.ACTIVE) for one in own.tenants]
+    return TenantRegistry(
+        entries, own.class_names, lambda name: nobody, core, shares, frozenset({"worker-0"})
+    )
 
 
 def table(size: int) -> Figures:
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -7,7 +7,7 @@
 from functools import partial
 from random import Random
 
-from reelusher.backends.ajp.worker_pool import Pool
+from reelusher.backends.ajp.worker_pool import WorkerPool
 from reelusher.config.operator import Worker, parse
 from reelusher.core.counters import Counters
 from reelusher.core.messages import Message
@@ -22,9 +22,9 @@
     """Take what a pool tells."""
 
 
-def pool_of(workers: tuple[Worker, ...]) -> Pool:
+def pool_of(workers: tuple[Worker, ...]) -> WorkerPool:
     """Return a pool that runs nothing."""
-    return Pool(workers, (), 8, _heard, Counters(), 1 << 20, lambda: 0, Random(1))
+    return WorkerPool(workers, (), 8, _heard, Counters(), 1 << 20, lambda: 0, Random(1))
 
 
 def pool(size: int) -> Figures:
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -12,8 +12,8 @@
 from statistics import median
 from time import process_time
 
-from reelusher.fleet.membership.member_table import Table
-from reelusher.fleet.membership.messages import Message, Seal, State, Update
+from reelusher.fleet.membership.member_table import MemberTable
+from reelusher.fleet.membership.messages import Datagram, MemberState, MessageAuthenticator, Update
 from reelusher.fleet.membership.swim import PERIOD_S, Said, Swim
 from reelusher.lab.fleet.virtual import VirtualLine
 
@@ -35,11 +35,11 @@
         self.sent = self.deaths = 0
         self.sent_bytes = 0
         self._due: dict[str, float] = {}
-        self._seal = Seal(b"a secret of sixteen", "lab", "127.0.0.1:1", 1)
+        self._seal = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1)
         for number in range(count):
             self.add(number)
         if joined:
-            everyone = Table(self.random)
+            everyone = MemberTable(self.random)
             for swim in self.swims.values():
                 everyone.take(swim.own, 0.0)
             for place, swim in self.swims.items():
@@ -49,7 +49,7 @@
     def add(self, number: int, life: int = 1) -> str:
         """Start a member, which knows nobody."""
         place = f"127.1.{number // 250}.{number % 250 + 1}:7000"
-        own = Update(place, f"n{number}", f"z{number % 3}", "r", life, State.ALIVE)
+        own = Update(place, f"n{number}", f"z{number % 3}", "r", life, MemberState.ALIVE)
         self.swims[place] = Swim(own, Random(f"{number} {self.random.random()}"), self.line.now)
         self.alive.add(place)
         self._wake(place)
@@ -110,7 +110,7 @@
             self._wake(place)
 
     def _carry_out(self, place: str, said: Said) -> None:
-        self.deaths += sum(change.said.state is State.DEAD for change in said.changes)
+        self.deaths += sum(change.said.state is MemberState.DEAD for change in said.changes)
         for target, message in said.out:
             self.sent += 1
             self.sent_bytes += len(self._seal.close(message))
@@ -135,7 +135,7 @@
         self._wake(one)
         self._wake(other)
 
-    def _take(self, place: str, message: Message) -> None:
+    def _take(self, place: str, message: Datagram) -> None:
         if place in self.alive and place not in self.still:
             self._carry_out(place, self.swims[place].receive(message, self.line.now))
             self._wake(place)
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -33,7 +33,7 @@
 from reelusher.lab.fleet.services import Job, Runtime, result_of
 from reelusher.lab.fleet.stage import LAST_S, Stage
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.report_schedule import Cadence, Loss
+from reelusher.pacing.report_schedule import Loss, ReportSchedule
 from reelusher.policy.events import Outcome
 
 WAY_S = 0.0005  # from one party to another
@@ -82,7 +82,7 @@
         self.runtime.ended, self.runtime.wants = self._ended, self._wants
         self.core.begin()
         self._wake(0.0)
-        self.cadence = Cadence(Random(f"{seed_of(stage.plan, name)} {life}"))
+        self.cadence = ReportSchedule(Random(f"{seed_of(stage.plan, name)} {life}"))
         self.line.call_later(self.cadence.first_s(), self._report)
 
     # Turns
@@ -104,8 +104,8 @@
         batch = list(self.inbox)
         self.inbox.clear()
         self._turn_s = float("inf")
-        self.core.turn(batch)
-        due = self.core.next_us()
+        self.core.process_batch(batch)
+        due = self.core.next_timer_us()
         if self.inbox:
             self._wake(0.0)
         elif due is not None:
@@ -124,7 +124,7 @@
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self.later(self.runtime.start, request.call, class_name, request.body)
+        self.later(self.runtime.start, request.run_id, class_name, request.body)
 
     def stop(self, call: str) -> None:
         """Nothing: the plan's machines can't stop runs."""
@@ -132,15 +132,15 @@
     def resume(self, call: str) -> None:
         """Nothing, for the same reason."""
 
-    def give(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, call: str, body: bytes) -> None:
         """Hand over a reply."""
         self.later(self.runtime.go_on, call, self.waiting.pop(call), False)
 
-    def omit(self, call: str, serial: int) -> None:
+    def skip_call(self, call: str, serial: int) -> None:
         """Go on without the call."""
         self.later(self.runtime.go_on, call, self.waiting.pop(call), True)
 
-    def ask_gauges(self, cookie: str) -> bool:
+    def request_gauges(self, cookie: str) -> bool:
         """Ask for the gauges."""
         self.later(lambda: self.later(self.post, GaugesReceived(cookie, tuple(self.runtime.gauges()))))
         return True
@@ -156,7 +156,7 @@
 
     # Dependency
 
-    def ask(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
+    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
         """Make a call below."""
         if self.stage.passes(self.name, self.below.name):
             self.later(self._call, call, ticket)
@@ -172,7 +172,7 @@
         if self.stage.passes(self.below.name, self.name):
             self.later(self.post, CallFinished(call, ticket, OUTCOMES[word], b"ok"))
 
-    def unask(self, call: str, ticket: int) -> None:
+    def cancel(self, call: str, ticket: int) -> None:
         """Give a call up."""
         self.below.give_up(self.calls.pop(call, 0))
 
@@ -222,17 +222,19 @@
                     partial(self._answer, one.call),
                     caller=caller.number,
                     held_kb=10,
-                    hint_us=int(ask.kind.work_ms * 1000),
-                    key=ask.key,
+                    expected_work_us=int(ask.kind.work_ms * 1000),
+                    idempotency_key=ask.key,
                 )
             )
         )
 
     def _answer(self, call: str, answer: Answer) -> None:
         caller, one = self.open.pop(call)
-        fields = {} if answer.feedback is None else {"feedback": f"{answer.feedback:.4f}"}
-        if answer.verdict is Verdict.REFUSED:
-            fields |= {"later": str(answer.away_us // 1000)} if answer.away_us else {}
+        fields = (
+            {} if answer.advertised_capacity is None else {"feedback": f"{answer.advertised_capacity:.4f}"}
+        )
+        if answer.verdict is Verdict.REJECTED:
+            fields |= {"later": str(answer.retry_after_us // 1000)} if answer.retry_after_us else {}
             fields |= {"giveup": "1"} if answer.no_retry else {}
         body = answer.result.body if answer.result else b""
         if self.stage.passes(self.name, caller.party):
@@ -334,7 +336,7 @@
             self._leave(name, node, self.line.time() + self.plan.nodes.stop_ms / 1000)
 
     def _leave(self, name: str, node: Node, until: float) -> None:
-        if node.core.attempts.owed and self.line.time() < until:
+        if node.core.attempts.unanswered and self.line.time() < until:
             self.line.call_later(0.05, self._leave, name, node, until)
         elif self.nodes.get(name) is node:
             self.end_node(name)
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, TypeVar, get_type_hints
 
-from reelusher.config.checked_table import ConfigError, Table
+from reelusher.config.checked_table import CheckedTable, ConfigError
 
 T = TypeVar("T")
 LINK = ("cut", "silent", "reset", "delay", "loss", "duplicate", "reorder")
@@ -218,7 +218,7 @@
         raise ConfigError(key, f"there is no party {text!r}")
 
 
-def _fault(table: Table, selector: Selector) -> Fault:
+def _fault(table: CheckedTable, selector: Selector) -> Fault:
     table.only("kind", "at_s", "for_s", "of", "to", "one_way", "ms", "part")
     kind = table.word("kind", (*LINK, *PROCESS, *SERVICE, "surge"))
     of: frozenset[str] = frozenset()
@@ -244,7 +244,7 @@
     )
 
 
-def _filled(made: type[T], table: Table) -> T:
+def _filled(made: type[T], table: CheckedTable) -> T:
     """Read a table as what its fields say."""
     kinds = get_type_hints(made)
     table.only(*kinds)
@@ -279,7 +279,7 @@
 
 def parse(value: Any) -> Plan:
     """Check a plan."""
-    table = Table(value)
+    table = CheckedTable(value)
     table.only("run", "zones", "classes", "nodes", "list", "below", "callers", "faults")
     zones = tuple(_filled(Zone, entry) for entry in table.tables("zones"))
     kinds = tuple(_filled(Kind, entry) for entry in table.tables("classes"))
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.config.checked_table import Address, ConfigError, Table
+from reelusher.config.checked_table import Address, CheckedTable, ConfigError
 from reelusher.config.operator import is_loopback
 
 
@@ -52,14 +52,14 @@
     workers: tuple[Worker, ...]
 
 
-def _loopback(table: Table, key: str) -> Address:
+def _loopback(table: CheckedTable, key: str) -> Address:
     address = table.address(key)
     if not is_loopback(address[0]):
         raise ConfigError(table.path(key), "the laboratory talks to loopback only")
     return address
 
 
-def _caller(table: Table, seconds: float) -> Caller:
+def _caller(table: CheckedTable, seconds: float) -> Caller:
     table.only(
         "name",
         "host",
@@ -100,7 +100,7 @@
 
 def parse(value: Any) -> Plan:
     """Check a plan."""
-    table = Table(value)
+    table = CheckedTable(value)
     table.only("run", "callers", "workers")
     run = table.table("run")
     run.only("target", "seconds", "warm_up_s", "seed")
--- a/reelusher/net/listener.py
+++ b/reelusher/net/listener.py
@@ -12,7 +12,7 @@
 
 from reelusher.core.counters import Counters
 from reelusher.net.sockets import Address
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 
 BACKLOG = 512  # connections that the system holds until they are accepted
 LOOK_S = 0.1  # between looks whether a listener is to stop
@@ -61,7 +61,7 @@
 
     def start(self) -> None:
         """Start to accept."""
-        self._thread = spawn(f"{self._name}-accept", self._accept)
+        self._thread = start_thread(f"{self._name}-accept", self._accept)
 
     def stop(self) -> None:
         """Accept no more, after all that callers have connected by now: what they sent there must be read."""
@@ -124,7 +124,7 @@
             if taken is None:
                 continue
             try:
-                spawn(f"{self._name}-reader", partial(self._carry, *taken))
+                start_thread(f"{self._name}-reader", partial(self._carry, *taken))
             except RuntimeError as error:
                 logger.error("{}: no thread for a connection: {}", self._name, error)
                 taken[0].close()
--- a/reelusher/net/poller.py
+++ b/reelusher/net/poller.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 
 MOST_EVENTS = 128  # sockets that one look finds ready
 MOST_CALLS = 128  # of other threads' wishes before the next look at sockets
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Start the thread."""
-        self._thread = spawn(self._name, self._run)
+        self._thread = start_thread(self._name, self._run)
 
     @property
     def started(self) -> bool:
--- a/reelusher/net/send_buffer.py
+++ b/reelusher/net/send_buffer.py
@@ -8,17 +8,17 @@
 
 from loguru import logger
 
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 
 
-class Budget:
+class ByteBudget:
     """Bytes that the backlogs of many outboxes may take together."""
 
     def __init__(self, most: int) -> None:
         self._left = most
         self._lock = threading.Lock()
 
-    def take(self, size: int) -> bool:
+    def try_acquire(self, size: int) -> bool:
         """Book bytes; False where that many are not left."""
         with self._lock:
             if size > self._left:
@@ -26,13 +26,13 @@
             self._left -= size
             return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Return bytes that were booked."""
         with self._lock:
             self._left += size
 
 
-class Outbox:
+class SendBuffer:
     """What is on its way out of one socket.
 
     `send` never blocks: what the socket does not take at once waits in a bounded backlog that a thread of
@@ -40,10 +40,10 @@
     others, loses its connection and harms nobody else.
     """
 
-    def __init__(self, sock: socket.socket, limit: int, budget: Budget | None = None) -> None:
+    def __init__(self, sock: socket.socket, limit: int, budget: ByteBudget | None = None) -> None:
         self._sock = sock
         self._limit = limit
-        self._budget = budget or Budget(limit)
+        self._budget = budget or ByteBudget(limit)
         self._waiting: deque[bytes] = deque()
         self._size = 0
         self._lock = threading.Lock()
@@ -82,7 +82,7 @@
                 if sent == len(data):
                     return True
                 data = data[sent:]
-            if self._size + len(data) > self._limit or not self._budget.take(len(data)):
+            if self._size + len(data) > self._limit or not self._budget.try_acquire(len(data)):
                 self._close()
                 return sent > 0
             if not self._size:
@@ -92,7 +92,7 @@
             if not self._writer:
                 self._writer = True
                 try:
-                    spawn("writer", self._write)
+                    start_thread("writer", self._write)
                 except RuntimeError as error:  # no thread to be had: without one, nothing ever goes out
                     logger.error("no thread for the backlog of a connection, which is closed: {}", error)
                     self._writer = False
@@ -132,7 +132,7 @@
 
     def _returned(self, size: int) -> None:
         self._size -= size
-        self._budget.give(size)
+        self._budget.release(size)
 
     def shut(self) -> bool:
         """Send nothing more, and tell the other side, which may go on; False while something waits."""
--- a/reelusher/net/threads.py
+++ b/reelusher/net/threads.py
@@ -6,7 +6,7 @@
 STACK_BYTES = 256 * 1024  # of every thread; the deepest parser needs a small part of that
 
 
-def spawn(name: str, work: Callable[[], object]) -> threading.Thread:
+def start_thread(name: str, work: Callable[[], object]) -> threading.Thread:
     """Start a daemon thread with a small stack. Raises RuntimeError where the process may start no more."""
     threading.stack_size(STACK_BYTES)
     thread = threading.Thread(target=work, name=name, daemon=True)
