--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -14,23 +14,23 @@
 from loguru import logger
 
 from reelusher.backends import runtime, service_registry
-from reelusher.backends.ajp.worker_pool import BalancedRunner, Pool
-from reelusher.backends.downstream_client import MOST_LINES, Vault
+from reelusher.backends.ajp.worker_pool import BalancedRunner, WorkerPool
+from reelusher.backends.downstream_client import MOST_LINES, DownstreamClient
 from reelusher.backends.runtime import RuntimeLink
-from reelusher.backends.service_registry import Catalog
+from reelusher.backends.service_registry import ServiceRegistry
 from reelusher.config import PLATFORM_TENANT, Config, ConfigError, load
 from reelusher.config.operator import Operator, backend_names
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import DrainRequested, Message, Runner
-from reelusher.core.scheduling_lag import Pace
-from reelusher.drain.graceful_shutdown import Drained, lead
+from reelusher.core.scheduling_lag import SchedulingLag
+from reelusher.drain.graceful_shutdown import DrainableFrontend, lead
 from reelusher.drain.signals import LOOK_S, SignalWatch
 from reelusher.frontends.rpc import frontend as rpc_frontend
-from reelusher.frontends.rpc.frontend import PlatformFront
+from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.net.sockets import Address
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 
 if TYPE_CHECKING:
     from reelusher.admin.api import AdminApi
@@ -38,14 +38,14 @@
     from reelusher.fleet.membership.messages import FactsReply
     from reelusher.fleet.membership.service import Membership
     from reelusher.fleet.replication.service import Replication
-    from reelusher.fleet.warm_start.client import Learner
-    from reelusher.frontends.operations import OperatorFront
+    from reelusher.fleet.warm_start.client import WarmStartClient
+    from reelusher.frontends.operations import OperationsFrontend
     from reelusher.storage.key_log import KeyLog
-    from reelusher.tenancy.fair_queue import Shares
-    from reelusher.tenancy.registry import Tenants
+    from reelusher.tenancy.fair_queue import FairQueue
+    from reelusher.tenancy.registry import TenantRegistry
     from reelusher.tenancy.tenant_store import TenantTable
-    from reelusher.upgrade.key_locks import Claims
-    from reelusher.upgrade.process_registry import Lives
+    from reelusher.upgrade.key_locks import KeyLockFiles
+    from reelusher.upgrade.process_registry import ProcessRegistry
 
 SWITCH_S = 0.001  # a thread that waits for the interpreter gets it within this
 RESULTS_PART = 0.25  # part of the node's memory that kept results may take
@@ -60,7 +60,7 @@
 LEAST_CONNECTIONS = 16  # that fronts get however few descriptors there are
 
 
-class Front(Drained, Protocol):
+class Frontend(DrainableFrontend, Protocol):
     """What every front can do."""
 
     address: tuple[str, int]
@@ -89,12 +89,12 @@
         self._asked_s = 0.0  # when the drain was asked for at the earliest, by the monotonic clock
         self._reload = threading.Lock()  # held while files are read
         self._reloads = threading.BoundedSemaphore(MOST_RELOADS)
-        self._pace = Pace()  # of the fronts' poller
+        self._pace = SchedulingLag()  # of the fronts' poller
         self.counters, self._clock = Counters(), Clock()
         self._began = time.monotonic()
-        self.fronts: dict[str, Front] = {}
+        self.fronts: dict[str, Frontend] = {}
         told, own = config.platform, config.operator
-        self._pool = Pool(
+        self._pool = WorkerPool(
             own.workers if own else (),
             own.balancers if own else (),
             config.settings.cores,
@@ -108,7 +108,9 @@
             RuntimeLink(told.runtime, self._post, self.counters, self._spread("runtime")) if told else None
         )
         self.vault = (
-            Vault(told.vault, self._post, self.counters, self._clock) if told and told.vault else None
+            DownstreamClient(told.vault, self._post, self.counters, self._clock)
+            if told and told.vault
+            else None
         )
         # without a runtime, only tenants with workers of their own can be served
         nobody: Runner = BalancedRunner(self._pool, [], sticky=False, method="requests")
@@ -126,8 +128,12 @@
             self._shares,
         )
         self.catalog = (
-            Catalog(
-                told.directory, told.name, lambda: self.core.told.good, self.counters, self._spread("catalog")
+            ServiceRegistry(
+                told.directory,
+                told.name,
+                lambda: self.core.notices.reports_healthy,
+                self.counters,
+                self._spread("catalog"),
             )
             if told and told.directory
             else None
@@ -135,68 +141,70 @@
         if self.catalog:
             self.core.on_health = self.catalog.changed
         if told:
-            self.fronts["platform"] = PlatformFront(
+            self.fronts["platform"] = RpcFrontend(
                 self.core,
                 told.listen,
                 PLATFORM_TENANT,
                 self._most_connections() - self._most_ajp(),
                 int(config.memory_mb * BACKLOGS_PART * (1 << 20)),
-                lambda late_s: self._pace.note(late_s, time.monotonic()),
+                lambda late_s: self._pace.observe(late_s, time.monotonic()),
                 shared=told.operator is not None,
             )
         self.operator = self._second_address(told.operator) if told and told.operator else None
-        self._lives: Lives | None = None
-        self._claims: Claims | None = None
+        self._lives: ProcessRegistry | None = None
+        self._claims: KeyLockFiles | None = None
         if told and told.folder:
             self._share(told.name, Path(told.folder))
         self.admin: AdminApi | None = None
         self.fleet: Membership | None = None
-        self._learner: Learner | None = None
+        self._learner: WarmStartClient | None = None
         self._key_log: KeyLog | None = None
         self._replication: Replication | None = None
-        self._tenants: Tenants | None = None  # those of the replicated table
+        self._tenants: TenantRegistry | None = None  # those of the replicated table
         if own:
             self._set_up(own)
 
-    def _second_address(self, address: Address) -> "OperatorFront":
-        from reelusher.frontends.operations import OperatorFront, most_calls
+    def _second_address(self, address: Address) -> "OperationsFrontend":
+        from reelusher.frontends.operations import OperationsFrontend, most_calls
 
-        return OperatorFront(
+        return OperationsFrontend(
             address,
             self.counters,
             self._ready,
-            self.core.figures.told,
+            self.core.stats.snapshot,
             self._send_away,
             most_calls(self.config.sockets),
         )
 
     def _share(self, name: str, folder: Path) -> None:
         """Take part in upgrades: be known to other processes of this node, and claim keys before they run."""
-        from reelusher.upgrade.key_locks import Claims
-        from reelusher.upgrade.process_registry import Lives
+        from reelusher.upgrade.key_locks import KeyLockFiles
+        from reelusher.upgrade.process_registry import ProcessRegistry
 
         try:
-            self._lives, self._claims = Lives(folder, name), Claims(folder, name)
+            self._lives, self._claims = ProcessRegistry(folder, name), KeyLockFiles(folder, name)
         except OSError as error:
             logger.error("upgrade: {} can't be used, so no other process may take over: {}", folder, error)
             return
-        self.core.claims = self._claims
+        self.core.key_locks = self._claims
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
         from reelusher.admin.api import AdminApi, Parts
-        from reelusher.frontends.ajp.frontend import AjpFront
+        from reelusher.frontends.ajp.frontend import AjpFrontend
 
         if own.fleet:
             from reelusher.fleet.membership.service import Membership
-            from reelusher.fleet.warm_start.client import Learner
+            from reelusher.fleet.warm_start.client import WarmStartClient
 
             self.fleet = Membership(own.fleet, self.config.name, self._spread("fleet"), self.counters)
             self.fleet.facts = self._facts
-            self._learner = Learner(self.fleet, self._spread("learning"), self.counters, self._take_facts)
+            self._learner = WarmStartClient(
+                self.fleet, self._spread("learning"), self.counters, self._take_facts
+            )
         tenants, table, calls = self._replicated(own) if own.replication else self._own_tenants(own)
         if own.ajp:
-            self.fronts["ajp"] = AjpFront(
+            self.fronts["ajp"] = AjpFrontend(
                 self.core, replace(own.ajp, max_connections=self._most_ajp()), tenants
             )
         if own.admin:
@@ -207,11 +215,11 @@
                 ),
             )
 
-    def _own_tenants(self, own: Operator) -> "tuple[Tenants, TenantTable, None]":
+    def _own_tenants(self, own: Operator) -> "tuple[TenantRegistry, TenantTable, None]":
         """Return tenants that are this node's only, from its file and its state folder."""
         from reelusher.tenancy import tenant_store
-        from reelusher.tenancy.lifecycle import State
-        from reelusher.tenancy.registry import Tenants
+        from reelusher.tenancy.lifecycle import TenantState
+        from reelusher.tenancy.registry import TenantRegistry
 
         backends = self._backends(own)
         assert self._shares is not None
@@ -229,27 +237,27 @@
                 self.core.keys.remember(
                     line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
                 )
-            self.core.keeper, self._key_log = log, log
-        found = [(tenant, State(state)) for tenant, state in kept.tenants(own.class_names, backends)]
-        tenants = Tenants(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
+            self.core.key_log, self._key_log = log, log
+        found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
+        tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
 
-    def _replicated(self, own: Operator) -> "tuple[Tenants, TenantTable, TenantApi]":
+    def _replicated(self, own: Operator) -> "tuple[TenantRegistry, TenantTable, TenantApi]":
         """Return the tenants of the whole fleet, from this node's copy of the replicated table."""
         from reelusher.admin.replicated_api import ReplicatedTenantApi
         from reelusher.fleet.replication.messages import ChangeRequest
         from reelusher.fleet.replication.replica import Replica
         from reelusher.fleet.replication.replica_store import ReplicaError
         from reelusher.fleet.replication.service import Replication
-        from reelusher.fleet.replication.sqlite_replica import LocalCopy
-        from reelusher.tenancy.registry import Tenants, reason
+        from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+        from reelusher.tenancy.registry import TenantRegistry, reason
         from reelusher.tenancy.replicated import ReplicatedTable
 
         told, backends = own.replication, self._backends(own)
         assert told is not None
         assert self._shares is not None
         try:
-            copy = LocalCopy(
+            copy = SqliteReplica(
                 Path(told.copy),
                 own.fleet.name if own.fleet else "",
                 told.control,
@@ -257,7 +265,9 @@
             )
         except ReplicaError as error:
             raise ConfigError("replication.copy", str(error)) from None
-        tenants = Tenants((), own.class_names, self._pool.runner, self.core, self._shares, backends, copy)
+        tenants = TenantRegistry(
+            (), own.class_names, self._pool.runner, self.core, self._shares, backends, copy
+        )
         place = self.fleet.live()[0].place if self.fleet else ""
         replica = Replica(
             place,
@@ -298,13 +308,13 @@
         return Random(f"{self.config.seed} {self.config.name} {what}")
 
     @staticmethod
-    def _shares_of(config: Config) -> "Shares | None":
+    def _shares_of(config: Config) -> "FairQueue | None":
         """Return the standing of tenants; the platform has none, and nothing of it is loaded there."""
         if config.operator is None:
             return None
-        from reelusher.tenancy.fair_queue import Shares
+        from reelusher.tenancy.fair_queue import FairQueue
 
-        return Shares(config.settings.cores, config.settings.memory_kb)
+        return FairQueue(config.settings.cores, config.settings.memory_kb)
 
     def _most_connections(self) -> int:
         """Return how many descriptors the fronts may spend; the rest is counted up for all else."""
@@ -369,7 +379,7 @@
         if self.catalog:
             self.catalog.start()
         if self._replication:
-            self._replication.start(spawn)
+            self._replication.start(start_thread)
         if self.fleet:
             self.fleet.start()
             assert self._learner is not None
@@ -378,18 +388,20 @@
 
     def _facts(self) -> "FactsReply":
         """Return what a fresh node may learn here; one that is cold itself would teach it wrong."""
-        from reelusher.fleet.membership.messages import Fact, FactsReply
+        from reelusher.fleet.membership.messages import FactsReply, Observation
 
         warm_s = max(WARM_S, self.config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._began < warm_s or self.asked_to_leave.is_set():
             return FactsReply(False, [])
-        seen = {**self.core.ask(self.core.seen), **self._pool.seen()}
-        return FactsReply(True, [Fact(about, value, seen_s) for about, (value, seen_s) in seen.items()])
+        seen = {**self.core.run_on_loop(self.core.observed_times), **self._pool.seen()}
+        return FactsReply(
+            True, [Observation(about, value, seen_s) for about, (value, seen_s) in seen.items()]
+        )
 
     def _take_facts(self, known: dict[str, float]) -> None:
         """Start with what warm nodes know."""
         pace = {about.removeprefix("run:"): value for about, value in known.items() if about[:4] == "run:"}
-        self.core.ask(lambda: self.core.learn(pace, known.get("call:below", 0.0)))
+        self.core.run_on_loop(lambda: self.core.apply_warm_start(pace, known.get("call:below", 0.0)))
         for about, value in known.items():
             if about[:5] == "away:" and value > 0.5:
                 self._pool.doubt(about[5:])
@@ -398,7 +410,7 @@
         """Tell whether this process is ready to serve; from any thread."""
         good = (
             self._started
-            and self.core.told.good
+            and self.core.notices.reports_healthy
             and not self.asked_to_leave.is_set()
             and (self.runtime is None or self.runtime.up)
         )
@@ -408,8 +420,8 @@
 
     def _send_away(self, away: bool) -> None:
         """Have health checks answered as bad, or by the node's own health again; from any thread."""
-        if self.core.told.away is not away:
-            self.core.told.away = away
+        if self.core.notices.diverting_callers is not away:
+            self.core.notices.diverting_callers = away
             logger.info("operator: callers are sent away" if away else "operator: callers are wanted again")
             self.core.on_health()
 
@@ -417,15 +429,15 @@
         """Return how the node stands; called by the owner."""
         return {
             "name": self.config.name,
-            "healthy": self.core.told.healthy,
-            "draining": self.core.told.draining,
+            "healthy": self.core.notices.healthy,
+            "draining": self.core.notices.draining,
             "uptime_s": round(time.monotonic() - self._began, 1),
             "runtime": None if self.runtime is None else "up" if self.runtime.up else "down",
             "requests_in_hand": len(self.core.attempts),
-            "unanswered": self.core.attempts.owed,
+            "unanswered": self.core.attempts.unanswered,
             "keys": len(self.core.keys),
             "fronts": {name: front.open_connections() for name, front in self.fronts.items()},
-            "decisions": self.core.decisions(),
+            "decisions": self.core.controller_state(),
         }
 
     def ask_to_leave(self, asked_s: float | None = None) -> bool:
@@ -453,7 +465,7 @@
                 taken_up = self._guarded_take_up(read)
         finally:
             self._reloads.release()
-        self.core.figures.reloaded(taken_up)
+        self.core.stats.reload_finished(taken_up)
         return taken_up
 
     def _guarded_take_up(self, read: Callable[[], Config]) -> bool:
@@ -483,10 +495,12 @@
             return self._turned_down(f"{lacked}: missing")
         if (told.settings, told.class_names) != (before.settings, before.class_names):
             front = self.fronts["platform"]
-            assert isinstance(front, PlatformFront)
+            assert isinstance(front, RpcFrontend)
             try:  # in one step of the owner's, or core and front could go by different files
-                self.core.ask(
-                    lambda: front.retune(self.core.retune(told.settings, told.gauges, told.class_names))
+                self.core.run_on_loop(
+                    lambda: front.retune(
+                        self.core.apply_settings(told.settings, told.gauges, told.class_names)
+                    )
                 )
             except ValueError as error:
                 return self._turned_down(str(error))
@@ -530,7 +544,7 @@
         self.ask_to_leave()
         span_s, grace_s = self.config.stop_ms / 1000, self.config.settings.drain_grace_us / 1e6
         if self._lives and self._lives.successor():
-            self.core.told.handing_over = True
+            self.core.notices.handing_over = True
             longest_us = max(kind.deadline_us for kind in self.config.settings.classes)
             span_s, grace_s = min(longest_us / 1e6, HANDOVER_MOST_S) + HANDOVER_S, 0.0
             logger.info("handing over to a process that was started later")
@@ -541,7 +555,7 @@
             self.fleet.leave()
         lead(self.fronts.values(), self._order, self._late_s, self._asked_s, span_s, grace_s)
         self._close_copy()
-        left = self.core.attempts.owed
+        left = self.core.attempts.unanswered
         logger.info("left after {:.0f} ms, {} unanswered", (time.monotonic() - self._asked_s) * 1000, left)
         logger.info("counters: {}", self.counters.summary())
         return not left
@@ -552,7 +566,7 @@
 
     def _late_s(self) -> float:
         """Return by how many seconds this process is late at present: its poller or its owner."""
-        return max(self._pace.late_s(time.monotonic()), self.core.late_s())
+        return max(self._pace.lag_s(time.monotonic()), self.core.lag_s())
 
     def close(self) -> None:
         """Take everything down at once; `leave` comes first where answers are owed."""
@@ -607,13 +621,13 @@
     while leaving is None or leaving.is_alive():
         found = watch.look()
         if found is not None and found[0] is signal.SIGHUP:
-            spawn("reload", node.reload)
+            start_thread("reload", node.reload)
         elif found is not None:
             node.ask_to_leave(found[1])
         elif leaving is not None:
             leaving.join(LOOK_S)
         elif node.asked_to_leave.wait(LOOK_S):
-            leaving = spawn("leave", node.leave)
+            leaving = start_thread("leave", node.leave)
 
 
 def main(watch: SignalWatch) -> int:
--- a/reelusher/pacing/backoff.py
+++ b/reelusher/pacing/backoff.py
@@ -29,7 +29,7 @@
         self._last_s = self._base_s / 2
 
 
-class Tries:
+class RetryBudget:
     """A budget of tries at once: each success earns a part of one, and so many can be saved up.
 
     A place that fails all the time gets `most` quick tries, then what its successes pay for: none.
@@ -39,11 +39,11 @@
         """`most` and `earned` (for each success) count tries."""
         self._most, self._earned, self._left = most, earned, most
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a success."""
         self._left = min(self._most, self._left + self._earned)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Spend one; False where none is left."""
         if self._left < 1:
             return False
--- a/reelusher/pacing/report_schedule.py
+++ b/reelusher/pacing/report_schedule.py
@@ -8,8 +8,8 @@
 from math import ceil, inf, log
 from random import Random
 
-from reelusher.core.scheduling_lag import Pace
-from reelusher.pacing.backoff import Backoff, Tries
+from reelusher.core.scheduling_lag import SchedulingLag
+from reelusher.pacing.backoff import Backoff, RetryBudget
 
 LAPSE_S = 3.0  # an entry comes off the list so long after its last report: the protocol's figure
 LONGEST_S, SHORTEST_S = 1.9, 0.8  # bounds of the time between two reports
@@ -34,7 +34,7 @@
     AWAY = "away"  # refused or broken at once, or answered with an error: the list is in trouble
 
 
-class Cadence:
+class ReportSchedule:
     """Says when the next report is due, from how those before it went."""
 
     def __init__(self, random: Random, lapse_s: float = LAPSE_S) -> None:
@@ -44,9 +44,9 @@
         self.loss = PRIOR_LOSS  # part of the tries that get no answer
         self._loss_then = PRIOR_LOSS  # as the last report counted
         self._counted_s = -inf  # when the last report that counted was sent
-        self._pace = Pace()  # of whoever makes the reports
+        self._pace = SchedulingLag()  # of whoever makes the reports
         self._away = Backoff(random, AWAY_BASE_S, AWAY_CAP_S)
-        self._budget = Tries(QUICK_MOST, QUICK_EARNED)
+        self._budget = RetryBudget(QUICK_MOST, QUICK_EARNED)
         self._quick = 2 * self._tries()  # left before the list counts as away; losses come in streaks
 
     def first_s(self) -> float:
@@ -69,13 +69,13 @@
 
     def woke(self, late_s: float, now: float) -> None:
         """Note that a report is made so long after it was due: a starved node must report sooner."""
-        self._pace.note(max(0.0, late_s), now)
+        self._pace.observe(max(0.0, late_s), now)
 
     def period_s(self, now: float) -> float:
         """Return the longest time between two reports that leaves room for the tries it may need."""
         timeout_s = self.timeout_s() if self._measured else TIMEOUT_S
         room_s = self._tries() * (timeout_s + sum(QUICK_S) / 2)
-        return min(LONGEST_S, max(SHORTEST_S, self._lapse_s - room_s - 2 * self._pace.late_s(now)))
+        return min(LONGEST_S, max(SHORTEST_S, self._lapse_s - room_s - 2 * self._pace.lag_s(now)))
 
     def answered(self, sent_s: float, now: float) -> float:
         """Note that a report counted; return the seconds until the next."""
@@ -90,7 +90,7 @@
         back = first or now - self._counted_s > self._lapse_s
         self._counted_s = sent_s
         self._away.reset()
-        self._budget.succeeded()
+        self._budget.record_success()
         self._quick = 2 * self._tries()
         # The phases of nodes that began together, or came back together, are drawn anew over a whole period.
         least = 0.3 if back else 1 - SPREAD
@@ -107,7 +107,7 @@
             advised_s = min(advised_s, ADVICE_MOST_S)
             return advised_s + self._random.uniform(0.0, max(FIRST_S, advised_s / 4))
         saves = now - self._counted_s < self._lapse_s and not self.slow()
-        if why is Loss.SILENCE and saves and self._quick > 0 and self._budget.take():
+        if why is Loss.SILENCE and saves and self._quick > 0 and self._budget.try_acquire():
             self._quick -= 1
             return self._random.uniform(*QUICK_S)
         self.loss = self._loss_then  # more than losses explain: an outage, which says nothing of them
--- a/reelusher/storage/directory.py
+++ b/reelusher/storage/directory.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 
-class Disk(Protocol):
+class Directory(Protocol):
     """A folder of files. Each call may raise OSError; names are plain, without a folder."""
 
     def names(self) -> list[str]:
@@ -39,7 +39,7 @@
     """Another process has the folder."""
 
 
-class Folder:
+class LockedDirectory:
     """A folder of the file system, for one process at a time."""
 
     def __init__(self, path: Path) -> None:
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -17,7 +17,7 @@
 
 from loguru import logger
 
-from reelusher.storage.directory import Disk
+from reelusher.storage.directory import Directory
 from reelusher.storage.frames import MAGIC, DamagedFileError, Scan, encode, scan
 
 NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
@@ -33,7 +33,9 @@
 class Journal:
     """One folder's journal; a thread at a time. `payload`s are bytes that end in one that is not zero."""
 
-    def __init__(self, disk: Disk, state: Callable[[], bytes], compact_after: int = COMPACT_AFTER) -> None:
+    def __init__(
+        self, disk: Directory, state: Callable[[], bytes], compact_after: int = COMPACT_AFTER
+    ) -> None:
         """`state` returns the state as it is now, for snapshots."""
         self._disk = disk
         self._state = state
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -13,16 +13,16 @@
 import msgspec
 from loguru import logger
 
-from reelusher.core.idempotency_table import Key
-from reelusher.net.threads import spawn
-from reelusher.storage.directory import Disk
+from reelusher.core.idempotency_table import IdempotencyKey
+from reelusher.net.threads import start_thread
+from reelusher.storage.directory import Directory
 from reelusher.storage.journal import Journal, JournalError
 
 MOST_BATCH = 500  # keys in one write
 VERSION = 1
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class KeyRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """One key, as it is written. `until_us` 0: it never ran, and is forgotten."""
 
     tenant: str
@@ -32,29 +32,29 @@
     digest: str  # hexadecimal, of the body
 
     @property
-    def name(self) -> Key:
+    def name(self) -> IdempotencyKey:
         """Return the key as the table of keys has it."""
         return self.tenant, self.kind, self.key
 
 
-class Batch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class KeyBatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The payload of a change, or of a snapshot."""
 
-    keys: list[Line]
+    keys: list[KeyRecord]
     v: int = VERSION
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class PendingWrite:
     """A key that is to be durable, and who wants to know."""
 
-    line: Line
+    line: KeyRecord
     done: Callable[[bool], None]  # called in the log's thread
 
 
-def _read(payload: bytes) -> Batch:
+def _read(payload: bytes) -> KeyBatch:
     try:
-        made = msgspec.json.decode(payload, type=Batch)
+        made = msgspec.json.decode(payload, type=KeyBatch)
     except msgspec.MsgspecError as error:
         raise JournalError(f"kept keys: {error}") from None
     if made.v != VERSION:
@@ -65,36 +65,38 @@
 class KeyLog:
     """The journal of keys. `keep` and `forget` never block; all else is done by its thread."""
 
-    def __init__(self, disk: Disk, now_us: Callable[[], int] = lambda: time.time_ns() // 1000) -> None:
+    def __init__(self, disk: Directory, now_us: Callable[[], int] = lambda: time.time_ns() // 1000) -> None:
         """Read the keys that are there; raises `JournalError`."""
         self._now_us = now_us
-        self._live: dict[Key, Line] = {}
+        self._live: dict[IdempotencyKey, KeyRecord] = {}
         self._journal = Journal(disk, self._snapshot)
-        self._asked: queue.SimpleQueue[Asked | None] = queue.SimpleQueue()
+        self._asked: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()
         snapshot, changes = self._journal.recover()
         for payload in ([snapshot] if snapshot else []) + [payload for _, payload in changes]:
             self._apply(_read(payload).keys)
 
-    def live(self) -> list[Line]:
+    def live(self) -> list[KeyRecord]:
         """Return the keys whose window is not over."""
         now = self._now_us()
         return [line for line in self._live.values() if line.until_us > now]
 
     def start(self) -> None:
         """Start the thread."""
-        spawn("key-log", self._work)
+        start_thread("key-log", self._work)
 
     def close(self) -> None:
         """Let the thread end after what it was asked by now."""
         self._asked.put(None)
 
-    def keep(self, key: Key, until_us: int, digest: bytes, done: Callable[[bool], None]) -> None:
+    def persist(
+        self, key: IdempotencyKey, until_us: int, digest: bytes, done: Callable[[bool], None]
+    ) -> None:
         """Make a key durable; `done` hears whether it is, from another thread."""
-        self._asked.put(Asked(Line(*key, until_us, digest.hex()), done))
+        self._asked.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
-    def forget(self, key: Key) -> None:
+    def forget(self, key: IdempotencyKey) -> None:
         """Note that a key never ran after all. Should that be lost, its repeats are failed, no more."""
-        self._asked.put(Asked(Line(*key, 0, ""), lambda well: None))
+        self._asked.put(PendingWrite(KeyRecord(*key, 0, ""), lambda well: None))
 
     def _work(self) -> None:
         while True:
@@ -109,9 +111,9 @@
             if None in batch:
                 return
 
-    def _write(self, lines: list[Line]) -> bool:
+    def _write(self, lines: list[KeyRecord]) -> bool:
         try:
-            self._journal.append(msgspec.json.encode(Batch(lines)))
+            self._journal.append(msgspec.json.encode(KeyBatch(lines)))
         except JournalError as error:
             logger.error("state: keys are not durable, nothing keyed is run: {}", error)
             return False
@@ -119,7 +121,7 @@
         self._journal.compact_if_due()
         return True
 
-    def _apply(self, lines: Iterable[Line]) -> None:
+    def _apply(self, lines: Iterable[KeyRecord]) -> None:
         for line in lines:
             if line.until_us:
                 self._live[line.name] = line
@@ -128,4 +130,4 @@
 
     def _snapshot(self) -> bytes:
         self._live = {line.name: line for line in self.live()}
-        return msgspec.json.encode(Batch(list(self._live.values())))
+        return msgspec.json.encode(KeyBatch(list(self._live.values())))
--- a/reelusher/storage/tenant_state.py
+++ b/reelusher/storage/tenant_state.py
@@ -14,7 +14,7 @@
     """A change or a state is not of a form that this version knows; the text names the field."""
 
 
-class Change(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class TenantChange(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """One change, as the journal keeps it."""
 
     op: str  # put, state or remove
@@ -27,7 +27,7 @@
     v: int = VERSION
 
 
-class Kept(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
+class StoredTenant(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
     """One tenant."""
 
     tenant: dict[str, Any]
@@ -40,7 +40,7 @@
         return str(self.revision)
 
 
-class Trail(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
+class AuditEntry(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """One entry of the audit trail."""
 
     number: int
@@ -52,22 +52,22 @@
     after: dict[str, Any] | None = None
 
 
-class State(msgspec.Struct, forbid_unknown_fields=True):
+class StoredTenants(msgspec.Struct, forbid_unknown_fields=True):
     """All that is kept. `apply` is the only thing that changes it."""
 
-    tenants: dict[str, Kept] = {}
-    audit: list[Trail] = []
+    tenants: dict[str, StoredTenant] = {}
+    audit: list[AuditEntry] = []
     keys: dict[str, str] = {}  # idempotency keys, oldest first, and the tenant that each made
     v: int = VERSION
 
-    def apply(self, number: int, change: Change) -> None:
+    def apply(self, number: int, change: TenantChange) -> None:
         """Make a change; raises `UnreadableStateError` where it can't follow from this state."""
         before = self.tenants.get(change.name)
         if change.op == "put" and change.tenant is not None:
             state = before.state if before else change.state
-            self.tenants[change.name] = Kept(change.tenant, state, number)
+            self.tenants[change.name] = StoredTenant(change.tenant, state, number)
         elif change.op == "state" and before is not None:
-            self.tenants[change.name] = Kept(before.tenant, change.state, number)
+            self.tenants[change.name] = StoredTenant(before.tenant, change.state, number)
         elif change.op == "remove" and before is not None:
             del self.tenants[change.name]
         else:
@@ -76,7 +76,7 @@
             )
         after = self.tenants.get(change.name)
         self.audit.append(
-            Trail(number, change.op, change.name, change.who, change.at_ms, shown(before), shown(after))
+            AuditEntry(number, change.op, change.name, change.who, change.at_ms, shown(before), shown(after))
         )
         del self.audit[:-MOST_AUDIT]
         if change.key:
@@ -86,7 +86,7 @@
                 del self.keys[next(iter(self.keys))]
 
 
-class Standing(Protocol):
+class TenantVersion(Protocol):
     """A tenant as it stands, wherever it is kept."""
 
     @property
@@ -102,7 +102,7 @@
         """Return what tells this from how it stood before and will stand, for `ETag`."""
 
 
-def shown(kept: Standing | None) -> dict[str, Any] | None:
+def shown(kept: TenantVersion | None) -> dict[str, Any] | None:
     """Return a tenant as the trail and the API show it."""
     return None if kept is None else {**kept.tenant, "state": kept.state}
 
@@ -126,18 +126,18 @@
         raise UnreadableStateError(str(error)) from None
 
 
-def read_state(payload: bytes) -> State:
+def read_state(payload: bytes) -> StoredTenants:
     """Read a snapshot's payload; raises `UnreadableStateError`."""
-    made: State = _decode(payload, State)
+    made: StoredTenants = _decode(payload, StoredTenants)
     return made
 
 
-def read_change(payload: bytes) -> Change:
+def read_change(payload: bytes) -> TenantChange:
     """Read a journal's payload; raises `UnreadableStateError`."""
-    made: Change = _decode(payload, Change)
+    made: TenantChange = _decode(payload, TenantChange)
     return made
 
 
-def write(value: State | Change) -> bytes:
+def write(value: StoredTenants | TenantChange) -> bytes:
     """Write a payload. It is JSON, so that a person can read it, and its last byte is never zero."""
     return msgspec.json.encode(value)
--- a/reelusher/tenancy/fair_queue.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Share:
+class Quota:
     """What a tenant is entitled to. Parts are of the node's capacity; a bound of 0 is none."""
 
     weight: float = 1.0
@@ -105,7 +105,7 @@
         "used_us",
     )
 
-    def __init__(self, number: int, share: Share, cores: int, virtual: float) -> None:
+    def __init__(self, number: int, share: Quota, cores: int, virtual: float) -> None:
         self.number = number
         self.finish = virtual  # finish tag of the last run that was started, in work over weight
         self.lanes: dict[int, float] = {}  # the same by class, within the tenant
@@ -123,9 +123,9 @@
         self.limit: Gcra | None = None
         self.entitle(share, cores, virtual)
 
-    def entitle(self, share: Share, cores: int, virtual: float) -> None:
+    def entitle(self, share: Quota, cores: int, virtual: float) -> None:
         """Take a share; what is owed stays the same in work, whatever the weight was before."""
-        before: Share | None = getattr(self, "share", None)
+        before: Quota | None = getattr(self, "share", None)
         if before is not None:
             self.finish = virtual + (self.finish - virtual) * before.weight / share.weight
         self.share = share
@@ -154,7 +154,7 @@
             self.limit.charge(work_us, now_us)
 
 
-class Shares:
+class FairQueue:
     """The standing of all tenants, by number. One thread calls it: the one that owns the module.
 
     A tenant that was never set has the standard share. With one tenant it changes nothing about what the
@@ -181,7 +181,7 @@
 
     # Who there is
 
-    def entitle(self, tenant: int, share: Share) -> None:
+    def entitle(self, tenant: int, share: Quota) -> None:
         """Add a tenant, or change its share from now on."""
         flow = self._flows.get(tenant)
         if flow is None:
@@ -226,12 +226,12 @@
         try:
             return self._flows[tenant]
         except KeyError:
-            flow = self._flows[tenant] = _Flow(tenant, Share(), self._cores, self._virtual)
+            flow = self._flows[tenant] = _Flow(tenant, Quota(), self._cores, self._virtual)
             return flow
 
     def usage(self, tenant: int, now_us: int) -> dict[str, float]:
         """Return how a tenant stands: work in core-milliseconds, the rest as counts, parts and KB."""
-        flow = self._flows.get(tenant) or _Flow(tenant, Share(), self._cores, self._virtual)
+        flow = self._flows.get(tenant) or _Flow(tenant, Quota(), self._cores, self._virtual)
         return {
             "held": flow.held,
             "running": flow.running,
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -13,7 +13,7 @@
 from typing import Generic, TypeVar
 
 from reelusher.config.operator import FULL_GUARANTEE, Route, Tenant, guarantee_units
-from reelusher.tenancy.lifecycle import Entry
+from reelusher.tenancy.lifecycle import TenantRecord
 
 T = TypeVar("T")
 PART = 64  # prefixes in one part of a host's table, about: a change copies one part and the list of parts
@@ -73,7 +73,7 @@
 
     __slots__ = ("entry", "routes")
 
-    def __init__(self, entry: Entry, routes: Routes) -> None:
+    def __init__(self, entry: TenantRecord, routes: Routes) -> None:
         self.entry, self.routes = entry, routes
 
     @property
@@ -167,16 +167,16 @@
     def __len__(self) -> int:
         return len(self._leaves)
 
-    def get(self, name: str) -> Entry | None:
+    def get(self, name: str) -> TenantRecord | None:
         """Return one tenant."""
         leaf = self._leaves.get(name)
         return leaf.entry if leaf else None
 
-    def entries(self) -> Iterator[Entry]:
+    def entries(self) -> Iterator[TenantRecord]:
         """Return all tenants, in no order."""
         return iter([leaf.entry for leaf in tuple(self._leaves.values())])
 
-    def page(self, after: str, limit: int) -> tuple[list[Entry], str]:
+    def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
         """Return so many tenants whose names come after one, and the last name where more follow."""
         while True:
             start = bisect_right(self._names, after)
@@ -199,7 +199,7 @@
 
     # Changes, by one thread. What is new is there before what is old goes: a reader finds one or the other.
 
-    def put(self, entry: Entry) -> None:
+    def put(self, entry: TenantRecord) -> None:
         """Add a tenant, or replace the one of its name."""
         name, known = entry.tenant.name, self._leaves.get(entry.tenant.name)
         same = known is not None and known.entry.tenant.routes == entry.tenant.routes
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -20,7 +20,7 @@
 DRAIN_US = 10_000_000  # within which a tenant that is removed is gone, unless the remover says otherwise
 
 
-class State(Enum):
+class TenantState(Enum):
     """Where a tenant stands."""
 
     ACTIVE = "active"
@@ -33,12 +33,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class TenantRecord:
     """A tenant and where it stands."""
 
     tenant: Tenant
     number: int
-    state: State = State.ACTIVE
+    state: TenantState = TenantState.ACTIVE
     until_us: int = 0  # draining: when it is gone at the latest
 
 
@@ -46,7 +46,7 @@
 class Gone:
     """A tenant that has just gone; what it still has in hand is to be answered now."""
 
-    entry: Entry
+    entry: TenantRecord
     in_hand: int
 
 
@@ -54,24 +54,26 @@
     """All tenants of a node. Changed by one thread; `admits` may be asked by the same only."""
 
     def __init__(self) -> None:
-        self._by_name: dict[str, Entry] = {}
-        self._by_number: dict[int, Entry] = {}
+        self._by_name: dict[str, TenantRecord] = {}
+        self._by_number: dict[int, TenantRecord] = {}
         self._draining: dict[int, None] = {}  # by number, the first that was removed first
         self._last = 0
 
-    def __iter__(self) -> Iterator[Entry]:
+    def __iter__(self) -> Iterator[TenantRecord]:
         return iter(list(self._by_name.values()))
 
-    def get(self, name: str) -> Entry | None:
+    def get(self, name: str) -> TenantRecord | None:
         """Return one tenant."""
         return self._by_name.get(name)
 
     def admits(self, number: int) -> bool:
         """Tell whether requests of a tenant are taken, also those read before the tenant went."""
         entry = self._by_number.get(number)
-        return entry is not None and entry.state is State.ACTIVE
+        return entry is not None and entry.state is TenantState.ACTIVE
 
-    def put(self, tenant: Tenant, state: State = State.ACTIVE, number: int = 0) -> tuple[Entry, bool]:
+    def put(
+        self, tenant: Tenant, state: TenantState = TenantState.ACTIVE, number: int = 0
+    ) -> tuple[TenantRecord, bool]:
         """Add a tenant, or replace what is said of it; also tell whether it is new.
 
         A number is given where numbers come from elsewhere: it names this tenant, and no other ever.
@@ -79,34 +81,34 @@
         known = self._by_name.get(tenant.name)
         if known is None:
             self._last = number or self._last + 1
-            return self._store(Entry(tenant, self._last, state)), True
-        if known.state is State.DRAINING:
+            return self._store(TenantRecord(tenant, self._last, state)), True
+        if known.state is TenantState.DRAINING:
             raise TenantStateError(f"{tenant.name!r} is being removed")
         return self._store(replace(known, tenant=tenant)), False
 
-    def move(self, name: str, to: State) -> Entry | None:
+    def move(self, name: str, to: TenantState) -> TenantRecord | None:
         """Suspend or resume a tenant; None where there is none of this name."""
         entry = self._by_name.get(name)
         if entry is None:
             return None
-        if entry.state is State.DRAINING:
+        if entry.state is TenantState.DRAINING:
             raise TenantStateError(f"{name!r} is being removed")
         return self._store(replace(entry, state=to))
 
-    def remove(self, name: str, now_us: int, within_us: int = DRAIN_US) -> Entry | None:
+    def remove(self, name: str, now_us: int, within_us: int = DRAIN_US) -> TenantRecord | None:
         """Begin to remove a tenant; a second order may only bring its end forward."""
         entry = self._by_name.get(name)
         if entry is None:
             return None
         until_us = now_us + within_us
-        if entry.state is State.DRAINING:
+        if entry.state is TenantState.DRAINING:
             until_us = min(until_us, entry.until_us)
-        return self._store(replace(entry, state=State.DRAINING, until_us=until_us))
+        return self._store(replace(entry, state=TenantState.DRAINING, until_us=until_us))
 
     def free_name(self, name: str) -> None:
         """Let a tenant that is being removed go on without its name: another may have it at once."""
         entry = self._by_name.get(name)
-        if entry is not None and entry.state is State.DRAINING:
+        if entry is not None and entry.state is TenantState.DRAINING:
             del self._by_name[name]
 
     def let_go(self, name: str) -> None:
@@ -134,8 +136,8 @@
         """Tell whether a tenant is being removed."""
         return bool(self._draining)
 
-    def _store(self, entry: Entry) -> Entry:
+    def _store(self, entry: TenantRecord) -> TenantRecord:
         self._by_name[entry.tenant.name] = self._by_number[entry.number] = entry
-        if entry.state is State.DRAINING:
+        if entry.state is TenantState.DRAINING:
             self._draining[entry.number] = None
         return entry
--- a/reelusher/tenancy/reader_pool.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -7,7 +7,7 @@
 from typing import Any, TypeVar
 
 from reelusher.core.counters import Counters
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 T = TypeVar("T")
@@ -16,7 +16,7 @@
 WAIT_S = 0.5  # within which what a request waits for has been read, or it is refused
 
 
-class Readers:
+class ReaderPool:
     """Reads for threads of fronts. A disk that hangs holds up these threads, and no request."""
 
     def __init__(self, counters: Counters, wait_s: float = WAIT_S, most_waiting: int = MOST_WAITING) -> None:
@@ -25,7 +25,7 @@
         self._places = BoundedSemaphore(most_waiting)
         self._jobs: queue.SimpleQueue[tuple[Future[Any], Callable[[], Any]] | None] = queue.SimpleQueue()
         for number in range(READERS):
-            spawn(f"tenant-reader-{number}", self._run)
+            start_thread(f"tenant-reader-{number}", self._run)
 
     def read(self, action: Callable[[], T]) -> T:
         """Return what an action reads. Raises `TenantUnavailableError` where it fails or takes too long."""
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -8,15 +8,23 @@
 from functools import partial
 from typing import Any
 
-from reelusher.config.checked_table import ConfigError, Table
+from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import EventLoopTask, Runner
-from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.fair_queue import FairQueue, Quota
 from reelusher.tenancy.index import Index, Leaf, Routes
-from reelusher.tenancy.lifecycle import DRAIN_US, Entry, Lifecycle, State
-from reelusher.tenancy.reader_pool import WAIT_S, Readers
-from reelusher.tenancy.tenant_cache import IDLE_US, Load, Pager, Resident, Row, Source, TenantUnavailableError
+from reelusher.tenancy.lifecycle import DRAIN_US, Lifecycle, TenantRecord, TenantState
+from reelusher.tenancy.reader_pool import WAIT_S, ReaderPool
+from reelusher.tenancy.tenant_cache import (
+    IDLE_US,
+    CachedTenant,
+    Load,
+    TenantCache,
+    TenantRow,
+    TenantSource,
+    TenantUnavailableError,
+)
 
 UNREADABLE = ConfigError, ValueError, RecursionError  # that reading a row may raise
 IDLE_LOOK_US = 1_000_000  # between looks which tenants may be let go
@@ -32,12 +40,12 @@
     number: int
     class_name: str
     admitted: bool = True
-    pin: Resident | None = field(default=None, compare=False, repr=False)
+    pin: CachedTenant | None = field(default=None, compare=False, repr=False)
 
 
 def read_row(name: str, value: bytes, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
     """Return what a row of a table says; raises `ConfigError`, `ValueError` where it can't be served."""
-    tenant = read_tenant(Table(json.loads(value), f"tenants.{name}"), class_names, backends)
+    tenant = read_tenant(CheckedTable(json.loads(value), f"tenants.{name}"), class_names, backends)
     if tenant.name != name:
         raise ConfigError(f"tenants.{name}.name", "is not the name of the row")
     return tenant
@@ -52,18 +60,18 @@
     return ""
 
 
-class Tenants:
+class TenantRegistry:
     """Tenants by name, with their shares, and the runners of those that have one of their own."""
 
     def __init__(
         self,
-        entries: Iterable[tuple[Tenant, State]],
+        entries: Iterable[tuple[Tenant, TenantState]],
         class_names: tuple[str, ...],
         runner_of: Callable[[str], Runner | None],
         core: Core,
-        shares: Shares,
+        shares: FairQueue,
         backends: frozenset[str],
-        source: Source | None = None,
+        source: TenantSource | None = None,
         idle_us: int = IDLE_US,
     ) -> None:
         """Begin with these tenants, or with none and a table of them on the disk.
@@ -81,14 +89,14 @@
         self._index = Index()
         self._looking = False
         self._source = source
-        self._pager: Pager | None = None
+        self._pager: TenantCache | None = None
         self._idle_looks = False
         self.filling: Callable[[], bool] = lambda: False  # rows of the table are still to come
         if source is not None:
-            self._readers = Readers(core.counters)
-            self._pager = Pager(source, self._readers.read, core.clock.now, WAIT_S)
+            self._readers = ReaderPool(core.counters)
+            self._pager = TenantCache(source, self._readers.read, core.clock.now, WAIT_S)
             shares.forgetful = True
-        core.admits = self._life.admits
+        core.admits_tenant = self._life.admits
         for tenant, state in entries:
             self.put(tenant, state)
 
@@ -96,13 +104,13 @@
         """Return the tenants as they are now, as far as they are in memory."""
         return tuple(entry.tenant for entry in self.entries())
 
-    def entries(self) -> tuple[Entry, ...]:
+    def entries(self) -> tuple[TenantRecord, ...]:
         """Return the tenants and where they stand, as far as they are in memory, in no order."""
         if self._pager is not None:
             return tuple(leaf.entry for leaf in self._pager.leaves())
         return tuple(self._index.entries())
 
-    def page(self, after: str, limit: int) -> tuple[list[Entry], str]:
+    def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
         """Return so many tenants whose names come after one, and the last name where more follow.
 
         Rows that this node can't serve are left out.
@@ -118,7 +126,7 @@
         entry = self.entry(name)
         return entry.tenant if entry else None
 
-    def entry(self, name: str) -> Entry | None:
+    def entry(self, name: str) -> TenantRecord | None:
         """Return one tenant and where it stands; from the disk, where it is not in memory."""
         if self._pager is not None and self._source is not None:
             resident = self._pager.get(name)
@@ -129,11 +137,11 @@
         return self._index.get(name)
 
     @staticmethod
-    def shown(entry: Entry) -> dict[str, Any]:
+    def shown(entry: TenantRecord) -> dict[str, Any]:
         """Return a tenant as the administration API shows it."""
         return entry.tenant.to_json() | {"state": entry.state.value}
 
-    def usage(self, entry: Entry) -> dict[str, Any]:
+    def usage(self, entry: TenantRecord) -> dict[str, Any]:
         """Return how a tenant stands and what it has used while in memory; called by the owner."""
         name = entry.tenant.name
         told = self._shares.usage(entry.number, self._core.clock.now())
@@ -151,7 +159,7 @@
             value.pop("state", None)  # as it was shown; it is changed by calls of its own
         if name is not None and isinstance(value, dict) and value.setdefault("name", name) != name:
             raise ConfigError("name", "is not the name in the path")
-        tenant = read_tenant(Table(value), self._class_names, self._backends)
+        tenant = read_tenant(CheckedTable(value), self._class_names, self._backends)
         self.check(tenant)
         return tenant
 
@@ -176,13 +184,13 @@
         if self._source is not None:
             self._readers.close()
 
-    def _entry_of(self, row: Row) -> Entry | None:
+    def _entry_of(self, row: TenantRow) -> TenantRecord | None:
         """Return what a row says; None where this node can't serve it."""
         try:
-            made = Entry(
+            made = TenantRecord(
                 read_row(row.name, row.tenant, self._class_names, self._backends),
                 row.number,
-                State(row.state),
+                TenantState(row.state),
             )
         except UNREADABLE as error:
             if self._pager is not None:
@@ -197,14 +205,14 @@
 
     # Called by the owner once it runs
 
-    def put(self, tenant: Tenant, state: State = State.ACTIVE) -> bool:
+    def put(self, tenant: Tenant, state: TenantState = TenantState.ACTIVE) -> bool:
         """Add or replace a tenant; True where it is new. Raises `TenantStateError` while it is removed."""
         entry, new = self._life.put(tenant, state)
         self._entitle(entry)
         self._index.put(entry)
         return new
 
-    def _entitle(self, entry: Entry) -> None:
+    def _entitle(self, entry: TenantRecord) -> None:
         tenant = entry.tenant
         self._shares.entitle(entry.number, self._share(tenant))
         runner = self._runner_of(tenant.backend)
@@ -213,14 +221,14 @@
         else:
             self._core.runners[tenant.name] = runner
 
-    def move(self, name: str, to: State) -> Entry | None:
+    def move(self, name: str, to: TenantState) -> TenantRecord | None:
         """Suspend or resume a tenant; None where there is none of this name."""
         entry = self._life.move(name, to)
         if entry is not None:
             self._index.put(entry)
         return entry
 
-    def delete(self, name: str, within_us: int = DRAIN_US) -> Entry | None:
+    def delete(self, name: str, within_us: int = DRAIN_US) -> TenantRecord | None:
         """Begin to remove a tenant: it takes nothing new, and is gone once it has nothing in hand.
 
         What it has not answered when its time is over is answered then: refused where it never ran, failed
@@ -235,7 +243,7 @@
     def _look(self, numbers: list[int] | None = None) -> None:
         for gone in self._life.tick(self._core.clock.now(), self._core.attempts.of_tenant, numbers):
             if gone.in_hand:  # what is in hand of all is gone through
-                self._core.end_tenant(gone.entry.number)
+                self._core.end_tenant_requests(gone.entry.number)
             self._shares.drop(gone.entry.number)
             if self._life.get(gone.entry.tenant.name) is None:
                 self._core.runners.pop(gone.entry.tenant.name, None)
@@ -244,16 +252,16 @@
             self._index.remove(gone.entry.tenant.name)
         if self._life.draining() and not self._looking:
             self._looking = True
-            self._core.after(LOOK_US, self._look_again)
+            self._core.call_later(LOOK_US, self._look_again)
 
     def _look_again(self) -> None:
         self._looking = False
         self._look()
 
-    def _share(self, tenant: Tenant) -> Share:
+    def _share(self, tenant: Tenant) -> Quota:
         told = tenant.share
         weights = {self._class_names.index(name): weight for name, weight in told.classes}
-        return Share(
+        return Quota(
             told.weight,
             told.guarantee,
             told.ceiling,
@@ -299,7 +307,7 @@
             return None
         entry = leaf.entry
         return Match(
-            entry.tenant, entry.number, leaf.class_of(method, path), entry.state is State.ACTIVE, pin
+            entry.tenant, entry.number, leaf.class_of(method, path), entry.state is TenantState.ACTIVE, pin
         )
 
     # A table on the disk. By threads of fronts, and by those that change it
@@ -328,20 +336,20 @@
         if self._pager is not None:
             self._pager.changed(names, self._hosts_of, self._change)
 
-    def _hosts_of(self, row: Row) -> list[str]:
+    def _hosts_of(self, row: TenantRow) -> list[str]:
         try:
             return [str(host).lower() for host in json.loads(row.tenant).get("hosts", [])]
         except (*UNREADABLE, AttributeError, TypeError):
             return []
 
-    def _change(self, name: str, row: Row | None) -> None:
+    def _change(self, name: str, row: TenantRow | None) -> None:
         entry = None if row is None else self._entry_of(row)
         self._post(partial(self._apply, name, entry, row is not None))
 
     def _post(self, action: Callable[[], None]) -> None:
         """Have the owner do something behind all that is in its queue now."""
         ask = EventLoopTask(action)
-        ask.done.add_done_callback(self._applied)
+        ask.future.add_done_callback(self._applied)
         self._core.post(ask)
 
     def _applied(self, done: Future[Any]) -> None:
@@ -350,7 +358,7 @@
 
     # By the owner
 
-    def _take_in(self, entry: Entry) -> None:
+    def _take_in(self, entry: TenantRecord) -> None:
         """Take in a tenant that was put in memory: from now on its requests are admitted."""
         assert self._pager is not None
         self._life.put(entry.tenant, entry.state, entry.number)
@@ -359,9 +367,9 @@
             self._let_go_later(CROWDED_IDLE_US)
         if not self._idle_looks:
             self._idle_looks = True
-            self._core.after(IDLE_LOOK_US, self._look_idle)
+            self._core.call_later(IDLE_LOOK_US, self._look_idle)
 
-    def _apply(self, name: str, entry: Entry | None, there: bool) -> None:
+    def _apply(self, name: str, entry: TenantRecord | None, there: bool) -> None:
         """Take up a change of a tenant in memory; without an entry it is gone, or can't be served."""
         assert self._pager is not None
         resident = self._pager.get(name)
@@ -369,7 +377,7 @@
         if resident is None or known is None:
             return
         if entry is None and there:
-            known = self._life.move(name, State.SUSPENDED)
+            known = self._life.move(name, TenantState.SUSPENDED)
         elif entry is None or entry.number != known.number:
             self._retire(name)
             return
@@ -395,7 +403,7 @@
         self._idle_looks = len(self._pager) > 0
         if self._idle_looks:
             self._let_go_later(self._idle_us)
-            self._core.after(IDLE_LOOK_US, self._look_idle)
+            self._core.call_later(IDLE_LOOK_US, self._look_idle)
 
     def _let_go_later(self, unused_us: int) -> None:
         """Let idle tenants go behind all that is in the owner's queue now: a request may be among that."""
@@ -404,7 +412,7 @@
         if found:
             self._core.post(EventLoopTask(partial(self._let_go, found)))
 
-    def _let_go(self, found: list[tuple[Resident, int]]) -> None:
+    def _let_go(self, found: list[tuple[CachedTenant, int]]) -> None:
         assert self._pager is not None
         for resident, uses in found:
             entry = resident.leaf.entry
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -13,17 +13,16 @@
 
 import msgspec
 
-from reelusher.config.checked_table import ConfigError, Table
+from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.messages import MOST_TENANT, Entry
+from reelusher.fleet.replication.messages import MOST_TENANT, LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Position, holder_of, stream_of
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
-from reelusher.fleet.replication.sqlite_replica import Row
-from reelusher.fleet.replication.sqlite_replica import Trail as Change
+from reelusher.fleet.replication.sqlite_replica import ReplicaAuditEntry, ReplicaRow
 from reelusher.storage.journal import JournalError
-from reelusher.storage.tenant_state import Trail
+from reelusher.storage.tenant_state import AuditEntry
 
 CHANGING_S = 1.0  # that a change waits for another; whoever asked over the fleet waits a little longer
 SHOWN = "state", "shadowed", "shadows", "unreadable"  # beside what makes a tenant
@@ -50,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class ReplicatedTenant:
     """A tenant as the copy has it."""
 
     tenant: dict[str, Any]
@@ -66,9 +65,11 @@
     return f"{position.epoch}.{position.number}"
 
 
-def standing(row: Row) -> Standing:
+def standing(row: ReplicaRow) -> ReplicatedTenant:
     """Read a row of the copy."""
-    return Standing(_tenant(row.name, row.tenant), row.state, f"{row.epoch}.{row.revision}", row.unreadable)
+    return ReplicatedTenant(
+        _tenant(row.name, row.tenant), row.state, f"{row.epoch}.{row.revision}", row.unreadable
+    )
 
 
 def _tenant(name: str, data: bytes) -> dict[str, Any]:
@@ -80,7 +81,7 @@
     return {**value, "name": name} if isinstance(value, dict) else {"name": name}
 
 
-def trail(change: Change) -> Trail:
+def trail(change: ReplicaAuditEntry) -> AuditEntry:
     """Read a change of the copy's trail."""
     before, after = (
         {**_tenant(change.name, data), "state": state} if state else None
@@ -89,7 +90,7 @@
     op = "remove" if after is None else "put"
     if before and after and change.before == change.after and change.before_state != change.after_state:
         op = "state"
-    return Trail(change.number, op, change.name, change.who, change.at_ms, before, after)
+    return AuditEntry(change.number, op, change.name, change.who, change.at_ms, before, after)
 
 
 class ReplicatedTable:
@@ -131,12 +132,12 @@
 
     # Looking, at this node's copy
 
-    def kept(self, name: str) -> Standing | None:
+    def kept(self, name: str) -> ReplicatedTenant | None:
         """Return what is kept of a tenant."""
         row = self.copy.get(name)
         return None if row is None else standing(row)
 
-    def page(self, after: str, limit: int) -> list[Standing]:
+    def page(self, after: str, limit: int) -> list[ReplicatedTenant]:
         """Return so many tenants with names past one, by name."""
         return [standing(row) for row in self.copy.page(after, limit)]
 
@@ -144,7 +145,7 @@
         """Return the name of the tenant that a call with this idempotency key made."""
         return self.copy.key(key)
 
-    def audit(self, after: int, limit: int) -> list[Trail]:
+    def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return so many changes with a number above one, in the order in which they came to this node."""
         return [trail(change) for change in self.copy.audit(after, limit)]
 
@@ -157,7 +158,7 @@
                 value.pop(key, None)
         if name is not None and isinstance(value, dict) and value.setdefault("name", name) != name:
             raise ConfigError("name", "is not the name in the path")
-        tenant = read_tenant(Table(value), self._class_names, self._backends)
+        tenant = read_tenant(CheckedTable(value), self._class_names, self._backends)
         before = self.kept(tenant.name)
         held = _guarantee(before.tenant) if before else 0.0
         if tenant.share.guarantee > held and self.copy.guaranteed() - held + tenant.share.guarantee > FULL:
@@ -170,7 +171,7 @@
             raise ConfigError(tenant.name, f"at most {MOST_TENANT} bytes of JSON are wanted, not {size}")
         return tenant
 
-    def overlapping(self, kept: Standing) -> Standing:
+    def overlapping(self, kept: ReplicatedTenant) -> ReplicatedTenant:
         """Return the same with where others get what a tenant names, and where it gets what others name."""
         lost: list[Overlap] = []
         won: list[Overlap] = []
@@ -201,7 +202,7 @@
         tenant: dict[str, Any] | None = None,
         state: str = "active",
         key: str = "",
-    ) -> Standing | None:
+    ) -> ReplicatedTenant | None:
         """Number one change and store it durably. Raises `TableBusyError` and `JournalError`."""
         before = self.kept(name)
         if op == "put":
@@ -211,8 +212,8 @@
         elif before is not None:
             tenant = before.tenant
         data = b"" if tenant is None else msgspec.json.encode(tenant)
-        made = None if tenant is None else self.overlapping(Standing(tenant, state, ""))
-        wanted = Entry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
+        made = None if tenant is None else self.overlapping(ReplicatedTenant(tenant, state, ""))
+        wanted = LogEntry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
         try:
             entry = self.replication.writer.accept(self.stream_of(name), wanted)
         except NotLeaderError as error:
@@ -243,7 +244,7 @@
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
         return tuple(one for one in overlaps if self.holder(self.stream_of(one.tenant)) == self.own_name)
 
-    def _tell(self, made: Standing) -> None:
+    def _tell(self, made: ReplicatedTenant) -> None:
         name = str(made.tenant["name"])
         for winner, loser, host in (
             *((one.tenant, name, one.host) for one in made.lost),
--- a/reelusher/tenancy/tenant_cache.py
+++ b/reelusher/tenancy/tenant_cache.py
@@ -30,7 +30,7 @@
 MOST_NOTED = 1000  # rows that can't be served whose reasons are kept
 
 
-class Row(Protocol):
+class TenantRow(Protocol):
     """A tenant as the table on the disk has it."""
 
     @property
@@ -50,10 +50,10 @@
         """Return it as JSON."""
 
 
-class Source(Protocol):
+class TenantSource(Protocol):
     """The table on the disk. Calls may come from any thread; each reads one state of the table."""
 
-    def match(self, host: str, path: str) -> Row | None:
+    def match(self, host: str, path: str) -> TenantRow | None:
         """Return whose a request is."""
 
     def prefixes(self, host: str, most: int) -> Sequence[tuple[bool, str, str]] | None:
@@ -62,10 +62,10 @@
         None where that is more than so much.
         """
 
-    def get(self, name: str) -> Row | None:
+    def get(self, name: str) -> TenantRow | None:
         """Return one tenant."""
 
-    def page(self, after: str, limit: int) -> Sequence[Row]:
+    def page(self, after: str, limit: int) -> Sequence[TenantRow]:
         """Return so many tenants whose names come after one, in their order."""
 
     def guaranteed(self) -> float:
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Resident:
+class CachedTenant:
     """A tenant in memory."""
 
     leaf: Leaf
@@ -97,13 +97,13 @@
 class Load:
     """A tenant that is being read."""
 
-    row: Row | None = None  # as it was read with the table of its host, if nothing has changed since
+    row: TenantRow | None = None  # as it was read with the table of its host, if nothing has changed since
     stale: bool = False  # it has changed since
     done: threading.Event = field(default_factory=threading.Event)
 
 
 @dataclass(slots=True, frozen=True)
-class Table:
+class CacheIndex:
     """The tenants that take requests of a host, by prefix: those that name it, and those without hosts."""
 
     own: VirtualHost[str]
@@ -115,7 +115,7 @@
         return self.own.find(path) or self.of_any.find(path)
 
 
-def table_of(rows: Iterable[tuple[bool, str, str]]) -> Table:
+def table_of(rows: Iterable[tuple[bool, str, str]]) -> CacheIndex:
     """Return the table that rows of a host make."""
     hosts: dict[bool, VirtualHost[str]] = {True: VirtualHost({}, ({},), 0), False: VirtualHost({}, ({},), 0)}
     names = set()
@@ -123,14 +123,19 @@
         names.add(name)
         first = hosts[own].at(prefix)
         hosts[own] = hosts[own].put(prefix, name if first is None else min(first, name))
-    return Table(hosts[True], hosts[False], frozenset(names))
+    return CacheIndex(hosts[True], hosts[False], frozenset(names))
 
 
-class Pager:
+class TenantCache:
     """Residents, tables of hosts, and reads under way."""
 
     def __init__(
-        self, source: Source, read: Read, now_us: Callable[[], int], wait_s: float, most: int = MOST_TENANTS
+        self,
+        source: TenantSource,
+        read: Read,
+        now_us: Callable[[], int],
+        wait_s: float,
+        most: int = MOST_TENANTS,
     ) -> None:
         """Begin with nobody in memory; `read` is over within `wait_s` in any case."""
         self._source = source
@@ -139,10 +144,12 @@
         self._wait_s = wait_s
         self.most = most
         self._lock = threading.Lock()  # never held while something is read or waited for
-        self._residents: OrderedDict[str, Resident] = OrderedDict()  # what was used or looked at last, last
+        self._residents: OrderedDict[str, CachedTenant] = (
+            OrderedDict()
+        )  # what was used or looked at last, last
         self._loads: dict[str, Load] = {}
         self._looks: dict[str, threading.Event] = {}  # hosts whose tables are being read
-        self._tables: OrderedDict[str, Table | None] = OrderedDict()  # None: more prefixes than are kept
+        self._tables: OrderedDict[str, CacheIndex | None] = OrderedDict()  # None: more prefixes than are kept
         self._hosts_of: dict[str, set[str]] = {}  # hosts whose tables name a tenant
         self._changes = 0  # that were heard of
         self._noted: OrderedDict[str, str] = OrderedDict()  # why rows can't be served
@@ -152,7 +159,7 @@
     def __len__(self) -> int:
         return len(self._residents)
 
-    def get(self, name: str) -> Resident | None:
+    def get(self, name: str) -> CachedTenant | None:
         """Return a tenant that is in memory."""
         return self._residents.get(name)
 
@@ -163,7 +170,7 @@
 
     # By threads of fronts
 
-    def find(self, host: str, path: str, load: Callable[[str, Load], bool]) -> Resident | None:
+    def find(self, host: str, path: str, load: Callable[[str, Load], bool]) -> CachedTenant | None:
         """Return whose a request is, pinned; None: nobody's.
 
         `load` reads a tenant and puts it; False: there is none of this name, or what was read is stale.
@@ -183,14 +190,14 @@
                 break
         raise TenantUnavailableError("the table of tenants changes too fast")
 
-    def release(self, resident: Resident) -> None:
+    def release(self, resident: CachedTenant) -> None:
         """Note that the owner has been handed a request, or that there is none after all."""
         with self._lock:
             resident.pins -= 1
             resident.uses += 1
             resident.used_us = self._now_us()
 
-    def _name(self, host: str, path: str, until_us: int) -> tuple[str | None, Row | None]:
+    def _name(self, host: str, path: str, until_us: int) -> tuple[str | None, TenantRow | None]:
         """Return whose a request is, and the row where that was read as well."""
         for _ in range(TRIES):
             if self._now_us() > until_us:
@@ -223,7 +230,7 @@
         found = self._read(lambda: self._source.match(host, path))
         return None if found is None else found.name, found
 
-    def _look(self, host: str, path: str) -> tuple[Table | None, Row | None]:
+    def _look(self, host: str, path: str) -> tuple[CacheIndex | None, TenantRow | None]:
         """Read the table of a host, and the row of whose a request is."""
         rows = self._source.prefixes(host, FEW_PREFIXES)
         if rows is None:
@@ -232,7 +239,7 @@
         name = table.find(path)
         return table, None if name is None or name in self._residents else self._source.get(name)
 
-    def _keep(self, host: str, table: Table | None) -> None:
+    def _keep(self, host: str, table: CacheIndex | None) -> None:
         """Keep a host's table; with the lock held."""
         self._forget(host)
         self._tables[host] = table
@@ -255,8 +262,13 @@
                 self._forget(host)
 
     def _pinned(
-        self, name: str, load: Callable[[str, Load], bool], until_us: int, row: Row | None, changes: int
-    ) -> Resident | None:
+        self,
+        name: str,
+        load: Callable[[str, Load], bool],
+        until_us: int,
+        row: TenantRow | None,
+        changes: int,
+    ) -> CachedTenant | None:
         """Return a tenant, pinned, after it has been read where it must be; None: there is none.
 
         `row` was read when so many changes had been heard of. What is committed before that is in it, and of
@@ -294,8 +306,8 @@
     def changed(
         self,
         names: Sequence[str],
-        hosts_of: Callable[[Row], Iterable[str]],
-        put: Callable[[str, Row | None], None],
+        hosts_of: Callable[[TenantRow], Iterable[str]],
+        put: Callable[[str, TenantRow | None], None],
     ) -> None:
         """Take note that rows have changed: read those in memory anew and hand them to `put`, in order.
 
@@ -305,7 +317,7 @@
         with self._order:
             names = list(dict.fromkeys([*names, *self._missed]))
             self._missed.clear()
-            rows: dict[str, Row | None] = {}
+            rows: dict[str, TenantRow | None] = {}
             if len(names) <= MANY_CHANGES:
                 with suppress(Exception):
                     rows = {name: self._source.get(name) for name in names}
@@ -362,7 +374,7 @@
             if len(self._residents) >= self.most:
                 return None
             tell()
-            self._residents[leaf.entry.tenant.name] = Resident(leaf, used_us=self._now_us())
+            self._residents[leaf.entry.tenant.name] = CachedTenant(leaf, used_us=self._now_us())
             return True
 
     # By the owner
@@ -377,7 +389,7 @@
         with self._lock:
             self._residents.pop(name, None)
 
-    def idle(self, unused_us: int, most: int = LOOKS) -> list[tuple[Resident, int]]:
+    def idle(self, unused_us: int, most: int = LOOKS) -> list[tuple[CachedTenant, int]]:
         """Return tenants that nobody has used for so long, and their uses, of those looked at longest ago."""
         with self._lock:
             before_us, found = self._now_us() - unused_us, []
@@ -389,7 +401,7 @@
                     found.append((resident, resident.uses))
             return found
 
-    def let_go(self, resident: Resident, uses: int, free: Callable[[], bool]) -> bool:
+    def let_go(self, resident: CachedTenant, uses: int, free: Callable[[], bool]) -> bool:
         """Take a tenant out that is free and has not been used since it was found idle."""
         name = resident.leaf.entry.tenant.name
         with self._lock:
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -14,17 +14,17 @@
 
 from loguru import logger
 
-from reelusher.config.checked_table import ConfigError, Table
+from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator import Tenant, read_tenant
-from reelusher.storage.directory import Disk, Folder
+from reelusher.storage.directory import Directory, LockedDirectory
 from reelusher.storage.journal import Journal, JournalError
 from reelusher.storage.key_log import KeyLog
 from reelusher.storage.tenant_state import (
-    Change,
-    Kept,
-    Standing,
-    State,
-    Trail,
+    AuditEntry,
+    StoredTenant,
+    StoredTenants,
+    TenantChange,
+    TenantVersion,
     UnreadableStateError,
     read_change,
     read_state,
@@ -41,13 +41,13 @@
     def changing(self) -> AbstractContextManager[None]:
         """Keep others from changing what is kept: what was checked still holds when it is changed."""
 
-    def kept(self, name: str) -> Standing | None:
+    def kept(self, name: str) -> TenantVersion | None:
         """Return what is kept of a tenant."""
 
     def made_by(self, key: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key made."""
 
-    def audit(self, after: int, limit: int) -> list[Trail]:
+    def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return so many changes with a number above one, oldest first."""
 
     def change(
@@ -58,21 +58,21 @@
         tenant: dict[str, Any] | None = None,
         state: str = "active",
         key: str = "",
-    ) -> Standing | None:
+    ) -> TenantVersion | None:
         """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
 
 
-class Store:
+class TenantStore:
     """State and journal: the table of one node.
 
     `changing` is held round each change, from the check to the answer.
     """
 
     def __init__(
-        self, disk: Disk | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
+        self, disk: Directory | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
     ) -> None:
         """Read the stored state; without a disk it lasts as long as the process. Raises `JournalError`."""
-        self.state = State()
+        self.state = StoredTenants()
         self.fresh = True  # nothing was kept
         self._lock = threading.RLock()
         self._wall_ms = wall_ms
@@ -99,7 +99,7 @@
         with self._lock:
             yield
 
-    def kept(self, name: str) -> Kept | None:
+    def kept(self, name: str) -> StoredTenant | None:
         """Return what is kept of a tenant."""
         return self.state.tenants.get(name)
 
@@ -107,7 +107,7 @@
         """Return the name of the tenant that a call with this idempotency key made."""
         return self.state.keys.get(key)
 
-    def audit(self, after: int, limit: int) -> list[Trail]:
+    def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return so many changes with a number above one, oldest first."""
         trail = list(self.state.audit)  # another thread may be adding to it
         return [one for one in trail if one.number > after][:limit]
@@ -120,10 +120,10 @@
         tenant: dict[str, Any] | None = None,
         state: str = "active",
         key: str = "",
-    ) -> Kept | None:
+    ) -> StoredTenant | None:
         """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
         with self._lock:
-            made = Change(op, name, who, self._wall_ms(), tenant, state, key)
+            made = TenantChange(op, name, who, self._wall_ms(), tenant, state, key)
             self._number = self._journal.append(write(made)) if self._journal else self._number + 1
             self.state.apply(self._number, made)
             if self._journal is not None:
@@ -134,7 +134,9 @@
         """Begin with these tenants, all or none of them, where nothing was kept. Raises `JournalError`."""
         for tenant in tenants:
             self._number += 1
-            self.state.apply(self._number, Change("put", tenant.name, who, self._wall_ms(), tenant.to_json()))
+            self.state.apply(
+                self._number, TenantChange("put", tenant.name, who, self._wall_ms(), tenant.to_json())
+            )
         if self._journal is not None:
             self._journal.number = self._number
             if not self._journal.compact():
@@ -143,7 +145,7 @@
     def tenants(self, class_names: tuple[str, ...], backends: frozenset[str]) -> list[tuple[Tenant, str]]:
         """Return the kept tenants, checked against the configuration, with their states."""
         return [
-            (read_tenant(Table(kept.tenant, f"state.{name}"), class_names, backends), kept.state)
+            (read_tenant(CheckedTable(kept.tenant, f"state.{name}"), class_names, backends), kept.state)
             for name, kept in self.state.tenants.items()
         ]
 
@@ -154,14 +156,14 @@
     tenants: Iterable[Tenant],
     class_names: tuple[str, ...],
     backends: frozenset[str],
-) -> Store:
+) -> TenantStore:
     """Open the state that an operator's file names; a fault is a `ConfigError` that says where it lies.
 
     Where nothing was kept it begins with the tenants of the old state file, if there is one, which is then
     renamed, or else with those of the operator's file.
     """
     try:
-        store = Store(None if folder is None else Folder(folder))
+        store = TenantStore(None if folder is None else LockedDirectory(folder))
         if store.fresh:
             from_old = None if old is None else read_old(old, class_names, backends)
             if from_old is None:
@@ -179,7 +181,7 @@
 def opened_keys(folder: Path) -> KeyLog:
     """Open the journal of keys below a state folder; a fault is a `ConfigError` that says where it lies."""
     try:
-        return KeyLog(Folder(folder / "keys"))
+        return KeyLog(LockedDirectory(folder / "keys"))
     except (JournalError, OSError) as error:
         raise ConfigError("admin.durable_keys", str(error)) from None
 
@@ -189,7 +191,7 @@
     if not path.exists():
         return None
     try:
-        table = Table(json.loads(path.read_text()), str(path))
+        table = CheckedTable(json.loads(path.read_text()), str(path))
     except (OSError, ValueError) as error:
         raise ConfigError("admin.state_file", str(error)) from None
     return [read_tenant(entry, class_names, backends) for entry in table.tables("tenants")]
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -21,9 +21,9 @@
 
 from loguru import logger
 
-from reelusher.core.idempotency_table import Key
+from reelusher.core.idempotency_table import IdempotencyKey
 from reelusher.core.messages import KeyLockRequest, Result
-from reelusher.net.threads import spawn
+from reelusher.net.threads import start_thread
 from reelusher.upgrade.process_registry import safe
 
 LOOK_S = 0.05  # between looks at a claim of another process whose run is not over
@@ -32,7 +32,7 @@
 RUNS, WELL, FAILED = "runs", "ok", "failed"
 
 
-class Claims:
+class KeyLockFiles:
     """The claims of all processes of a node. What is asked of it never blocks."""
 
     def __init__(
@@ -52,21 +52,21 @@
 
     # Called by the owner
 
-    def keep(self, claim: KeyLockRequest) -> None:
+    def acquire(self, claim: KeyLockRequest) -> None:
         """Claim a key; see `KeyLockRequest`."""
         self._asked.put(lambda: self._claim(claim))
 
-    def ended(self, key: Key, result: Result | None) -> None:
+    def complete(self, key: IdempotencyKey, result: Result | None) -> None:
         """Say what the run of a claimed key came to."""
         self._asked.put(lambda: self._end(key, result))
 
-    def forget(self, key: Key) -> None:
+    def release(self, key: IdempotencyKey) -> None:
         """Take a claim back: it never ran."""
         self._asked.put(lambda: self._path(key).unlink(missing_ok=True))
 
     def start(self) -> None:
         """Start the thread."""
-        spawn("claims", self._work)
+        start_thread("claims", self._work)
 
     def close(self) -> None:
         """Let the thread end after what it was asked by now."""
@@ -88,7 +88,7 @@
             except (OSError, ValueError, KeyError) as error:
                 logger.error("upgrade: claims of keys can't be written: {}", error)
 
-    def _path(self, key: Key) -> Path:
+    def _path(self, key: IdempotencyKey) -> Path:
         name = json.dumps(key).encode()
         return self._folder / blake2b(name, digest_size=16).hexdigest()
 
@@ -124,17 +124,17 @@
         try:
             with self._alone():
                 try:
-                    found = self._read(path, claim.door_us)
+                    found = self._read(path, claim.received_us)
                 except (OSError, ValueError):
                     found = {}  # something is there: it may have been run
                 if found is None:
-                    self._write(path, {"until_us": claim.until_us, "digest": claim.digest, "state": RUNS})
+                    self._write(path, {"until_us": claim.expires_us, "digest": claim.digest, "state": RUNS})
         except OSError as error:  # a full disk, say: nothing was claimed, so nothing is run
             logger.error("upgrade: a key can't be claimed, its request is turned away: {}", error)
-            claim.done(False)
+            claim.on_decided(False)
             return
         if found is None:
-            claim.done(True)
+            claim.on_decided(True)
         else:
             self._found(claim, found)
 
@@ -147,14 +147,14 @@
             self._tell(claim, found)
         except (ValueError, KeyError, TypeError) as error:
             logger.error("upgrade: a claim can't be read, its request fails: {}", error)
-            claim.elsewhere(None)
+            claim.on_result_elsewhere(None)
 
     def _tell(self, claim: KeyLockRequest, found: dict[str, Any]) -> None:
         if found["digest"] != claim.digest or self._now_us() >= claim.due_us:  # another body, or too late
-            claim.elsewhere(None)
+            claim.on_result_elsewhere(None)
         elif found["state"] != RUNS:
             body = found.get("body")
-            claim.elsewhere(
+            claim.on_result_elsewhere(
                 None
                 if body is None
                 else Result(base64.b64decode(body), found["status"], tuple(map(tuple, found["headers"])))
@@ -169,7 +169,7 @@
         while self._waiting and self._waiting[0][0] <= now:
             claim = heapq.heappop(self._waiting)[2]
             try:
-                found = self._read(self._path(claim.key), claim.door_us)
+                found = self._read(self._path(claim.key), claim.received_us)
             except (OSError, ValueError):
                 found = {}
             if found is None:  # taken back there: it never ran
@@ -188,7 +188,7 @@
                     if self._read(path, old_us) is None:
                         path.unlink(missing_ok=True)
 
-    def _end(self, key: Key, result: Result | None) -> None:
+    def _end(self, key: IdempotencyKey, result: Result | None) -> None:
         path = self._path(key)
         found = self._read(path, 0)
         if found is None or found["state"] != RUNS:
--- a/reelusher/upgrade/process_registry.py
+++ b/reelusher/upgrade/process_registry.py
@@ -18,7 +18,7 @@
     return "".join(char if char.isalnum() or char in "-_" else "_" for char in name)[:100] or "node"
 
 
-class Lives:
+class ProcessRegistry:
     """This process and the others of its node, in a folder that they share."""
 
     def __init__(self, folder: Path, name: str) -> None:
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -8,19 +8,19 @@
 
 from golden.recordings import as_json, load
 from reelusher.fleet.membership import messages as membership
-from reelusher.fleet.membership.member_table import Table, bucket_of, mark_of
+from reelusher.fleet.membership.member_table import MemberTable, bucket_of, mark_of
 from reelusher.fleet.membership.messages import (
-    Fact,
+    Datagram,
+    DatagramKind,
     FactsReply,
     FactsRequest,
-    Kind,
-    Message,
-    Seal,
-    State,
+    MemberState,
+    MessageAuthenticator,
+    Observation,
     Update,
 )
 from reelusher.fleet.replication import messages as replication
-from reelusher.fleet.replication.messages import Entry, Piece
+from reelusher.fleet.replication.messages import LogEntry, LogSegment
 from reelusher.fleet.replication.replica import (
     Position,
     control_digest,
@@ -39,21 +39,25 @@
 CONTROL = ("c1", "c2", "c3")
 
 UPDATES = [
-    Update(place=OTHER, name="n2", zone="zone-a", region="region-1", incarnation=3, state=State.ALIVE),
+    Update(place=OTHER, name="n2", zone="zone-a", region="region-1", incarnation=3, state=MemberState.ALIVE),
     Update(
         place=THIRD,
         name="n3",
         zone="",
         region="region-2",
         incarnation=1 << 40,
-        state=State.SUSPECT,
+        state=MemberState.SUSPECT,
         accuser=OWN,
     ),
-    Update(place="127.0.0.1:7004", name="n4-é", zone="zone-b", region="", incarnation=0, state=State.DEAD),
-    Update(place="127.0.0.1:7005", name="n5", zone="z", region="r", incarnation=70_000, state=State.LEFT),
+    Update(
+        place="127.0.0.1:7004", name="n4-é", zone="zone-b", region="", incarnation=0, state=MemberState.DEAD
+    ),
+    Update(
+        place="127.0.0.1:7005", name="n5", zone="z", region="r", incarnation=70_000, state=MemberState.LEFT
+    ),
 ]
 ENTRIES = [
-    Entry(
+    LogEntry(
         number=41,
         name="clinic",
         at_ms=1_700_000_000_000,
@@ -63,8 +67,8 @@
         key="key-1",
         epoch=17,
     ),
-    Entry(number=42, name="removed", at_ms=1_700_000_000_001, who="c2", state="", tenant=b""),
-    Entry(
+    LogEntry(number=42, name="removed", at_ms=1_700_000_000_001, who="c2", state="", tenant=b""),
+    LogEntry(
         number=43,
         name="held",
         at_ms=1_700_000_000_002,
@@ -75,7 +79,7 @@
         epoch=25,
     ),
 ]
-PIECE = Piece(
+PIECE = LogSegment(
     stream="c1",
     epoch=17,
     bases=((9, 3), (17, 40)),
@@ -87,13 +91,16 @@
     covered=40,
     goal=44,
 )
-FACTS = [Fact(about="run:search", value=0.75, seen_s=1.7e9), Fact(about="away:w1", value=1.0, seen_s=1.8e9)]
+FACTS = [
+    Observation(about="run:search", value=0.75, seen_s=1.7e9),
+    Observation(about="away:w1", value=1.0, seen_s=1.8e9),
+]
 
 MESSAGES: dict[str, tuple[Any, Any]] = {
     **{
         f"datagram {kind.name.lower()}": (
-            Message,
-            Message(
+            Datagram,
+            Datagram(
                 kind=kind,
                 sender=OWN,
                 seq=7 + kind,
@@ -102,9 +109,9 @@
                 vector=[1, 2, 1 << 62],
             ),
         )
-        for kind in Kind
+        for kind in DatagramKind
     },
-    "datagram without a vector": (Message, Message(kind=Kind.GOSSIP, sender=OWN, updates=UPDATES)),
+    "datagram without a vector": (Datagram, Datagram(kind=DatagramKind.GOSSIP, sender=OWN, updates=UPDATES)),
     "state request": (membership.StateRequest, membership.StateRequest(sender=OWN, updates=UPDATES)),
     "state reply": (membership.StateReply, membership.StateReply(updates=UPDATES, instead=[OTHER, THIRD])),
     "digest request": (membership.DigestRequest, membership.DigestRequest(sender=OWN, whole=1 << 61)),
@@ -145,7 +152,7 @@
 
 def sealed(name: str) -> bytes:
     """Return the bytes of a message from a member that has sent nothing before."""
-    return Seal(SECRET, "fleet-1", OWN, PROCESS_START).close(MESSAGES[name][1])
+    return MessageAuthenticator(SECRET, "fleet-1", OWN, PROCESS_START).close(MESSAGES[name][1])
 
 
 def observed() -> dict[str, str]:
@@ -158,7 +165,7 @@
     recorded = bytes.fromhex(load(GOLDEN)[name])
     assert sealed(name) == recorded
     kind, message = MESSAGES[name]
-    assert Seal(SECRET, "fleet-1", OTHER, 1).open(recorded, kind, 1 << 19) == (OWN, message)
+    assert MessageAuthenticator(SECRET, "fleet-1", OTHER, 1).open(recorded, kind, 1 << 19) == (OWN, message)
 
 
 def test_every_kind_of_message_is_recorded() -> None:
@@ -168,7 +175,13 @@
         for kind in vars(module).values()
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and kind.__module__ == module.__name__
     }
-    parts = {Update, Fact, Entry, Piece, *(kind for kind in kinds if kind.__name__ == "Enveloped")}
+    parts = {
+        Update,
+        Observation,
+        LogEntry,
+        LogSegment,
+        *(kind for kind in kinds if kind.__name__ == "Enveloped"),
+    }
     assert kinds - parts == {kind for kind, _ in MESSAGES.values()}
 
 
@@ -180,12 +193,15 @@
     for name, (kind, message) in MESSAGES.items():
         if kind in kinds:
             recorded = bytes.fromhex(load(GOLDEN)[name])
-            assert Seal(SECRET, "fleet-1", OTHER, 1).open(recorded, every, 1 << 19) == (OWN, message)
+            assert MessageAuthenticator(SECRET, "fleet-1", OTHER, 1).open(recorded, every, 1 << 19) == (
+                OWN,
+                message,
+            )
 
 
 def agreements() -> dict[str, Any]:
     """Return values by which members agree without a message: buckets, digests, owners of names, donors."""
-    table = Table(Random(1))
+    table = MemberTable(Random(1))
     for update in UPDATES:
         table.take(update, 0.0)
     vector = {member: Position(first_epoch(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -19,17 +19,17 @@
 
 from golden.recordings import as_json, load, path_of
 from reelusher.core.messages import KeyLockRequest, Result
-from reelusher.fleet.replication.messages import Entry
+from reelusher.fleet.replication.messages import LogEntry
 from reelusher.fleet.replication.replica import first_epoch
-from reelusher.fleet.replication.replica_store import StreamState
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
-from reelusher.storage.directory import Folder
+from reelusher.fleet.replication.replica_store import PartitionState
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+from reelusher.storage.directory import LockedDirectory
 from reelusher.storage.frames import MAGIC, scan
 from reelusher.storage.key_log import KeyLog
 from reelusher.tenancy import tenant_store
-from reelusher.tenancy.tenant_store import Store
-from reelusher.upgrade.key_locks import Claims
-from reelusher.upgrade.process_registry import Lives
+from reelusher.tenancy.tenant_store import TenantStore
+from reelusher.upgrade.key_locks import KeyLockFiles
+from reelusher.upgrade.process_registry import ProcessRegistry
 
 GOLDEN = "stored.json"
 FOLDER = "stored"
@@ -67,8 +67,8 @@
 
 def write_tenants(folder: Path) -> None:
     """Write a snapshot and a journal after it."""
-    disk = Folder(folder)
-    made = Store(disk, Clock())
+    disk = LockedDirectory(folder)
+    made = TenantStore(disk, Clock())
     made.change("put", "clinic", "operator", tenant("clinic"), key="key-1")
     made.change("put", "ward", "token 2", tenant("ward", prefix="/ward"))
     made.change("state", "ward", "operator", state="suspended")
@@ -82,15 +82,15 @@
 
 def write_keys(folder: Path) -> None:
     """Write a key log with keys that are live, over, and taken back."""
-    disk = Folder(folder)
+    disk = LockedDirectory(folder)
     log = KeyLog(disk, lambda: START_US)
     done: list[bool] = []
     log.start()
     for number, key in enumerate((RUNNING, ENDED, FAILED)):
-        log.keep(key, START_US + (number + 1) * WINDOW_US, bytes([number] * 8), done.append)
+        log.persist(key, START_US + (number + 1) * WINDOW_US, bytes([number] * 8), done.append)
         assert soon(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # one frame each
     log.forget(FAILED)
-    log.keep(("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
+    log.persist(("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
     assert soon(lambda: len(done) == 4)
     assert all(done)
     log.close()
@@ -100,11 +100,11 @@
 def write_claims(folder: Path) -> None:
     """Write claims of keys whose runs go on, ended well, and failed."""
     folder.mkdir()
-    claims = Claims(folder, "node 3", lambda: START_US)
+    claims = KeyLockFiles(folder, "node 3", lambda: START_US)
     done: list[bool] = []
     claims.start()
     for key in (RUNNING, ENDED, FAILED):
-        claims.keep(
+        claims.acquire(
             KeyLockRequest(
                 key,
                 START_US,
@@ -115,9 +115,9 @@
                 lambda result: None,
             )
         )
-    claims.ended(ENDED, Result(b"body \xff", 201, (("content-type", "text/plain"),)))
-    claims.ended(FAILED, None)
-    claims.forget(("never", 0, "there"))
+    claims.complete(ENDED, Result(b"body \xff", 201, (("content-type", "text/plain"),)))
+    claims.complete(FAILED, None)
+    claims.release(("never", 0, "there"))
     kept = folder / "node_3.keys"
     assert soon(lambda: sorted(state for state, _ in claims_in(kept)) == ["failed", "ok", "runs"])
     claims.close()
@@ -130,10 +130,12 @@
     return [(claim["state"], claim) for claim in found]
 
 
-def replica_entries() -> list[Entry]:
+def replica_entries() -> list[LogEntry]:
     return [
-        Entry(1, "clinic", START_MS, "operator", "active", msgspec.json.encode(tenant("clinic")), "key-1", 8),
-        Entry(
+        LogEntry(
+            1, "clinic", START_MS, "operator", "active", msgspec.json.encode(tenant("clinic")), "key-1", 8
+        ),
+        LogEntry(
             2,
             "ward",
             START_MS + 1,
@@ -143,8 +145,8 @@
             "",
             8,
         ),
-        Entry(3, "gone", START_MS + 2, "operator", "", b"", "key-2", 8),
-        Entry(4, "odd", START_MS + 3, "operator", "active", b'{"name":"odd"}', "", 8),
+        LogEntry(3, "gone", START_MS + 2, "operator", "", b"", "key-2", 8),
+        LogEntry(4, "odd", START_MS + 3, "operator", "active", b'{"name":"odd"}', "", 8),
     ]
 
 
@@ -152,17 +154,17 @@
     return "no backend" if name == "odd" else ""
 
 
-def open_replica(path: Path) -> LocalCopy:
-    return LocalCopy(path, "fleet-1", CONTROL, readable, wall_ms=lambda: START_MS)
+def open_replica(path: Path) -> SqliteReplica:
+    return SqliteReplica(path, "fleet-1", CONTROL, readable, wall_ms=lambda: START_MS)
 
 
 def write_replica(folder: Path) -> None:
     """Write a replica with rows, a tombstone, a row that can't be served, one kept aside, and a trail."""
     folder.mkdir()
     copy = open_replica(folder / "tenants.db")
-    first = StreamState(first_epoch("c1", CONTROL), number=4, covered=4, goal=4)
+    first = PartitionState(first_epoch("c1", CONTROL), number=4, covered=4, goal=4)
     copy.apply("c1", replica_entries(), first, durable=True)
-    other = StreamState(
+    other = PartitionState(
         first_epoch("c2", CONTROL),
         number=9,
         bases=((9, 2),),
@@ -172,7 +174,7 @@
         generation=3,
         put_back=True,
     )
-    divergent = Entry(
+    divergent = LogEntry(
         11, "divergent", START_MS, "c2", "active", msgspec.json.encode(tenant("divergent")), "", 9
     )
     copy.apply("c2", [divergent], replace(other, number=11))
@@ -256,8 +258,8 @@
 
 
 def test_recorded_tenants_are_read_and_changed(recorded: Path) -> None:
-    disk = Folder(recorded / "tenants")
-    kept = Store(disk, Clock())
+    disk = LockedDirectory(recorded / "tenants")
+    kept = TenantStore(disk, Clock())
     assert {
         name: (one.state, one.version, one.tenant["prefix"]) for name, one in kept.state.tenants.items()
     } == {"clinic": ("active", "4", "/new"), "ward": ("suspended", "3", "/ward")}
@@ -297,7 +299,7 @@
 
 
 def test_recorded_keys_are_live_until_their_windows_are_over(recorded: Path) -> None:
-    disk = Folder(recorded / "keys")
+    disk = LockedDirectory(recorded / "keys")
     log = KeyLog(disk, lambda: START_US)
     assert {(line.name, line.until_us, line.digest) for line in log.live()} == {
         (RUNNING, START_US + WINDOW_US, "00" * 8),
@@ -305,18 +307,18 @@
         (("x", 0, "last"), START_US + WINDOW_US, b"last".hex()),
     }
     disk.close()
-    disk = Folder(recorded / "keys")
+    disk = LockedDirectory(recorded / "keys")
     assert [line.name for line in KeyLog(disk, lambda: START_US + WINDOW_US).live()] == [ENDED]
     disk.close()
 
 
 def test_recorded_claims_keep_another_process_from_running_their_keys(recorded: Path) -> None:
-    claims = Claims(recorded / "claims", "node 3", lambda: START_US + 1)
+    claims = KeyLockFiles(recorded / "claims", "node 3", lambda: START_US + 1)
     told: dict[str, list[Any]] = {"running": [], "ended": [], "failed": []}
     claims.start()
     for key in (RUNNING, ENDED, FAILED):
         heard = told[key[2]]
-        claims.keep(
+        claims.acquire(
             KeyLockRequest(
                 key, START_US, START_US + WINDOW_US, START_US + 10, "0a0b", heard.append, heard.append
             )
@@ -332,7 +334,7 @@
 
 def test_processes_of_a_node_find_each_other_by_the_recorded_names(tmp_path: Path) -> None:
     """The file name orders processes by their start, and its first bytes say that one serves."""
-    lives = Lives(tmp_path, "node 3")
+    lives = ProcessRegistry(tmp_path, "node 3")
     lives.ready()
     (made,) = tmp_path.iterdir()
     stem, start, process, suffix = made.name.split(".")
@@ -348,8 +350,8 @@
     copy = open_replica(path)
     states = copy.states()
     assert states == {
-        "c1": StreamState(8, number=4, covered=4, goal=4),
-        "c2": StreamState(
+        "c1": PartitionState(8, number=4, covered=4, goal=4),
+        "c2": PartitionState(
             9, number=9, bases=((9, 2),), horizon=1, covered=9, goal=12, generation=3, put_back=True
         ),
     }
@@ -376,7 +378,7 @@
     found = copy.match("ward.example", "/w/x")
     assert found is not None
     assert found.name == "ward"
-    changed = Entry(5, "ward", START_MS, "operator", "active", b"{}", "", 8)
+    changed = LogEntry(5, "ward", START_MS, "operator", "active", b"{}", "", 8)
     copy.apply("c1", [changed], replace(states["c1"], number=5, covered=5, goal=5), durable=True)
     copy.close()
     rows = tables(path)["rows"]
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from reelusher.fleet.replication.messages import EntriesReply, Entry
-from reelusher.fleet.replication.replica import Pull, Replica, Taken, stream_of
-from reelusher.fleet.replication.replica_store import MemoryRows
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
+from reelusher.fleet.replication.messages import EntriesReply, LogEntry
+from reelusher.fleet.replication.replica import Pull, PullResult, Replica, stream_of
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 
 CONTROL = ("c1", "c2")
 
@@ -29,9 +29,9 @@
     )
 
 
-def entry(name: str, number: int = 0, state: str = "active", **more: Any) -> Entry:
+def entry(name: str, number: int = 0, state: str = "active", **more: Any) -> LogEntry:
     """Return a change; a state of "" removes."""
-    return Entry(number, name, 1_000, "op", state, tenant_json(name, **more) if state else b"")
+    return LogEntry(number, name, 1_000, "op", state, tenant_json(name, **more) if state else b"")
 
 
 def names_of(stream: str, count: int, control: Sequence[str] = CONTROL) -> list[str]:
@@ -52,39 +52,41 @@
         """With a folder, each has a file there."""
         self.now, self.random, self.control, self.folder = 100.0, Random(1), control, folder
         self.files = 0
-        self.rows: dict[str, MemoryRows | LocalCopy] = {}
+        self.rows: dict[str, MemoryReplicaStore | SqliteReplica] = {}
         self.all: dict[str, Replica] = {}
         for name in (*control, *(f"n{number}" for number in range(1, size + 1))):
             self.add(name)
 
-    def add(self, name: str, rows: MemoryRows | LocalCopy | None = None) -> None:
+    def add(self, name: str, rows: MemoryReplicaStore | SqliteReplica | None = None) -> None:
         """Begin a member with nothing, or with these rows."""
         if name in self.rows:
             self.close(name)
         self.files += 1
         if rows is None and self.folder is not None:
-            rows = LocalCopy(self.folder / f"{name}-{self.files}.db", "f", self.control, wall_ms=lambda: 0)
-        self.rows[name] = rows or MemoryRows(lambda: 0)
+            rows = SqliteReplica(
+                self.folder / f"{name}-{self.files}.db", "f", self.control, wall_ms=lambda: 0
+            )
+        self.rows[name] = rows or MemoryReplicaStore(lambda: 0)
         self.all[name] = self._begun(name)
 
     def close(self, *names: str) -> None:
         """Let go of the files of members, or of all."""
         for name in names or self.rows:
             rows = self.rows[name]
-            if isinstance(rows, LocalCopy):
+            if isinstance(rows, SqliteReplica):
                 rows.close()
 
     def live(self, name: str) -> dict[str, tuple[int, str]]:
         """Return number and state of each tenant that a member has."""
         rows = self.rows[name]
-        if isinstance(rows, MemoryRows):
+        if isinstance(rows, MemoryReplicaStore):
             return {key: (one.number, one.state) for key, one in rows.live().items()}
         return {row.name: (row.revision, row.state) for row in rows.page("", 10_000)}
 
     def orphans(self, name: str) -> list[tuple[str, int]]:
         """Return name and number of what a member keeps aside."""
         rows = self.rows[name]
-        if isinstance(rows, MemoryRows):
+        if isinstance(rows, MemoryReplicaStore):
             return [(one.name, one.number) for _, _, one in rows.orphans]
         return [(one["name"], one["revision"]) for one in rows.orphans()]
 
@@ -96,12 +98,12 @@
     def restart(self, name: str) -> None:
         """Lose what is not in the rows."""
         rows = self.rows[name]
-        if isinstance(rows, LocalCopy):
+        if isinstance(rows, SqliteReplica):
             rows.close()
-            self.rows[name] = LocalCopy(rows.path, "f", self.control, wall_ms=lambda: 0)
+            self.rows[name] = SqliteReplica(rows.path, "f", self.control, wall_ms=lambda: 0)
         self.all[name] = self._begun(name)
 
-    def change(self, name: str, state: str = "active", by: str = "", **more: Any) -> Entry:
+    def change(self, name: str, state: str = "active", by: str = "", **more: Any) -> LogEntry:
         """Have the writer of a name make a change."""
         stream = stream_of(name, self.control)
         holder = by or stream
@@ -118,7 +120,7 @@
         pull = one.next_pull(self.now)
         return None if pull is None else (pull, other.asked(pull.request, self.now))
 
-    def pull(self, asker: str, giver: str) -> Taken | None:
+    def pull(self, asker: str, giver: str) -> PullResult | None:
         """Let one exchange come to its end."""
         asked = self.ask(asker, giver)
         return None if asked is None else self.all[asker].take(*asked, self.now)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -23,7 +23,7 @@
 from reelusher.config.operator import parse as parse_operator
 from reelusher.config.platform_config import parse as parse_platform
 from reelusher.core.messages import EventLoopTask
-from reelusher.frontends.rpc.frontend import PlatformFront
+from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.node import Node
 
 TOKEN = "a-token-for-tests"
@@ -95,7 +95,7 @@
             assert second.node.operator is not None
             self.world["places"]["operator"] = second.node.operator.address
         elif words[0] == "idle":  # as the module would say
-            self.node.core.told.idle_us = int(words[1])
+            self.node.core.notices.idle_timeout_us = int(words[1])
         elif words[0] == "reload":  # 2: at the second addresses; KEY=VALUE: with something else changed
             changes = dict(word.split("=") for word in words[1:] if "=" in word)
             settings, lacks = retuned(changes), changes.pop("lacks", "")
@@ -104,7 +104,7 @@
             self.node.reload(lambda: merge(parse_platform(new, {}), self.node.config.operator))
         elif words[0] == "block":  # the owner or the front's poller, for so many seconds
             front, seconds = self.node.fronts["platform"], float(words[2])
-            assert isinstance(front, PlatformFront)
+            assert isinstance(front, RpcFrontend)
             work = partial(time.sleep, seconds)
             if words[1] == "owner":
                 self.node.core.post(EventLoopTask(work))
--- a/tests/shared_node.py
+++ b/tests/shared_node.py
@@ -14,7 +14,7 @@
 from reelusher.policy.controller import Controller
 from reelusher.policy.events import Event, Gauges, Outcome, Request, RunEnded, Tick
 from reelusher.policy.settings import Idempotency, RequestClass
-from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.fair_queue import FairQueue, Quota
 
 CLASSES = (
     RequestClass(deadline_us=5_000_000, latency_objective_us=500_000),
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        shares: dict[int, Share] | None,
+        shares: dict[int, Quota] | None,
         demands: dict[int, Demand],
         cores: int = 4,
         seed: int = 1,
@@ -63,7 +63,7 @@
             initial_speed=1.0,
             warm_up_us=0,
         )
-        self.shares = None if shares is None else Shares(cores, told.memory_kb)
+        self.shares = None if shares is None else FairQueue(cores, told.memory_kb)
         for tenant, share in (shares or {}).items():
             assert self.shares is not None
             self.shares.entitle(tenant, share)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,16 +14,16 @@
 from reelusher.admin.tenant_api import merged
 from reelusher.config.operator import Admin, ShareOf, Tenant
 from reelusher.core.event_loop import Core
-from reelusher.storage.directory import Folder
-from reelusher.tenancy.tenant_store import Store
+from reelusher.storage.directory import LockedDirectory
+from reelusher.tenancy.tenant_store import TenantStore
 
 ROOT = Path(__file__).parent.parent
 WRITER = """
 import sys
 from pathlib import Path
-from reelusher.storage.directory import Folder
-from reelusher.tenancy.tenant_store import Store
-store = Store(Folder(Path(sys.argv[1])))
+from reelusher.storage.directory import LockedDirectory
+from reelusher.tenancy.tenant_store import TenantStore
+store = TenantStore(LockedDirectory(Path(sys.argv[1])))
 number = len(store.state.tenants)
 print("ready", flush=True)
 while True:
@@ -41,7 +41,7 @@
     core = Core(settings(), [], 1, Backend())
     api = AdminApi(
         Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
-        Parts(core, None, Store(None), None, dict, lambda: True),  # type: ignore[arg-type]
+        Parts(core, None, TenantStore(None), None, dict, lambda: True),  # type: ignore[arg-type]
     )
     made = openapi.document()
     told = {(method.upper(), path) for path, methods in made["paths"].items() for method in methods}
@@ -89,8 +89,8 @@
         told = process.stdout.read().split("\n")[:-1]  # what follows the last line end was not said whole
         process.wait()
         acknowledged = max([acknowledged, *(int(line) + 1 for line in told)])
-        disk = Folder(folder)
-        store = Store(disk)
+        disk = LockedDirectory(folder)
+        store = TenantStore(disk)
         assert len(store.state.tenants) in (acknowledged, acknowledged + 1)
         assert all(kept.tenant["round"] == number for number, kept in enumerate(store.state.tenants.values()))
         acknowledged = len(store.state.tenants)
--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reelusher.fleet.membership.messages import Kind, Message, Seal
+from reelusher.fleet.membership.messages import Datagram, DatagramKind, MessageAuthenticator
 from reelusher.lab.capacity import fleet, hollow_fleet
 from reelusher.lab.capacity.fleet import spread, told
 from reelusher.lab.capacity.hollow_fleet import Fleet, Meter, held_by_control, lost, spread_figures
@@ -143,8 +143,8 @@
     model.run(4.0)
     node = model.nodes[0]
     assert 80 < node.sent_bytes / node.sent < 400
-    message = Message(Kind.PING, node.place, 9, "", [node.swim.own], node.replica.announce())
-    seal = Seal(b"a secret of sixteen", "reelusher", node.place, hollow_fleet.LIFE_MS)
+    message = Datagram(DatagramKind.PING, node.place, 9, "", [node.swim.own], node.replica.announce())
+    seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", node.place, hollow_fleet.LIFE_MS)
     seal._number = 1 << 20
     counted = len(model._encoder.encode(message)) + model._envelope
     assert counted == pytest.approx(len(seal.close(message)), abs=2)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
-from reelusher.core.idempotency_table import KeyTable
+from reelusher.core.idempotency_table import IdempotencyTable
 from reelusher.core.messages import (
     Answer,
     CallersDisconnected,
@@ -42,9 +42,9 @@
         self.said: list[tuple[Any, ...]] = []
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        self.said.append(("start", request.call))
+        self.said.append(("start", request.run_id))
 
-    def ask_gauges(self, cookie: str) -> bool:
+    def request_gauges(self, cookie: str) -> bool:
         return False
 
     def __getattr__(self, word: str) -> Any:
@@ -66,19 +66,19 @@
             self.backend,
             clock=Clock(*[lambda: self.time * 1000] * 2),
         )
-        self.core.turn([])
+        self.core.process_batch([])
 
     def request(
         self, call: str, kind: int = 0, key: str = "", age_us: int = 0, tenant: str = "t"
     ) -> RequestArrived:
         answers = self.answers.setdefault(call, [])
         return RequestArrived(
-            IncomingRequest(call, kind, b"", self.time - age_us, answers.append, tenant, key=key)
+            IncomingRequest(call, kind, b"", self.time - age_us, answers.append, tenant, idempotency_key=key)
         )
 
     def turn(self, *messages: Any, later_us: int = 0) -> None:
         self.time += later_us
-        self.core.turn(list(messages))
+        self.core.process_batch(list(messages))
 
     def verdicts(self, call: str) -> list[Verdict]:
         return [answer.verdict for answer in self.answers[call]]
@@ -115,7 +115,7 @@
 
 
 def test_an_entry_names_the_original_by_arrival_however_late_a_try_is_read() -> None:
-    table = KeyTable(tail_us=100)
+    table = IdempotencyTable(tail_us=100)
     key = ("t", 0, "k")
     table.keep(key, 7, until_us=50)
     assert table.original(key, 50) == 7
@@ -130,7 +130,7 @@
 
 
 def test_a_newer_holder_takes_a_key_over_and_keeps_it_when_the_older_goes() -> None:
-    table = KeyTable(tail_us=0)
+    table = IdempotencyTable(tail_us=0)
     key = ("t", 0, "k")
     table.keep(key, 1, 10)
     table.keep(key, 2, 90)
@@ -139,7 +139,7 @@
 
 
 def test_kept_results_stay_within_their_memory_and_the_oldest_go_first() -> None:
-    table = KeyTable(tail_us=0, most_result_bytes=25)
+    table = IdempotencyTable(tail_us=0, most_result_bytes=25)
     for holder in (1, 2, 3):
         table.keep(("t", 0, str(holder)), holder, 99)
     dropped = [table.store(entry, Result(b"x" * 10)) for entry in list(table)]
@@ -218,12 +218,12 @@
     made.turn(made.request("a", 1))
     made.turn(CallRequested("a", 5, b"q"))
     word, call, ticket, until_us, body = made.backend.said[-1]
-    assert (word, call, body) == ("ask", "a", b"q")
+    assert (word, call, body) == ("call", "a", b"q")
     made.turn(later_us=until_us - made.time + 61_000)
-    assert ("unask", "a", ticket) in made.backend.said
+    assert ("cancel", "a", ticket) in made.backend.said
     made.turn(CallFinished("a", ticket, OK, b"late"))
     assert made.count("calls.late_reply") == 1
-    assert not any(said[0] == "give" for said in made.backend.said)
+    assert not any(said[0] == "deliver_reply" for said in made.backend.said)
 
 
 def test_an_answered_attempt_gives_its_call_up() -> None:
@@ -231,7 +231,7 @@
     made.turn(made.request("a", 1))
     made.turn(CallRequested("a", 5, b"q"))
     made.turn(CallersDisconnected(("a",)))
-    assert made.backend.said[-1][0] == "unask"
+    assert made.backend.said[-1][0] == "cancel"
     assert made.verdicts("a") == []
 
 
@@ -239,7 +239,7 @@
     made = World()
     made.turn(made.request("a", 2, "k"))
     made.turn(RunFinished("a", Outcome.NOT_STARTED))
-    assert made.verdicts("a") == [Verdict.REFUSED]
+    assert made.verdicts("a") == [Verdict.REJECTED]
     made.turn(made.request("b", 2, "k"))
     assert made.backend.said[-1] == ("start", "b")
 
@@ -269,7 +269,7 @@
     ask = EventLoopTask(lambda: 1 // 0)
     made.turn(ask, made.request("a"))
     with pytest.raises(ZeroDivisionError):
-        ask.done.result(0)
+        ask.future.result(0)
     assert made.backend.said[-1] == ("start", "a")
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from scenario import platform_config, retuned, standing
 from test_core import Backend
 
-from reelusher.backends.runtime import RuntimeLink, Unproved
+from reelusher.backends.runtime import RuntimeLink, UnacknowledgedCommands
 from reelusher.codecs import ajp13, msgpack
 from reelusher.config import Config
 from reelusher.config.load import merge
@@ -27,11 +27,11 @@
 from reelusher.drain.connection_shutdown import unread_bytes
 from reelusher.frontends.ajp import frontend as ajp_frontend
 from reelusher.frontends.rpc import frontend as rpc_frontend
-from reelusher.frontends.rpc.frontend import Connection, PlatformFront
+from reelusher.frontends.rpc.frontend import Connection, RpcFrontend
 from reelusher.net import listener as listener_module
 from reelusher.net import threads
 from reelusher.net.listener import Listener
-from reelusher.net.send_buffer import Outbox
+from reelusher.net.send_buffer import SendBuffer
 from reelusher.net.sockets import Address
 from reelusher.node import Node
 
@@ -94,13 +94,13 @@
         yield made
 
 
-def front_of(world: dict[str, Any]) -> PlatformFront:
+def front_of(world: dict[str, Any]) -> RpcFrontend:
     front = world["node"].node.fronts["platform"]
-    assert isinstance(front, PlatformFront)
+    assert isinstance(front, RpcFrontend)
     return front
 
 
-def on_poller(front: PlatformFront, work: Callable[[], object]) -> None:
+def on_poller(front: RpcFrontend, work: Callable[[], object]) -> None:
     """Have the front's own thread do something, and wait for it."""
     done = threading.Event()
 
@@ -112,7 +112,7 @@
     assert done.wait(parties.PATIENCE_S)
 
 
-def only(front: PlatformFront) -> Connection:
+def only(front: RpcFrontend) -> Connection:
     assert soon(lambda: front.open_connections() == 1)
     return front._all()[0]
 
@@ -404,12 +404,12 @@
         peer.ask(*range(first, first + 20), method="day-view")
         for _ in range(18):  # two may wait for their time to pass
             peer.answer()
-    most = node.config.settings.crowd_per_core * node.config.settings.cores
+    most = node.config.settings.max_runnable_per_core * node.config.settings.cores
     assert len(node.runtime._sent) <= 3 * most
 
 
 def test_a_runtime_that_answers_no_gauges_fills_no_memory() -> None:
-    sent = Unproved()
+    sent = UnacknowledgedCommands()
     for number in range(1000):
         sent.mark(f"t{number}")
     assert len(sent._marks) <= 64
@@ -459,16 +459,18 @@
 ) -> None:
     reloads, hold = Reloads(world), threading.Event()
     node = reloads.node
-    ask = node.core.ask
-    monkeypatch.setattr(node.core, "ask", lambda action, timeout=0.1: ask(action, timeout))
+    ask = node.core.run_on_loop
+    monkeypatch.setattr(node.core, "run_on_loop", lambda action, timeout=0.1: ask(action, timeout))
     node.core.post(EventLoopTask(lambda: hold.wait(parties.PATIENCE_S), Future()))
     try:
         assert not node.reload(lambda: reloads.read(settings=retuned({"add": "extra"})))
     finally:
         hold.set()
-    monkeypatch.setattr(node.core, "ask", ask)
-    assert node.core.ask(lambda: "extra" in node.core.class_names) is False  # behind what was given up
-    assert node.core.figures.told()["sighup_rejected"] == 1
+    monkeypatch.setattr(node.core, "run_on_loop", ask)
+    assert (
+        node.core.run_on_loop(lambda: "extra" in node.core.class_names) is False
+    )  # behind what was given up
+    assert node.core.stats.snapshot()["sighup_rejected"] == 1
 
 
 def test_a_reload_that_fails_half_way_is_counted_and_said(
@@ -481,7 +483,7 @@
 
     monkeypatch.setattr(reloads.node.vault, "move", fails)
     assert not reloads.node.reload(reloads.read)
-    assert reloads.node.core.figures.told()["sighup_rejected"] == 1
+    assert reloads.node.core.stats.snapshot()["sighup_rejected"] == 1
 
 
 def test_many_reloads_behind_a_file_that_can_not_be_read_yet_take_two_threads(world: dict[str, Any]) -> None:
@@ -498,7 +500,7 @@
     hold.set()
     for thread in threads:
         thread.join()
-    assert reloads.node.core.figures.told()["sighup_applied"] == 2
+    assert reloads.node.core.stats.snapshot()["sighup_applied"] == 2
 
 
 def test_a_class_dropped_just_before_another_reload_is_still_taken(world: dict[str, Any]) -> None:
@@ -513,7 +515,7 @@
     """The vault makes a call again on a False; it may have run."""
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    outbox = Outbox(near, limit=1000)
+    outbox = SendBuffer(near, limit=1000)
     assert outbox.send(b"x" * 1_000_000) is True
     assert outbox.closed
     assert outbox.send(b"x") is False
@@ -524,7 +526,7 @@
 def test_the_file_of_a_reload_does_not_make_a_cold_node_warm() -> None:
     made = Core(settings(SAFE, cold_start=True), [], 1, Backend())
     made.begin()
-    made.retune(settings(SAFE, MUST_CALL, cold_start=False), [], ["safe", "must"])
+    made.apply_settings(settings(SAFE, MUST_CALL, cold_start=False), [], ["safe", "must"])
     assert made.settings.cold_start
     assert made._controller.concurrency.is_warming_up(made.now)
 
@@ -543,18 +545,18 @@
 
     listener = Listener("some", ("127.0.0.1", 0), counters, serve, most=2)
     listener.start()
-    start = threads.spawn
+    start = threads.start_thread
 
     def no_thread(name: str, work: Callable[[], object]) -> threading.Thread:
         failed.append(name)
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(listener_module, "spawn", no_thread)
+    monkeypatch.setattr(listener_module, "start_thread", no_thread)
     for number in range(3):  # each would keep its place for good
         with socket.create_connection(listener.address, parties.PATIENCE_S) as sock:
             assert sock.recv(1) == b""
             assert len(failed) == number + 1
-    monkeypatch.setattr(listener_module, "spawn", start)
+    monkeypatch.setattr(listener_module, "start_thread", start)
     socks = [socket.create_connection(listener.address, parties.PATIENCE_S) for _ in range(5)]
     assert soon(lambda: counters.snapshot().get("some.turned_away") == 3)
     assert len(served) == 2
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -23,7 +23,7 @@
 from reelusher.codecs import http1
 from reelusher.config.load import merge
 from reelusher.config.platform_config import parse as parse_platform
-from reelusher.frontends.rpc.frontend import PlatformFront
+from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.node import Node
 
 LIMIT = 160  # descriptors of the process
@@ -186,7 +186,7 @@
     with tempfile.TemporaryDirectory() as folder, standing(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
         front = node.fronts["platform"]
-        assert isinstance(front, PlatformFront)
+        assert isinstance(front, RpcFrontend)
         callers = front._most + front._spare + front._most_lingering + node._most_ajp()
         assert callers == node._most_connections()
         assert 1024 - callers >= node._pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
@@ -199,6 +199,6 @@
         told = platform_config(world, limits={"sockets": sockets})
         node = Node(merge(parse_platform(told, {}), None))
         front = node.fronts["platform"]
-        assert isinstance(front, PlatformFront)
+        assert isinstance(front, RpcFrontend)
         assert front._most >= sockets / 2
         node.close()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -22,11 +22,11 @@
 
 from reelusher.core.counters import Counters
 from reelusher.core.messages import DrainRequested, Verdict
-from reelusher.core.scheduling_lag import Pace
+from reelusher.core.scheduling_lag import SchedulingLag
 from reelusher.drain.schedule import Facts, Quiet, Stages, Step, cheapest_first, next_step, stages
 from reelusher.drain.signals import SignalWatch
 from reelusher.net.poller import Poller
-from reelusher.net.send_buffer import Outbox
+from reelusher.net.send_buffer import SendBuffer
 
 ROOT = Path(__file__).parent.parent
 PLAN = Stages(0.0, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
@@ -93,12 +93,12 @@
 
 
 def test_the_worst_lateness_fades() -> None:
-    pace = Pace()
-    pace.note(0.4, 10.0)
-    pace.note(0.01, 10.1)
-    assert 0.35 < pace.late_s(10.1) < 0.4
-    assert pace.late_s(12.0) == pytest.approx(0.2)
-    assert pace.late_s(40.0) < 0.001
+    pace = SchedulingLag()
+    pace.observe(0.4, 10.0)
+    pace.observe(0.01, 10.1)
+    assert 0.35 < pace.lag_s(10.1) < 0.4
+    assert pace.lag_s(12.0) == pytest.approx(0.2)
+    assert pace.lag_s(40.0) < 0.001
 
 
 def test_the_earliest_time_of_a_signal_is_proved_however_late_the_watch_runs() -> None:
@@ -224,14 +224,14 @@
     world.time += 20_000
     world.turn(world.request("after"))
     assert ("start", "in time") in world.backend.said
-    assert world.verdicts("after") == [Verdict.REFUSED]
+    assert world.verdicts("after") == [Verdict.REJECTED]
     world.turn(DrainRequested(began + 3_000_000, began - 500_000))
     assert world.core.stop_us == began + 3_000_000
 
 
 def test_an_outbox_is_shut_only_when_all_is_sent_and_is_closed_by_its_last_user() -> None:
     near, far = socket.socketpair()
-    outbox = Outbox(near, limit=32 << 20)
+    outbox = SendBuffer(near, limit=32 << 20)
     outbox.send(b"x" * (8 << 20))
     assert outbox.backlog
     assert not outbox.shut()
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -15,12 +15,19 @@
 from reelusher.config import ConfigError
 from reelusher.config.operator import parse
 from reelusher.core.messages import KeyPersisted, Verdict
-from reelusher.storage.directory import Folder, FolderLockedError
+from reelusher.storage.directory import FolderLockedError, LockedDirectory
 from reelusher.storage.frames import HEADER, MAGIC, DamagedFileError, encode, scan
 from reelusher.storage.journal import Journal, JournalError
 from reelusher.storage.key_log import KeyLog
-from reelusher.storage.tenant_state import Change, State, UnreadableStateError, read_change, read_state, write
-from reelusher.tenancy.tenant_store import Store, opened
+from reelusher.storage.tenant_state import (
+    StoredTenants,
+    TenantChange,
+    UnreadableStateError,
+    read_change,
+    read_state,
+    write,
+)
+from reelusher.tenancy.tenant_store import TenantStore, opened
 
 OPERATOR: dict[str, Any] = {
     "classes": [{"name": "day-view", "deadline_ms": 1000}],
@@ -268,11 +275,11 @@
 
 
 def test_a_folder_belongs_to_one_process(tmp_path: Path) -> None:
-    first = Folder(tmp_path / "state")
+    first = LockedDirectory(tmp_path / "state")
     with pytest.raises(FolderLockedError, match="in use"):
-        Folder(tmp_path / "state")
+        LockedDirectory(tmp_path / "state")
     first.close()
-    Folder(tmp_path / "state").close()
+    LockedDirectory(tmp_path / "state").close()
 
 
 def test_the_state_outlives_a_restart_with_its_trail_and_its_revisions(tmp_path: Path) -> None:
@@ -322,16 +329,16 @@
 
 def test_a_change_that_does_not_follow_from_the_state_is_refused() -> None:
     with pytest.raises(UnreadableStateError, match="'remove' of 'a'"):
-        State().apply(1, Change("remove", "a", "x", 1))
-    state = State()
+        StoredTenants().apply(1, TenantChange("remove", "a", "x", 1))
+    state = StoredTenants()
     for number in range(1, 1500):
-        state.apply(number, Change("put", "a", "x", 1, {"name": "a"}, key=f"k{number}"))
+        state.apply(number, TenantChange("put", "a", "x", 1, {"name": "a"}, key=f"k{number}"))
     assert len(state.audit) == 1000 == len(state.keys)
     assert read_state(write(state)) == state
 
 
 def test_two_operators_at_once_lose_no_change(tmp_path: Path) -> None:
-    store = Store(Folder(tmp_path / "state"))
+    store = TenantStore(LockedDirectory(tmp_path / "state"))
 
     def work(who: str) -> None:
         for number in range(20):
@@ -351,7 +358,7 @@
     world = World()
     for number, line in enumerate(log.live()):
         world.core.keys.remember(line.name, (1 << 40) + number, line.until_us, bytes.fromhex(line.digest))
-    world.core.keeper = log
+    world.core.key_log = log
     return world
 
 
@@ -364,7 +371,7 @@
     assert not [said for said in world.backend.said if said[0] == "start"]
     log.close()
     log._work()  # the log's thread has its turn
-    world.core.turn(list(world.core._gather()))  # type: ignore[arg-type]
+    world.core.process_batch(list(world.core._gather()))  # type: ignore[arg-type]
     assert {said[1] for said in world.backend.said if said[0] == "start"} == {"a", "b"}
     again = world_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # killed while they run
     again.turn(again.request("c", 2, "k"), again.request("d", 2, "new"))
@@ -387,6 +394,6 @@
     assert len(world.verdicts("a")) == 1
     assert not [said for said in world.backend.said if said[0] == "start"]
     assert not well or world.verdicts("a") == [Verdict.FAILED]
-    assert well or world.verdicts("a") == [Verdict.REFUSED]
+    assert well or world.verdicts("a") == [Verdict.REJECTED]
     assert len(world.core.attempts) == 0
     assert len(world.core.keys) == 0
--- a/tests/test_generated.py
+++ b/tests/test_generated.py
@@ -33,7 +33,7 @@
 )
 from reelusher.policy.in_flight import RequestState
 from reelusher.policy.settings import CapacityHint, Idempotency, PreemptionMode, RequestClass, Settings
-from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.fair_queue import FairQueue, Quota
 
 KINDS = [
     RequestClass(
@@ -58,10 +58,10 @@
 
 
 SHARES = [
-    Share(),
-    Share(weight=3, guarantee=0.3),
-    Share(ceiling=0.4, held=3, class_weights={0: 2, 1: 1}),
-    Share(running=1, keys=2, memory_kb=400),
+    Quota(),
+    Quota(weight=3, guarantee=0.3),
+    Quota(ceiling=0.4, held=3, class_weights={0: 2, 1: 1}),
+    Quota(running=1, keys=2, memory_kb=400),
 ]
 WAITING = ("held", "running", "joined", "calling", "at call")
 
@@ -73,10 +73,10 @@
         """Of several tenants, each has a share of its own; one tenant changes nothing of what is decided."""
         self.site = site
         self.tenants = max(1, tenants)
-        self.shares = Shares(site.cores, site.memory_kb) if tenants else None
+        self.shares = FairQueue(site.cores, site.memory_kb) if tenants else None
         for tenant in range(tenants):
             assert self.shares is not None
-            self.shares.entitle(tenant, SHARES[tenant % len(SHARES)] if tenants > 1 else Share())
+            self.shares.entitle(tenant, SHARES[tenant % len(SHARES)] if tenants > 1 else Quota())
         self.controller = Controller(site, 1, self.shares)
         self.twin = Controller(site, 1) if tenants == 1 else None
         self.now = 0
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -17,7 +17,7 @@
 from reelusher.config.load import merge
 from reelusher.config.operator import parse
 from reelusher.fleet.membership import service
-from reelusher.fleet.membership.messages import Fact, FactsReply
+from reelusher.fleet.membership.messages import FactsReply, Observation
 from reelusher.fleet.warm_start.facts import HALF_S, MOST_FACTS, donors, median, trust, weighed
 from reelusher.node import Node
 from reelusher.policy.controller import Controller
@@ -27,8 +27,8 @@
 NOW = 1_700_000_000.0
 
 
-def fact(value: float, age_s: float = 0.0, about: str = "run:slot-search") -> Fact:
-    return Fact(about, value, NOW - age_s)
+def fact(value: float, age_s: float = 0.0, about: str = "run:slot-search") -> Observation:
+    return Observation(about, value, NOW - age_s)
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
     ],
 )
 def test_what_donors_say_is_weighed_by_age_and_by_median(
-    told: list[list[Fact]], believed: float | None
+    told: list[list[Observation]], believed: float | None
 ) -> None:
     known = weighed(told, NOW)
     assert list(known.values()) == ([] if believed is None else [believed])
@@ -185,7 +185,7 @@
     members = fresh._pool.members
     assert members["gone"].doubted
     assert not members["here"].doubted
-    assert fresh.core.ask(lambda: fresh.core._controller.run_times._expected_us) == [1.0]
+    assert fresh.core.run_on_loop(lambda: fresh.core._controller.run_times._expected_us) == [1.0]
     hosted.ask(fresh)
     assert fresh.counters.snapshot().get("workers.unreachable", 0) == 0
     assert fresh._pool.seen().keys() == {"away:here"}  # what others told is not told on as seen here
@@ -207,9 +207,9 @@
         donor.fleet.facts = lambda: FactsReply(
             True,
             [
-                Fact("away:here", 1e99, time.time()),
-                Fact("run:look", -1.0, time.time()),
-                Fact("nothing", 1.0, time.time()),
+                Observation("away:here", 1e99, time.time()),
+                Observation("run:look", -1.0, time.time()),
+                Observation("nothing", 1.0, time.time()),
             ],
         )
     else:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -20,9 +20,9 @@
     Verdict,
 )
 from reelusher.policy.events import Outcome
-from reelusher.tenancy.fair_queue import Shares
-from reelusher.tenancy.lifecycle import Lifecycle, State, TenantStateError
-from reelusher.tenancy.registry import Tenants
+from reelusher.tenancy.fair_queue import FairQueue
+from reelusher.tenancy.lifecycle import Lifecycle, TenantState, TenantStateError
+from reelusher.tenancy.registry import TenantRegistry
 
 WINDOW_US = KEYED.idempotency_window_us
 
@@ -51,16 +51,16 @@
 
 def test_a_tenant_that_is_removed_takes_no_other_orders() -> None:
     life = Lifecycle()
-    assert life.move("a", State.ACTIVE) is None
+    assert life.move("a", TenantState.ACTIVE) is None
     assert life.remove("a", 0) is None
     entry, _ = life.put(tenant("a"))
-    suspended = life.move("a", State.SUSPENDED)
+    suspended = life.move("a", TenantState.SUSPENDED)
     assert suspended
     assert suspended.number == entry.number
     assert not life.admits(entry.number)
-    assert life.put(tenant("a"))[0].state is State.SUSPENDED  # what is said of it does not wake it
+    assert life.put(tenant("a"))[0].state is TenantState.SUSPENDED  # what is said of it does not wake it
     life.remove("a", 0)
-    for order in (lambda: life.put(tenant("a")), lambda: life.move("a", State.ACTIVE)):
+    for order in (lambda: life.put(tenant("a")), lambda: life.move("a", TenantState.ACTIVE)):
         with pytest.raises(TenantStateError, match="is being removed"):
             order()
 
@@ -71,13 +71,13 @@
     def __init__(self, seed: int) -> None:
         self.chance, self.now = random.Random(seed), 1_000_000_000_000
         told = settings(SAFE, KEYED, cores=2, memory_kb=5_000.0)
-        shares = self.shares = Shares(told.cores, told.memory_kb)
+        shares = self.shares = FairQueue(told.cores, told.memory_kb)
         self.backend = Backend()
         self.core = Core(
             told, [], seed, self.backend, clock=Clock(*[lambda: self.now * 1000] * 2), standing=shares
         )
-        self.tenants = Tenants(
-            [(tenant("a"), State.ACTIVE), (tenant("b"), State.ACTIVE)],
+        self.tenants = TenantRegistry(
+            [(tenant("a"), TenantState.ACTIVE), (tenant("b"), TenantState.ACTIVE)],
             ("safe", "keyed"),
             lambda backend: None,
             self.core,
@@ -87,7 +87,7 @@
         self.answers: dict[str, list[Answer]] = {}
         self.asked: dict[str, IncomingRequest] = {}
         self.ended: set[str] = set()
-        self.core.turn([])
+        self.core.process_batch([])
 
     def request(self) -> RequestArrived:
         match = self.chance.choice([*self.tenants.entries(), None])
@@ -103,7 +103,7 @@
             name,
             number,
             held_kb=20.0,
-            key=f"k{self.chance.randrange(6)}" if kind else "",
+            idempotency_key=f"k{self.chance.randrange(6)}" if kind else "",
         )
         return RequestArrived(made)
 
@@ -131,7 +131,7 @@
             what = self.chance.choice([self.request, self.request, self.end, self.order])()
             if what is not None:
                 batch.append(what)
-        self.core.turn(list(batch))
+        self.core.process_batch(list(batch))
 
 
 @pytest.mark.parametrize("first", range(0, 200, 20))
@@ -144,16 +144,18 @@
             for call, answers in race.answers.items():
                 assert len(answers) <= 1
                 alive = {entry.number for entry in race.tenants.entries()}
-                if race.asked[call].tenant_no not in alive:
+                if race.asked[call].tenant_number not in alive:
                     assert answers, "a tenant is gone, and a request of it has no answer"
         while (over := race.end()) is not None:
-            race.core.turn([over])
+            race.core.process_batch([over])
         for _ in range(120):
             race.now += 100_000
-            race.core.turn([])
+            race.core.process_batch([])
         assert all(len(answers) == 1 for answers in race.answers.values())
         started = [race.asked[call] for word, call, *_ in race.backend.said if word == "start"]
-        runs = Counter((request.tenant, request.key) for request in started if request.key)
+        runs = Counter(
+            (request.tenant, request.idempotency_key) for request in started if request.idempotency_key
+        )
         # the whole race is shorter than the window of a key
         assert max(runs.values(), default=1) == 1
         served = [
@@ -164,16 +166,16 @@
         for call, answer in served:
             maker = race.asked[answer.result.body.decode()] if answer.result else None
             assert maker
-            assert (maker.tenant, maker.kind, maker.key) == (
+            assert (maker.tenant, maker.class_index, maker.idempotency_key) == (
                 race.asked[call].tenant,
-                race.asked[call].kind,
-                race.asked[call].key,
+                race.asked[call].class_index,
+                race.asked[call].idempotency_key,
             )
         live = {entry.number for entry in race.tenants.entries()} | {0}
         race.now += 2 * WINDOW_US  # past the window of every key
         for _ in range(2):
             race.now += 100_000
-            race.core.turn([])
+            race.core.process_batch([])
         assert set(race.shares._flows) <= live, "a tenant that is gone still has a standing"
         removed += race.core.counters.snapshot().get("tenants.removed", 0)
     assert removed > 20
--- a/tests/test_local_copy.py
+++ b/tests/test_local_copy.py
@@ -22,20 +22,20 @@
 from replicas import CONTROL, entry, names_of, tenant_json
 
 from reelusher.fleet.replication import sqlite_replica
-from reelusher.fleet.replication.messages import EntriesReply, Entry, Piece
+from reelusher.fleet.replication.messages import EntriesReply, LogEntry, LogSegment
 from reelusher.fleet.replication.replica import NotLeaderError, Replica, first_epoch, stream_of
-from reelusher.fleet.replication.replica_store import MemoryRows, ReplicaError, StreamState
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore, PartitionState, ReplicaError
 from reelusher.fleet.replication.sqlite_replica import (
     MOST_ASIDE,
     MOST_AUDIT,
     DamagedReplicaError,
     ForeignReplicaError,
-    LocalCopy,
+    SqliteReplica,
 )
 from reelusher.tenancy.index import lies_under
 
 C1 = names_of("c1", 40)
-FIRST = StreamState(first_epoch("c1", CONTROL))
+FIRST = PartitionState(first_epoch("c1", CONTROL))
 
 
 @pytest.fixture
@@ -44,17 +44,17 @@
 
 
 @pytest.fixture
-def copy(path: Path) -> Iterator[LocalCopy]:
-    made = LocalCopy(path, "f", CONTROL)
+def copy(path: Path) -> Iterator[SqliteReplica]:
+    made = SqliteReplica(path, "f", CONTROL)
     yield made
     made.close()
 
 
-def at(number: int, **more: Any) -> StreamState:
+def at(number: int, **more: Any) -> PartitionState:
     return replace(FIRST, number=number, covered=number, goal=number, **more)
 
 
-def put(rows: LocalCopy | MemoryRows, *entries: Entry, **more: Any) -> list[str]:
+def put(rows: SqliteReplica | MemoryReplicaStore, *entries: LogEntry, **more: Any) -> list[str]:
     """Take entries as one change of stream c1."""
     return rows.apply("c1", entries, at(entries[-1].number), **more)
 
@@ -81,9 +81,9 @@
 def test_rows_in_a_file_are_those_in_memory(
     tmp_path_factory: pytest.TempPathFactory, operations: list[tuple[Any, Any, Any]]
 ) -> None:
-    kept = LocalCopy(tmp_path_factory.mktemp("copy") / "t.db", "f", CONTROL, wall_ms=lambda: 0)
-    memory, state, number = MemoryRows(), FIRST, 0
-    history: list[Entry] = []
+    kept = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", CONTROL, wall_ms=lambda: 0)
+    memory, state, number = MemoryReplicaStore(), FIRST, 0
+    history: list[LogEntry] = []
     for what, first, second in operations:
         made: list[Any] = []
         if what == "put":
@@ -149,7 +149,7 @@
 ) -> None:
     with (
         tempfile.TemporaryDirectory() as folder,
-        contextlib.closing(LocalCopy(Path(folder) / "t.db", "f", CONTROL)) as kept,
+        contextlib.closing(SqliteReplica(Path(folder) / "t.db", "f", CONTROL)) as kept,
     ):
         # each row stands otherwise first, so that look-ups are changed and not only made
         made = [({"hosts": hosts, "prefix": prefix}, live) for hosts, prefix, live in table]
@@ -160,7 +160,7 @@
             for place, (told, live) in enumerate(state):
                 number += 1
                 entries.append(
-                    Entry(
+                    LogEntry(
                         number,
                         f"t{place:02d}",
                         0,
@@ -189,7 +189,7 @@
             assert (found.name if found else None) == linear
 
 
-def test_a_number_is_the_name_s_while_it_exists_and_never_used_again(copy: LocalCopy, path: Path) -> None:
+def test_a_number_is_the_name_s_while_it_exists_and_never_used_again(copy: SqliteReplica, path: Path) -> None:
     put(copy, entry("a", 1), entry("b", 2))
     first = copy.get("a")
     put(copy, entry("a", 3, pad="more"))
@@ -211,7 +211,7 @@
     assert other.number > again.number
 
 
-def test_totals_are_kept_up_and_the_same_after_a_restart(copy: LocalCopy, path: Path) -> None:
+def test_totals_are_kept_up_and_the_same_after_a_restart(copy: SqliteReplica, path: Path) -> None:
     for number in range(1, 31):
         put(
             copy,
@@ -228,14 +228,16 @@
         copy.__init__(path, "f", CONTROL)  # type: ignore[misc]
 
 
-def test_pages_go_by_name_and_leave_out_what_was_removed(copy: LocalCopy) -> None:
+def test_pages_go_by_name_and_leave_out_what_was_removed(copy: SqliteReplica) -> None:
     put(copy, *(entry(name, number) for number, name in enumerate(sorted(C1[:9]), 1)), entry(C1[3], 10, ""))
     names = sorted(set(C1[:9]) - {C1[3]})
     assert [row.name for row in copy.page("", 5)] == names[:5]
     assert [row.name for row in copy.page(names[4], 5)] == names[5:]
 
 
-def test_keys_and_the_trail_are_kept_and_bounded(copy: LocalCopy, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_keys_and_the_trail_are_kept_and_bounded(
+    copy: SqliteReplica, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(sqlite_replica, "MOST_AUDIT", 5)
     monkeypatch.setattr(sqlite_replica, "MOST_KEYS", 3)
     assert MOST_AUDIT >= 1000
@@ -250,9 +252,12 @@
     assert [copy.key(f"k{number}") for number in (5, 6, 8)] == [None, "a", "a"]
 
 
-def test_who_has_one_host_and_prefix_is_told_in_the_order_in_which_they_win(copy: LocalCopy) -> None:
+def test_who_has_one_host_and_prefix_is_told_in_the_order_in_which_they_win(copy: SqliteReplica) -> None:
     for number, name in enumerate(("b", "a", "c"), 1):
-        put(copy, Entry(number, name, 0, "", "active", msgspec.json.encode({"hosts": ["H"], "prefix": "/x"})))
+        put(
+            copy,
+            LogEntry(number, name, 0, "", "active", msgspec.json.encode({"hosts": ["H"], "prefix": "/x"})),
+        )
     assert copy.sharing("h", "/x") == ["a", "b", "c"]
     assert copy.sharing("", "/x") == []
     found = copy.match("H", "/x/y")
@@ -260,7 +265,7 @@
     assert found.name == "a"
 
 
-def test_names_that_changed_are_told_without_a_lock_held(copy: LocalCopy) -> None:
+def test_names_that_changed_are_told_without_a_lock_held(copy: SqliteReplica) -> None:
     told: queue.Queue[int] = queue.Queue()
 
     def looked(names: list[str]) -> None:
@@ -274,7 +279,7 @@
     assert told.get(timeout=1) == 2
 
 
-def test_readers_wait_a_bounded_time_and_are_refused_past_it(copy: LocalCopy) -> None:
+def test_readers_wait_a_bounded_time_and_are_refused_past_it(copy: SqliteReplica) -> None:
     put(copy, entry("a", 1))
     held = [copy._free.get() for _ in range(sqlite_replica.READERS)]
     with pytest.raises(ReplicaError, match="too many"):
@@ -287,7 +292,7 @@
     copy._giving.put(giving)
 
 
-def test_many_threads_read_while_one_writes(copy: LocalCopy, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_threads_read_while_one_writes(copy: SqliteReplica, monkeypatch: pytest.MonkeyPatch) -> None:
     # four threads share three connections: on a busy machine one may wait for longer than callers should
     monkeypatch.setattr(sqlite_replica, "READ_WAIT_S", 10.0)
     put(copy, entry("a", 1))
@@ -323,7 +328,7 @@
     return "" if told.get("backend") == "w" else "backend: is not known here"
 
 
-def unserved(copy: LocalCopy, host: str) -> bool:
+def unserved(copy: SqliteReplica, host: str) -> bool:
     """Tell whether the row of a host's requests is one that this node can't serve."""
     found = copy.match(host, "/")
     assert found is not None
@@ -331,13 +336,13 @@
 
 
 def test_a_row_that_can_not_be_read_is_kept_passed_on_and_harms_no_other(path: Path) -> None:
-    copy = LocalCopy(path, "f", CONTROL, strict)
+    copy = SqliteReplica(path, "f", CONTROL, strict)
     newer = [
-        Entry(1, "bad", 0, "", "active", b'{"hosts": 7}'),
+        LogEntry(1, "bad", 0, "", "active", b'{"hosts": 7}'),
         entry("odd", 2, backend="of-tomorrow"),
         entry("good", 3),
         entry("bug", 4, bug=True),
-        Entry(5, "worse", 0, "", "a state of tomorrow", b"\xff\x00"),
+        LogEntry(5, "worse", 0, "", "a state of tomorrow", b"\xff\x00"),
         entry("odd", 6, hosts=["good.example"], backend="of-tomorrow"),
     ]
     put(copy, *newer)
@@ -359,11 +364,11 @@
 
 
 def test_rows_are_checked_again_when_the_settings_changed_and_after_a_fill(path: Path) -> None:
-    copy = LocalCopy(path, "f", CONTROL)
+    copy = SqliteReplica(path, "f", CONTROL)
     told: list[str] = []
     put(copy, *(entry(f"t{number}", number, backend="w" if number % 2 else "v") for number in range(1, 10)))
     copy.close()
-    copy = LocalCopy(path, "f", CONTROL, strict)
+    copy = SqliteReplica(path, "f", CONTROL, strict)
     copy.on_change = told.extend
     while copy.recheck("one", 4):
         pass
@@ -386,7 +391,7 @@
 
 
 def test_requests_of_a_row_that_can_not_be_served_are_not_handed_to_another_tenant(path: Path) -> None:
-    copy = LocalCopy(path, "f", CONTROL, strict)
+    copy = SqliteReplica(path, "f", CONTROL, strict)
     put(copy, entry("any", 1, hosts=[]), entry("odd", 2, hosts=["odd.example"], backend="of-tomorrow"))
     assert unserved(copy, "odd.example")
     assert not unserved(copy, "else.example")
@@ -409,13 +414,13 @@
 
 @pytest.mark.parametrize(("fleet", "control"), [("other", CONTROL), ("f", ("c1", "c3"))])
 def test_the_copy_of_another_fleet_or_control_list_is_left_as_it_is(
-    path: Path, copy: LocalCopy, fleet: str, control: tuple[str, ...]
+    path: Path, copy: SqliteReplica, fleet: str, control: tuple[str, ...]
 ) -> None:
     put(copy, entry("a", 1))
     copy.close()
     with pytest.raises(ForeignReplicaError, match=r"of the fleet|of another list"):
-        LocalCopy(path, fleet, control)
-    again = LocalCopy(path, "f", CONTROL)
+        SqliteReplica(path, fleet, control)
+    again = SqliteReplica(path, "f", CONTROL)
     assert again.count() == 1
     assert not again.put_aside
     again.close()
@@ -427,21 +432,21 @@
         made.execute("CREATE TABLE rows(x)")
     made.close()
     with pytest.raises(ForeignReplicaError, match="something else"):
-        LocalCopy(other, "f", CONTROL)
-    LocalCopy(tmp_path / "t.db", "f", CONTROL).close()
+        SqliteReplica(other, "f", CONTROL)
+    SqliteReplica(tmp_path / "t.db", "f", CONTROL).close()
     with sqlite3.connect(tmp_path / "t.db") as made:
         made.execute("PRAGMA user_version = 9")
     made.close()
     with pytest.raises(ForeignReplicaError, match="format 9"):
-        LocalCopy(tmp_path / "t.db", "f", CONTROL)
+        SqliteReplica(tmp_path / "t.db", "f", CONTROL)
 
 
-def test_two_processes_do_not_have_one_copy(copy: LocalCopy, path: Path) -> None:
+def test_two_processes_do_not_have_one_copy(copy: SqliteReplica, path: Path) -> None:
     with pytest.raises(ReplicaError, match="another process"):
-        LocalCopy(path, "f", CONTROL)
+        SqliteReplica(path, "f", CONTROL)
 
 
-def test_a_copy_is_for_its_user_only(copy: LocalCopy, path: Path) -> None:
+def test_a_copy_is_for_its_user_only(copy: SqliteReplica, path: Path) -> None:
     put(copy, entry("a", 1))
     assert {one.stat().st_mode & 0o777 for one in path.parent.iterdir()} == {0o600}
 
@@ -455,7 +460,7 @@
     assert pull is not None
     copy.damaged = "by the test"
     replica.reload(copy.renew)
-    piece = Piece("c1", FIRST.epoch, (), 10, 12, [entry(C1[0], 12)], False, 0, 12, 12)
+    piece = LogSegment("c1", FIRST.epoch, (), 10, 12, [entry(C1[0], 12)], False, 0, 12, 12)
     assert replica.take(pull, EntriesReply([piece]), 2.1).refused == ["stale"]
     assert copy.count() == 0
     assert copy.states()["c1"].number == 0
@@ -465,7 +470,7 @@
 def test_a_folder_that_is_none_is_told_of(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(ReplicaError):
-        LocalCopy(tmp_path / "file" / "t.db", "f", CONTROL)
+        SqliteReplica(tmp_path / "file" / "t.db", "f", CONTROL)
 
 
 # Damage and full disks
@@ -479,11 +484,11 @@
         file.write(os.urandom(size - begin))
 
 
-def filled(path: Path, count: int = 400) -> LocalCopy:
-    copy = LocalCopy(path, "f", CONTROL)
+def filled(path: Path, count: int = 400) -> SqliteReplica:
+    copy = SqliteReplica(path, "f", CONTROL)
     put(copy, *(entry(f"t{number:04d}", number, pad="x" * 200) for number in range(1, count + 1)))
     copy.close()
-    return LocalCopy(path, "f", CONTROL)
+    return SqliteReplica(path, "f", CONTROL)
 
 
 @pytest.mark.parametrize("how", ["read", "write", "check"])
@@ -517,14 +522,14 @@
     with pytest.raises(NotLeaderError, match="take-over"):
         replica.accept("c1", "c1", entry(C1[0]))
     copy.close()
-    replica = Replica("c1", CONTROL, LocalCopy(path, "f", CONTROL), Random(1))
+    replica = Replica("c1", CONTROL, SqliteReplica(path, "f", CONTROL), Random(1))
     with pytest.raises(NotLeaderError, match="take-over"):  # nor after a restart
         replica.accept("c1", "c1", entry(C1[0]))
     with pytest.raises(NotLeaderError, match="nobody was heard"):  # all others would lose all that they have
         replica.begin_term("c1", "c1")
     assert replica.begin_term("c1", "c1", force=True).epoch > FIRST.epoch
     assert replica.accept("c1", "c1", entry(C1[0])).number == 1
-    assert isinstance(replica.rows, LocalCopy)
+    assert isinstance(replica.rows, SqliteReplica)
     replica.rows.close()
 
 
@@ -532,7 +537,7 @@
 def test_a_copy_that_is_damaged_at_the_start_is_put_aside(path: Path, begin: int) -> None:
     filled(path).close()
     spoil(path, begin)
-    copy = LocalCopy(path, "f", CONTROL)
+    copy = SqliteReplica(path, "f", CONTROL)
     if not copy.put_aside:  # what is read at the start was spared: found by the first look at the rest
         assert not copy.check()
         copy.renew()
@@ -547,7 +552,7 @@
     with sqlite3.connect(path) as made:
         made.execute("UPDATE streams SET number = 4")
     made.close()
-    copy = LocalCopy(path, "f", CONTROL)
+    copy = SqliteReplica(path, "f", CONTROL)
     assert "past its position" in copy.damaged_at_start
     assert copy.count() == 0
     copy.close()
@@ -555,7 +560,7 @@
 
 def test_only_the_newest_damaged_files_are_kept(path: Path) -> None:
     now = iter(range(1000, 100_000))
-    copy = LocalCopy(path, "f", CONTROL, wall_ms=lambda: next(now))
+    copy = SqliteReplica(path, "f", CONTROL, wall_ms=lambda: next(now))
     for _ in range(MOST_ASIDE + 2):
         copy.damaged = "by the test"
         copy.renew()
@@ -584,11 +589,11 @@
     copy.close()
 
 
-def test_what_is_raised_within_a_change_undoes_it_whole_and_the_next_is_taken(copy: LocalCopy) -> None:
+def test_what_is_raised_within_a_change_undoes_it_whole_and_the_next_is_taken(copy: SqliteReplica) -> None:
     put(copy, entry("a", 1))
     before = copy.states(), copy.count(), copy.guaranteed()
     with pytest.raises(OverflowError):
-        put(copy, entry("b", 2, share={"guarantee": 0.5}), Entry(3, "c", 1 << 70, "", "active", b"{}"))
+        put(copy, entry("b", 2, share={"guarantee": 0.5}), LogEntry(3, "c", 1 << 70, "", "active", b"{}"))
     assert (copy.states(), copy.count(), copy.guaranteed()) == before
     assert copy.get("b") is None
     put(copy, entry("b", 2))
@@ -596,7 +601,7 @@
     assert copy.match("b.example", "/") is not None
 
 
-def test_what_a_holder_accepts_is_synced_and_what_is_pulled_need_not_be(copy: LocalCopy) -> None:
+def test_what_a_holder_accepts_is_synced_and_what_is_pulled_need_not_be(copy: SqliteReplica) -> None:
     def level() -> int:
         assert copy._conn is not None
         return int(copy._conn.execute("PRAGMA synchronous").fetchone()[0])
@@ -621,12 +626,12 @@
 from random import Random
 sys.path[:0] = {paths!r}
 from replicas import CONTROL, entry, names_of
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
-from reelusher.fleet.replication.messages import Piece
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+from reelusher.fleet.replication.messages import LogSegment
 from reelusher.fleet.replication.replica import Replica, Pull
 from reelusher.fleet.replication.messages import EntriesReply
 path, what, left = Path(sys.argv[1]), sys.argv[2], int(sys.argv[3])
-copy = LocalCopy(path, "f", CONTROL)
+copy = SqliteReplica(path, "f", CONTROL)
 replica = Replica("c1" if what == "accept" else "n", CONTROL, copy, Random(1))
 def count(statement):
     global left
@@ -642,7 +647,7 @@
 else:
     epoch = replica.states["c1"].epoch
     for at in range(0, 4, 2):
-        pieces = [Piece("c1", epoch, (), at, at + 2, [entry(names[at], at + 1), entry(names[at + 1], at + 2)],
+        pieces = [LogSegment("c1", epoch, (), at, at + 2, [entry(names[at], at + 1), entry(names[at + 1], at + 2)],
                         at < 2, 0, 4, 4)]
         pull = replica._pulling = Pull("x", None, 1e9)
         replica.take(pull, EntriesReply(pieces), 1.0)
@@ -674,7 +679,7 @@
     for left in range(1, 200):
         path = tmp_path / f"{left}.db"
         told = child(path, what, left)
-        copy = LocalCopy(path, "f", CONTROL)
+        copy = SqliteReplica(path, "f", CONTROL)
         assert not copy.put_aside
         assert copy.check()
         state = copy.states().get("c1", FIRST)
@@ -696,7 +701,7 @@
     assert "end" in told
 
 
-def test_what_is_read_for_a_piece_is_of_one_instant(copy: LocalCopy) -> None:
+def test_what_is_read_for_a_piece_is_of_one_instant(copy: SqliteReplica) -> None:
     put(copy, *(entry(name, number) for number, name in enumerate(C1[:20], 1)))
     stop, faults = threading.Event(), []
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,35 +20,37 @@
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership import service
-from reelusher.fleet.membership.member_table import DEAD_MOST, KEPT_S, MOST_MEMBERS, Table, bucket_of
+from reelusher.fleet.membership.member_table import DEAD_MOST, KEPT_S, MOST_MEMBERS, MemberTable, bucket_of
 from reelusher.fleet.membership.messages import (
     MOST_DATAGRAM,
     MOST_VECTOR,
     WINDOW,
     BucketsRequest,
+    Datagram,
+    DatagramKind,
     DigestRequest,
-    Kind,
-    Message,
+    MemberState,
+    MessageAuthenticator,
     RejectedMessageError,
-    Seal,
-    Senders,
-    State,
+    ReplayWindow,
     StateReply,
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.service import Allowance, Membership, read_secret
+from reelusher.fleet.membership.service import ExchangeAllowance, Membership, read_secret
 from reelusher.fleet.membership.swim import DIRECT_S, PATIENCE, PERIOD_S, RETURN_S, Swim
 from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
 
 SECRET = b"a secret of sixteen or more"
 
 
-def said(number: int, incarnation: int = 1, state: State = State.ALIVE, accuser: str = "") -> Update:
+def said(
+    number: int, incarnation: int = 1, state: MemberState = MemberState.ALIVE, accuser: str = ""
+) -> Update:
     return Update(f"127.0.0.1:{number}", f"n{number}", "z", "r", incarnation, state, accuser)
 
 
-UPDATES = st.builds(said, st.integers(1, 3), st.integers(0, 3), st.sampled_from(State))
+UPDATES = st.builds(said, st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState))
 
 
 # What merges
@@ -58,8 +60,8 @@
 def test_what_is_known_is_the_same_in_whatever_order_and_however_often_it_is_heard(
     updates: list[Update], shuffled: Any
 ) -> None:
-    def known(order: list[Update]) -> dict[str, tuple[int, State]]:
-        table = Table(Random(1))
+    def known(order: list[Update]) -> dict[str, tuple[int, MemberState]]:
+        table = MemberTable(Random(1))
         for one in order:
             table.take(one, 0.0)
         return {place: (one.said.incarnation, one.said.state) for place, one in table.members.items()}
@@ -71,7 +73,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * WINDOW)), max_size=200))
 def test_a_number_counts_once_and_one_that_is_too_old_not_at_all(came: list[tuple[int, int]]) -> None:
-    senders, taken = Senders(), set[tuple[int, int]]()
+    senders, taken = ReplayWindow(), set[tuple[int, int]]()
     for life, number in came:
         top = max(taken, default=(0, 0))
         if senders.take("x", life, number):
@@ -85,7 +87,7 @@
 def test_what_a_table_keeps_up_with_each_change_is_what_a_count_of_all_would_say(
     came: list[tuple[Update, bool]],
 ) -> None:
-    table = Table(Random(1))
+    table = MemberTable(Random(1))
     for step, (one, drop) in enumerate(came):
         table.take(one, float(step))
         if drop:
@@ -95,9 +97,9 @@
         assert sorted(table.here()) == sorted(here)
         assert table.count() == len(here)
         assert sorted(table.dead) == sorted(
-            member.said.place for member in members if member.said.state is State.DEAD
+            member.said.place for member in members if member.said.state is MemberState.DEAD
         )
-        fresh = Table(Random(2))
+        fresh = MemberTable(Random(2))
         for member in members:
             fresh.take(member.said, 0.0)
         assert table.digests == fresh.digests
@@ -108,23 +110,23 @@
 
 
 def test_an_ordinary_day_of_the_largest_fleet_fits_and_the_dead_make_room_for_the_living() -> None:
-    table = Table(Random(1))
+    table = MemberTable(Random(1))
     for number in range(3600 + DEAD_MOST):
-        table.take(said(number, 1, State.ALIVE if number < 3600 else State.DEAD), float(number))
+        table.take(said(number, 1, MemberState.ALIVE if number < 3600 else MemberState.DEAD), float(number))
     assert table.count() == 3600
     assert len(table.dead) == DEAD_MOST
     assert not table.refused
     for number in range(10_000, 10_000 + MOST_MEMBERS - 3600 - DEAD_MOST):
-        table.take(said(number, 1, State.LEFT), 9000.0)
+        table.take(said(number, 1, MemberState.LEFT), 9000.0)
     assert len(table.members) == MOST_MEMBERS
     assert not table.refused
-    assert table.take(said(1, 1, State.DEAD), 9001.0) is not None  # known before
+    assert table.take(said(1, 1, MemberState.DEAD), 9001.0) is not None  # known before
     for number, state, refused in [
-        (20_000, State.DEAD, 1),
-        (20_001, State.ALIVE, 1),
-        (20_002, State.LEFT, 2),
+        (20_000, MemberState.DEAD, 1),
+        (20_001, MemberState.ALIVE, 1),
+        (20_002, MemberState.LEFT, 2),
     ]:
-        assert (table.take(said(number, 1, state), 9001.0) is None) is (state is not State.ALIVE)
+        assert (table.take(said(number, 1, state), 9001.0) is None) is (state is not MemberState.ALIVE)
         assert table.refused == refused
     assert len(table.members) == MOST_MEMBERS
     assert said(3600).place not in table.members
@@ -146,12 +148,12 @@
         now = step / 10
         for _, message in swim.tick(now).out:
             datagrams += 1
-            swim.receive(Message(Kind.ACK, "127.0.0.1:2", message.seq), now)
+            swim.receive(Datagram(DatagramKind.ACK, "127.0.0.1:2", message.seq), now)
         swim.receive(
-            Message(
-                Kind.PING,
+            Datagram(
+                DatagramKind.PING,
                 "127.0.0.1:3",
-                updates=[said(4, step, State.SUSPECT, "127.0.0.1:5")] if not step % 10 else [],
+                updates=[said(4, step, MemberState.SUSPECT, "127.0.0.1:5")] if not step % 10 else [],
             ),
             now,
         )
@@ -167,12 +169,12 @@
 
 def test_a_member_that_hears_that_it_is_dead_says_otherwise_and_one_that_left_does_not() -> None:
     swim = Swim(said(1), Random(1), 0.0)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(1, 5, State.DEAD)]), 0.1)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 5, MemberState.DEAD)]), 0.1)
     assert swim.own.incarnation == 6
     assert swim.health == 1
     swim.leave()
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(1, 9, State.DEAD)]), 0.2)
-    assert (swim.own.incarnation, swim.own.state) == (6, State.LEFT)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 9, MemberState.DEAD)]), 0.2)
+    assert (swim.own.incarnation, swim.own.state) == (6, MemberState.LEFT)
 
 
 def test_one_that_joins_tells_on_who_had_joined_through_it_and_not_what_it_is_told() -> None:
@@ -187,11 +189,11 @@
 def test_a_full_state_makes_nobody_dead_who_lives_here_but_tells_whom_it_concerns() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3)], 0.0)
-    swim.merge([said(2, 1, State.DEAD), said(4, 1, State.DEAD)], 0.1)
+    swim.merge([said(2, 1, MemberState.DEAD), said(4, 1, MemberState.DEAD)], 0.1)
     states = {place[-1]: member.said.state for place, member in swim.table.members.items()}
-    assert states == {"2": State.ALIVE, "3": State.ALIVE, "4": State.DEAD}
+    assert states == {"2": MemberState.ALIVE, "3": MemberState.ALIVE, "4": MemberState.DEAD}
     told = [message.updates for place, message in swim.tick(0.5).out if place == "127.0.0.1:2"]
-    assert [said(2, 1, State.DEAD)] in told
+    assert [said(2, 1, MemberState.DEAD)] in told
 
 
 def test_one_that_joins_tells_of_itself_and_not_of_all_whom_it_has_been_told_of() -> None:
@@ -201,7 +203,9 @@
     sent = [message for step in range(1, 100) for _, message in swim.tick(step / 10).out]
     told = [one for message in sent for one in message.updates]
     assert said(1) in told
-    assert not [one for one in told if one != said(1) and one.state is State.ALIVE]  # some are suspected
+    assert not [
+        one for one in told if one != said(1) and one.state is MemberState.ALIVE
+    ]  # some are suspected
 
 
 def test_a_vector_rides_on_each_datagram_and_is_told_to_who_listens() -> None:
@@ -210,12 +214,14 @@
     swim.vector = lambda: [7, 1, 40]
     swim.heard = lambda *told: came.append(told)
     out = swim.tick(0.5).out + swim.call("127.0.0.1:2").out + swim.leave().out
-    assert {message.kind for _, message in out} == {Kind.PING, Kind.GOSSIP}
+    assert {message.kind for _, message in out} == {DatagramKind.PING, DatagramKind.GOSSIP}
     assert all(message.vector == [7, 1, 40] for _, message in out)
     other = Swim(said(2), Random(2), 0.0)
     other.heard = lambda *told: came.append(told)
     answer = other.receive(swim.call("127.0.0.1:2").out[0][1], 0.25).out
-    assert [(to, message.kind, message.vector) for to, message in answer] == [("127.0.0.1:1", Kind.ACK, [])]
+    assert [(to, message.kind, message.vector) for to, message in answer] == [
+        ("127.0.0.1:1", DatagramKind.ACK, [])
+    ]
     assert came == [("127.0.0.1:1", [7, 1, 40], 0.25)]
     swim.receive(answer[0][1], 0.3)
     assert len(came) == 1  # one without a vector is not told of
@@ -226,25 +232,27 @@
     swim.merge([said(2)], 0.0)
     swim.call("127.0.0.1:2")
     assert swim.health == 0
-    assert swim.table.members["127.0.0.1:2"].said.state is State.ALIVE
+    assert swim.table.members["127.0.0.1:2"].said.state is MemberState.ALIVE
 
 
 def test_a_node_that_knows_no_vector_reads_a_datagram_that_has_one() -> None:
     class Older(msgspec.Struct, array_like=True, frozen=True):
-        kind: Kind
+        kind: DatagramKind
         sender: str
         seq: int = 0
         target: str = ""
         updates: list[Update] = []
 
-    message = Message(Kind.PING, "127.0.0.1:1", 3, updates=[said(2)], vector=[1, 2])
+    message = Datagram(DatagramKind.PING, "127.0.0.1:1", 3, updates=[said(2)], vector=[1, 2])
     data = msgspec.msgpack.encode(message)
-    assert msgspec.msgpack.decode(data, type=Older) == Older(Kind.PING, "127.0.0.1:1", 3, "", [said(2)])
-    older = msgspec.msgpack.encode(Older(Kind.PING, "127.0.0.1:1"))
-    assert msgspec.msgpack.decode(older, type=Message).vector == []
-    long = msgspec.msgpack.encode(Message(Kind.PING, "x", vector=[0] * (MOST_VECTOR + 1)))
+    assert msgspec.msgpack.decode(data, type=Older) == Older(
+        DatagramKind.PING, "127.0.0.1:1", 3, "", [said(2)]
+    )
+    older = msgspec.msgpack.encode(Older(DatagramKind.PING, "127.0.0.1:1"))
+    assert msgspec.msgpack.decode(older, type=Datagram).vector == []
+    long = msgspec.msgpack.encode(Datagram(DatagramKind.PING, "x", vector=[0] * (MOST_VECTOR + 1)))
     with pytest.raises(msgspec.ValidationError):
-        msgspec.msgpack.decode(long, type=Message)
+        msgspec.msgpack.decode(long, type=Datagram)
 
 
 @given(
@@ -256,13 +264,13 @@
 def test_no_vector_pushes_a_datagram_over_its_size(
     members: list[tuple[str, str, str, int]], vector: list[int], fleet: str
 ) -> None:
-    own = Update("1" * 58 + ":65535", "n" * 64, "z" * 64, "r" * 64, 1, State.ALIVE)
+    own = Update("1" * 58 + ":65535", "n" * 64, "z" * 64, "r" * 64, 1, MemberState.ALIVE)
     swim = Swim(own, Random(1), 0.0)
     swim.vector = lambda: vector
-    sealed = Seal(SECRET, fleet, own.place, (1 << 62))
+    sealed = MessageAuthenticator(SECRET, fleet, own.place, (1 << 62))
     swim.merge(
         [
-            Update(f"{number:058}:65535", name, zone, region, incarnation, State.ALIVE)
+            Update(f"{number:058}:65535", name, zone, region, incarnation, MemberState.ALIVE)
             for number, (name, zone, region, incarnation) in enumerate(members)
         ],
         0.0,
@@ -297,7 +305,10 @@
 # Without suspicions: they end by themselves within seconds, so that no digest tells of them.
 VIEWS = st.lists(
     st.builds(
-        said, st.integers(1, 9), st.integers(0, 2), st.sampled_from([State.ALIVE, State.DEAD, State.LEFT])
+        said,
+        st.integers(1, 9),
+        st.integers(0, 2),
+        st.sampled_from([MemberState.ALIVE, MemberState.DEAD, MemberState.LEFT]),
     ),
     max_size=25,
 )
@@ -340,9 +351,9 @@
     assert changed in another.in_buckets([bucket])
     assert changed not in another.in_buckets([bucket - 1])
     before = another.digest()
-    another.merge([said(8, 3, State.SUSPECT)], 0.0)
+    another.merge([said(8, 3, MemberState.SUSPECT)], 0.0)
     assert another.digest() == before  # a suspect counts as live
-    one.table.take(said(8, 3, State.DEAD), 0.0)
+    one.table.take(said(8, 3, MemberState.DEAD), 0.0)
     assert one.differing(another.compared(one.digest())) == [bucket]
     another.leave()
     assert another.digest() != before
@@ -398,8 +409,8 @@
     waits = []
     for took_s in [0.3] + [0.002] * 30:
         now += 1.0
-        [(_, ping)] = [sent for sent in swim.tick(now).out if sent[1].kind is Kind.PING]
-        swim.receive(Message(Kind.ACK, "127.0.0.1:2", ping.seq), now + took_s)
+        [(_, ping)] = [sent for sent in swim.tick(now).out if sent[1].kind is DatagramKind.PING]
+        swim.receive(Datagram(DatagramKind.ACK, "127.0.0.1:2", ping.seq), now + took_s)
         waits.append(swim.direct_s("127.0.0.1:2"))
     assert waits[0] == pytest.approx(0.3 * PATIENCE)
     assert waits == sorted(waits, reverse=True)
@@ -437,13 +448,13 @@
     fleet.run(8)
     fleet.swims.pop(old)
     new = fleet.add(500, life=2)
-    fleet.swims[new].own = Update(new, "n2", "z", "r", 2, State.ALIVE)
+    fleet.swims[new].own = Update(new, "n2", "z", "r", 2, MemberState.ALIVE)
     fleet.exchange(new, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
     table = fleet.swims[next(iter(fleet.swims))].table
     assert table.namesakes() == {}
     again = fleet.add(501, life=3)
-    fleet.swims[again].own = Update(again, "n2", "z", "r", 3, State.ALIVE)
+    fleet.swims[again].own = Update(again, "n2", "z", "r", 3, MemberState.ALIVE)
     fleet.exchange(again, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
     assert table.namesakes() == {"n2": sorted([new, again])}
@@ -486,16 +497,21 @@
 
 def test_what_one_that_is_held_for_dead_says_of_others_is_not_taken_but_for_who_lives() -> None:
     swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3), said(2, 1, State.LEFT)], 0.0)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:3", updates=[said(4, 1, State.DEAD)]), 0.1)
-    assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD
-    heard = [said(3, 1, State.DEAD), said(5), said(6)]
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:5", updates=heard), 0.2)
+    swim.merge([said(2), said(3), said(2, 1, MemberState.LEFT)], 0.0)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(4, 1, MemberState.DEAD)]), 0.1)
+    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
+    heard = [said(3, 1, MemberState.DEAD), said(5), said(6)]
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:5", updates=heard), 0.2)
     swim.receive(
-        Message(
-            Kind.GOSSIP,
+        Datagram(
+            DatagramKind.GOSSIP,
             "127.0.0.1:3",
-            updates=[said(5, 1, State.DEAD), said(6, 1, State.SUSPECT), said(7), said(1, 1, State.SUSPECT)],
+            updates=[
+                said(5, 1, MemberState.DEAD),
+                said(6, 1, MemberState.SUSPECT),
+                said(7),
+                said(1, 1, MemberState.SUSPECT),
+            ],
         ),
         0.3,
     )
@@ -515,23 +531,23 @@
     swim.merge([said(2), said(3), said(4)], 0.0)
     swim.quiet()
     swim.receive(
-        Message(
-            Kind.GOSSIP,
+        Datagram(
+            DatagramKind.GOSSIP,
             "127.0.0.1:2",
-            updates=[said(3, 1, State.SUSPECT, "127.0.0.1:2"), said(4, 1, State.DEAD)],
+            updates=[said(3, 1, MemberState.SUSPECT, "127.0.0.1:2"), said(4, 1, MemberState.DEAD)],
         ),
         0.1,
     )
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(1, 1, State.DEAD)]), 0.2)
-    assert swim.table.members["127.0.0.1:3"].said.state is State.ALIVE
-    assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 1, MemberState.DEAD)]), 0.2)
+    assert swim.table.members["127.0.0.1:3"].said.state is MemberState.ALIVE
+    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
     told = {
         (one.place, one.state)
         for to, message in swim.tick(0.4).out
         for one in message.updates
         if to != "127.0.0.1:4"
     }  # whom it concerns is told in any case
-    assert told == {("127.0.0.1:1", State.ALIVE)}
+    assert told == {("127.0.0.1:1", MemberState.ALIVE)}
     assert swim.next_s() < 0.4 + PERIOD_S
 
 
@@ -539,21 +555,31 @@
     """It never hears that it was held for dead: its earlier life was. 480 false deaths came of that."""
     swim, apart_one = Swim(said(1), Random(1), 0.0), "127.0.0.1:3"
     swim.merge([said(2), said(3), said(4), said(5)], 0.0)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, State.DEAD)]), 0.1)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 9)]), 0.2)  # heard by way of another
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, MemberState.DEAD)]), 0.1)
+    swim.receive(
+        Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 9)]), 0.2
+    )  # heard by way of another
     swim.receive(
-        Message(
-            Kind.GOSSIP,
+        Datagram(
+            DatagramKind.GOSSIP,
             apart_one,
-            updates=[said(4, 1, State.DEAD, apart_one), said(5, 1, State.SUSPECT, apart_one), said(6)],
+            updates=[
+                said(4, 1, MemberState.DEAD, apart_one),
+                said(5, 1, MemberState.SUSPECT, apart_one),
+                said(6),
+            ],
         ),
         0.3,
     )
-    assert {swim.table.members[f"127.0.0.1:{number}"].said.state for number in (3, 4, 5, 6)} == {State.ALIVE}
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(4, 1, State.DEAD)]), 0.4)
-    assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD  # others are believed
-    swim.receive(Message(Kind.GOSSIP, apart_one, updates=[said(5, 1, State.DEAD)]), 0.2 + RETURN_S + 0.1)
-    assert swim.table.members["127.0.0.1:5"].said.state is State.DEAD  # and so is it, later
+    assert {swim.table.members[f"127.0.0.1:{number}"].said.state for number in (3, 4, 5, 6)} == {
+        MemberState.ALIVE
+    }
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(4, 1, MemberState.DEAD)]), 0.4)
+    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD  # others are believed
+    swim.receive(
+        Datagram(DatagramKind.GOSSIP, apart_one, updates=[said(5, 1, MemberState.DEAD)]), 0.2 + RETURN_S + 0.1
+    )
+    assert swim.table.members["127.0.0.1:5"].said.state is MemberState.DEAD  # and so is it, later
 
 
 @pytest.mark.parametrize(
@@ -564,7 +590,9 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2 + number) for number in range(20)], 0.0)
     swim.quiet()
-    swim.merge([Update(f"127.0.0.2:{number}", "n", "z", "r", 2, State.DEAD) for number in range(pieces)], 0.0)
+    swim.merge(
+        [Update(f"127.0.0.2:{number}", "n", "z", "r", 2, MemberState.DEAD) for number in range(pieces)], 0.0
+    )
     sent: Counter[str] = Counter()
     now = 0.0
     while swim._news:
@@ -579,30 +607,34 @@
 def test_one_that_left_and_is_back_is_believed_at_once() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(4)], 0.0)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, State.LEFT)]), 0.1)
-    swim.receive(Message(Kind.GOSSIP, "127.0.0.1:3", updates=[said(3, 9), said(4, 1, State.DEAD)]), 0.2)
-    assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, MemberState.LEFT)]), 0.1)
+    swim.receive(
+        Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(3, 9), said(4, 1, MemberState.DEAD)]), 0.2
+    )
+    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
 
 
 def test_who_hears_from_one_that_it_holds_for_dead_tells_no_more_of_deaths() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(4), said(5)], 0.0)
     swim.receive(
-        Message(
-            Kind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, State.DEAD), said(4, 1, State.DEAD), said(6)]
+        Datagram(
+            DatagramKind.GOSSIP,
+            "127.0.0.1:2",
+            updates=[said(3, 1, MemberState.DEAD), said(4, 1, MemberState.DEAD), said(6)],
         ),
         0.1,
     )
-    swim.receive(Message(Kind.PING, "127.0.0.1:3", 1), 0.2)
+    swim.receive(Datagram(DatagramKind.PING, "127.0.0.1:3", 1), 0.2)
     told = {
         one.place[-1]: one.state
         for to, message in swim.tick(0.4).out
         for one in message.updates
         if to != one.place
     }
-    assert told["6"] is State.ALIVE
+    assert told["6"] is MemberState.ALIVE
     assert "4" not in told
-    assert swim.table.members["127.0.0.1:4"].said.state is State.DEAD  # until it hears otherwise
+    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD  # until it hears otherwise
 
 
 @pytest.mark.parametrize("found_out_s", [2, 3, 4])
@@ -631,8 +663,10 @@
 # What is refused
 
 
-def seal(place: str = "127.0.0.1:1", secret: bytes = SECRET, fleet: str = "f", life: int = 1) -> Seal:
-    return Seal(secret, fleet, place, life)
+def seal(
+    place: str = "127.0.0.1:1", secret: bytes = SECRET, fleet: str = "f", life: int = 1
+) -> MessageAuthenticator:
+    return MessageAuthenticator(secret, fleet, place, life)
 
 
 @pytest.mark.parametrize(
@@ -643,8 +677,11 @@
         (lambda data: b"", "cut"),
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "forged"),
         (lambda data: data + b"\0" * MOST_DATAGRAM, "oversized"),
-        (lambda data: seal(secret=b"another secret of theirs").close(Message(Kind.PING, "x")), "forged"),
-        (lambda data: seal(fleet="g").close(Message(Kind.PING, "x")), "other_fleet"),
+        (
+            lambda data: seal(secret=b"another secret of theirs").close(Datagram(DatagramKind.PING, "x")),
+            "forged",
+        ),
+        (lambda data: seal(fleet="g").close(Datagram(DatagramKind.PING, "x")), "other_fleet"),
         (lambda data: seal().close([1, 2, 3]), "malformed"),
         (lambda data: seal().close([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
         (lambda data: data, "replayed"),
@@ -654,24 +691,24 @@
     spoil: Callable[[bytes], bytes], why: str
 ) -> None:
     here = seal("127.0.0.1:9")
-    data = seal().close(Message(Kind.PING, "127.0.0.1:1", 7))
-    assert here.open(data, Message)[1].seq == 7
+    data = seal().close(Datagram(DatagramKind.PING, "127.0.0.1:1", 7))
+    assert here.open(data, Datagram)[1].seq == 7
     with pytest.raises(RejectedMessageError, match=why):
-        here.open(spoil(data), Message)
+        here.open(spoil(data), Datagram)
 
 
 @given(st.binary(max_size=2000))
 @settings(max_examples=200)
 def test_no_bytes_do_more_than_be_refused(data: bytes) -> None:
     with pytest.raises(RejectedMessageError):
-        seal().open(data, Message)
+        seal().open(data, Datagram)
 
 
 def test_another_version_is_refused_though_its_digest_is_right() -> None:
     one = seal()
-    inner = b"\x02" + one.close(Message(Kind.PING, "x"))[17:]
+    inner = b"\x02" + one.close(Datagram(DatagramKind.PING, "x"))[17:]
     with pytest.raises(RejectedMessageError, match="version"):
-        seal("127.0.0.1:9").open(one._digest(inner) + inner, Message)
+        seal("127.0.0.1:9").open(one._digest(inner) + inner, Datagram)
 
 
 def test_a_secret_that_is_missing_or_short_is_named(tmp_path: Path) -> None:
@@ -857,7 +894,7 @@
     assert soon(lambda: names(first) == ["a", "b"])
     asker = start("c", [first])
     assert soon(lambda: asker.status()["own"]["joined"])
-    first._states = Allowance(0.0, 5.0, time.monotonic())
+    first._states = ExchangeAllowance(0.0, 5.0, time.monotonic())
     replies: list[StateReply | None] = [asker._exchange("{}:{}".format(*first.address)) for _ in range(20)]
     given = [reply for reply in replies if reply and not reply.instead]
     assert len(given) == 5
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -13,13 +13,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reelusher.backends.ajp.worker_pool import Member, Pool
-from reelusher.backends.service_registry import Catalog, RegistryUnavailableError
+from reelusher.backends.ajp.worker_pool import Member, WorkerPool
+from reelusher.backends.service_registry import RegistryUnavailableError, ServiceRegistry
 from reelusher.config.operator import parse as parse_operator
 from reelusher.core.counters import Counters
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.backoff import Backoff, Tries
-from reelusher.pacing.report_schedule import LAPSE_S, Cadence, Loss
+from reelusher.pacing.backoff import Backoff, RetryBudget
+from reelusher.pacing.report_schedule import LAPSE_S, Loss, ReportSchedule
 
 ANSWER_S = 0.002
 
@@ -28,7 +28,7 @@
     """A node that reports on a virtual clock; `fate` says what becomes of each try, by its time."""
 
     def __init__(self, line: VirtualLine, seed: int, fate: Callable[[float], str]) -> None:
-        self.line, self.fate, self.cadence = line, fate, Cadence(Random(seed))
+        self.line, self.fate, self.cadence = line, fate, ReportSchedule(Random(seed))
         self.tries: list[float] = []
         self.counted: list[float] = []
         line.call_later(self.cadence.first_s(), self.report)
@@ -111,15 +111,15 @@
 
 
 def test_advice_of_the_list_is_followed_by_all_and_not_by_all_at_once() -> None:
-    waits = [Cadence(Random(seed)).lost(Loss.AWAY, 0.0, 8.0) for seed in range(200)]
+    waits = [ReportSchedule(Random(seed)).lost(Loss.AWAY, 0.0, 8.0) for seed in range(200)]
     assert min(waits) >= 8.0
     assert max(waits) <= 10.0
     assert most_in(waits) < 30
-    assert Cadence(Random(1)).lost(Loss.AWAY, 0.0, 1e9) < 80
+    assert ReportSchedule(Random(1)).lost(Loss.AWAY, 0.0, 1e9) < 80
 
 
 def test_a_change_is_reported_soon_but_a_state_that_flaps_makes_no_flood() -> None:
-    cadence = Cadence(Random(1))
+    cadence = ReportSchedule(Random(1))
     assert cadence.answered(10.0, 10.002) > 0.3
     assert 0.15 < cadence.changed(10.01) < 0.3
     assert cadence.changed(11.0) <= 0.1
@@ -151,32 +151,34 @@
 
 @given(st.lists(st.booleans(), max_size=300))
 def test_what_always_fails_gets_its_savings_and_then_what_successes_pay(succeeds: list[bool]) -> None:
-    budget, taken, won = Tries(3, 0.5), 0, 0
+    budget, taken, won = RetryBudget(3, 0.5), 0, 0
     for good in succeeds:
         if good:
-            budget.succeeded()
+            budget.record_success()
             won += 1
         else:
-            taken += budget.take()
+            taken += budget.try_acquire()
     assert taken <= 3 + 0.5 * won
 
 
 # What is paced
 
 
-def catalog_of(monkeypatch: pytest.MonkeyPatch, *fates: OSError | None) -> tuple[Catalog, list[float]]:
+def catalog_of(
+    monkeypatch: pytest.MonkeyPatch, *fates: OSError | None
+) -> tuple[ServiceRegistry, list[float]]:
     """Return one on a kept connection whose exchanges end so, one after another, and when they were made."""
     made: list[float] = []
 
-    def exchange(self: Catalog, *args: Any) -> None:
+    def exchange(self: ServiceRegistry, *args: Any) -> None:
         made.append(time.monotonic())
         fate = fates[len(made) - 1] if len(made) <= len(fates) else None
         if fate:
             raise fate
 
-    monkeypatch.setattr(Catalog, "_exchange", exchange)
-    monkeypatch.setattr(Catalog, "_drop", lambda self: None)
-    catalog = Catalog(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
+    monkeypatch.setattr(ServiceRegistry, "_exchange", exchange)
+    monkeypatch.setattr(ServiceRegistry, "_drop", lambda self: None)
+    catalog = ServiceRegistry(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
     vars(catalog).update(_sock=socket.socket(), _connected=("127.0.0.1", 1))
     return catalog, made
 
@@ -199,7 +201,7 @@
 
 
 def test_a_change_is_reported_before_the_next_report_is_due(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Cadence, "answered", lambda self, sent_s, now: 1000.0)
+    monkeypatch.setattr(ReportSchedule, "answered", lambda self, sent_s, now: 1000.0)
     catalog, made = catalog_of(monkeypatch)
     catalog.start()
     try:
@@ -222,7 +224,7 @@
             "workers": [{"name": "w", "recover_ms": 1000}],
         }
     )
-    pool = Pool(own.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1))
+    pool = WorkerPool(own.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1))
     member: Member = pool.members["w"]
 
     def pick() -> Member | None:
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -24,16 +24,16 @@
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Answer, IncomingRequest, RequestArrived, Result, RunFinished, Verdict
-from reelusher.fleet.replication.messages import Entry as Row
-from reelusher.fleet.replication.replica_store import StreamState
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
-from reelusher.frontends.ajp.frontend import AjpFront
+from reelusher.fleet.replication.messages import LogEntry as Row
+from reelusher.fleet.replication.replica_store import PartitionState
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.policy.events import Outcome, Request
 from reelusher.tenancy import tenant_cache
-from reelusher.tenancy.fair_queue import DEMAND_US, Share, Shares
-from reelusher.tenancy.lifecycle import Entry, State
-from reelusher.tenancy.reader_pool import Readers
-from reelusher.tenancy.registry import IDLE_LOOK_US, Match, Tenants, reason
+from reelusher.tenancy.fair_queue import DEMAND_US, FairQueue, Quota
+from reelusher.tenancy.lifecycle import TenantRecord, TenantState
+from reelusher.tenancy.reader_pool import ReaderPool
+from reelusher.tenancy.registry import IDLE_LOOK_US, Match, TenantRegistry, reason
 from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 WAIT_S = 10.0  # for what must happen
@@ -88,7 +88,7 @@
         self.calls["match"] += 1
         found = rule(
             [
-                Entry(tenant(line.name, tuple(told["hosts"]), told["prefix"]), line.number)
+                TenantRecord(tenant(line.name, tuple(told["hosts"]), told["prefix"]), line.number)
                 for line, told in self.told()
             ],
             "GET",
@@ -125,10 +125,10 @@
 class World:
     """A node on a clock of its own, whose owner takes a turn when the test says so, or while it waits."""
 
-    def __init__(self, source: "LocalCopy | None" = None, **changes: Any) -> None:
+    def __init__(self, source: "SqliteReplica | None" = None, **changes: Any) -> None:
         self.now_us, self.rows = 1_000_000_000_000, Rows()
         told = settings(SAFE, KEYED, **{"cores": 2, **changes})
-        self.shares = Shares(told.cores, told.memory_kb)
+        self.shares = FairQueue(told.cores, told.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
         self.core = Core(
             told,
@@ -138,8 +138,8 @@
             clock=Clock(*[lambda: self.now_us * 1000] * 2),
             standing=self.shares,
         )
-        self.core.turn([])
-        self.tenants = Tenants(
+        self.core.process_batch([])
+        self.tenants = TenantRegistry(
             (),
             ("safe", "keyed"),
             self.runners.get,
@@ -164,7 +164,7 @@
                 batch.append(self.core._inbox.get_nowait())
             except queue.Empty:
                 break
-        self.core.turn([message for message in batch if message is not None])
+        self.core.process_batch([message for message in batch if message is not None])
 
     def pass_s(self, seconds: float) -> None:
         for _ in range(round(seconds * 10)):
@@ -206,7 +206,7 @@
                     match.tenant.name,
                     match.number,
                     held_kb=20.0,
-                    key=key,
+                    idempotency_key=key,
                 )
             )
         )
@@ -320,15 +320,15 @@
 def test_it_finds_whom_the_rule_names_in_a_local_copy(
     tmp_path_factory: pytest.TempPathFactory, played: list[Any]
 ) -> None:
-    copy = LocalCopy(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
-    world, number, rows = World(copy), 0, dict[str, tuple[Tenant, State]]()
+    copy = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
+    world, number, rows = World(copy), 0, dict[str, tuple[Tenant, TenantState]]()
     try:
         for what, one, requests in played:
             one = replace(one, backend="w", routes=(), default_class="safe")
             if what == "remove":
                 rows.pop(one.name, None)
             else:
-                rows[one.name] = one, State.SUSPENDED if what == "suspend" else State.ACTIVE
+                rows[one.name] = one, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
             number += 1
             state = rows[one.name][1].value if one.name in rows else ""
             told = json.dumps(one.to_json()).encode() if state else b""
@@ -336,14 +336,19 @@
                 copy.apply(
                     "c1",
                     [Row(number, one.name, 0, "me", state, told)],
-                    StreamState(1, number, covered=number, goal=number),
+                    PartitionState(1, number, covered=number, goal=number),
                 )
             )
             world.turn()
             for method, host, path in requests:
                 found, wanted = (
                     world.find(host, path, method),
-                    rule([Entry(tenant, 0, state) for tenant, state in rows.values()], method, host, path),
+                    rule(
+                        [TenantRecord(tenant, 0, state) for tenant, state in rows.values()],
+                        method,
+                        host,
+                        path,
+                    ),
                 )
                 assert (found and (found.tenant, found.admitted, found.class_name)) == (
                     wanted and (wanted.tenant, wanted.admitted, wanted.class_name)
@@ -381,8 +386,8 @@
 
 CHANGED: list[tuple[Callable[[Rows], None], list[Verdict], str]] = [
     (lambda rows: rows.put(on("a", backend="v")), [], "v"),
-    (lambda rows: rows.put(on("a"), "suspended"), [Verdict.REFUSED], ""),
-    (lambda rows: rows.remove("a"), [Verdict.REFUSED], ""),
+    (lambda rows: rows.put(on("a"), "suspended"), [Verdict.REJECTED], ""),
+    (lambda rows: rows.remove("a"), [Verdict.REJECTED], ""),
 ]
 
 
@@ -506,7 +511,7 @@
     world.rows.put(on("a", backend="v"))
     world.ask("new")
     numbers = {entry.number: entry.state for entry in world.tenants._life._by_number.values()}
-    assert numbers == {1: State.DRAINING, 2: State.ACTIVE}
+    assert numbers == {1: TenantState.DRAINING, 2: TenantState.ACTIVE}
     world.over("old")
     world.over("new")
     world.pass_s(0.2)
@@ -560,7 +565,7 @@
         if not world.core._inbox.empty():
             break
         world.now_us += 100_000
-        world.core.turn([])
+        world.core.process_batch([])
     assert len(world.pager) == 1
     assert not world.core._inbox.empty()
 
@@ -646,7 +651,7 @@
 
 def test_so_many_may_wait_for_the_disk_and_no_more() -> None:
     counts, held = Counters(), threading.Event()
-    readers = Readers(counts, 5.0, 2)
+    readers = ReaderPool(counts, 5.0, 2)
     with ThreadPoolExecutor(2) as pool:
         waiting = [pool.submit(readers.read, held.wait) for _ in range(2)]
         assert soon(lambda: not readers._places._value)
@@ -776,8 +781,8 @@
 
 
 def test_who_is_ahead_of_the_others_or_of_its_clocks_is_not_let_go() -> None:
-    shares = Shares(1, 1000.0)
-    shares.entitle(1, Share(guarantee=0.5, ceiling=0.5))
+    shares = FairQueue(1, 1000.0)
+    shares.entitle(1, Quota(guarantee=0.5, ceiling=0.5))
     one, other = request(1, 1), request(2, 2)
     shares.request_arrived(one, 0)
     assert not shares.let_go(1, 0)  # it asks for something
@@ -808,7 +813,7 @@
 
 
 def test_nobody_is_ahead_for_good_where_nobody_waits() -> None:
-    shares = Shares(1, 1000.0)
+    shares = FairQueue(1, 1000.0)
     shares.forgetful = True
     one = request(1, 1)
     shares.run_started(one, 0)
@@ -828,7 +833,7 @@
 
 
 def test_a_look_at_the_usage_of_who_is_not_there_leaves_nothing() -> None:
-    shares = Shares(1, 1000.0)
+    shares = FairQueue(1, 1000.0)
     assert shares.usage(7, 0)["held"] == 0
     assert not shares._flows
 
@@ -850,16 +855,16 @@
     core: Core
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        self.core.post(RunFinished(request.call, Outcome.OK, 1000, Result(b"ok")))
+        self.core.post(RunFinished(request.run_id, Outcome.OK, 1000, Result(b"ok")))
 
 
 def test_the_ajp_front_refuses_a_request_whose_tenant_cannot_be_read_and_serves_on() -> None:
     told, rows, runner = settings(SAFE, cores=2), Rows(), Prompt()
-    shares = Shares(told.cores, told.memory_kb)
+    shares = FairQueue(told.cores, told.memory_kb)
     core = runner.core = Core(told, [], 1, runner, class_names=["safe"], standing=shares)
-    made = Tenants((), ("safe",), lambda backend: None, core, shares, frozenset({"w"}), source=rows)
+    made = TenantRegistry((), ("safe",), lambda backend: None, core, shares, frozenset({"w"}), source=rows)
     listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
-    front = AjpFront(core, listens, made)
+    front = AjpFrontend(core, listens, made)
     rows.put(on("a"))
     rows.put(on("b", "i"))
     core.start()
