--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
 from test_core import Backend
 
 from reelusher.backends import downstream_client
-from reelusher.backends.runtime import Unproved
+from reelusher.backends.runtime import UnacknowledgedCommands
 from reelusher.codecs import msgpack
 from reelusher.config import ConfigError, load
 from reelusher.config.load import merge
@@ -29,13 +29,13 @@
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import CallFinished, Message
-from reelusher.frontends.rpc.frontend import Connection, PlatformFront
+from reelusher.frontends.rpc.frontend import Connection, RpcFrontend
 from reelusher.importer import httpd, jk
 from reelusher.importer.__main__ import main as run_importer
 from reelusher.importer.model import Imported
 from reelusher.lab.fleet import processes
 from reelusher.net.listener import Listener
-from reelusher.net.send_buffer import Budget, Outbox
+from reelusher.net.send_buffer import ByteBudget, SendBuffer
 from reelusher.net.sockets import Address
 from reelusher.policy.events import Outcome
 
@@ -45,7 +45,7 @@
 
 def test_a_slow_reader_neither_blocks_the_sender_nor_holds_more_than_its_backlog() -> None:
     near, far = socket.socketpair()
-    outbox, began = Outbox(near, limit=1 << 20), time.monotonic()
+    outbox, began = SendBuffer(near, limit=1 << 20), time.monotonic()
     sent = 0
     while outbox.send(b"x" * 65_536):
         sent += 65_536
@@ -58,7 +58,7 @@
 
 def test_what_waits_in_an_outbox_arrives_whole_and_in_order() -> None:
     near, far = socket.socketpair()
-    outbox = Outbox(near, limit=8 << 20)
+    outbox = SendBuffer(near, limit=8 << 20)
     data = bytes(range(256)) * 4096
     for at in range(0, len(data), 10_000):
         assert outbox.send(data[at : at + 10_000])
@@ -479,11 +479,11 @@
 
 def test_what_lies_unread_when_an_idle_connection_is_closed_is_still_answered() -> None:
     """On a busy core the reader runs late: a close that did not wait for it lost what had come in."""
-    front = PlatformFront(Core(settings(), [], 1, Backend()), ("127.0.0.1", 0), "t", 8, 1 << 20)
+    front = RpcFrontend(Core(settings(), [], 1, Backend()), ("127.0.0.1", 0), "t", 8, 1 << 20)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         far = socket.create_connection(listener.getsockname(), 10)
         near, _ = listener.accept()
-    connection = front._connections[near] = Connection(near, Budget(1 << 20))
+    connection = front._connections[near] = Connection(near, ByteBudget(1 << 20))
     far.sendall(msgpack.pack([0, 1, "health", [{}]]))
     front._close_idle(connection)  # before the poller has had its turn
     assert list(msgpack.Decoder().feed(far.recv(100))) == [[1, 1, None, [True, {}]]]
@@ -496,7 +496,7 @@
 def test_young_commands_go_out_again_after_a_break_though_gauges_have_answered() -> None:
     """A break loses the last 50 ms of commands; gauges answered within them proved nothing about these."""
     now = 0.0
-    sent = Unproved(lambda: now)
+    sent = UnacknowledgedCommands(lambda: now)
     sent.add("a", b"start a")
     sent.add("b", b"start b")
     now = 0.1
@@ -518,10 +518,10 @@
     """The vault forgets idle ones, and a call that is reset there would prove nothing and be failed."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.Vault(listener.getsockname(), came.put, Counters(), Clock())
+        made = downstream_client.DownstreamClient(listener.getsockname(), came.put, Counters(), Clock())
         lines_open = []
         for number, call in enumerate(("aa", "bb", "cc")):
-            made.ask(call, number, Clock().now() + 60_000_000, b"q")
+            made.call(call, number, Clock().now() + 60_000_000, b"q")
             if call != "bb":  # the second goes out on the first one's connection
                 lines_open.append(listener.accept()[0])
             assert lines_open[-1].recv(100).startswith(f"ask {call} ".encode())
@@ -536,7 +536,7 @@
     """A refused connection proves that nothing ran; a reload had come while it was being opened."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.Vault(("127.0.0.1", 1), came.put, Counters(), Clock())
+        made = downstream_client.DownstreamClient(("127.0.0.1", 1), came.put, Counters(), Clock())
 
         def refused(address: Address, timeout: float) -> socket.socket:
             monkeypatch.undo()
@@ -544,7 +544,7 @@
             raise ConnectionRefusedError
 
         monkeypatch.setattr(downstream_client, "connect", refused)
-        made.ask("aa", 1, Clock().now() + 60_000_000, b"q")
+        made.call("aa", 1, Clock().now() + 60_000_000, b"q")
         sock = listener.accept()[0]
         assert sock.recv(100).startswith(b"ask aa ")
         sock.sendall(b"aa yes 1\r\nr\r\n")
@@ -556,13 +556,13 @@
     """A late reply to the first could be taken for the second one's: both carry one id."""
     came: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.Vault(listener.getsockname(), came.put, Counters(), Clock())
-        made.ask("aa", 1, Clock().now() + 60_000_000, b"q")
+        made = downstream_client.DownstreamClient(listener.getsockname(), came.put, Counters(), Clock())
+        made.call("aa", 1, Clock().now() + 60_000_000, b"q")
         first = listener.accept()[0]
         assert first.recv(100).startswith(b"ask aa ")
-        made.unask("aa", 1)
+        made.cancel("aa", 1)
         assert first.recv(100) == b"unask aa\r\n"
-        made.ask("aa", 2, Clock().now() + 60_000_000, b"q")
+        made.call("aa", 2, Clock().now() + 60_000_000, b"q")
         second = listener.accept()[0]
         assert second.recv(100).startswith(b"ask aa ")
         first.sendall(b"aa yes 4\r\nlate\r\n")
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -26,11 +26,11 @@
 from reelusher.config.load import merge
 from reelusher.config.operator import parse
 from reelusher.fleet.replication import leadership, service
-from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, Entry
+from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, LogEntry
 from reelusher.fleet.replication.replica import Replica, stream_of
 from reelusher.fleet.replication.replica_store import ReplicaError
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
-from reelusher.frontends.ajp.frontend import AjpFront
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.net.sockets import Address
 from reelusher.node import COPY_FILES, Node
 from reelusher.tenancy import replicated
@@ -150,7 +150,7 @@
     def owner(self, at: str, host: str) -> str:
         """Return the name of the tenant that a node serves a host for; empty: none. Or that it refuses."""
         front = self.all[at].fronts["ajp"]
-        assert isinstance(front, AjpFront)
+        assert isinstance(front, AjpFrontend)
         try:
             with front._tenants.matched("GET", host, "/") as found:
                 return found.tenant.name if found is not None and found.admitted else ""
@@ -567,7 +567,7 @@
     nodes.start("c1")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))[0] == 201
     front = nodes.all["c1"].fronts["ajp"]
-    assert isinstance(front, AjpFront)
+    assert isinstance(front, AjpFrontend)
     assert nodes.owner("c1", "nobody.example") == ""
     front._tenants.filling = lambda: True
     assert nodes.serves("c1", C1[0])
@@ -684,12 +684,12 @@
 def test_alone_with_all_others_and_all_writers_away_a_node_starts_and_serves_from_its_copy(
     tmp_path: Path,
 ) -> None:
-    copy = LocalCopy(tmp_path / "n1.db", "reelusher", CONTROL)
+    copy = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
     replica = Replica("x", CONTROL, copy, Random(1))
     for number, name in enumerate((C1[0], C2[0]), 1):
         data = json.dumps(tenant(name)).encode()
         replica.accept(
-            stream_of(name, CONTROL), stream_of(name, CONTROL), Entry(0, name, number, "x", "active", data)
+            stream_of(name, CONTROL), stream_of(name, CONTROL), LogEntry(0, name, number, "x", "active", data)
         )
     copy.close()
     ajp, admin, away = ("{}:{}".format(*place) for place in free_places(3))
@@ -730,7 +730,7 @@
         made.terminate()
         assert made.wait(20) == 0
     worker.close(["listener"])
-    kept = LocalCopy(tmp_path / "n1.db", "reelusher", CONTROL)
+    kept = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
     assert kept.count() == 2
     assert not kept.put_aside
     kept.close()
@@ -759,7 +759,7 @@
                     status, _, headers = called(admin, "POST", "/v1/tenants", tenant(name))
                     assert status == 201
                     tags[name] = headers["etag"]
-        copy = LocalCopy(tmp_path / "c1.db", "", ["c1"])
+        copy = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
         rows = {row.name: f'"{row.epoch}.{row.revision}"' for row in copy.page("", 10_000)}
         copy.close()
         assert tags.items() <= rows.items()
@@ -779,10 +779,12 @@
     def held() -> int:
         return sum(str(tmp_path) in os.path.realpath(path) for path in Path("/proc/self/fd").iterdir())
 
-    copy = LocalCopy(tmp_path / "x.db", "f", CONTROL)
+    copy = SqliteReplica(tmp_path / "x.db", "f", CONTROL)
     replica = Replica("x", CONTROL, copy, Random(1))
     for number, name in enumerate(C1):
-        replica.accept("c1", "c1", Entry(0, name, number, "x", "active", json.dumps(tenant(name)).encode()))
+        replica.accept(
+            "c1", "c1", LogEntry(0, name, number, "x", "active", json.dumps(tenant(name)).encode())
+        )
     threads = [threading.Thread(target=lambda: [copy.page("", 100) for _ in range(50)]) for _ in range(4)]
     for thread in threads:
         thread.start()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -22,8 +22,8 @@
     MOST_TENANT,
     EntriesReply,
     EntriesRequest,
-    Entry,
-    Piece,
+    LogEntry,
+    LogSegment,
 )
 from reelusher.fleet.replication.replica import (
     FILL_PER_S,
@@ -41,7 +41,7 @@
     stream_of,
     unpack,
 )
-from reelusher.fleet.replication.replica_store import MemoryRows, ReplicaError, StreamState
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore, PartitionState, ReplicaError
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
@@ -63,10 +63,10 @@
     )
 
 
-def piece(state: StreamState, entries: list[Entry], since: int = 0, **more: Any) -> Piece:
+def piece(state: PartitionState, entries: list[LogEntry], since: int = 0, **more: Any) -> LogSegment:
     upto = more.pop("upto", entries[-1].number if entries else since)
     told = {"stream": "c1", "epoch": state.epoch, "bases": state.bases, "covered": upto, "goal": upto} | more
-    return Piece(since=since, upto=upto, entries=entries, more=False, **told)
+    return LogSegment(since=since, upto=upto, entries=entries, more=False, **told)
 
 
 # Names, streams, vectors
@@ -202,8 +202,8 @@
 def test_a_pull_follows_soon_after_hearing_with_jitter_and_own_zone_first() -> None:
     due = set()
     for seed in range(20):
-        replica = Replica("n", CONTROL, MemoryRows(), Random(seed), "near")
-        other = Replica("c1", CONTROL, MemoryRows(), Random(seed))
+        replica = Replica("n", CONTROL, MemoryReplicaStore(), Random(seed), "near")
+        other = Replica("c1", CONTROL, MemoryReplicaStore(), Random(seed))
         other.accept("c1", "c1", entry(C1[0]))
         for place, zone in (("a", "far"), ("b", "near"), ("c", "far")):
             assert replica.heard(place, zone, list(other.announce()), 5.0) == ""
@@ -267,7 +267,7 @@
     writer = fleet.all["c1"]
     assert writer.heard("n1", "", list(fleet.all["n1"].announce()), fleet.now) == ""
     assert writer.heard("n1", "", list(writer.announce()), fleet.now) == ""
-    other = Replica("c1", ("c1", "c3"), MemoryRows(), Random(1))
+    other = Replica("c1", ("c1", "c3"), MemoryReplicaStore(), Random(1))
     other.accept("c1", "c1", entry(names_of("c1", 1, ("c1", "c3"))[0]))
     assert fleet.all["n1"].heard("x", "", list(other.announce()), fleet.now) == "control"
     assert fleet.all["n1"].heard("x", "", [1, 2], fleet.now) == "control"
@@ -339,7 +339,7 @@
         bad("numbers", entries=[entry(C1[0], 1), entry(C1[0], 2)]),
         bad("numbers", entries=[entry(C1[0], 3)]),
         bad("name", entries=[entry(C2[0], 1)]),
-        bad("epoch", entries=[Entry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
+        bad("epoch", entries=[LogEntry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
     ],
 )
 def test_what_can_not_be_true_is_refused_whole(folder: Path | None, more: dict[str, Any], word: str) -> None:
@@ -378,7 +378,7 @@
 
 
 def test_a_copy_that_can_not_be_written_takes_nothing_and_tries_again_later() -> None:
-    class Full(MemoryRows):
+    class Full(MemoryReplicaStore):
         full = True
 
         def apply(self, *args: Any, **more: Any) -> list[str]:
@@ -405,12 +405,12 @@
     [
         entry(C2[0]),
         entry(C1[0], pad="x" * MOST_TENANT),
-        Entry(0, C1[0], 0, "o" * 257, "active", b"{}"),
-        Entry(0, C1[0], -1, "", "active", b"{}"),
-        Entry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
+        LogEntry(0, C1[0], 0, "o" * 257, "active", b"{}"),
+        LogEntry(0, C1[0], -1, "", "active", b"{}"),
+        LogEntry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
     ],
 )
-def test_what_no_other_member_would_take_is_not_numbered(made: Entry) -> None:
+def test_what_no_other_member_would_take_is_not_numbered(made: LogEntry) -> None:
     fleet = Replicas(0)
     with pytest.raises(ValueError, match=r"stream|length|>="):
         fleet.all["c1"].accept("c1", "c1", made)
@@ -583,7 +583,7 @@
 
 
 def test_what_is_collected_is_old_and_not_among_the_newest_numbers() -> None:
-    rows = MemoryRows(lambda: 50)
+    rows = MemoryReplicaStore(lambda: 50)
     replica = Replica("c1", CONTROL, rows, Random(1))
     for name in C1[:4]:
         replica.accept("c1", "c1", entry(name))
@@ -750,7 +750,8 @@
     random, control = Random(seed), ("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8")
     names = [*control, *(f"n{number}" for number in range(size - len(control)))]
     all_of = {
-        name: Replica(name, control, MemoryRows(), Random(random.random()), own_name=name) for name in names
+        name: Replica(name, control, MemoryReplicaStore(), Random(random.random()), own_name=name)
+        for name in names
     }
     for name in names_of("c1", changes, control):
         all_of["c1"].accept("c1", "c1", entry(name))
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -14,13 +14,13 @@
 
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
-from reelusher.fleet.membership.messages import State, Update
+from reelusher.fleet.membership.messages import MemberState, Update
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.replication import replica as replica_module
 from reelusher.fleet.replication import replication_progress
 from reelusher.fleet.replication import service as serving
-from reelusher.fleet.replication.leadership import ALONE_S, QUIET_S, SETTLE_S, Writer
-from reelusher.fleet.replication.messages import MOST_TENANT, EntriesReply, EntriesRequest, Entry
+from reelusher.fleet.replication.leadership import ALONE_S, QUIET_S, SETTLE_S, Leadership
+from reelusher.fleet.replication.messages import MOST_TENANT, EntriesReply, EntriesRequest, LogEntry
 from reelusher.fleet.replication.replica import (
     CLAIM_S,
     NotLeaderError,
@@ -29,11 +29,11 @@
     first_epoch,
     holder_of,
 )
-from reelusher.fleet.replication.replica_store import MemoryRows, ReplicaError
-from reelusher.fleet.replication.replication_progress import Census
+from reelusher.fleet.replication.replica_store import MemoryReplicaStore, ReplicaError
+from reelusher.fleet.replication.replication_progress import ReplicationProgress
 from reelusher.fleet.replication.service import Replication
-from reelusher.fleet.replication.sqlite_replica import LocalCopy
-from reelusher.net.threads import spawn
+from reelusher.fleet.replication.sqlite_replica import SqliteReplica
+from reelusher.net.threads import start_thread
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
@@ -49,8 +49,8 @@
         return self.now
 
 
-def writer_of(fleet: Replicas, clock: Clock, name: str = "c1") -> Writer:
-    return Writer(fleet.all[name], Counters(), clock)
+def writer_of(fleet: Replicas, clock: Clock, name: str = "c1") -> Leadership:
+    return Leadership(fleet.all[name], Counters(), clock)
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,9 @@
 
 def test_without_a_fleet_it_writes_at_once_and_tells_of_each_change() -> None:
     told: list[tuple[str, Position, float]] = []
-    writer = Writer(Replicas(0).all["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True)
+    writer = Leadership(
+        Replicas(0).all["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True
+    )
     made = writer.accept("c1", entry(C1[0]))
     assert told == [("c1", (made.epoch, 1), 7.0)]
     with pytest.raises(NotLeaderError, match="c2 writes"):
@@ -113,7 +115,7 @@
     for name in C1[:kept]:
         fleet.change(name)
     older = fleet.rows["c1"]
-    assert isinstance(older, LocalCopy)
+    assert isinstance(older, SqliteReplica)
     older.close()
     backup = {path: path.read_bytes() for path in tmp_path.glob("c1-*.db*")}
     fleet.restart("c1")
@@ -271,12 +273,12 @@
 
 
 def live(*names: str) -> list[Update]:
-    return [Update(name, name, "", "", 1, State.ALIVE) for name in names]
+    return [Update(name, name, "", "", 1, MemberState.ALIVE) for name in names]
 
 
 def test_the_census_counts_who_was_heard_to_have_a_change_and_names_the_slowest() -> None:
     fleet = Replicas(3)
-    census = Census(fleet.all["c1"], "c1")
+    census = ReplicationProgress(fleet.all["c1"], "c1")
     members = live("c1", "c2", "n1", "n2", "n3")
     made = fleet.change(C1[0])
     census.made("c1", Position(made.epoch, 1), 10.0)
@@ -310,7 +312,7 @@
 
 def test_members_not_known_to_have_a_change_are_called_paced_and_those_heard_longest_ago_first() -> None:
     fleet = Replicas(0)
-    census = Census(fleet.all["c1"], "c1")
+    census = ReplicationProgress(fleet.all["c1"], "c1")
     places = [f"n{number}" for number in range(300)]
     members = live("c1", *places)
     made = fleet.change(C1[0])
@@ -336,7 +338,7 @@
 
 def test_whoever_waits_for_copies_is_told_as_soon_as_so_many_have_them_and_calls_go_out_at_once() -> None:
     fleet = Replicas(2)
-    census = Census(fleet.all["c1"], "c1")
+    census = ReplicationProgress(fleet.all["c1"], "c1")
     made = fleet.change(C1[0])
     position = Position(made.epoch, made.number)
     assert census.wait("c1", position, 1, 0.01) == 0
@@ -357,7 +359,7 @@
 def test_the_census_is_bounded_and_forgets_who_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replication_progress, "MOST_MEMBERS", 5)
     fleet = Replicas(0)
-    census = Census(fleet.all["c1"], "c1")
+    census = ReplicationProgress(fleet.all["c1"], "c1")
     for number in range(9):
         census.heard(f"n{number}", list(fleet.all["c2"].announce()), float(number))
     assert len(census._vectors) == 5
@@ -382,11 +384,11 @@
             self.counters,
         )
         place = self.membership.live()[0].place
-        self.copy = LocalCopy(folder / f"{name}.db", "f", CONTROL)
+        self.copy = SqliteReplica(folder / f"{name}.db", "f", CONTROL)
         self.replica = Replica(place, CONTROL, self.copy, Random(name), "z", time.monotonic(), name)
         self.replication = Replication(self.copy, self.replica, self.membership, Random(name), self.counters)
         self.membership.start()
-        self.replication.start(spawn)
+        self.replication.start(start_thread)
 
     def close(self) -> None:
         self.membership.close()
@@ -410,7 +412,7 @@
         node.close()
 
 
-def writes(node: Node, stream: str, made: Entry, within_s: float = 8.0) -> Entry:
+def writes(node: Node, stream: str, made: LogEntry, within_s: float = 8.0) -> LogEntry:
     """Have a node accept a change as soon as it may."""
     until = time.monotonic() + within_s
     while True:
@@ -444,7 +446,7 @@
 def test_a_large_entry_and_a_fill_from_nothing_get_through(start: Start) -> None:
     c1 = start("c1")
     n1 = start("n1", c1)
-    large = Entry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MOST_TENANT - 20) + b'"}')
+    large = LogEntry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MOST_TENANT - 20) + b'"}')
     writes(c1, "c1", large)
     for name in C1[1:]:
         writes(c1, "c1", entry(name, pad="y" * 4000))
@@ -517,7 +519,7 @@
         serve: ClassVar[dict[type, Callable[..., object]]] = {}
 
     fleet = Replicas(1)
-    replica, now = Replica("n2", CONTROL, MemoryRows(), Random(1)), time.monotonic()
+    replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
     node = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
     assert node.filling()  # nobody was heard yet
     replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
@@ -534,7 +536,7 @@
     replica.take(pull, fleet.all["c1"].asked(pull.request, now), now + 1)
     assert not node.filling()
     assert replica.announce() == fleet.all["c1"].announce()
-    replica = Replica("n3", CONTROL, MemoryRows(), Random(1))
+    replica = Replica("n3", CONTROL, MemoryReplicaStore(), Random(1))
     alone = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
     assert alone.filling()
     monkeypatch.setattr(serving, "SETTLE_S", 0.0)
@@ -544,7 +546,7 @@
 
 
 def test_a_copy_that_can_not_be_read_gives_nothing_and_is_told_of() -> None:
-    class Broke(MemoryRows):
+    class Broke(MemoryReplicaStore):
         def given(self, stream: str, since: int, most_bytes: int = 0) -> None:
             raise ReplicaError("disk I/O error")
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -12,7 +12,7 @@
 from reelusher.policy.actions import Reject, Run
 from reelusher.policy.events import Request
 from reelusher.policy.settings import RequestClass
-from reelusher.tenancy.fair_queue import Share, Shares
+from reelusher.tenancy.fair_queue import FairQueue, Quota
 from reelusher.tenancy.rate_limit import Claim, Gcra, allocate, jain
 
 CLAIMS = st.builds(Claim, st.floats(0, 100), st.floats(0.01, 100), st.floats(0, 5), st.floats(0.1, 50))
@@ -84,8 +84,8 @@
 @pytest.mark.parametrize("retries", [0.0, 0.9])
 def test_a_quiet_tenant_keeps_its_service_while_another_floods(flood: float, retries: float) -> None:
     span = 20 * SEC
-    alone = SharedNode({1: Share()}, {1: Demand(8.0)}).run(span)
-    both = SharedNode({1: Share(), 2: Share()}, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(span)
+    alone = SharedNode({1: Quota()}, {1: Demand(8.0)}).run(span)
+    both = SharedNode({1: Quota(), 2: Quota()}, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(span)
     assert both.in_time(1) >= 0.95 * alone.in_time(1)
     assert both.done() > 0.95
     unshared = SharedNode(None, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(span)
@@ -93,10 +93,10 @@
 
 
 def test_with_all_over_their_share_each_gets_what_its_weight_says() -> None:
-    node = SharedNode({n: Share() for n in range(10)}, {n: Demand(12.0) for n in range(10)}).run(60 * SEC)
+    node = SharedNode({n: Quota() for n in range(10)}, {n: Demand(12.0) for n in range(10)}).run(60 * SEC)
     assert jain([node.work_us[n] for n in range(10)]) > 0.98
     assert node.done() > 0.95
-    node = SharedNode({n: Share(weight=n) for n in (1, 2, 4)}, {n: Demand(60.0) for n in (1, 2, 4)}).run(
+    node = SharedNode({n: Quota(weight=n) for n in (1, 2, 4)}, {n: Demand(60.0) for n in (1, 2, 4)}).run(
         60 * SEC
     )
     total = sum(node.work_us.values())
@@ -106,14 +106,14 @@
 @pytest.mark.parametrize("hint", [True, False])
 def test_costs_that_differ_twenty_times_are_charged_as_they_were(hint: bool) -> None:
     demands = {1: Demand(200.0, 20_000, kind=2, hint=hint), 2: Demand(30.0, 400_000, kind=2, hint=hint)}
-    node = SharedNode({1: Share(), 2: Share()}, demands).run(30 * SEC)
+    node = SharedNode({1: Quota(), 2: Quota()}, demands).run(30 * SEC)
     assert node.work_us[1] / node.work_us[2] == pytest.approx(1, rel=0.06)
     assert node.done() > 0.95
 
 
 def test_what_one_leaves_others_have_and_it_comes_back_without_hoarded_credit() -> None:
     demands = {1: Demand(60.0, begins_us=20 * SEC), 2: Demand(60.0)}
-    node = SharedNode({1: Share(), 2: Share()}, demands).run(20 * SEC)
+    node = SharedNode({1: Quota(), 2: Quota()}, demands).run(20 * SEC)
     assert node.done() > 0.95
     assert node.work_us[1] == 0
     before = node.work_us[2]
@@ -122,36 +122,36 @@
 
 
 def test_a_guarantee_is_kept_whatever_the_weights_and_what_is_left_goes_by_weight() -> None:
-    shares = {1: Share(guarantee=0.6), 2: Share(weight=4), 3: Share(weight=8)}
+    shares = {1: Quota(guarantee=0.6), 2: Quota(weight=4), 3: Quota(weight=8)}
     node = SharedNode(shares, {n: Demand(60.0) for n in shares}).run(30 * SEC)
     total = sum(node.work_us.values())
     assert [node.work_us[n] / total for n in shares] == pytest.approx([0.6, 0.4 / 3, 0.8 / 3], abs=0.03)
 
 
 def test_a_ceiling_holds_though_cores_are_free() -> None:
-    node = SharedNode({1: Share(ceiling=0.25), 2: Share()}, {1: Demand(60.0), 2: Demand(4.0)}).run(20 * SEC)
+    node = SharedNode({1: Quota(ceiling=0.25), 2: Quota()}, {1: Demand(60.0), 2: Demand(4.0)}).run(20 * SEC)
     assert node.work_us[1] / (4 * node.now) == pytest.approx(0.25, abs=0.02)
     assert node.in_time(2) > 0.98
 
 
 def test_a_slow_worker_of_one_tenant_holds_no_places_that_others_need() -> None:
     demands = {1: Demand(8.0, begins_us=2 * SEC), 2: Demand(5.0, 20 * SEC)}
-    node = SharedNode({1: Share(), 2: Share()}, demands).run(30 * SEC)
+    node = SharedNode({1: Quota(), 2: Quota()}, demands).run(30 * SEC)
     assert node.in_time(1) > 0.95
     assert SharedNode(None, demands).run(30 * SEC).in_time(1) < 0.2
 
 
 def test_a_flood_of_keys_leaves_room_for_those_of_others() -> None:
     demands = {1: Demand(4.0, kind=1, begins_us=10 * SEC), 2: Demand(1500.0, 1_000, kind=1)}
-    node = SharedNode({1: Share(), 2: Share()}, demands).run(16 * SEC)
+    node = SharedNode({1: Quota(), 2: Quota()}, demands).run(16 * SEC)
     assert node.in_time(1) == 1.0
     assert SharedNode(None, demands).run(16 * SEC).in_time(1) < 0.5
 
 
 def test_weights_changed_under_load_count_at_once_and_keep_what_is_owed() -> None:
-    node = SharedNode({1: Share(), 2: Share()}, {1: Demand(60.0), 2: Demand(60.0)}).run(10 * SEC)
+    node = SharedNode({1: Quota(), 2: Quota()}, {1: Demand(60.0), 2: Demand(60.0)}).run(10 * SEC)
     assert node.shares is not None
-    node.shares.entitle(2, Share(weight=3))
+    node.shares.entitle(2, Quota(weight=3))
     before = dict(node.work_us)
     node.run(25 * SEC)
     gained = [node.work_us[n] - before[n] for n in (1, 2)]
@@ -160,14 +160,14 @@
 
 def test_of_hundreds_of_tenants_the_active_ones_share_all() -> None:
     busy = (7, 200, 399)
-    node = SharedNode({n: Share() for n in range(400)}, {n: Demand(60.0) for n in busy}).run(15 * SEC)
+    node = SharedNode({n: Quota() for n in range(400)}, {n: Demand(60.0) for n in busy}).run(15 * SEC)
     assert node.done() > 0.95
     assert jain([node.work_us[n] for n in busy]) > 0.98
 
 
 def test_classes_of_one_tenant_share_by_their_weights() -> None:
-    shares = Shares(2, 1000.0)
-    shares.entitle(1, Share(class_weights={0: 3.0, 1: 1.0}))
+    shares = FairQueue(2, 1000.0)
+    shares.entitle(1, Quota(class_weights={0: 3.0, 1: 1.0}))
     held = [Item(Request(n, n % 2, tenant=1)) for n in range(80)]
     taken = []
     for item in shares.order(held, 0):
@@ -178,9 +178,9 @@
     assert taken.count(0) == pytest.approx(30, abs=1)
 
 
-@pytest.mark.parametrize("bound", [Share(held=3), Share(memory_kb=100), Share(running=2)])
-def test_bounds_of_a_tenant_hold_for_it_alone(bound: Share) -> None:
-    shares = Shares(2, 10_000.0)
+@pytest.mark.parametrize("bound", [Quota(held=3), Quota(memory_kb=100), Quota(running=2)])
+def test_bounds_of_a_tenant_hold_for_it_alone(bound: Quota) -> None:
+    shares = FairQueue(2, 10_000.0)
     shares.entitle(1, bound)
     made = controller(
         RequestClass(deadline_us=8_000_000), scheduler=shares, memory_kb=10_000.0, running_memory_factor=4.0
@@ -206,7 +206,7 @@
 )
 def test_shares_that_no_order_can_be_made_of_are_refused(given_: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="above 0"):
-        Share(**given_)  # type: ignore[arg-type]
+        Quota(**given_)  # type: ignore[arg-type]
 
 
 class Item:
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -18,10 +18,10 @@
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
 from reelusher.tenancy import index
-from reelusher.tenancy.fair_queue import Shares
+from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.index import Index, Routes
-from reelusher.tenancy.lifecycle import Entry, Lifecycle, State
-from reelusher.tenancy.registry import Match, Tenants
+from reelusher.tenancy.lifecycle import Lifecycle, TenantRecord, TenantState
+from reelusher.tenancy.registry import Match, TenantRegistry
 
 HOSTS = ("a", "b", "c")
 PATHS = ("/", "/a", "/a/", "/a/b", "/ab", "/a/b/", "/a/b/c", "//", "/a//", "/b")
@@ -46,7 +46,7 @@
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
-def rule(entries: list[Entry], method: str, host: str, path: str) -> Match | None:
+def rule(entries: list[TenantRecord], method: str, host: str, path: str) -> Match | None:
     host = host.lower()
     for entry in sorted(
         entries, key=lambda entry: (not entry.tenant.hosts, -len(entry.tenant.prefix), entry.tenant.name)
@@ -61,7 +61,7 @@
                 ),
                 one.default_class,
             )
-            return Match(one, entry.number, kind, entry.state is State.ACTIVE)
+            return Match(one, entry.number, kind, entry.state is TenantState.ACTIVE)
     return None
 
 
@@ -74,7 +74,7 @@
             leaf.entry.tenant,
             leaf.entry.number,
             leaf.class_of(method, path),
-            leaf.entry.state is State.ACTIVE,
+            leaf.entry.state is TenantState.ACTIVE,
         )
     )
 
@@ -108,7 +108,7 @@
     made, life = Index(), Lifecycle()
     for what, one in steps:
         known = life.get(one.name)
-        if what == "put" and (known is None or known.state is not State.DRAINING):
+        if what == "put" and (known is None or known.state is not TenantState.DRAINING):
             made.put(life.put(one)[0])
         elif known is not None and what == "remove":
             life.remove(one.name, 0, 0)
@@ -118,8 +118,8 @@
             entry = life.remove(one.name, 0)
             assert entry
             made.put(entry)
-        elif known is not None and what != "put" and known.state is not State.DRAINING:
-            entry = life.move(one.name, State.SUSPENDED if what == "suspend" else State.ACTIVE)
+        elif known is not None and what != "put" and known.state is not TenantState.DRAINING:
+            entry = life.move(one.name, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE)
             assert entry
             made.put(entry)
         for request in requests:
@@ -157,7 +157,7 @@
 def test_a_host_of_thousands_of_prefixes_is_asked_once_for_each_length(hosts: tuple[str, ...]) -> None:
     made = Index()
     for number in range(5000):
-        made.put(Entry(tenant(f"t{number}", hosts, f"/p{number:04d}"), number + 1))
+        made.put(TenantRecord(tenant(f"t{number}", hosts, f"/p{number:04d}"), number + 1))
     host = made._hosts[hosts[0] if hosts else ""]
     assert max(len(part) for part in host._parts) < 4 * index.PART
     assert len(host._lengths) == 1
@@ -177,7 +177,7 @@
 def test_the_next_of_a_prefix_is_found_when_the_first_goes() -> None:
     made = Index()
     for number, name in enumerate("cab", 1):
-        made.put(Entry(tenant(name, ("h",), "/x"), number))
+        made.put(TenantRecord(tenant(name, ("h",), "/x"), number))
     for name in "abc":
         match = made.find("h", "/x/y")
         assert match
@@ -198,8 +198,8 @@
 @pytest.mark.parametrize(("one", "other"), MOVES)
 def test_a_reader_never_misses_a_tenant_that_moves(one: Tenant, other: Tenant) -> None:
     made, stop, missed = Index(), threading.Event(), list[int]()
-    made.put(Entry(tenant("zz", (), "/"), 1))
-    made.put(Entry(one, 2))
+    made.put(TenantRecord(tenant("zz", (), "/"), 1))
+    made.put(TenantRecord(one, 2))
 
     def look() -> None:
         while not stop.is_set():
@@ -211,8 +211,8 @@
     for thread in threads:
         thread.start()
     for _ in range(1500):
-        made.put(Entry(other, 2))
-        made.put(Entry(one, 2))
+        made.put(TenantRecord(other, 2))
+        made.put(TenantRecord(one, 2))
     stop.set()
     for thread in threads:
         thread.join()
@@ -224,7 +224,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.steps: list[Entry] = []
+        self.steps: list[TenantRecord] = []
 
     def find(self, host: str, path: str) -> index.Leaf | None:
         hosts = self._hosts
@@ -247,8 +247,8 @@
 
 def test_a_tenant_that_takes_hosts_between_two_looks_is_found() -> None:
     made = Between()
-    made.put(Entry(tenant("t"), 1))
-    made.steps = [Entry(tenant("t", ("h",)), 1)]
+    made.put(TenantRecord(tenant("t"), 1))
+    made.steps = [TenantRecord(tenant("t", ("h",)), 1)]
     match = made.find("h", "/")
     assert match
     assert match.entry.tenant.hosts == ("h",)
@@ -258,7 +258,7 @@
 def test_a_page_is_whole_while_names_come_and_go() -> None:
     made, stop, wrong = Index(), threading.Event(), list[object]()
     for number in range(300):
-        made.put(Entry(tenant(f"n{number:04d}"), number + 1))
+        made.put(TenantRecord(tenant(f"n{number:04d}"), number + 1))
 
     def look() -> None:
         while not stop.is_set():
@@ -273,7 +273,7 @@
     for thread in threads:
         thread.start()
     for round_ in range(2000):
-        made.put(Entry(tenant(f"n{round_ % 100:04d}x"), 1000))
+        made.put(TenantRecord(tenant(f"n{round_ % 100:04d}x"), 1000))
         made.remove(f"n{round_ % 100:04d}x")
     stop.set()
     for thread in threads:
@@ -309,19 +309,21 @@
 def test_a_page_that_moves_under_a_look_is_looked_at_again(move: Callable[[Moving], None]) -> None:
     made = Index()
     for number in range(6):
-        made.put(Entry(tenant(f"n{number}"), number + 1))
+        made.put(TenantRecord(tenant(f"n{number}"), number + 1))
     made._names = Moving(made._names, move)
     page, last = made.page("n1", 2)
     assert [entry.tenant.name for entry in page] == ["n2", "n3"] or "n1x" in made._names
     assert last == ("n3" if "n1x" not in made._names else "n2")
 
 
-def registry() -> tuple[Tenants, Core]:
+def registry() -> tuple[TenantRegistry, Core]:
     told = settings(SAFE, KEYED, cores=2)
-    shares = Shares(told.cores, told.memory_kb)
+    shares = FairQueue(told.cores, told.memory_kb)
     core = Core(told, [], 1, Backend(), standing=shares)
-    core.turn([])
-    return Tenants([], ("safe", "keyed"), lambda backend: None, core, shares, frozenset({"runtime"})), core
+    core.process_batch([])
+    return TenantRegistry(
+        [], ("safe", "keyed"), lambda backend: None, core, shares, frozenset({"runtime"})
+    ), core
 
 
 def test_guarantees_are_added_up_as_they_change() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,8 +18,8 @@
 
 from reelusher.codecs import http1, msgpack
 from reelusher.core.messages import KeyLockRequest, Result
-from reelusher.upgrade.key_locks import Claims
-from reelusher.upgrade.process_registry import Lives
+from reelusher.upgrade.key_locks import KeyLockFiles
+from reelusher.upgrade.process_registry import ProcessRegistry
 
 KEY = "platform", 2, "k1"
 SECOND_US = 1_000_000
@@ -30,14 +30,14 @@
 
     def __init__(self, folder: Path) -> None:
         self.now_us = 100 * SECOND_US
-        self.claims = [Claims(folder, "n3", lambda: self.now_us) for _ in range(2)]
+        self.claims = [KeyLockFiles(folder, "n3", lambda: self.now_us) for _ in range(2)]
         for claims in self.claims:
             claims.start()
 
     def ask(self, which: int, body: str = "b", door_s: float = 0.0, due_s: float = 60.0) -> list[Any]:
         """Claim the key at one of the two; what it is told comes into the list."""
         told: list[Any] = []
-        self.claims[which].keep(
+        self.claims[which].acquire(
             KeyLockRequest(
                 KEY,
                 self.now_us + int(door_s * 1e6),
@@ -67,7 +67,7 @@
     assert comes(first, True)
     second = both.ask(1)
     assert not soon_changes(second)
-    both.claims[0].ended(KEY, Result(b"made", 201, (("a", "b"),)))
+    both.claims[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
     assert comes(second, Result(b"made", 201, (("a", "b"),)))
     other = both.ask(1, body="c")
     assert comes(other, None)  # another body under the key is told nothing
@@ -88,14 +88,14 @@
     assert not soon_changes(waits)
     both.now_us += 4 * SECOND_US  # whoever claimed it is gone, and may have run it
     assert comes(waits, None)
-    both.claims[0].ended(KEY, None)
+    both.claims[0].complete(KEY, None)
     assert comes(both.ask(1), None)
 
 
 def test_a_key_that_never_ran_or_whose_window_is_over_is_claimed_anew(both: Both) -> None:
     assert comes(both.ask(0), True)
     waits = both.ask(1)
-    both.claims[0].forget(KEY)
+    both.claims[0].release(KEY)
     assert comes(waits, True)
     both.now_us += 21 * SECOND_US
     late = both.ask(0, door_s=-2.0)  # came within the window, was read after it
@@ -109,7 +109,7 @@
     claims._path(KEY).write_bytes(garbage)
     assert comes(both.ask(0), None)  # it may have been run: it is neither run again nor turned away
     told: list[Any] = []
-    claims.keep(
+    claims.acquire(
         KeyLockRequest(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append)
     )
     assert comes(told, True)
@@ -128,7 +128,7 @@
     def full(path: Path, value: dict[str, Any]) -> None:
         raise OSError(28, "no space left")
 
-    monkeypatch.setattr(Claims, "_write", staticmethod(full))
+    monkeypatch.setattr(KeyLockFiles, "_write", staticmethod(full))
     assert comes(both.ask(0), False)
 
 
@@ -149,15 +149,15 @@
             thread.join()
         assert soon(partial(all, told))
         assert sum(one == [True] for one in told) == 1
-        both.claims[0].forget(KEY)
+        both.claims[0].release(KEY)
         both.close()
         assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
 
 
 def test_a_later_process_that_is_ready_takes_over_and_one_that_has_died_does_not(tmp_path: Path) -> None:
-    old = Lives(tmp_path, "n/3")
+    old = ProcessRegistry(tmp_path, "n/3")
     assert not old.successor()
-    new, other = Lives(tmp_path, "n/3"), Lives(tmp_path, "n4")
+    new, other = ProcessRegistry(tmp_path, "n/3"), ProcessRegistry(tmp_path, "n4")
     other.ready()
     assert not old.successor()  # it does not serve yet
     new.ready()
