--- /dev/null
+++ b/reelusher/assembly/__init__.py
@@ -0,0 +1,1 @@
+"""Builds the parts of a node from its configuration."""
--- /dev/null
+++ b/reelusher/assembly/descriptors.py
@@ -0,0 +1,67 @@
+"""The budget of file descriptors: what each part of a node may open, and what remains for callers."""
+
+from reelusher.backends import downstream_client, runtime, service_registry
+from reelusher.config import Config
+from reelusher.config.operator import Operator
+from reelusher.config.platform_config import Platform
+from reelusher.frontends.rpc import frontend as rpc_frontend
+
+PROCESS_DESCRIPTORS = 16  # standard streams, files that are read or written for a moment, and a margin
+UPGRADE_DESCRIPTORS = 4  # of the process registry and the key locks
+STATE_DESCRIPTORS = 8  # of the journals of tenants and keys
+REPLICA_DESCRIPTORS = 12  # four connections with database and log, their shared memory, and a lock
+MIN_CALLER_CONNECTIONS = 16  # left to the frontends however few descriptors there are
+
+
+def max_caller_connections(config: Config) -> int:
+    """Return how many descriptors the frontends may use for connections of callers."""
+    reserved = PROCESS_DESCRIPTORS
+    if config.platform:
+        reserved += _reserved_for_platform(config.platform, config.sockets)
+    if config.operator:
+        reserved += _reserved_for_operator(config.operator)
+    return max(config.sockets - reserved, MIN_CALLER_CONNECTIONS)
+
+
+def max_ajp_connections(config: Config) -> int:
+    """Return how many of the connections of callers the AJP frontend may hold."""
+    if config.operator is None or config.operator.ajp is None:
+        return 0
+    available = max_caller_connections(config)
+    return min(config.operator.ajp.max_connections, available // 2 if config.platform else available)
+
+
+def _reserved_for_platform(platform: Platform, sockets: int) -> int:
+    reserved = rpc_frontend.DESCRIPTORS + runtime.DESCRIPTORS
+    if platform.folder:
+        reserved += UPGRADE_DESCRIPTORS
+    if platform.vault:
+        reserved += downstream_client.MOST_LINES
+    if platform.directory:
+        reserved += service_registry.DESCRIPTORS
+    if platform.operator:
+        from reelusher.frontends import operations
+
+        reserved += operations.descriptors(sockets)
+    return reserved
+
+
+def _reserved_for_operator(operator: Operator) -> int:
+    reserved = sum(worker.connections for worker in operator.workers)
+    if operator.ajp:
+        from reelusher.frontends.ajp import frontend as ajp_frontend
+
+        reserved += ajp_frontend.DESCRIPTORS
+    if operator.admin:
+        from reelusher.admin import api
+
+        reserved += api.DESCRIPTORS + STATE_DESCRIPTORS
+    if operator.fleet:
+        from reelusher.fleet.membership import service
+
+        reserved += service.DESCRIPTORS
+    if operator.replication:
+        from reelusher.admin import replicated_api
+
+        reserved += REPLICA_DESCRIPTORS + replicated_api.MOST_SENT + 1  # one for the pull in progress
+    return reserved
--- /dev/null
+++ b/reelusher/assembly/hosted.py
@@ -0,0 +1,88 @@
+"""Builds the parts that only an operator's file names: tenants, fleet, administration, the AJP frontend."""
+
+from dataclasses import replace
+from pathlib import Path
+from typing import NamedTuple
+
+from reelusher.admin.api import AdminApi, Parts
+from reelusher.admin.tenant_api import TenantApi
+from reelusher.assembly.descriptors import max_ajp_connections
+from reelusher.assembly.parts import NodeCallbacks, NodeParts
+from reelusher.config import Config
+from reelusher.config.operator import Operator, backend_names
+from reelusher.frontends.ajp.frontend import AjpFrontend
+from reelusher.tenancy import tenant_store
+from reelusher.tenancy.lifecycle import TenantState
+from reelusher.tenancy.registry import TenantRegistry
+from reelusher.tenancy.tenant_store import TenantTable
+
+FIRST_RECOVERED_REQUEST_ID = 1 << 40  # keys of earlier incarnations belong to requests from here on
+
+
+class TenantParts(NamedTuple):
+    """The tenants of a node, and how the administration API reaches them."""
+
+    registry: TenantRegistry
+    table: TenantTable
+    api: TenantApi | None  # None: the table is this node's own
+
+
+def build(parts: NodeParts, config: Config, operator: Operator, callbacks: NodeCallbacks) -> None:
+    """Add the parts that the operator's file asks for."""
+    if operator.fleet:
+        from reelusher.assembly import fleet
+
+        fleet.build(parts, config, operator.fleet, callbacks.drain_requested.is_set)
+    backends = backend_names(operator.workers, operator.balancers, config.platform is not None)
+    if operator.replication:
+        from reelusher.assembly import replication
+
+        tenants = replication.build(parts, config, operator, operator.replication, backends)
+    else:
+        tenants = _build_local_tenants(parts, operator, backends)
+    if operator.ajp:
+        ajp = replace(operator.ajp, max_connections=max_ajp_connections(config))
+        parts.frontends["ajp"] = AjpFrontend(parts.core, ajp, tenants.registry)
+    if operator.admin:
+        administered = Parts(
+            parts.core,
+            tenants.registry,
+            tenants.table,
+            parts.worker_pool,
+            callbacks.status,
+            callbacks.request_drain,
+            parts.fleet,
+            tenants.api,
+        )
+        parts.admin = AdminApi(operator.admin, administered)
+
+
+def _build_local_tenants(parts: NodeParts, operator: Operator, backends: frozenset[str]) -> TenantParts:
+    """Build the tenants of this node alone, from the operator's file and the state directory."""
+    assert parts.fair_queue is not None
+    admin = operator.admin
+    directory = Path(admin.state_dir) if admin and admin.state_dir else None
+    store = tenant_store.opened(
+        directory,
+        Path(admin.state_file) if admin and admin.state_file else None,
+        operator.tenants,
+        operator.class_names,
+        backends,
+    )
+    if admin and admin.durable_keys:
+        _recover_keys(parts, Path(admin.state_dir))
+    tenants = [
+        (tenant, TenantState(state)) for tenant, state in store.tenants(operator.class_names, backends)
+    ]
+    registry = TenantRegistry(
+        tenants, operator.class_names, parts.worker_pool.runner, parts.core, parts.fair_queue, backends
+    )
+    return TenantParts(registry, store, None)
+
+
+def _recover_keys(parts: NodeParts, directory: Path) -> None:
+    """Remember the keys that earlier incarnations of the node stored, and store new ones from now on."""
+    log = tenant_store.opened_keys(directory)
+    for request_id, entry in enumerate(log.live(), FIRST_RECOVERED_REQUEST_ID):
+        parts.core.keys.remember(entry.name, request_id, entry.until_us, bytes.fromhex(entry.digest))
+    parts.core.key_log = parts.key_log = log
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -5,6 +5,7 @@
 from functools import partial
 from pathlib import Path
 
+from reelusher.assembly.descriptors import max_caller_connections
 from reelusher.codecs import ajp13
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.harness import Figures, Scale, there
@@ -46,7 +47,7 @@
     """Count the connections that callers are left of 65,536 descriptors, beside so many workers."""
     node = Node(site.config(1, size, sockets=65_536))
     node.close()
-    return {"connections_left": float(node._most_connections())}
+    return {"connections_left": float(max_caller_connections(node.config))}
 
 
 SCALES = [
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -150,7 +150,7 @@
         "connections of callers with 41,000 workers",
         "[[callers-left.connections_left@routes]] of 65,536 (never fewer than 16)",
         "more than [[derived.connections_spread]]",
-        "`Node._most_connections` keeps all that workers may use",
+        "`descriptors.max_caller_connections` keeps all that workers may use",
         MISSES,
         "`callers-left`",
     ),
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -107,7 +107,7 @@
     found = {}
     for line in log.read_text(errors="replace").splitlines():
         for word, key in (
-            ("the ajp front listens on ", "ajp"),
+            ("the ajp frontend listens on ", "ajp"),
             ("the administration API listens on ", "admin"),
         ):
             if word in line:
--- /dev/null
+++ b/reelusher/reload.py
@@ -0,0 +1,115 @@
+"""Takes up a new configuration while the node serves: addresses, settings and request classes."""
+
+import threading
+from collections.abc import Callable
+from dataclasses import replace
+
+from loguru import logger
+
+from reelusher.assembly.parts import NodeParts
+from reelusher.config import Config, ConfigError
+from reelusher.config.platform_config import Platform
+from reelusher.frontends.rpc.frontend import RpcFrontend
+
+MAX_PENDING_RELOADS = 2  # one in progress, and one that will read the newest file after it
+ADDRESSES = ("runtime", "vault", "directory")
+RELOADABLE = (*ADDRESSES, "settings", "gauges", "class_names", "paths")
+
+
+class ReloadError(Exception):
+    """A configuration can't be taken up while the node serves."""
+
+
+class Reloader:
+    """Holds the configuration in use and replaces it."""
+
+    def __init__(self, config: Config, parts: NodeParts) -> None:
+        self.config = config
+        self._parts = parts
+        self._in_progress = threading.Lock()
+        self._pending = threading.BoundedSemaphore(MAX_PENDING_RELOADS)
+
+    def reload(self, read: Callable[[], Config]) -> bool:
+        """Take up a new configuration; return False where the current one stays in use.
+
+        Of two reloads at once the second waits for the first and then reads the newest file; a third has
+        nothing to add to that and is skipped.
+        """
+        if not self._pending.acquire(blocking=False):
+            self._parts.counters.add("reload.left_out")
+            return False
+        try:
+            with self._in_progress:
+                applied = self._try_apply(read)
+        finally:
+            self._pending.release()
+        self._parts.core.stats.reload_finished(applied)
+        return applied
+
+    def _try_apply(self, read: Callable[[], Config]) -> bool:
+        """Read and apply a configuration; log why where that fails, for whatever reason."""
+        try:
+            self._apply(read())
+        except (ConfigError, ReloadError) as error:  # a file may be half written
+            reason = str(error)
+        except TimeoutError:
+            reason = "the event loop did not respond in time"
+        except Exception as error:
+            logger.exception("reload: failed unexpectedly")
+            reason = repr(error)
+        else:
+            self._parts.counters.add("reload.done")
+            return True
+        self._parts.counters.add("reload.refused")
+        logger.error("reload: rejected, the current configuration stays in use: {}", reason)
+        return False
+
+    def _apply(self, config: Config) -> None:
+        current, new = self.config.platform, config.platform
+        if current is None or new is None or _has_other_parts(current, new):
+            raise ReloadError("parts can be added or removed only by a restart")
+        if missing_key := new.lacks(current):
+            raise ReloadError(f"{missing_key}: missing")
+        if (new.settings, new.class_names) != (current.settings, current.class_names):
+            self._apply_settings(new)
+        self._apply_addresses(new)
+        applied = replace(current, **{name: getattr(new, name) for name in RELOADABLE})
+        if applied != new:
+            logger.warning("reload: changes other than addresses and settings take effect after a restart")
+        self.config = replace(self.config, platform=applied, settings=new.settings)
+        _log_addresses(current, new)
+
+    def _apply_settings(self, platform: Platform) -> None:
+        core, frontend = self._parts.core, self._parts.frontends["platform"]
+        assert isinstance(frontend, RpcFrontend)
+
+        def apply() -> None:
+            frontend.retune(core.apply_settings(platform.settings, platform.gauges, platform.class_names))
+
+        try:  # in one step of the event loop, so that core and frontend never use different files
+            core.run_on_loop(apply)
+        except ValueError as error:
+            raise ReloadError(str(error)) from error
+        logger.info("reload: new settings, classes: {}", ", ".join(platform.class_names))
+
+    def _apply_addresses(self, platform: Platform) -> None:
+        parts = self._parts
+        if parts.runtime:
+            parts.runtime.move(platform.runtime)
+        if parts.downstream and platform.vault:
+            parts.downstream.move(platform.vault)
+        if parts.service_registry and platform.directory:
+            parts.service_registry.move(platform.directory)
+
+
+def _has_other_parts(current: Platform, new: Platform) -> bool:
+    """Return whether one configuration names a part that the other does not."""
+    return (current.vault is None) is not (new.vault is None) or (current.directory is None) is not (
+        new.directory is None
+    )
+
+
+def _log_addresses(current: Platform, new: Platform) -> None:
+    changed = {name: getattr(new, name) for name in ADDRESSES if getattr(new, name) != getattr(current, name)}
+    described = [f"{name} {address[0]}:{address[1]}" for name, address in changed.items() if address]
+    logger.info("reload: new addresses: {}", ", ".join(described) or "none")
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -89,7 +89,7 @@
     """Return the answers of a node of the platform with an operator's file of its own."""
     with tempfile.TemporaryDirectory() as folder, scenario.standing(folder, {}) as world:
         party = world["node"]
-        assert soon(lambda: party.node.runtime.up)
+        assert soon(lambda: party.node.parts.runtime.up)
         places = world["places"]
         made = {
             f"second address: {method} {path}": answer(places["operator"], method, path, None)
@@ -127,8 +127,8 @@
         )
         node.start()
         try:
-            assert node.admin is not None
-            place = node.admin.address
+            assert node.parts.admin is not None
+            place = node.parts.admin.address
             assert soon(lambda: answer(place, "POST", "/v1/tenants?dry_run=true", TENANT)[0] == 200)
             return {
                 f"{number}: {method} {path}": answer(place, method, path, value)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -79,7 +79,7 @@
     def __init__(self, node: Node, world: dict[str, Any]) -> None:
         self.node, self.world = node, world
         self.left: list[bool] = []
-        self.thread = threading.Thread(target=lambda: self.left.append(node.leave()), daemon=True)
+        self.thread = threading.Thread(target=lambda: self.left.append(node.drain()), daemon=True)
 
     def send(self, words: list[str]) -> None:
         if words[0] == "start":  # a second one, with runtime2 and a second address of its own
@@ -92,10 +92,10 @@
                 Node(merge(parse_platform(told, {"TMPDIR": self.world["folder"]}), None)), self.world
             )
             second.node.start()
-            assert second.node.operator is not None
-            self.world["places"]["operator"] = second.node.operator.address
+            assert second.node.parts.operations is not None
+            self.world["places"]["operator"] = second.node.parts.operations.address
         elif words[0] == "idle":  # as the module would say
-            self.node.core.notices.idle_timeout_us = int(words[1])
+            self.node.parts.core.notices.idle_timeout_us = int(words[1])
         elif words[0] == "reload":  # 2: at the second addresses; KEY=VALUE: with something else changed
             changes = dict(word.split("=") for word in words[1:] if "=" in word)
             settings, lacks = retuned(changes), changes.pop("lacks", "")
@@ -103,11 +103,11 @@
             new.pop(lacks, None)
             self.node.reload(lambda: merge(parse_platform(new, {}), self.node.config.operator))
         elif words[0] == "block":  # the owner or the front's poller, for so many seconds
-            front, seconds = self.node.fronts["platform"], float(words[2])
+            front, seconds = self.node.parts.frontends["platform"], float(words[2])
             assert isinstance(front, RpcFrontend)
             work = partial(time.sleep, seconds)
             if words[1] == "owner":
-                self.node.core.post(EventLoopTask(work))
+                self.node.parts.core.post(EventLoopTask(work))
             else:
                 front._poller.call(work)
         else:
@@ -119,11 +119,11 @@
             assert self.left == [words[1:] != ["late"]]
             return
         if words == ["asked"]:
-            assert self.node.asked_to_leave.wait(parties.PATIENCE_S)
+            assert self.node.drain_requested.wait(parties.PATIENCE_S)
             return
         _, name, wanted = words
         until = time.monotonic() + parties.PATIENCE_S
-        while (got := self.node.counters.snapshot().get(name, 0)) != int(wanted):
+        while (got := self.node.parts.counters.snapshot().get(name, 0)) != int(wanted):
             assert time.monotonic() < until, f"{name} is {got}, not {wanted}"
             time.sleep(0.02)
 
@@ -245,11 +245,11 @@
     own = operator_config(world)
     own["ajp"] |= {key: int(value) if value.isdigit() else value for key, value in changes.items()}
     node = Node(merge(told, parse_operator(own, tuple(told.class_names), has_runtime=True)))
-    world["places"] = {name: front.address for name, front in node.fronts.items()}
-    assert node.admin is not None
-    assert node.operator is not None
-    world["places"]["operator"] = node.operator.address
-    world["places"]["admin"], world["node"] = node.admin.address, NodeParty(node, world)
+    world["places"] = {name: front.address for name, front in node.parts.frontends.items()}
+    assert node.parts.admin is not None
+    assert node.parts.operations is not None
+    world["places"]["operator"] = node.parts.operations.address
+    world["places"]["admin"], world["node"] = node.parts.admin.address, NodeParty(node, world)
     node.start()
     world["runtime"].expect(["sync", "0"])
     try:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -49,7 +49,7 @@
         self.sock.settimeout(parties.PATIENCE_S)
         self.came: deque[Any] = deque()
         self.decoder = msgpack.Decoder(1 << 14)
-        self.sock.connect(node.fronts["platform"].address)
+        self.sock.connect(node.parts.frontends["platform"].address)
         self.ask(*range(1, ask + 1), method="health")
 
     def ask(self, *numbers: int, method: str = "slot-search") -> None:
@@ -95,7 +95,7 @@
 
 
 def front_of(world: dict[str, Any]) -> RpcFrontend:
-    front = world["node"].node.fronts["platform"]
+    front = world["node"].node.parts.frontends["platform"]
     assert isinstance(front, RpcFrontend)
     return front
 
@@ -149,7 +149,7 @@
     for first in range(1, count + 1, 500):
         peer.ask(*range(first, first + 500), method="health")
     peer.sock.sendall(GARBAGE)
-    assert soon(lambda: world["node"].node.counters.snapshot().get("platform.malformed"))
+    assert soon(lambda: world["node"].node.parts.counters.snapshot().get("platform.malformed"))
     assert len(peer.until_end()) == count
 
 
@@ -166,7 +166,7 @@
     for number, peer in enumerate(late, 101):
         (answer,) = peer.until_end()
         assert (answer[1], answer[2][0]) == (number, "Full")
-    assert world["node"].node.counters.snapshot()["requests.read"] == len(busy)
+    assert world["node"].node.parts.counters.snapshot()["requests.read"] == len(busy)
 
 
 @pytest.mark.parametrize("state", ["refused", "half asking"])
@@ -238,7 +238,7 @@
 def test_a_request_that_crosses_the_close_of_an_idle_ajp_connection_meets_no_reset(
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    front = world["node"].node.fronts["ajp"]
+    front = world["node"].node.parts.frontends["ajp"]
     web = socket.socket()
     web.settimeout(parties.PATIENCE_S)
 
@@ -313,7 +313,7 @@
 def test_ajp_connections_too_many_are_read_out_a_few_at_a_time(
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    front, hold = world["node"].node.fronts["ajp"], threading.Event()
+    front, hold = world["node"].node.parts.frontends["ajp"], threading.Event()
     parting: list[socket.socket] = []
 
     def part(sock: socket.socket) -> None:
@@ -322,7 +322,7 @@
 
     monkeypatch.setattr(front, "_part", part)
     webs = [socket.create_connection(front.address, parties.PATIENCE_S) for _ in range(30)]
-    counters = world["node"].node.counters
+    counters = world["node"].node.parts.counters
     try:
         assert soon(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
         assert len(parting) <= ajp_frontend.MOST_TURNED
@@ -344,7 +344,9 @@
     monkeypatch.setattr(time, "time_ns", lambda read=time.time_ns: read() + step_s * 1_000_000_000)
     node = world["node"].node
     monkeypatch.setattr(
-        node.core.clock, "_unix_ns" if hasattr(node.core.clock, "_unix_ns") else "_read", time.time_ns
+        node.parts.core.clock,
+        "_unix_ns" if hasattr(node.parts.core.clock, "_unix_ns") else "_read",
+        time.time_ns,
     )
     peer.sock.sendall(asked(2, "book-visit", unique="k") + asked(3))
     came = {message[1]: message[2] for message in (peer.answer(), peer.answer())}
@@ -371,7 +373,7 @@
 
 
 def test_a_move_back_that_crosses_a_move_wins(world: dict[str, Any]) -> None:
-    runtime = world["node"].node.runtime
+    runtime = world["node"].node.parts.runtime
     moved_twice(runtime, world["runtime2"].address, world["runtime"].address)
     assert soon(lambda: runtime.up and runtime._linked == world["runtime"].address)
     world["runtime"].at_once, peer = True, Peer(world["node"].node)
@@ -380,7 +382,7 @@
 
 
 def test_a_link_that_is_opened_while_the_node_closes_is_let_go(world: dict[str, Any]) -> None:
-    runtime, opened = world["node"].node.runtime, threading.Event()
+    runtime, opened = world["node"].node.parts.runtime, threading.Event()
     open_one = runtime._open
 
     def crossing() -> socket.socket | None:
@@ -399,13 +401,13 @@
 def test_commands_kept_for_a_runtime_that_is_away_are_bounded(world: dict[str, Any]) -> None:
     node, peer = world["node"].node, Peer(world["node"].node)
     world["runtime"].close(["listener"])
-    assert soon(lambda: not node.runtime.up)
+    assert soon(lambda: not node.parts.runtime.up)
     for first in range(1, 200, 20):
         peer.ask(*range(first, first + 20), method="day-view")
         for _ in range(18):  # two may wait for their time to pass
             peer.answer()
     most = node.config.settings.max_runnable_per_core * node.config.settings.cores
-    assert len(node.runtime._sent) <= 3 * most
+    assert len(node.parts.runtime._sent) <= 3 * most
 
 
 def test_a_runtime_that_answers_no_gauges_fills_no_memory() -> None:
@@ -459,18 +461,18 @@
 ) -> None:
     reloads, hold = Reloads(world), threading.Event()
     node = reloads.node
-    ask = node.core.run_on_loop
-    monkeypatch.setattr(node.core, "run_on_loop", lambda action, timeout=0.1: ask(action, timeout))
-    node.core.post(EventLoopTask(lambda: hold.wait(parties.PATIENCE_S), Future()))
+    ask = node.parts.core.run_on_loop
+    monkeypatch.setattr(node.parts.core, "run_on_loop", lambda action, timeout=0.1: ask(action, timeout))
+    node.parts.core.post(EventLoopTask(lambda: hold.wait(parties.PATIENCE_S), Future()))
     try:
         assert not node.reload(lambda: reloads.read(settings=retuned({"add": "extra"})))
     finally:
         hold.set()
-    monkeypatch.setattr(node.core, "run_on_loop", ask)
+    monkeypatch.setattr(node.parts.core, "run_on_loop", ask)
     assert (
-        node.core.run_on_loop(lambda: "extra" in node.core.class_names) is False
+        node.parts.core.run_on_loop(lambda: "extra" in node.parts.core.class_names) is False
     )  # behind what was given up
-    assert node.core.stats.snapshot()["sighup_rejected"] == 1
+    assert node.parts.core.stats.snapshot()["sighup_rejected"] == 1
 
 
 def test_a_reload_that_fails_half_way_is_counted_and_said(
@@ -481,9 +483,9 @@
     def fails(address: Address) -> None:
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(reloads.node.vault, "move", fails)
+    monkeypatch.setattr(reloads.node.parts.downstream, "move", fails)
     assert not reloads.node.reload(reloads.read)
-    assert reloads.node.core.stats.snapshot()["sighup_rejected"] == 1
+    assert reloads.node.parts.core.stats.snapshot()["sighup_rejected"] == 1
 
 
 def test_many_reloads_behind_a_file_that_can_not_be_read_yet_take_two_threads(world: dict[str, Any]) -> None:
@@ -500,7 +502,7 @@
     hold.set()
     for thread in threads:
         thread.join()
-    assert reloads.node.core.stats.snapshot()["sighup_applied"] == 2
+    assert reloads.node.parts.core.stats.snapshot()["sighup_applied"] == 2
 
 
 def test_a_class_dropped_just_before_another_reload_is_still_taken(world: dict[str, Any]) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,6 +20,7 @@
 from test_crossings import asked
 from test_parts import ROOT, deployed
 
+from reelusher.assembly.descriptors import max_ajp_connections, max_caller_connections
 from reelusher.codecs import http1
 from reelusher.config.load import merge
 from reelusher.config.platform_config import parse as parse_platform
@@ -185,11 +186,11 @@
     """With all parts on at once, what they may hold and what callers get is the limit, not more."""
     with tempfile.TemporaryDirectory() as folder, standing(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
-        front = node.fronts["platform"]
+        front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
-        callers = front._most + front._spare + front._most_lingering + node._most_ajp()
-        assert callers == node._most_connections()
-        assert 1024 - callers >= node._pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
+        callers = front._most + front._spare + front._most_lingering + max_ajp_connections(node.config)
+        assert callers == max_caller_connections(node.config)
+        assert 1024 - callers >= node.parts.worker_pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
 
 
 @pytest.mark.parametrize("sockets", [128, 512, 1024])
@@ -198,7 +199,7 @@
     with tempfile.TemporaryDirectory() as folder, standing(folder, {}) as world:
         told = platform_config(world, limits={"sockets": sockets})
         node = Node(merge(parse_platform(told, {}), None))
-        front = node.fronts["platform"]
+        front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
         assert front._most >= sockets / 2
         node.close()
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -195,7 +195,7 @@
         process.send_signal(signal.SIGTERM)
         _, errors = process.communicate(timeout=30)
         assert process.returncode == 0
-        assert b"a thread failed" not in errors
+        assert b"thread failed" not in errors
 
 
 def test_a_signal_given_to_a_thread_that_blocks_none_drains_as_any_other(tmp_path: Path) -> None:
@@ -207,7 +207,7 @@
         process.send_signal(signal.SIGTERM)
         _, errors = process.communicate(timeout=30)
         assert b"reload: new addresses: none" in errors
-        assert b"left after" in errors
+        assert b"drain: finished after" in errors
         assert process.returncode == 0
 
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -486,7 +486,7 @@
     assert figures["asked"] > 100, figures
     log = (tmp_path / "n3.log").read_text()
     assert log.count("listens on") == 2
-    assert "left after" in log
+    assert "drain: finished after" in log
     assert (tmp_path / "n1.log").read_text().count("listens on") == 2
 
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reelusher import node as node_module
+from reelusher.assembly import fleet as fleet_assembly
 from reelusher.config.load import merge
 from reelusher.config.operator import parse
 from reelusher.fleet.membership import service
@@ -119,7 +119,7 @@
             self.gone = free.getsockname()[1]
 
     def start(self, name: str) -> Node:
-        seeds = ["{}:{}".format(*node.fleet.address) for node in self.nodes if node.fleet]
+        seeds = ["{}:{}".format(*node.parts.fleet.address) for node in self.nodes if node.parts.fleet]
         node = Node(
             merge(
                 None,
@@ -149,7 +149,9 @@
 
     def ask(self, node: Node) -> None:
         """Have a node serve two requests, of which one meets the worker that is gone."""
-        web = parties.Web({"places": {"ajp": node.fronts["ajp"].address}, "count": itertools.count(1)})
+        web = parties.Web(
+            {"places": {"ajp": node.parts.frontends["ajp"].address}, "count": itertools.count(1)}
+        )
         for _ in range(2):
             web.send(["GET", "/x"])
             self.worker.expect(["GET", "/x"])
@@ -164,31 +166,35 @@
 
 @pytest.fixture
 def hosted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Hosted]:
-    monkeypatch.setattr(node_module, "WARM_S", 0.0)
+    monkeypatch.setattr(fleet_assembly, "MIN_SHARING_UPTIME_S", 0.0)
     made = Hosted(tmp_path)
     yield made
     made.close()
 
 
 def learnt(node: Node) -> dict[str, int]:
-    return {name: count for name, count in node.counters.snapshot().items() if name.startswith("learning.")}
+    return {
+        name: count for name, count in node.parts.counters.snapshot().items() if name.startswith("learning.")
+    }
 
 
 def test_a_fresh_node_passes_a_worker_by_that_warm_ones_found_gone(hosted: Hosted) -> None:
     for name in "ab":
         hosted.ask(hosted.start(name))
-    assert soon(lambda: all(len(node.fleet.live()) == 2 for node in hosted.nodes if node.fleet))
-    assert hosted.nodes[0].counters.snapshot()["workers.unreachable"] == 1  # found by failing
+    assert soon(lambda: all(len(node.parts.fleet.live()) == 2 for node in hosted.nodes if node.parts.fleet))
+    assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # found by failing
     fresh = hosted.start("c")
     assert soon(lambda: "learning.believed" in learnt(fresh))
     assert learnt(fresh)["learning.believed"] == 3  # both workers, and how long a run takes
-    members = fresh._pool.members
+    members = fresh.parts.worker_pool.members
     assert members["gone"].doubted
     assert not members["here"].doubted
-    assert fresh.core.run_on_loop(lambda: fresh.core._controller.run_times._expected_us) == [1.0]
+    assert fresh.parts.core.run_on_loop(lambda: fresh.parts.core._controller.run_times._expected_us) == [1.0]
     hosted.ask(fresh)
-    assert fresh.counters.snapshot().get("workers.unreachable", 0) == 0
-    assert fresh._pool.seen().keys() == {"away:here"}  # what others told is not told on as seen here
+    assert fresh.parts.counters.snapshot().get("workers.unreachable", 0) == 0
+    assert fresh.parts.worker_pool.seen().keys() == {
+        "away:here"
+    }  # what others told is not told on as seen here
 
 
 @pytest.mark.parametrize("spoil", ["cold", "silent", "gone", "wrong"])
@@ -197,14 +203,14 @@
 ) -> None:
     donor = hosted.start("a")
     hosted.ask(donor)
-    assert donor.fleet is not None
+    assert donor.parts.fleet is not None
     if spoil == "cold":
-        donor.fleet.facts = lambda: FactsReply(False, [])
+        donor.parts.fleet.facts = lambda: FactsReply(False, [])
     elif spoil == "silent":
         monkeypatch.setattr(service, "STATE_S", 30.0)
-        donor.fleet.facts = lambda: time.sleep(20) or FactsReply(False, [])  # type: ignore[func-returns-value]
+        donor.parts.fleet.facts = lambda: time.sleep(20) or FactsReply(False, [])  # type: ignore[func-returns-value]
     elif spoil == "wrong":
-        donor.fleet.facts = lambda: FactsReply(
+        donor.parts.fleet.facts = lambda: FactsReply(
             True,
             [
                 Observation("away:here", 1e99, time.time()),
@@ -213,10 +219,10 @@
             ],
         )
     else:
-        donor.fleet.close()
+        donor.parts.fleet.close()
     fresh = hosted.start("c")
     began = time.monotonic()
     hosted.ask(fresh)
     assert time.monotonic() - began < 10  # it waits for nobody
-    assert not fresh._pool.members["here"].doubted
+    assert not fresh.parts.worker_pool.members["here"].doubted
     assert learnt(fresh).get("learning.believed", 0) == 0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -407,7 +407,9 @@
         path.write_text('{"name":')
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
-        while b"reload: the configuration in service stands" not in (line := process.stderr.readline()):
+        while b"reload: rejected, the current configuration stays in use" not in (
+            line := process.stderr.readline()
+        ):
             assert line, "it has ended"
         process.send_signal(signal.SIGTERM)
         caller.close()
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -21,6 +21,7 @@
 from scenario import SETTINGS, TOKEN
 
 from reelusher.admin import replicated_api
+from reelusher.assembly.descriptors import REPLICA_DESCRIPTORS
 from reelusher.codecs import ajp13
 from reelusher.config.checked_table import ConfigError, address_of
 from reelusher.config.load import merge
@@ -32,7 +33,7 @@
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.net.sockets import Address
-from reelusher.node import COPY_FILES, Node
+from reelusher.node import Node
 from reelusher.tenancy import replicated
 from reelusher.tenancy.replicated import ReplicatedTable
 from reelusher.tenancy.tenant_cache import TenantUnavailableError
@@ -91,13 +92,19 @@
 
     def start(self, *names: str, without: str = "", **changes: Any) -> None:
         for name in names:
-            seeds = ["{}:{}".format(*node.fleet.address) for node in self.all.values() if node.fleet][:1]
+            seeds = [
+                "{}:{}".format(*node.parts.fleet.address) for node in self.all.values() if node.parts.fleet
+            ][:1]
             told = config(self.folder, name, seeds, **changes)
             told.pop(without, None)
             node = self.all[name] = Node(merge(None, parse(told)))
             node.start()
         assert soon(
-            lambda: all(len(node.fleet.live()) == len(self.all) for node in self.all.values() if node.fleet)
+            lambda: all(
+                len(node.parts.fleet.live()) == len(self.all)
+                for node in self.all.values()
+                if node.parts.fleet
+            )
         )
         assert soon(lambda: not any(self.refusal(at) for at in self.all if at in CONTROL))
 
@@ -106,18 +113,18 @@
 
     def call(self, at: str, method: str, path: str, value: Any = None, **headers: str) -> Called:
         """Call a node's administration API."""
-        admin = self.all[at].admin
+        admin = self.all[at].parts.admin
         assert admin is not None
         return called(admin.address, method, path, value, **headers)
 
     def table(self, at: str) -> ReplicatedTable:
-        admin = self.all[at].admin
+        admin = self.all[at].parts.admin
         assert admin is not None
         assert isinstance(admin._parts.table, ReplicatedTable)
         return admin._parts.table
 
     def replication(self, at: str) -> service.Replication:
-        found = self.all[at]._replication
+        found = self.all[at].parts.replication
         assert found is not None
         return found
 
@@ -149,7 +156,7 @@
 
     def owner(self, at: str, host: str) -> str:
         """Return the name of the tenant that a node serves a host for; empty: none. Or that it refuses."""
-        front = self.all[at].fronts["ajp"]
+        front = self.all[at].parts.frontends["ajp"]
         assert isinstance(front, AjpFrontend)
         try:
             with front._tenants.matched("GET", host, "/") as found:
@@ -416,7 +423,7 @@
     assert "shadows" not in value["after"]
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{won}", {"hosts": ["other.example"]})[0] == 200
     assert soon(lambda: all(nodes.owner(at, "same.example") == lost for at in nodes.all))
-    assert any(node.counters.snapshot().get("replication.shadowed") for node in nodes.all.values())
+    assert any(node.parts.counters.snapshot().get("replication.shadowed") for node in nodes.all.values())
 
 
 def test_a_call_may_wait_until_others_have_its_change(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -566,7 +573,7 @@
 def test_while_a_copy_is_filled_a_host_that_is_not_found_is_no_404(nodes: Nodes) -> None:
     nodes.start("c1")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))[0] == 201
-    front = nodes.all["c1"].fronts["ajp"]
+    front = nodes.all["c1"].parts.frontends["ajp"]
     assert isinstance(front, AjpFrontend)
     assert nodes.owner("c1", "nobody.example") == ""
     front._tenants.filling = lambda: True
@@ -623,7 +630,7 @@
     nodes: Nodes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     nodes.start("c1", "c2")
-    holder = nodes.all["c2"].fleet
+    holder = nodes.all["c2"].parts.fleet
     assert holder is not None
     carried = holder.serve[ChangeRequest]
 
@@ -642,7 +649,7 @@
 
 def test_a_member_that_does_not_hold_a_stream_makes_no_change_that_is_carried_to_it(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
-    fleet = nodes.all["c1"].fleet
+    fleet = nodes.all["c1"].parts.fleet
     assert fleet is not None
     place = next(member.place for member in fleet.live() if member.name == "c2")
     for target, status in (("/v1/tenants", 503), ("/v1/drain", 404), ("/v1/tenants/x/y/z", 404)):
@@ -790,7 +797,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert 4 <= held() <= COPY_FILES
+    assert 4 <= held() <= REPLICA_DESCRIPTORS
     copy.close()
     assert held() == 0
 
@@ -798,7 +805,7 @@
 LOADS = """
 import json, sys
 from reelusher.config.load import load
-from reelusher.node import COPY_FILES, Node
+from reelusher.node import Node
 node = Node(load())
 node.close()
 print(json.dumps(sorted(sys.modules)))
