--- a/reelusher/core/__init__.py
+++ b/reelusher/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts and outcomes. One thread owns the decision module; no wire is known here."""
+"""The core of the node: the event loop and what it keeps about requests, free of any wire protocol."""
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in hand: one for each request read, until it is answered and nothing of it runs."""
+"""The open attempts: one for each request read, until it is answered and its run has ended."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -7,101 +7,109 @@
 from reelusher.core.messages import IncomingRequest, Runner
 
 
-class Stage(Enum):
-    """Where an attempt stands."""
+class AttemptState(Enum):
+    """The state of an attempt."""
 
     HELD = "held"
     RUNNING = "running"
-    AT_CALL = "at_call"  # its run waits for a decision on a call
+    AWAITING_CALL = "at_call"  # its run waits for a decision on a call
     CALLING = "calling"  # its run waits for the reply to a call
-    PAUSED = "paused"
-    JOINED = "joined"  # waits for the result of another try
+    PREEMPTED = "paused"
+    ATTACHED = "joined"  # waits for the result of its original
 
 
 class Attempt:
-    """A request in hand."""
+    """An open attempt."""
 
     __slots__ = (
         "answered",
+        "awaiting_key",
+        "call_body",
+        "call_serial",
+        "call_started_us",
+        "call_ticket",
         "due_us",
         "id",
-        "ran",
         "request",
         "runner",
-        "serial",
-        "since_us",
-        "stage",
-        "ticket",
-        "waits",
-        "wanted",
+        "started",
+        "state",
     )
 
-    def __init__(self, number: int, request: IncomingRequest, runner: Runner, due_us: int) -> None:
-        self.id = number
+    def __init__(self, attempt_id: int, request: IncomingRequest, runner: Runner, due_us: int) -> None:
+        self.id = attempt_id
         self.request = request
         self.runner = runner
-        self.stage = Stage.HELD
-        self.answered = self.ran = False
-        self.waits = False  # its run begins once its key is durable
+        self.state = AttemptState.HELD
+        self.answered = False  # no answer is due any more
+        self.started = False
+        self.awaiting_key = False  # its run starts once its key is locked and durable
         self.due_us = due_us
-        self.ticket = 0  # of its newest call below
-        self.wanted = b""  # body of the call that its run waits for
-        self.serial = 0  # of the notice that asked for it
-        self.since_us = 0  # when the newest call was made
+        self.call_ticket = 0  # of its latest call
+        self.call_body = b""  # of the call that its run waits for
+        self.call_serial = 0  # of the notice that requested the call
+        self.call_started_us = 0  # of its latest call
+
+    def is_calling(self, ticket: int) -> bool:
+        """Return whether the run waits for the reply to the call with this ticket."""
+        return self.state is AttemptState.CALLING and self.call_ticket == ticket
 
 
 class Attempts:
-    """Attempts by id and by the name that backends know."""
+    """Open attempts by id and by run id."""
 
     def __init__(self) -> None:
         self._by_id: dict[int, Attempt] = {}
-        self._by_call: dict[str, Attempt] = {}
-        self._last = 0
-        self._of_tenant: Counter[int] = Counter()
-        self.unanswered = 0  # answers, for any thread to look at
+        self._by_run_id: dict[str, Attempt] = {}
+        self._last_id = 0
+        self._count_by_tenant: Counter[int] = Counter()
+        self.unanswered = 0  # any thread may read this
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     def __iter__(self) -> Iterator[Attempt]:
+        """Iterate over a copy, so that attempts may be removed meanwhile."""
         return iter(list(self._by_id.values()))
 
-    def __contains__(self, number: int) -> bool:
-        return number in self._by_id
+    def __contains__(self, attempt_id: int) -> bool:
+        return attempt_id in self._by_id
 
     def add(self, request: IncomingRequest, runner: Runner, due_us: int) -> Attempt:
-        """Take a request in hand."""
-        self._last += 1
-        attempt = Attempt(self._last, request, runner, due_us)
-        self._by_id[attempt.id] = self._by_call[request.run_id] = attempt
+        """Add an attempt for a request."""
+        self._last_id += 1
+        attempt = Attempt(self._last_id, request, runner, due_us)
+        self._by_id[attempt.id] = self._by_run_id[request.run_id] = attempt
         self.unanswered += 1
-        self._of_tenant[request.tenant_number] += 1
+        self._count_by_tenant[request.tenant_number] += 1
         return attempt
 
-    def get(self, number: int) -> Attempt | None:
-        """Return the attempt with this id, if it is in hand."""
-        return self._by_id.get(number)
+    def get(self, attempt_id: int) -> Attempt | None:
+        """Return the open attempt with this id, if there is one."""
+        return self._by_id.get(attempt_id)
 
-    def by_run_id(self, call: str) -> Attempt | None:
-        """Return the attempt that backends know by this name, if it is in hand."""
-        return self._by_call.get(call)
+    def by_run_id(self, run_id: str) -> Attempt | None:
+        """Return the open attempt with this run id, if there is one."""
+        return self._by_run_id.get(run_id)
 
-    def drop(self, attempt: Attempt) -> None:
-        """Let go of an attempt."""
+    def remove(self, attempt: Attempt) -> None:
+        """Remove an attempt, if it is still there."""
         if self._by_id.pop(attempt.id, None) is not None:
-            number = attempt.request.tenant_number
-            self._of_tenant[number] -= 1
-            if not self._of_tenant[number]:
-                del self._of_tenant[number]
-        if self._by_call.get(attempt.request.run_id) is attempt:
-            del self._by_call[attempt.request.run_id]
-
-    def of_tenant(self, number: int) -> int:
-        """Count those of one tenant, those that are answered and still run among them."""
-        return self._of_tenant[number]
-
-    def answer(self, attempt: Attempt) -> None:
-        """Note that no answer is owed any more."""
+            self._decrement(attempt.request.tenant_number)
+        if self._by_run_id.get(attempt.request.run_id) is attempt:
+            del self._by_run_id[attempt.request.run_id]
+
+    def _decrement(self, tenant_number: int) -> None:
+        self._count_by_tenant[tenant_number] -= 1
+        if not self._count_by_tenant[tenant_number]:
+            del self._count_by_tenant[tenant_number]
+
+    def count_of_tenant(self, tenant_number: int) -> int:
+        """Return the number of open attempts of a tenant, including those answered that still run."""
+        return self._count_by_tenant[tenant_number]
+
+    def mark_answered(self, attempt: Attempt) -> None:
+        """Record that an attempt needs no answer any more."""
         if not attempt.answered:
             attempt.answered = True
             self.unanswered -= 1
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -1,4 +1,4 @@
-"""Counters of the node, and the one way to state what must hold."""
+"""Named counters of the node, warnings that may come often, and the check of invariants."""
 
 import threading
 import time
@@ -7,113 +7,124 @@
 
 from loguru import logger
 
-MOST_TENANTS = 1000  # whose counts are told one by one; of those used longest ago they are summed up
-QUIET_S = 10.0  # a warning is logged once, then summed up for so long
+MAX_TENANTS = 1000  # with counters of their own; those counted longest ago are merged into the others'
+WARNING_INTERVAL_S = 10.0  # between two lines of the same warning
+MAX_LOGGED_CHARACTERS = 200  # of the last value of a suppressed warning
 
 
 @dataclass(slots=True)
-class Often:
-    """A warning that may come often."""
+class RepeatedWarning:
+    """A warning that was logged, and how often it came since."""
 
-    since: float  # when a line was last logged
-    left_out: int = 0
-    last: str = ""
+    logged_s: float  # monotonic time
+    suppressed: int = 0
+    last_value: str = ""
 
 
 class Counters:
     """Named counts that any thread may add to."""
 
     def __init__(self) -> None:
-        self._often: dict[str, Often] = {}
+        self._warnings: dict[str, RepeatedWarning] = {}
         self._lock = threading.Lock()
         self._counts: Counter[str] = Counter()
-        self._of_tenants: OrderedDict[str, Counter[str]] = OrderedDict()  # the one counted last is the last
+        self._by_tenant: OrderedDict[str, Counter[str]] = OrderedDict()  # least recently counted first
 
     def add(self, name: str, by: int = 1) -> None:
         """Add to a count."""
         with self._lock:
             self._counts[name] += by
 
-    def add_for(self, tenant: str, what: str) -> None:
-        """Add to a count of a tenant's. Where they become too many, that of another joins the others'."""
+    def add_for(self, tenant: str, name: str) -> None:
+        """Add to a count of a tenant. With too many tenants, the least recent one joins the others."""
         with self._lock:
-            counts = self._of_tenants.get(tenant)
+            counts = self._by_tenant.get(tenant)
             if counts is None:
-                counts = self._of_tenants[tenant] = Counter()
-                if len(self._of_tenants) > MOST_TENANTS:
-                    _, summed_up = self._of_tenants.popitem(last=False)
-                    for name, count in summed_up.items():
-                        self._counts[f"tenants.others.{name}"] += count
+                counts = self._by_tenant[tenant] = Counter()
+                if len(self._by_tenant) > MAX_TENANTS:
+                    self._merge_least_recent()
             else:
-                self._of_tenants.move_to_end(tenant)
-            counts[what] += 1
+                self._by_tenant.move_to_end(tenant)
+            counts[name] += 1
+
+    def _merge_least_recent(self) -> None:
+        _, counts = self._by_tenant.popitem(last=False)
+        for name, count in counts.items():
+            self._counts[f"tenants.others.{name}"] += count
 
     def of_tenant(self, tenant: str) -> dict[str, int]:
-        """Return the counts of one tenant, as far as they are not among the others' by now."""
+        """Return the counts of one tenant, without those merged into the others'."""
         with self._lock:
-            return dict(sorted(self._of_tenants.get(tenant, Counter()).items()))
+            return dict(sorted(self._by_tenant.get(tenant, Counter()).items()))
 
     def snapshot(self) -> dict[str, int]:
-        """Return all counts, by name."""
+        """Return all counts by name."""
         with self._lock:
-            told = {
-                f"tenant.{tenant}.{what}": count
-                for tenant, counts in self._of_tenants.items()
-                for what, count in counts.items()
+            of_tenants = {
+                f"tenant.{tenant}.{name}": count
+                for tenant, counts in self._by_tenant.items()
+                for name, count in counts.items()
             }
-            return dict(sorted({**self._counts, **told}.items()))
+            return dict(sorted({**self._counts, **of_tenants}.items()))
 
     def summary(self) -> dict[str, int]:
-        """Return all counts, by name, with those of all tenants together: it stays short."""
+        """Return all counts by name, with the counts of all tenants added up."""
         with self._lock:
-            told = Counter(self._counts)
-            for counts in self._of_tenants.values():
-                for what, count in counts.items():
-                    told[f"tenants.all.{what}"] += count
+            totals = Counter(self._counts)
+            for counts in self._by_tenant.values():
+                for name, count in counts.items():
+                    totals[f"tenants.all.{name}"] += count
             for name, count in self._counts.items():
                 if name.startswith("tenants.others."):
-                    told["tenants.all." + name.removeprefix("tenants.others.")] += count
-                    del told[name]
-            return dict(sorted(told.items()))
+                    totals["tenants.all." + name.removeprefix("tenants.others.")] += count
+                    del totals[name]
+            return dict(sorted(totals.items()))
 
     def warn(self, name: str, line: str, *values: object) -> None:
-        """Count, and log the first of its kind. What follows within the interval is summed up.
+        """Count a warning and log it, unless the same line was logged within the interval.
 
-        A line for each message would let whoever sends bad ones spend the node's part of the core.
+        A line for each bad message would let its sender use up the processor time of the node.
         """
-        now = time.monotonic()
+        now_s = time.monotonic()
         with self._lock:
             self._counts[name] += 1
-            known = self._often.get(line)
-            if known is not None and now - known.since < QUIET_S:
-                known.left_out += 1
-                known.last = str(values[-1])[:200] if values else ""
+            known = self._warnings.get(line)
+            if known is not None and now_s - known.logged_s < WARNING_INTERVAL_S:
+                known.suppressed += 1
+                known.last_value = str(values[-1])[:MAX_LOGGED_CHARACTERS] if values else ""
                 return
-            self._often[line] = Often(now)
+            self._warnings[line] = RepeatedWarning(now_s)
         logger.warning(line, *values)
 
-    def sum_up(self, now: float | None = None) -> None:
-        """Log how often each warning came that was left out, once its interval is over."""
-        now = time.monotonic() if now is None else now
-        with self._lock:
-            over = [(line, often) for line, often in self._often.items() if now - often.since >= QUIET_S]
-            for line, _ in over:
-                del self._often[line]
-        for line, often in over:
-            if often.left_out:
+    def log_suppressed(self, now_s: float | None = None) -> None:
+        """Log how often each warning was suppressed, once its interval is over."""
+        now_s = time.monotonic() if now_s is None else now_s
+        for line, warning in self._take_expired_warnings(now_s):
+            if warning.suppressed:
                 logger.warning(
                     "{} more in {:.0f} s like «{}», the last: {}",
-                    often.left_out,
-                    now - often.since,
+                    warning.suppressed,
+                    now_s - warning.logged_s,
                     line,
-                    often.last,
+                    warning.last_value,
                 )
 
-    def must(self, holds: bool, what: str) -> bool:
-        """State what must hold: asserted in debug builds, counted and logged in release builds."""
+    def _take_expired_warnings(self, now_s: float) -> list[tuple[str, RepeatedWarning]]:
+        with self._lock:
+            expired = [
+                (line, warning)
+                for line, warning in self._warnings.items()
+                if now_s - warning.logged_s >= WARNING_INTERVAL_S
+            ]
+            for line, _ in expired:
+                del self._warnings[line]
+        return expired
+
+    def must(self, holds: bool, invariant: str) -> bool:
+        """Check an invariant: asserted in debug builds, counted and logged in release builds."""
         if not holds:
             if __debug__:
-                raise AssertionError(what)
-            self.add("broken." + what.replace(" ", "_"))
-            logger.error("invariant broken: {}", what)
+                raise AssertionError(invariant)
+            self.add("broken." + invariant.replace(" ", "_"))
+            logger.error("invariant broken: {}", invariant)
         return holds
--- a/reelusher/core/idempotency_table.py
+++ b/reelusher/core/idempotency_table.py
@@ -1,101 +1,106 @@
-"""The table of keys: which try of a keyed request holds its entry, and what that try came to."""
+"""The table of idempotency keys: the original attempt of each key and its result."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from reelusher.core.messages import Result
+from reelusher.core.messages import IdempotencyKey, Result
 
-IdempotencyKey = tuple[str, int, str]  # tenant, class, key
+DEFAULT_MAX_RESULT_BYTES = 48 << 20
 
 
 @dataclass(slots=True)
 class IdempotencyEntry:
-    """What is known of the try that holds a key."""
+    """A key and its original, the attempt whose run serves all retries."""
 
     key: IdempotencyKey
-    holder: int
-    until_us: int
-    digest: bytes = b""  # of the body that all tries carry
-    over: bool = False  # the holder's run has ended, or it never ran and never will
-    result: Result | None = None  # of a run that went well
-    waiting: list[int] = field(default_factory=list)  # joined tries
+    original_id: int
+    expires_us: int
+    digest: bytes = b""  # of the body, which all retries share
+    finished: bool = False  # the run of the original has ended, or will never start
+    result: Result | None = None  # of a run that succeeded
+    attached: list[int] = field(default_factory=list)  # ids of attempts that wait for the result
 
 
 class IdempotencyTable:
-    """Entries by key and by holder.
+    """Entries by key and by the id of their original.
 
-    An entry names the original of each try that reached the machine while it lived, however late that
-    try is read. So an entry that has run out stays for `tail_us`, longer than any try goes unread.
+    An entry names the original of each retry that reached the machine before the entry expired, however late
+    the retry is read. So an expired entry stays for `retention_us`, longer than any retry goes unread.
     """
 
-    def __init__(self, tail_us: int, most_result_bytes: int = 48 << 20) -> None:
-        self._tail_us = tail_us
-        self._most_bytes = most_result_bytes
-        self._bytes = 0  # of all kept results
-        self._results: dict[str, dict[int, IdempotencyEntry]] = {}  # by tenant and holder, oldest first
-        self._bytes_of: dict[str, int] = {}  # the same bytes by tenant
+    def __init__(self, retention_us: int, max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES) -> None:
+        self._retention_us = retention_us
+        self._max_result_bytes = max_result_bytes
+        self._result_bytes = 0  # of all stored results
+        self._results: dict[str, dict[int, IdempotencyEntry]] = {}  # by tenant and original, oldest first
+        self._result_bytes_by_tenant: dict[str, int] = {}
         self._by_key: dict[IdempotencyKey, IdempotencyEntry] = {}
-        self._by_holder: dict[int, IdempotencyEntry] = {}
+        self._by_original: dict[int, IdempotencyEntry] = {}
 
     def __len__(self) -> int:
-        return len(self._by_holder)
+        return len(self._by_original)
 
     def __iter__(self) -> Iterator[IdempotencyEntry]:
-        return iter(self._by_holder.values())
+        return iter(self._by_original.values())
 
-    def widen(self, tail_us: int) -> None:
-        """Have entries stay for at least so long after they ran out: a class has a longer deadline now."""
-        self._tail_us = max(self._tail_us, tail_us)
+    def extend_retention(self, retention_us: int) -> None:
+        """Keep expired entries for at least this time: a class has a longer deadline now."""
+        self._retention_us = max(self._retention_us, retention_us)
 
-    def original(self, key: IdempotencyKey, door_us: int) -> int:
-        """Return the holder that a try arriving then repeats, or 0."""
+    def original(self, key: IdempotencyKey, received_us: int) -> int:
+        """Return the id of the original that a request received at that time repeats, or 0."""
         entry = self._by_key.get(key)
-        return entry.holder if entry and door_us <= entry.until_us else 0
+        return entry.original_id if entry and received_us <= entry.expires_us else 0
 
-    def other_body(self, key: IdempotencyKey, door_us: int, digest: bytes) -> bool:
-        """Tell whether a try arriving then names the key of a request that has another body."""
+    def has_other_body(self, key: IdempotencyKey, received_us: int, digest: bytes) -> bool:
+        """Return whether the key of a request received at that time belongs to another body."""
         entry = self._by_key.get(key)
-        return entry is not None and door_us <= entry.until_us and entry.digest != digest
+        return entry is not None and received_us <= entry.expires_us and entry.digest != digest
 
-    def of(self, holder: int) -> IdempotencyEntry | None:
-        """Return the entry that a try holds."""
-        return self._by_holder.get(holder)
+    def entry_of(self, original_id: int) -> IdempotencyEntry | None:
+        """Return the entry of an original."""
+        return self._by_original.get(original_id)
 
-    def keep(self, key: IdempotencyKey, holder: int, until_us: int, digest: bytes = b"") -> None:
-        """Record a try, or renew its entry; a newer holder takes the key over."""
-        entry = self._by_holder.get(holder)
+    def put(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes = b"") -> None:
+        """Add an entry, or renew that of its original; a newer original takes the key over."""
+        entry = self._by_original.get(original_id)
         if entry:
-            entry.until_us = until_us
+            entry.expires_us = expires_us
             return
-        self._by_key[key] = self._by_holder[holder] = IdempotencyEntry(key, holder, until_us, digest)
+        entry = IdempotencyEntry(key, original_id, expires_us, digest)
+        self._by_key[key] = self._by_original[original_id] = entry
 
-    def remember(self, key: IdempotencyKey, holder: int, until_us: int, digest: bytes) -> None:
-        """Record a try of an earlier life of the node: it may have run, and what it came to is not known."""
-        self.keep(key, holder, until_us, digest)
-        self._by_holder[holder].over = True
+    def restore(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes) -> None:
+        """Add the entry of an earlier incarnation of the node: it may have run, and its result is unknown."""
+        self.put(key, original_id, expires_us, digest)
+        self._by_original[original_id].finished = True
 
-    def store(self, entry: IdempotencyEntry, result: Result | None) -> int:
-        """Keep what the holder's run came to; return how many older results had to go to make room.
+    def store_result(self, entry: IdempotencyEntry, result: Result | None) -> int:
+        """Store the result of an original; return the number of older results dropped to make space.
 
-        An entry that has lost its result still names its original: a repeat fails, it never runs again. Room
-        is made by the tenant whose results take most, so that a flood of one pushes out its own.
+        An entry without its result still names its original: a retry fails, and never runs again. The tenant
+        with the most bytes loses its results first, so that a flood of one tenant displaces only its own.
         """
-        entry.over, entry.result = True, result
+        entry.finished, entry.result = True, result
         if result is not None:
             tenant = entry.key[0]
-            self._results.setdefault(tenant, {})[entry.holder] = entry
-            self._count(tenant, len(result.body))
+            self._results.setdefault(tenant, {})[entry.original_id] = entry
+            self._add_bytes(tenant, len(result.body))
         dropped = 0
-        while self._bytes > self._most_bytes and (old := self._oldest_of_most()) is not None:
-            self._drop_result(old)
+        while self._result_bytes > self._max_result_bytes:
+            candidate = self._next_to_drop()
+            if candidate is None:
+                break
+            self._drop_result(candidate)
             dropped += 1
         return dropped
 
-    def _oldest_of_most(self) -> IdempotencyEntry | None:
-        """Return the oldest result of the tenant that has most bytes of those that no join waits for."""
-        for tenant in sorted(self._bytes_of, key=self._bytes_of.__getitem__, reverse=True):
+    def _next_to_drop(self) -> IdempotencyEntry | None:
+        """Return the oldest result, without attached retries, of the tenant with the most bytes."""
+        by_tenant = self._result_bytes_by_tenant
+        for tenant in sorted(by_tenant, key=by_tenant.__getitem__, reverse=True):
             for entry in self._results[tenant].values():
-                if not entry.waiting:
+                if not entry.attached:
                     return entry
         return None
 
@@ -104,30 +109,32 @@
             return
         tenant, size = entry.key[0], len(entry.result.body)
         entry.result = None
-        del self._results[tenant][entry.holder]
-        self._count(tenant, -size)
+        del self._results[tenant][entry.original_id]
+        self._add_bytes(tenant, -size)
         if not self._results[tenant]:
-            del self._results[tenant], self._bytes_of[tenant]
+            del self._results[tenant], self._result_bytes_by_tenant[tenant]
 
-    def _count(self, tenant: str, size: int) -> None:
-        self._bytes += size
-        self._bytes_of[tenant] = self._bytes_of.get(tenant, 0) + size
+    def _add_bytes(self, tenant: str, size: int) -> None:
+        self._result_bytes += size
+        self._result_bytes_by_tenant[tenant] = self._result_bytes_by_tenant.get(tenant, 0) + size
 
-    def forget(self, holder: int) -> IdempotencyEntry | None:
-        """Remove an entry ahead of its time."""
-        entry = self._by_holder.pop(holder, None)
-        if entry:
-            self._drop_result(entry)
-        if entry and self._by_key.get(entry.key) is entry:
+    def remove(self, original_id: int) -> None:
+        """Remove the entry of an original, if there is one."""
+        entry = self._by_original.pop(original_id, None)
+        if entry is None:
+            return
+        self._drop_result(entry)
+        if self._by_key.get(entry.key) is entry:
             del self._by_key[entry.key]
-        return entry
-
-    def sweep(self, now_us: int, in_hand: Callable[[int], bool]) -> None:
-        """Drop entries that no try can meet any more. One whose holder is in hand stays."""
-        old = [
-            e.holder
-            for e in self
-            if e.until_us + self._tail_us < now_us and not e.waiting and not in_hand(e.holder)
+
+    def remove_expired(self, now_us: int, is_open: Callable[[int], bool]) -> None:
+        """Remove the entries that no retry can reach any more, unless their original is still open."""
+        expired = [
+            entry.original_id
+            for entry in self
+            if entry.expires_us + self._retention_us < now_us
+            and not entry.attached
+            and not is_open(entry.original_id)
         ]
-        for holder in old:
-            self.forget(holder)
+        for original_id in expired:
+            self.remove(original_id)
--- a/reelusher/core/messages.py
+++ b/reelusher/core/messages.py
@@ -1,4 +1,4 @@
-"""What fronts, backends and the core say to each other. Nothing here names a wire."""
+"""The messages between front ends, backends and the core, and the interfaces that the core calls."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -8,9 +8,11 @@
 
 from reelusher.policy.events import Outcome
 
+IdempotencyKey = tuple[str, int, str]  # tenant, class index, key
+
 
 class Verdict(Enum):
-    """The final answer to an attempt."""
+    """The kind of a final answer."""
 
     SERVED = "served"
     REJECTED = "refused"  # it never ran
@@ -19,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """What a run made, kept unchanged. Status and headers are empty where the backend has none."""
+    """The unchanged result of a run. Status and headers have their defaults where the backend has none."""
 
     body: bytes
     status: int = 200
@@ -28,83 +30,83 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer to an attempt."""
+    """The one final answer to a request."""
 
     verdict: Verdict
     result: Result | None = None
-    retry_after_us: int = 0  # of a refusal: how long the caller should stay away
-    no_retry: bool = False  # of a refusal: the wish that no other node is tried
-    advertised_capacity: float | None = None  # the free value at this time
+    retry_after_us: int = 0  # if rejected
+    no_retry: bool = False  # if rejected: the caller is asked not to try other nodes
+    advertised_capacity: float | None = None  # of the node, when it answered
 
 
 @dataclass(slots=True, frozen=True)
 class IncomingRequest:
-    """One try of a request as a front read it."""
+    """One attempt of a request, as a front end has read it."""
 
-    run_id: str  # unique in this node's life; names the run towards backends
-    class_index: int  # its class, by position in the settings
+    run_id: str  # unique during the life of this process; names the run towards backends
+    class_index: int
     body: bytes
     received_us: int  # when it reached the machine
-    reply: Callable[[Answer], None]  # called once, by the owner; must not block
+    reply: Callable[[Answer], None]  # called once, on the event loop thread; must not block
     tenant: str = ""
     tenant_number: int = 0
     caller: int = 0
     subject: int = 0
     held_kb: float = 0.0
     expected_work_us: int = 0
-    idempotency_key: str = ""  # of keyed classes: the same for all tries of one request
+    idempotency_key: str = ""  # shared by all attempts of one request
     backend_data: object = None  # what a backend needs beyond the body; opaque to the core
 
 
 class Runner(Protocol):
-    """Runs attempts. Called by the owner only; nothing here may block."""
+    """Runs attempts. Called on the event loop thread only; must not block."""
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        """Start a run; ends come back as `RunFinished`."""
+        """Start a run; `RunFinished` reports its end."""
 
-    def stop(self, call: str) -> None:
+    def stop(self, run_id: str) -> None:
         """Stop a run in the way that the settings name."""
 
-    def resume(self, call: str) -> None:
-        """Go on with a paused run."""
+    def resume(self, run_id: str) -> None:
+        """Resume a preempted run."""
 
-    def deliver_reply(self, call: str, body: bytes) -> None:
-        """Hand over the reply to the call that a run waits for."""
+    def deliver_reply(self, run_id: str, body: bytes) -> None:
+        """Deliver the reply to the call that a run waits for."""
 
-    def skip_call(self, call: str, serial: int) -> None:
-        """Let a run go on without the call that this notice asked for."""
+    def skip_call(self, run_id: str, serial: int) -> None:
+        """Let a run continue without the call that the notice with this serial number requested."""
 
     def request_gauges(self, cookie: str) -> bool:
-        """Ask for the gauges; they come back as `GaugesReceived`. False: nobody is there to be asked."""
+        """Request the gauges, which `GaugesReceived` reports; return whether that was possible."""
 
 
 class Dependency(Protocol):
-    """Carries calls to what lies below. Called by the owner only; nothing here may block."""
+    """Makes calls to the dependency. Called on the event loop thread only; must not block."""
 
-    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
-        """Make a call; its end comes back as `CallFinished` with this ticket."""
+    def call(self, run_id: str, ticket: int, until_us: int, body: bytes) -> None:
+        """Make a call; `CallFinished` with this ticket reports its end."""
 
-    def cancel(self, call: str, ticket: int) -> None:
-        """Give a call up; no reply is wanted any more."""
+    def cancel(self, run_id: str, ticket: int) -> None:
+        """Cancel a call, whose reply is not needed any more."""
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A front has read a request."""
+    """A front end has read a request."""
 
     request: IncomingRequest
 
 
 @dataclass(slots=True, frozen=True)
 class CallersDisconnected:
-    """The callers of these attempts are out of reach; no answer can be delivered."""
+    """The callers of these attempts have disconnected; no answer can be delivered."""
 
     run_ids: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class RunFinished:
-    """A run has ended: OK (with the result), ERROR, CANCELLED, or MOOT where it never started."""
+    """A run has ended, with a result if it succeeded; NOT_STARTED if it never ran."""
 
     run_id: str
     outcome: Outcome
@@ -123,7 +125,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFinished:
-    """A call has ended; the body is there when it went well."""
+    """A call has ended, with a body if it succeeded."""
 
     run_id: str
     ticket: int
@@ -141,62 +143,63 @@
 
 @dataclass(slots=True, frozen=True)
 class RunsLost:
-    """The runner has started anew: of these runs nothing more will be heard."""
+    """The runner has restarted; the ends of its earlier runs will not be reported."""
 
     runner: Runner
 
 
 @dataclass(slots=True, frozen=True)
 class DrainRequested:
-    """The node is told to leave. A second order may only bring the stop forward."""
+    """The node is to drain. A second request can only bring the stop forward."""
 
-    stop_us: int  # when the process is stopped, by the node's clock
-    requested_us: int  # when it was told so, at the earliest
+    stop_us: int  # when the process is stopped, by the clock of the node
+    requested_us: int  # the earliest time at which the drain may have been requested
 
 
 class DurableKeyLog(Protocol):
-    """Makes keys durable before what they name is run. Nothing here may block."""
+    """Makes idempotency keys durable before their runs start. Must not block."""
 
     def persist(
-        self, key: tuple[str, int, str], until_us: int, digest: bytes, done: Callable[[bool], None]
+        self, key: IdempotencyKey, until_us: int, digest: bytes, done: Callable[[bool], None]
     ) -> None:
-        """Make a key durable; `done` hears whether it is, from another thread."""
+        """Make a key durable; `done` receives whether that succeeded, on another thread."""
 
-    def forget(self, key: tuple[str, int, str]) -> None:
-        """Note that a key never ran after all."""
+    def forget(self, key: IdempotencyKey) -> None:
+        """Withdraw a key that never ran after all."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyLockRequest:
-    """A key that is to be run by this process and no other of its node. Any thread calls one of the two."""
+    """A request for the lock of a key, so that only this process of the node runs it.
+
+    Exactly one of the two callbacks is called, on any thread. Times are Unix times.
+    """
 
-    key: tuple[str, int, str]
-    received_us: int  # when the try came to the machine, Unix time
-    expires_us: int  # when the window of the key is over
-    due_us: int  # when the try is due: nothing is waited for beyond that
-    digest: str  # of the body
-    on_decided: Callable[
-        [bool], None
-    ]  # hears whether it may be run here; False: it can't be claimed, nor run
-    on_result_elsewhere: Callable[["Result | None"], None]  # hears what it came to in another process
+    key: IdempotencyKey
+    received_us: int  # when the attempt reached the machine
+    expires_us: int  # when the window of the key ends
+    due_us: int  # when the attempt is due; nothing is awaited beyond that
+    digest: str  # of the body, hexadecimal
+    on_decided: Callable[[bool], None]  # receives whether the key is locked and may run here
+    on_result_elsewhere: Callable[["Result | None"], None]  # receives the result from another process
 
 
 class KeyLocks(Protocol):
-    """Keeps two processes of one node from running the same key. Nothing here may block."""
+    """Prevents two processes of one node from running the same key. Must not block."""
 
-    def acquire(self, claim: KeyLockRequest) -> None:
-        """Claim a key."""
+    def acquire(self, request: KeyLockRequest) -> None:
+        """Acquire the lock of a key."""
 
-    def complete(self, key: tuple[str, int, str], result: Result | None) -> None:
-        """Say what the run of a claimed key came to."""
+    def complete(self, key: IdempotencyKey, result: Result | None) -> None:
+        """Publish the result of the run of a locked key."""
 
-    def release(self, key: tuple[str, int, str]) -> None:
-        """Take a claim back: it never ran."""
+    def release(self, key: IdempotencyKey) -> None:
+        """Release the lock of a key that never ran."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyPersisted:
-    """The key of an attempt is durable, or could not be made so."""
+    """The key of an attempt has been secured, or could not be."""
 
     attempt_id: int
     succeeded: bool
@@ -204,7 +207,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EventLoopTask:
-    """Something that is to be done by the owner between batches, with a reply to wait for."""
+    """A function to be run on the event loop thread, and the future of its result."""
 
     function: Callable[[], Any]
     future: "Future[Any]" = field(default_factory=Future)
--- /dev/null
+++ b/reelusher/core/request_lifecycle.py
@@ -0,0 +1,306 @@
+"""The life of a request: arrival, run, answer, and what ends it early."""
+
+from collections.abc import Callable
+
+from reelusher.core.answers import Answers
+from reelusher.core.attempts import Attempt, AttemptState
+from reelusher.core.context import CoreContext
+from reelusher.core.deadline_guard import DeadlineGuard
+from reelusher.core.deduplication import Deduplication
+from reelusher.core.dependency_calls import DependencyCalls
+from reelusher.core.idempotency_table import IdempotencyEntry
+from reelusher.core.messages import (
+    CallersDisconnected,
+    DrainRequested,
+    IdempotencyKey,
+    IncomingRequest,
+    KeyPersisted,
+    RequestArrived,
+    RunFinished,
+    Runner,
+    RunsLost,
+    Verdict,
+)
+from reelusher.policy.actions import FailRequest, Preempt, Reject, Run
+from reelusher.policy.events import ClientDisconnected, Drain, Outcome, Request, RunEnded
+from reelusher.policy.settings import Idempotency
+
+
+class RequestLifecycle:
+    """Carries attempts from arrival to answer, as the controller decides and runners report."""
+
+    def __init__(
+        self,
+        context: CoreContext,
+        answers: Answers,
+        deduplication: Deduplication,
+        calls: DependencyCalls,
+        default_runner: Runner,
+        flush: Callable[[], None],
+    ) -> None:
+        """`flush` hands the pending events to the controller at once."""
+        self._context = context
+        self._answers = answers
+        self._deduplication = deduplication
+        self._calls = calls
+        self._default_runner = default_runner
+        self._flush = flush
+        self._guard = DeadlineGuard(context, self._on_overdue)
+        self._new_keys: set[IdempotencyKey] = set()  # of requests whose events are pending
+        self._grace_end_us: int | None = None  # requests that reach the machine later are not run
+        self.runners: dict[str, Runner] = {}  # of tenants that have their own
+        self.stop_us: int | None = None  # when the process is stopped, once it drains
+        self.admits_tenant: Callable[[int], bool] | None = None  # by tenant number; None admits all
+        self.last_success_s: dict[str, float] = {}  # of runs, by class name, Unix time
+
+    def runner_of(self, tenant: str) -> Runner:
+        """Return the runner of a tenant."""
+        return self.runners.get(tenant, self._default_runner)
+
+    # Arrivals
+
+    def on_request_arrived(self, message: RequestArrived) -> None:
+        """Hand a request to the controller, or answer it at once."""
+        request, context = message.request, self._context
+        context.counters.add("requests.read")
+        context.stats.request_read()
+        verdict = self._verdict_without_key(request)
+        if verdict is not None:
+            self._answers.give_untracked(request, verdict)
+            return
+        key = self._deduplication.key_of(request)
+        if key is not None:
+            self._flush_earlier_attempts(key)
+            if self._deduplication.has_other_body(key, request):
+                context.counters.warn(
+                    "requests.key_taken",
+                    "request rejected: its idempotency key came with another body: {}",
+                    request.run_id,
+                )
+                self._answers.give_untracked(request, Verdict.FAILED)
+                return
+        self._add(request, self._deduplication.original_of(key, request) if key is not None else 0)
+
+    def _verdict_without_key(self, request: IncomingRequest) -> Verdict | None:
+        """Return the verdict on a request that must not become an attempt, or None."""
+        context = self._context
+        if context.attempts.by_run_id(request.run_id):  # two runs with one id can't be told apart
+            context.counters.warn(
+                "requests.name_taken", "request rejected: run id {} is in use already", request.run_id
+            )
+            return Verdict.FAILED
+        if not self._admits_tenant_of(request):  # suspended or removed after the front end had looked
+            context.counters.add("requests.tenant_gone")
+            return Verdict.REJECTED
+        return None
+
+    def _admits_tenant_of(self, request: IncomingRequest) -> bool:
+        if self.admits_tenant is None or not request.tenant_number:
+            return True
+        return self.admits_tenant(request.tenant_number)
+
+    def _flush_earlier_attempts(self, key: IdempotencyKey) -> None:
+        """Let the controller decide on attempts with the same key first, if they came in the same batch."""
+        if key in self._new_keys:
+            self._flush()
+        self._new_keys.add(key)
+
+    def forget_new_keys(self) -> None:
+        """Forget the keys of requests that the controller now decides on."""
+        self._new_keys.clear()
+
+    def _add(self, request: IncomingRequest, original_id: int) -> None:
+        context = self._context
+        deadline_us = context.settings.classes[request.class_index].deadline_us
+        due_us = max(context.now_us, request.received_us + deadline_us)
+        attempt = context.attempts.add(request, self.runner_of(request.tenant), due_us)
+        self._guard.watch(attempt, self.stop_us)
+        context.pending_events.append(
+            Request(
+                attempt.id,
+                request.class_index,
+                request.caller,
+                request.subject,
+                request.tenant_number,
+                request.held_kb,
+                request.expected_work_us,
+                0,
+                max(0, context.now_us - request.received_us),
+                original_id,
+            )
+        )
+
+    def on_callers_disconnected(self, message: CallersDisconnected) -> None:
+        """Drop the answers to callers that can't receive them."""
+        for run_id in message.run_ids:
+            attempt = self._context.attempts.by_run_id(run_id)
+            if attempt and not attempt.answered:
+                self._context.counters.add("answers.undeliverable")
+                self._answers.drop(attempt)
+                self._report_disconnected(attempt)
+
+    # Runs
+
+    def run(self, action: Run) -> None:
+        """Start or resume the run of an attempt."""
+        attempt = self._context.attempts.get(action.id)
+        if attempt is None:
+            return
+        if attempt.state is AttemptState.PREEMPTED:
+            attempt.state = AttemptState.RUNNING
+            attempt.runner.resume(attempt.request.run_id)
+            return
+        if attempt.answered or attempt.state is not AttemptState.HELD:
+            return
+        entry = self._deduplication.entry_of(attempt)
+        if not self._may_start(attempt, entry):
+            return
+        attempt.state, attempt.started = AttemptState.RUNNING, True
+        if entry is not None and self._deduplication.must_secure_keys():
+            self._deduplication.secure(attempt, entry)
+        else:
+            self._start(attempt)
+
+    def _may_start(self, attempt: Attempt, entry: IdempotencyEntry | None) -> bool:
+        """Return whether the invariants of a start hold."""
+        request, counters = attempt.request, self._context.counters
+        request_class = self._context.settings.classes[request.class_index]
+        keyed = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and request.idempotency_key
+        if not counters.must(
+            not keyed or entry is not None, "a keyed try runs only while it holds its entry"
+        ):
+            return False
+        in_time = self._grace_end_us is None or request.received_us <= self._grace_end_us
+        return counters.must(in_time, "a drain runs nothing that came after the grace")
+
+    def _start(self, attempt: Attempt) -> None:
+        self._context.counters.add("runs.started")
+        self._context.stats.run_started()
+        attempt.runner.start(attempt.request, self._context.class_name_of(attempt))
+
+    def on_key_persisted(self, message: KeyPersisted) -> None:
+        """Start a run whose key is secured, unless it has been answered meanwhile: then it never ran."""
+        attempt = self._context.attempts.get(message.attempt_id)
+        if attempt is None or not attempt.awaiting_key:
+            return
+        # a key that was not secured may be held by another process, so it is not released later
+        attempt.awaiting_key = not message.succeeded
+        if message.succeeded and not attempt.answered:
+            self._start(attempt)
+            return
+        if message.succeeded:
+            self._deduplication.withdraw_key(attempt)
+        self.on_run_finished(RunFinished(attempt.request.run_id, Outcome.NOT_STARTED))
+
+    def preempt(self, action: Preempt) -> None:
+        """Stop a run; one that is not answered may be resumed."""
+        attempt = self._context.attempts.get(action.id)
+        if attempt and attempt.state is AttemptState.RUNNING and not attempt.awaiting_key:
+            if not attempt.answered:
+                attempt.state = AttemptState.PREEMPTED
+            attempt.runner.stop(attempt.request.run_id)
+
+    def on_run_finished(self, message: RunFinished) -> None:
+        """Answer an attempt whose run has ended, and the retries attached to it."""
+        context = self._context
+        attempt = context.attempts.by_run_id(message.run_id)
+        if attempt is None or not attempt.started:
+            context.counters.add("runs.unknown_end")
+            return
+        self._calls.cancel(attempt)
+        self._deduplication.record_end(attempt, message)
+        if message.outcome is Outcome.OK and not attempt.awaiting_key:
+            self.last_success_s[context.class_name_of(attempt)] = context.now_us / 1e6
+        if not attempt.answered:
+            self._answer_finished(attempt, message)
+        context.counters.add("runs." + message.outcome.value)
+        context.pending_events.append(RunEnded(attempt.id, message.outcome, message.duration_us))
+        context.attempts.remove(attempt)
+        self._deduplication.finish_original(attempt, message.outcome)
+
+    def _answer_finished(self, attempt: Attempt, message: RunFinished) -> None:
+        if message.outcome is Outcome.OK and message.result is not None:
+            self._answers.give(attempt, Verdict.SERVED, message.result)
+        elif message.outcome is Outcome.NOT_STARTED:
+            self._answers.give(attempt, Verdict.REJECTED)
+        else:
+            self._answers.give(attempt, Verdict.FAILED)
+
+    def on_runs_lost(self, message: RunsLost) -> None:
+        """Fail the runs of a runner that has restarted."""
+        for attempt in self._context.attempts:
+            if attempt.runner is message.runner and attempt.started and not attempt.awaiting_key:
+                self.on_run_finished(RunFinished(attempt.request.run_id, Outcome.ERROR))
+
+    # Answers without a result
+
+    def reject(self, action: Reject) -> None:
+        """Reject an attempt that never ran."""
+        attempt = self._context.attempts.get(action.id)
+        if attempt is None or attempt.answered:
+            return
+        if self._context.counters.must(not attempt.started, "a try that ran is not turned away"):
+            self._answers.give(attempt, Verdict.REJECTED, None, action.retry_after_us, action.no_retry)
+        else:
+            self._answers.give(attempt, Verdict.FAILED)
+        self._release(attempt)
+
+    def fail(self, action: FailRequest) -> None:
+        """Answer an attempt as failed."""
+        attempt = self._context.attempts.get(action.id)
+        if attempt and not attempt.answered:
+            self._answers.give(attempt, Verdict.FAILED)
+            self._release(attempt)
+
+    def end_tenant_requests(self, tenant_number: int) -> None:
+        """Answer all requests of a tenant now.
+
+        Runs continue to their end, and their keys stay: a retry must still find that they ran.
+        """
+        for attempt in self._context.attempts:
+            if attempt.request.tenant_number == tenant_number and not attempt.answered:
+                never_ran = not attempt.started and attempt.state is AttemptState.HELD
+                self._answer_early(attempt, Verdict.REJECTED if never_ran else Verdict.FAILED)
+        self._flush()
+
+    def on_drain(self, message: DrainRequested) -> None:
+        """Make everything due before the stop; a later order may only bring the stop forward."""
+        context = self._context
+        if self.stop_us is not None and message.stop_us >= self.stop_us:
+            return
+        if self._grace_end_us is None:
+            self._grace_end_us = message.requested_us + context.settings.drain_grace_us
+        self.stop_us, context.notices.draining = message.stop_us, True
+        for attempt in context.attempts:
+            self._guard.watch(attempt, self.stop_us)
+        time_left_us = max(0, message.stop_us - context.now_us)
+        elapsed_us = max(0, context.now_us - message.requested_us)
+        context.pending_events.append(Drain(time_left_us, elapsed_us))
+
+    def _on_overdue(self, attempt: Attempt) -> None:
+        """Answer an attempt that the controller has not answered in time."""
+        self._context.counters.warn(
+            "answers.by_guard",
+            "request {} was due with no answer: answered as failed",
+            attempt.request.run_id,
+        )
+        self._answer_early(attempt, Verdict.FAILED)
+
+    def _answer_early(self, attempt: Attempt, verdict: Verdict) -> None:
+        """Answer an attempt without a decision of the controller, which is told afterwards."""
+        self._answers.give(attempt, verdict)
+        self._report_disconnected(attempt)
+
+    def _report_disconnected(self, attempt: Attempt) -> None:
+        """Tell the controller that nobody waits for an attempt any more."""
+        self._context.pending_events.append(ClientDisconnected(attempt.id))
+        self._release(attempt)
+
+    def _release(self, attempt: Attempt) -> None:
+        """Remove an answered attempt, unless its run is still to end."""
+        if not attempt.started:
+            self._context.attempts.remove(attempt)
+            self._deduplication.finish_attached(attempt.id)
+        elif attempt.state is AttemptState.CALLING:
+            self._calls.cancel(attempt)
+            attempt.state = AttemptState.AWAITING_CALL
--- a/reelusher/core/scheduling_lag.py
+++ b/reelusher/core/scheduling_lag.py
@@ -1,26 +1,27 @@
-"""How late this process is; an input of the core and of drains, free of I/O."""
+"""The scheduling lag of this process, which the core and drains take into account."""
 
-FADE_S = 2.0  # the worst lateness that was seen counts half after this
+HALF_LIFE_S = 2.0
 
 
 class SchedulingLag:
-    """How late this process does what is due: the worst that was seen lately, which fades.
+    """The largest recent lag, which decays exponentially.
 
-    On a core that is its own a timer is late by less than a millisecond. On one that is shared it is late by
-    all that others run meanwhile, and by the threads that wait for the interpreter; that is what stages of a
-    drain must be brought forward by.
+    On a dedicated core a timer is late by less than a millisecond. On a shared one it is late by all that
+    others run meanwhile, and by the threads that wait for the interpreter lock. The steps of a drain must be
+    that much earlier.
     """
 
     def __init__(self) -> None:
-        self._late_s = 0.0
-        self._at_s = 0.0
+        self._peak_s = 0.0
+        self._observed_s = 0.0  # when the peak was observed
 
-    def observe(self, late_s: float, now_s: float) -> None:
-        """Note that something was done so many seconds after its time."""
-        self._late_s = max(late_s, self.lag_s(now_s))
-        self._at_s = now_s
+    def observe(self, lag_s: float, now_s: float) -> None:
+        """Record that something ran this long after it was due."""
+        self._peak_s = max(lag_s, self.lag_s(now_s))
+        self._observed_s = now_s
 
     def lag_s(self, now_s: float) -> float:
-        """Return the seconds by which things are late at present."""
-        faded: float = self._late_s * 0.5 ** (max(0.0, now_s - self._at_s) / FADE_S)
-        return faded
+        """Return the present lag in seconds."""
+        age_s = max(0.0, now_s - self._observed_s)
+        decayed_s: float = self._peak_s * 0.5 ** (age_s / HALF_LIFE_S)
+        return decayed_s
--- a/reelusher/core/timers.py
+++ b/reelusher/core/timers.py
@@ -1,4 +1,4 @@
-"""A heap of things to do later."""
+"""A heap of timers."""
 
 import heapq
 from collections.abc import Callable
@@ -6,24 +6,24 @@
 
 
 class Timers:
-    """Callbacks by due time; equal times run in the order in which they were set."""
+    """Callbacks by due time; callbacks due at the same time run in the order in which they were set."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = count()
+        self._heap: list[tuple[int, int, Callable[[], None]]] = []  # due time, sequence number, callback
+        self._sequence = count()
 
-    def at(self, when_us: int, action: Callable[[], None]) -> None:
-        """Do something at a time. It can't be withdrawn: the action checks if it still applies."""
-        heapq.heappush(self._heap, (when_us, next(self._order), action))
+    def at(self, due_us: int, callback: Callable[[], None]) -> None:
+        """Set a timer. It can't be cancelled: the callback checks whether it still applies."""
+        heapq.heappush(self._heap, (due_us, next(self._sequence), callback))
 
     def next_us(self) -> int | None:
-        """Return when the earliest is due."""
+        """Return when the next timer is due."""
         return self._heap[0][0] if self._heap else None
 
     def run_due(self, now_us: int, run: Callable[[Callable[[], None]], None]) -> None:
-        """Have all that are due run; what they set for now waits for the next call."""
+        """Pass each due callback to `run`; timers that callbacks set wait for the next call."""
         due = []
         while self._heap and self._heap[0][0] <= now_us:
             due.append(heapq.heappop(self._heap)[2])
-        for action in due:
-            run(action)
+        for callback in due:
+            run(callback)
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -36,7 +36,7 @@
     def keep() -> IdempotencyTable:
         table = IdempotencyTable(TAIL_US, 1 << 40)
         for number in range(size):
-            table.keep(
+            table.put(
                 (f"tenant-{number % 100}", 1, f"key-{number:016x}"),
                 number,
                 WINDOW_US + number,
@@ -46,14 +46,14 @@
 
     def answered() -> None:
         for number in range(size):
-            table.store(there(table.of(number)), Result(b"%0*d" % (RESULT_BYTES, number)))
+            table.store_result(there(table.entry_of(number)), Result(b"%0*d" % (RESULT_BYTES, number)))
 
     held, table = bytes_of(keep)
     results, _ = bytes_of(answered)
     return {
         "key_bytes": held / size,
         "result_bytes": results / size,
-        "sweep_ms": each_us(lambda: table.sweep(0, lambda holder: False)) / 1000,
+        "sweep_ms": each_us(lambda: table.remove_expired(0, lambda holder: False)) / 1000,
     }
 
 
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -42,7 +42,7 @@
     shares = FairQueue(made.settings.cores, made.settings.memory_kb)
     nobody = _Nobody()
     core = Core(
-        made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(), standing=shares
+        made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(), scheduler=shares
     )
     entries = [(one, TenantState.ACTIVE) for one in own.tenants]
     return TenantRegistry(
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -139,7 +139,7 @@
             else None
         )
         if self.catalog:
-            self.core.on_health = self.catalog.changed
+            self.core.on_health_changed = self.catalog.changed
         if told:
             self.fronts["platform"] = RpcFrontend(
                 self.core,
@@ -186,7 +186,7 @@
         except OSError as error:
             logger.error("upgrade: {} can't be used, so no other process may take over: {}", folder, error)
             return
-        self.core.key_locks = self._claims
+        self.core.deduplication.key_locks = self._claims
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
@@ -234,10 +234,8 @@
         if own.admin and own.admin.durable_keys:
             log = tenant_store.opened_keys(Path(folder))
             for number, line in enumerate(log.live()):
-                self.core.keys.remember(
-                    line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
-                )
-            self.core.key_log, self._key_log = log, log
+                self.core.keys.restore(line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest))
+            self.core.deduplication.key_log, self._key_log = log, log
         found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
         tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
@@ -423,7 +421,7 @@
         if self.core.notices.diverting_callers is not away:
             self.core.notices.diverting_callers = away
             logger.info("operator: callers are sent away" if away else "operator: callers are wanted again")
-            self.core.on_health()
+            self.core.on_health_changed()
 
     def status(self) -> dict[str, Any]:
         """Return how the node stands; called by the owner."""
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -13,7 +13,7 @@
 import msgspec
 from loguru import logger
 
-from reelusher.core.idempotency_table import IdempotencyKey
+from reelusher.core.messages import IdempotencyKey
 from reelusher.net.threads import start_thread
 from reelusher.storage.directory import Directory
 from reelusher.storage.journal import Journal, JournalError
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -96,7 +96,7 @@
             self._readers = ReaderPool(core.counters)
             self._pager = TenantCache(source, self._readers.read, core.clock.now, WAIT_S)
             shares.forgetful = True
-        core.admits_tenant = self._life.admits
+        core.requests.admits_tenant = self._life.admits
         for tenant, state in entries:
             self.put(tenant, state)
 
@@ -148,7 +148,7 @@
         return {
             "name": name,
             "state": entry.state.value,
-            "in_hand": self._core.attempts.of_tenant(entry.number),
+            "in_hand": self._core.attempts.count_of_tenant(entry.number),
             "answers": self._core.counters.of_tenant(name),
             **told,
         }
@@ -217,9 +217,9 @@
         self._shares.entitle(entry.number, self._share(tenant))
         runner = self._runner_of(tenant.backend)
         if runner is None:
-            self._core.runners.pop(tenant.name, None)
+            self._core.requests.runners.pop(tenant.name, None)
         else:
-            self._core.runners[tenant.name] = runner
+            self._core.requests.runners[tenant.name] = runner
 
     def move(self, name: str, to: TenantState) -> TenantRecord | None:
         """Suspend or resume a tenant; None where there is none of this name."""
@@ -241,12 +241,12 @@
         return entry
 
     def _look(self, numbers: list[int] | None = None) -> None:
-        for gone in self._life.tick(self._core.clock.now(), self._core.attempts.of_tenant, numbers):
+        for gone in self._life.tick(self._core.clock.now(), self._core.attempts.count_of_tenant, numbers):
             if gone.in_hand:  # what is in hand of all is gone through
-                self._core.end_tenant_requests(gone.entry.number)
+                self._core.requests.end_tenant_requests(gone.entry.number)
             self._shares.drop(gone.entry.number)
             if self._life.get(gone.entry.tenant.name) is None:
-                self._core.runners.pop(gone.entry.tenant.name, None)
+                self._core.requests.runners.pop(gone.entry.tenant.name, None)
             self._core.counters.add("tenants.removed")
             self._core.counters.add("tenants.ended_in_hand", gone.in_hand)
             self._index.remove(gone.entry.tenant.name)
@@ -394,7 +394,7 @@
         entry = self._life.remove(name, self._core.clock.now())
         self._life.free_name(name)
         self._pager.remove(name)
-        self._core.runners.pop(name, None)
+        self._core.requests.runners.pop(name, None)
         if entry is not None:
             self._look([entry.number])
 
@@ -418,10 +418,10 @@
             entry = resident.leaf.entry
             if self._pager.let_go(resident, uses, partial(self._free, entry.number)):
                 self._life.let_go(entry.tenant.name)
-                self._core.runners.pop(entry.tenant.name, None)
+                self._core.requests.runners.pop(entry.tenant.name, None)
                 self._core.counters.add("tenants.let_go")
 
     def _free(self, number: int) -> bool:
-        return not self._core.attempts.of_tenant(number) and self._shares.let_go(
+        return not self._core.attempts.count_of_tenant(number) and self._shares.let_go(
             number, self._core.clock.now()
         )
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -21,8 +21,7 @@
 
 from loguru import logger
 
-from reelusher.core.idempotency_table import IdempotencyKey
-from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
 from reelusher.net.threads import start_thread
 from reelusher.upgrade.process_registry import safe
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -115,37 +115,37 @@
 
 
 def test_an_entry_names_the_original_by_arrival_however_late_a_try_is_read() -> None:
-    table = IdempotencyTable(tail_us=100)
+    table = IdempotencyTable(retention_us=100)
     key = ("t", 0, "k")
-    table.keep(key, 7, until_us=50)
+    table.put(key, 7, expires_us=50)
     assert table.original(key, 50) == 7
     assert table.original(key, 51) == 0
-    table.sweep(140, lambda holder: False)
+    table.remove_expired(140, lambda holder: False)
     assert table.original(key, 40) == 7  # read long after the entry ran out, but it arrived before
-    table.sweep(151, lambda holder: True)
+    table.remove_expired(151, lambda holder: True)
     assert len(table) == 1  # its try is still in hand
-    table.sweep(151, lambda holder: False)
+    table.remove_expired(151, lambda holder: False)
     assert len(table) == 0
     assert table.original(key, 40) == 0
 
 
 def test_a_newer_holder_takes_a_key_over_and_keeps_it_when_the_older_goes() -> None:
-    table = IdempotencyTable(tail_us=0)
+    table = IdempotencyTable(retention_us=0)
     key = ("t", 0, "k")
-    table.keep(key, 1, 10)
-    table.keep(key, 2, 90)
-    table.forget(1)
+    table.put(key, 1, 10)
+    table.put(key, 2, 90)
+    table.remove(1)
     assert table.original(key, 50) == 2
 
 
 def test_kept_results_stay_within_their_memory_and_the_oldest_go_first() -> None:
-    table = IdempotencyTable(tail_us=0, most_result_bytes=25)
+    table = IdempotencyTable(retention_us=0, max_result_bytes=25)
     for holder in (1, 2, 3):
-        table.keep(("t", 0, str(holder)), holder, 99)
-    dropped = [table.store(entry, Result(b"x" * 10)) for entry in list(table)]
+        table.put(("t", 0, str(holder)), holder, 99)
+    dropped = [table.store_result(entry, Result(b"x" * 10)) for entry in list(table)]
     assert dropped == [0, 0, 1]
     assert [entry.result is None for entry in table] == [True, False, False]
-    assert all(entry.over for entry in table)
+    assert all(entry.finished for entry in table)
 
 
 def test_a_repeat_that_arrived_within_the_window_joins_though_it_is_read_after_it() -> None:
@@ -279,10 +279,10 @@
     with pytest.raises(ZeroDivisionError):
         made.turn(later_us=200_000)
     assert made.count("owner.failed") == 1
-    made.core._armed = 0
+    made.core._ticks.pending = 0
     made.core._controller.handle = lambda now_us, events: []  # type: ignore[method-assign]
     made.turn()
-    assert made.core._armed == 1
+    assert made.core._ticks.pending == 1
 
 
 def broken(now_us: int, events: list[Event]) -> list[Action]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -528,7 +528,7 @@
     made.begin()
     made.apply_settings(settings(SAFE, MUST_CALL, cold_start=False), [], ["safe", "must"])
     assert made.settings.cold_start
-    assert made._controller.concurrency.is_warming_up(made.now)
+    assert made._controller.concurrency.is_warming_up(made.now_us)
 
 
 def test_a_listener_serves_so_many_at_once_and_gives_a_place_back_where_no_thread_is_to_be_had(
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -218,7 +218,7 @@
         DrainRequested(began + 4_000_000, began - 500_000)
     )  # noticed half a second late; the grace is 2 s
     world.turn(DrainRequested(began + 5_000_000, began - 500_000))
-    assert world.core.stop_us == began + 4_000_000
+    assert world.core.requests.stop_us == began + 4_000_000
     world.time += 1_490_000
     world.turn(world.request("in time"))
     world.time += 20_000
@@ -226,7 +226,7 @@
     assert ("start", "in time") in world.backend.said
     assert world.verdicts("after") == [Verdict.REJECTED]
     world.turn(DrainRequested(began + 3_000_000, began - 500_000))
-    assert world.core.stop_us == began + 3_000_000
+    assert world.core.requests.stop_us == began + 3_000_000
 
 
 def test_an_outbox_is_shut_only_when_all_is_sent_and_is_closed_by_its_last_user() -> None:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -357,8 +357,8 @@
     """Return a core whose keys are durable, with those of the life before."""
     world = World()
     for number, line in enumerate(log.live()):
-        world.core.keys.remember(line.name, (1 << 40) + number, line.until_us, bytes.fromhex(line.digest))
-    world.core.key_log = log
+        world.core.keys.restore(line.name, (1 << 40) + number, line.until_us, bytes.fromhex(line.digest))
+    world.core.deduplication.key_log = log
     return world
 
 
@@ -371,7 +371,7 @@
     assert not [said for said in world.backend.said if said[0] == "start"]
     log.close()
     log._work()  # the log's thread has its turn
-    world.core.process_batch(list(world.core._gather()))  # type: ignore[arg-type]
+    world.core.process_batch(list(world.core.next_batch()))  # type: ignore[arg-type]
     assert {said[1] for said in world.backend.said if said[0] == "start"} == {"a", "b"}
     again = world_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # killed while they run
     again.turn(again.request("c", 2, "k"), again.request("d", 2, "new"))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -74,7 +74,7 @@
         shares = self.shares = FairQueue(told.cores, told.memory_kb)
         self.backend = Backend()
         self.core = Core(
-            told, [], seed, self.backend, clock=Clock(*[lambda: self.now * 1000] * 2), standing=shares
+            told, [], seed, self.backend, clock=Clock(*[lambda: self.now * 1000] * 2), scheduler=shares
         )
         self.tenants = TenantRegistry(
             [(tenant("a"), TenantState.ACTIVE), (tenant("b"), TenantState.ACTIVE)],
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -1,7 +1,6 @@
 """Tenants of a table on the disk: who is in memory, and what races with a change, a removal or a let-go."""
 
 import json
-import queue
 import socket
 import threading
 from collections import Counter
@@ -136,7 +135,7 @@
             1,
             self.runners["w"],
             clock=Clock(*[lambda: self.now_us * 1000] * 2),
-            standing=self.shares,
+            scheduler=self.shares,
         )
         self.core.process_batch([])
         self.tenants = TenantRegistry(
@@ -158,12 +157,7 @@
     def turn(self, later_us: int = 0) -> None:
         """Let the owner take one turn with all that is queued."""
         self.now_us += later_us
-        batch = []
-        while True:
-            try:
-                batch.append(self.core._inbox.get_nowait())
-            except queue.Empty:
-                break
+        batch = self.core.queued_messages()
         self.core.process_batch([message for message in batch if message is not None])
 
     def pass_s(self, seconds: float) -> None:
@@ -461,7 +455,7 @@
     assert found
     assert found.tenant.backend == "v"
     world.turn()
-    assert world.core.runners["a"] is world.runners["v"]
+    assert world.core.requests.runners["a"] is world.runners["v"]
 
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
@@ -517,7 +511,7 @@
     world.pass_s(0.2)
     assert world.verdicts("old") == world.verdicts("new") == [Verdict.SERVED]
     assert list(world.tenants._life._by_number) == [2]
-    assert world.core.runners["a"] is world.runners["v"]
+    assert world.core.requests.runners["a"] is world.runners["v"]
     assert ("start", "new") in world.runners["v"].said
 
 
@@ -530,7 +524,7 @@
     world.pass_s(5)
     assert len(world.pager) == 0
     assert not world.shares._flows
-    assert not world.core.runners
+    assert not world.core.requests.runners
     assert not world.tenants._life._by_number
     assert world.count("tenants.let_go") == 1
     world.ask("two")
@@ -562,12 +556,12 @@
     world.over("one")
     world.pass_s(9)
     for _ in range(40):
-        if not world.core._inbox.empty():
+        if world.core.has_queued_messages():
             break
         world.now_us += 100_000
         world.core.process_batch([])
     assert len(world.pager) == 1
-    assert not world.core._inbox.empty()
+    assert world.core.has_queued_messages()
 
 
 def test_a_tenant_wanted_again_while_it_is_let_go_stays(world: World) -> None:
@@ -713,11 +707,11 @@
         broken.setattr(world.rows, "get", lambda name: {}[name])
         world.rows.put(on("a", backend="v"))
     world.turn()
-    assert world.core.runners["a"] is world.runners["w"]
+    assert world.core.requests.runners["a"] is world.runners["w"]
     assert "a" in world.tenants.unreadable()
     world.rows.put(on("b"))
     world.turn()
-    assert world.core.runners["a"] is world.runners["v"]
+    assert world.core.requests.runners["a"] is world.runners["v"]
     assert not world.tenants.unreadable()
 
 
@@ -733,7 +727,7 @@
     world.rows.on_change([*names, "a"])
     world.turn()
     assert world.rows.calls["get"] == 1
-    assert world.core.runners["a"] is world.runners["v"]
+    assert world.core.requests.runners["a"] is world.runners["v"]
     found = world.find("i")
     assert found
     assert found.tenant.name == "t0"
@@ -861,7 +855,7 @@
 def test_the_ajp_front_refuses_a_request_whose_tenant_cannot_be_read_and_serves_on() -> None:
     told, rows, runner = settings(SAFE, cores=2), Rows(), Prompt()
     shares = FairQueue(told.cores, told.memory_kb)
-    core = runner.core = Core(told, [], 1, runner, class_names=["safe"], standing=shares)
+    core = runner.core = Core(told, [], 1, runner, class_names=["safe"], scheduler=shares)
     made = TenantRegistry((), ("safe",), lambda backend: None, core, shares, frozenset({"w"}), source=rows)
     listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
     front = AjpFrontend(core, listens, made)
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -319,7 +319,7 @@
 def registry() -> tuple[TenantRegistry, Core]:
     told = settings(SAFE, KEYED, cores=2)
     shares = FairQueue(told.cores, told.memory_kb)
-    core = Core(told, [], 1, Backend(), standing=shares)
+    core = Core(told, [], 1, Backend(), scheduler=shares)
     core.process_batch([])
     return TenantRegistry(
         [], ("safe", "keyed"), lambda backend: None, core, shares, frozenset({"runtime"})
@@ -364,7 +364,7 @@
 
 
 def test_of_too_many_tenants_those_counted_longest_ago_are_summed_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counters, "MOST_TENANTS", 2)
+    monkeypatch.setattr(counters, "MAX_TENANTS", 2)
     made = Counters()
     made.add("requests.read", 4)
     for name, what in (("a", "served"), ("b", "served"), ("a", "refused"), ("c", "served"), ("d", "failed")):
