--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -54,13 +54,13 @@
     return Settings(**{**given, **changes})
 
 
-def controller(
+def started_controller(
     *classes: RequestClass, scheduler: TenantScheduler | None = None, **changes: Any
 ) -> Controller:
     """Return one that has just started at time 0."""
-    made = Controller(settings(*classes, **changes), 1, scheduler)
-    made.handle(0, [])
-    return made
+    controller = Controller(settings(*classes, **changes), 1, scheduler)
+    controller.handle(0, [])
+    return controller
 
 
 def of(actions: Sequence[Action], *types: type) -> list[Any]:
@@ -74,7 +74,7 @@
 
 
 def tick(
-    made: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
+    controller: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
 ) -> list[Action]:
     """Let one period pass."""
-    return made.handle(now_us, [Tick(0, Gauges(busy, runnable))])
+    return controller.handle(now_us, [Tick(0, Gauges(busy, runnable))])
--- a/tests/test_generated.py
+++ b/tests/policy/test_generated_sequences.py
@@ -102,26 +102,26 @@
         for action in actions:
             self.check(action)
         self.recount()
-        for ref in self.state.keys() - self.answered - self.gone:
-            assert self.now <= min(self.due[ref] + self.site.answer_slack_us, self.stop_us), "lost"
+        for request_id in self.state.keys() - self.answered - self.gone:
+            assert self.now <= min(self.due[request_id] + self.site.answer_slack_us, self.stop_us), "lost"
 
     def recount(self) -> None:
         """Count all work anew: the running counts must say the same."""
-        made = self.controller
+        controller = self.controller
         for state in RequestState:
-            assert made.in_flight.by_state[state] == {
-                ref: w for ref, w in made.in_flight.by_id.items() if w.state is state
+            assert controller.in_flight.by_state[state] == {
+                request_id: w for request_id, w in controller.in_flight.by_id.items() if w.state is state
             }
         held = (RequestState.HELD, RequestState.ATTACHED)
         sizes = (
             w.request.held_kb * (1 if w.state in held else self.site.running_memory_factor)
-            for w in made.in_flight.by_id.values()
+            for w in controller.in_flight.by_id.values()
         )
-        assert abs(made.in_flight.memory_kb - sum(sizes)) < 1e-6
+        assert abs(controller.in_flight.memory_kb - sum(sizes)) < 1e-6
         for tenant in range(self.tenants if self.shares else 0):
             assert self.shares is not None
             told = self.shares.usage(tenant, self.now)
-            own = [w for w in made.in_flight.by_id.values() if w.request.tenant == tenant]
+            own = [w for w in controller.in_flight.by_id.values() if w.request.tenant == tenant]
             assert told["held"] == sum(w.state is RequestState.HELD for w in own)
             assert told["running"] == sum(w.started for w in own)
 
@@ -133,77 +133,81 @@
             case AdvertiseCapacity():
                 assert self.site.capacity_hint is not CapacityHint.NONE
                 assert action.value >= 0
-            case Run(ref):
-                assert self.state[ref] == "held"
-                assert ref not in self.ran
+            case Run(request_id):
+                assert self.state[request_id] == "held"
+                assert request_id not in self.ran
                 late = self.drained_us is not None and (
-                    self.arrived[ref] > self.drained_us + self.site.drain_grace_us
+                    self.arrived[request_id] > self.drained_us + self.site.drain_grace_us
                 )
                 assert not late, "drain"
-                if self.effect(ref) is Idempotency.IDEMPOTENCY_KEY:
-                    assert ref in self.kept, "duplicate"
-                    assert ref not in self.original, "duplicate"
-                self.state[ref] = "running"
-                self.ran.add(ref)
-            case RememberKey(ref, span):
+                if self.effect(request_id) is Idempotency.IDEMPOTENCY_KEY:
+                    assert request_id in self.kept, "duplicate"
+                    assert request_id not in self.original, "duplicate"
+                self.state[request_id] = "running"
+                self.ran.add(request_id)
+            case RememberKey(request_id, span):
                 assert (
-                    self.arrived[ref] + self.site.classes[self.kind[ref]].idempotency_window_us
+                    self.arrived[request_id] + self.site.classes[self.kind[request_id]].idempotency_window_us
                     <= self.now + span
                 )
-                self.kept.add(ref)
-            case ForgetKey(ref):
-                assert ref not in self.ran
-                self.kept.discard(ref)
-            case AttachToOriginal(ref):
-                assert ref in self.original
-                self.state[ref] = "joined"
-            case SkipCall(ref):
-                assert self.state[ref] == "at call"
-                assert self.site.classes[self.kind[ref]].degraded_value_fraction > 0
-                self.state[ref] = "running"
-            case Call(ref, until):
-                assert self.state[ref] == "at call", "duplicate"
-                assert ref not in self.called, "duplicate"
-                assert self.now < until <= self.due[ref]
-                self.state[ref] = "calling"
-                self.called.add(ref)
-            case Preempt(ref):
+                self.kept.add(request_id)
+            case ForgetKey(request_id):
+                assert request_id not in self.ran
+                self.kept.discard(request_id)
+            case AttachToOriginal(request_id):
+                assert request_id in self.original
+                self.state[request_id] = "joined"
+            case SkipCall(request_id):
+                assert self.state[request_id] == "at call"
+                assert self.site.classes[self.kind[request_id]].degraded_value_fraction > 0
+                self.state[request_id] = "running"
+            case Call(request_id, until):
+                assert self.state[request_id] == "at call", "duplicate"
+                assert request_id not in self.called, "duplicate"
+                assert self.now < until <= self.due[request_id]
+                self.state[request_id] = "calling"
+                self.called.add(request_id)
+            case Preempt(request_id):
                 assert self.site.preemption is not PreemptionMode.NONE
-                assert ref in self.answered | self.gone
-            case Reject(ref) | FailRequest(ref):
-                assert ref not in self.answered, "answered twice"
-                if isinstance(action, Reject) and self.effect(ref) is not Idempotency.IDEMPOTENT:
-                    assert ref not in self.ran, "duplicate"
-                    assert self.original.get(ref) not in self.ran, "duplicate"
-                self.answered.add(ref)
-                if self.state[ref] in ("held", "joined"):
-                    self.state[ref] = "over"
+                assert request_id in self.answered | self.gone
+            case Reject(request_id) | FailRequest(request_id):
+                assert request_id not in self.answered, "answered twice"
+                if isinstance(action, Reject) and self.effect(request_id) is not Idempotency.IDEMPOTENT:
+                    assert request_id not in self.ran, "duplicate"
+                    assert self.original.get(request_id) not in self.ran, "duplicate"
+                self.answered.add(request_id)
+                if self.state[request_id] in ("held", "joined"):
+                    self.state[request_id] = "over"
             case _:
                 pass
 
-    def effect(self, ref: int) -> Idempotency:
+    def effect(self, request_id: int) -> Idempotency:
         """Return the effect of a request."""
-        return self.site.classes[self.kind[ref]].idempotency
+        return self.site.classes[self.kind[request_id]].idempotency
 
     def pick(self, number: int, *states: str) -> int | None:
         """Pick one of the requests in some states."""
-        found = sorted(ref for ref, state in self.state.items() if state in states)
+        found = sorted(request_id for request_id, state in self.state.items() if state in states)
         return found[number % len(found)] if found else None
 
     def step(self, what: str, number: int) -> None:
         """Let one thing happen."""
         event: Event | None = None
         if what == "request":
-            ref = len(self.state) + 1
+            request_id = len(self.state) + 1
             kind, waited = number % len(KINDS), number * 7_919 % 1_500_000
-            self.kind[ref], self.arrived[ref], self.state[ref] = kind, self.now - waited, "held"
-            self.due[ref] = max(self.now, self.now - waited + KINDS[kind].deadline_us)
+            self.kind[request_id], self.arrived[request_id], self.state[request_id] = (
+                kind,
+                self.now - waited,
+                "held",
+            )
+            self.due[request_id] = max(self.now, self.now - waited + KINDS[kind].deadline_us)
             keys = sorted(self.kept)
             original = keys[number % len(keys)] if kind == 2 and number % 3 == 0 and keys else 0
             if original:
-                self.original[ref] = original
+                self.original[request_id] = original
             event = Request(
-                ref,
+                request_id,
                 kind,
                 number % 5,
                 number % 7,
@@ -251,10 +255,10 @@
         while self.timers and min(self.timers) <= end:
             self.now = min(self.timers)
             self.timers.remove(self.now)
-            for ref, state in list(self.state.items()):  # a run at its call ends once it is answered
-                if state in ("at call", "calling") and ref in self.answered | self.gone:
-                    self.state[ref] = "over"
-                    self.apply([RunEnded(ref, Outcome.CANCELLED)])
+            for request_id, state in list(self.state.items()):  # a run at its call ends once it is answered
+                if state in ("at call", "calling") and request_id in self.answered | self.gone:
+                    self.state[request_id] = "over"
+                    self.apply([RunEnded(request_id, Outcome.CANCELLED)])
             self.apply([Tick(0, Gauges(busy, busy * 9))])
         self.now = end
 
@@ -282,7 +286,7 @@
     st.sampled_from([0.4, 3.0]),
     st.sampled_from([0, 1, 4]),
 )
-def test_rules_and_legal_actions(
+def test_generated_sequences_keep_the_rules_and_yield_legal_actions(
     steps: list[tuple[str, int, int, float]],
     halt: PreemptionMode,
     say: CapacityHint,
--- a/tests/test_benchlink.py
+++ b/tests/simulator/test_adapter.py
@@ -27,7 +27,7 @@
 from reelusher.policy.events import Gauges, Outcome, Request, RunEnded, Tick
 from reelusher.simulator import adapter, frames
 
-INFO: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "categories": [{"deadline_us": 8_000_000, "effect": "pure", "objective_us": 2_000_000, "worth": 2.0}],
     "family_info": {"cores": 2, "ram_kb": 10_000.0, "blowup": 8.0, "gauges": ["sockets", "new", "cpu_busy"]},
     "rules": {
@@ -67,15 +67,15 @@
     return out
 
 
-def info(**changes: Any) -> bytes:
-    return json.dumps({**INFO, **changes}).encode()
+def settings_text(**changes: Any) -> bytes:
+    return json.dumps({**SETTINGS, **changes}).encode()
 
 
-def test_an_empty_batch_has_an_empty_reply() -> None:
+def test_empty_batch_has_an_empty_reply() -> None:
     assert replies(bytes.fromhex("01000000 5a5c800000000000 04000000 00000000")) == [(1, [], b"")]
 
 
-def test_the_example_records_of_the_wire_are_read() -> None:
+def test_example_records_of_the_wire_page_are_read() -> None:
     body = bytes.fromhex(
         "0503000000c4913a5d1f780300000000640ad2557c3bf09180a90300e02e00000000c4410000203f01"
         "11003a070000192b6f0ed1d10e0000"
@@ -88,9 +88,9 @@
     assert frames.read_event(1, done, 0, []) == RunEnded(0x3781F5D3A91C4, Outcome.OK, 18_500)
 
 
-def test_gauges_are_found_by_name() -> None:
+def test_gauges_are_mapped_by_name() -> None:
     body = struct.pack("<BIQB3f", 9, 1, 5, 3, 40.0, 9.0, 0.5).ljust(56, b"\0")
-    _, names = settings_of(info())
+    _, names = settings_of(settings_text())
     assert frames.read_event(9, body, 0, names) == Tick(5, Gauges(busy_fraction=0.5, connections=40.0))
 
 
@@ -112,12 +112,12 @@
         (SetTimer(500_000, 77), "0a 01000000 20a10700 4d00000000000000"),
     ],
 )
-def test_actions_are_written_as_the_wire_says(action: Action, expected: str) -> None:
+def test_actions_are_encoded_as_the_wire_page_says(action: Action, expected: str) -> None:
     assert frames.write_action(1, action) == bytes.fromhex(expected.replace(" ", "")).ljust(24, b"\0")
 
 
-def test_instances_start_run_and_are_replaced_within_one_batch() -> None:
-    text = info()
+def test_instances_are_created_run_and_replaced_within_one_batch() -> None:
+    text = settings_text()
     first = frame(1, 10, [create(1, text), create(2, text)], text)
     second = frame(2, 20, [knock(1, 5), knock(2, 6), frames.INSTANCE.pack(2, 1), create(1, text)], text)
     third = frame(3, 30, [knock(1, 5)])
@@ -127,25 +127,25 @@
     assert ran == [[], [2], [1]]
 
 
-def fatal(text: bytes) -> str:
+def failure_text(text: bytes) -> str:
     ((_, (record,), tail),) = replies(frame(1, 10, [create(1, text)], text))
     assert record[0] == 11
     return tail.decode()
 
 
-def test_a_missing_key_is_named() -> None:
+def test_missing_setting_is_named() -> None:
     for table, key in (("family_info", "cores"), ("family_info", "ram_kb"), ("rules", "fall_us")):
-        broken = {**INFO, table: {name: value for name, value in INFO[table].items() if name != key}}
-        assert f"{table}.{key}" in fatal(json.dumps(broken).encode())
-    assert "not JSON" in fatal(b"{")
+        broken = {**SETTINGS, table: {name: value for name, value in SETTINGS[table].items() if name != key}}
+        assert f"{table}.{key}" in failure_text(json.dumps(broken).encode())
+    assert "not JSON" in failure_text(b"{")
 
 
-def test_an_exception_in_the_module_is_fatal_with_its_text(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_policy_is_reported_with_its_traceback(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: Any) -> None:
         raise RuntimeError("a fault in the module")
 
     monkeypatch.setattr("reelusher.simulator.adapter.Controller.handle", broken)
-    assert "RuntimeError: a fault in the module" in fatal(info())
+    assert "RuntimeError: a fault in the module" in failure_text(settings_text())
 
 
 @pytest.mark.parametrize(
@@ -159,7 +159,7 @@
         (frame(1, 0, [knock(9, 1)]), "instance 9 was never created"),
     ],
 )
-def test_malformed_input_is_one_line_and_an_error(
+def test_malformed_input_is_one_line_on_stderr_and_an_error_status(
     data: bytes, message: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     class Standard:
@@ -177,10 +177,10 @@
     assert Output.buffer.getvalue() == b""
 
 
-def test_names_and_neighbours_leave_the_actions_unchanged() -> None:
+def test_names_and_other_instances_leave_the_actions_unchanged() -> None:
     def actions(name: str, instances: tuple[int, ...]) -> list[bytes]:
-        text = info(
-            categories=[{**INFO["categories"][0], "name": name}],
+        text = settings_text(
+            categories=[{**SETTINGS["categories"][0], "name": name}],
             zones=[name],
             layers=[name],
             tenants=[{"name": name, "share": 1.0, "allowance_per_s": 5.0}],
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import SAFE, controller, of
+from helpers import SAFE, of, started_controller
 
 from reelusher.lab.fleet import model
 from reelusher.lab.fleet.account import Account, less, windows
@@ -111,7 +111,7 @@
 def test_all_callers_of_a_cold_node_are_told_of_no_more_than_it_takes(callers: int) -> None:
     """Each was told of all the room that was left for those before it: 48, then 24, then 16 at one time."""
     cores, heard_us, now = 6, 1_000_000, 0
-    node = controller(
+    node = started_controller(
         SAFE,
         cores=cores,
         capacity_hint=CapacityHint.TOKENS,
--- a/tests/test_local_copy.py
+++ b/tests/test_local_copy.py
@@ -647,8 +647,8 @@
 else:
     epoch = replica.states["c1"].epoch
     for at in range(0, 4, 2):
-        pieces = [LogSegment("c1", epoch, (), at, at + 2, [entry(names[at], at + 1), entry(names[at + 1], at + 2)],
-                        at < 2, 0, 4, 4)]
+        entries = [entry(names[at], at + 1), entry(names[at + 1], at + 2)]
+        pieces = [LogSegment("c1", epoch, (), at, at + 2, entries, at < 2, 0, 4, 4)]
         pull = replica._pulling = Pull("x", None, 1e9)
         replica.take(pull, EntriesReply(pieces), 1.0)
         print(replica.states["c1"].number, flush=True)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import controller, ids, of
+from helpers import ids, of, started_controller
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -182,7 +182,7 @@
 def test_bounds_of_a_tenant_hold_for_it_alone(bound: Quota) -> None:
     shares = FairQueue(2, 10_000.0)
     shares.entitle(1, bound)
-    made = controller(
+    made = started_controller(
         RequestClass(deadline_us=8_000_000), scheduler=shares, memory_kb=10_000.0, running_memory_factor=4.0
     )
     asked = [Request(n, 0, tenant=1, held_kb=20.0) for n in range(1, 31)]
