--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -18,7 +18,7 @@
 import starved
 from hypothesis import given
 from hypothesis import strategies as st
-from test_core import World
+from test_core import CoreHarness
 
 from reelusher.core.counters import Counters
 from reelusher.core.messages import DrainRequested, Verdict
@@ -212,21 +212,21 @@
 
 
 def test_the_grace_counts_from_the_signal_and_a_later_order_only_shortens() -> None:
-    world = World()
-    began = world.time
-    world.turn(
+    harness = CoreHarness()
+    began = harness.time
+    harness.process(
         DrainRequested(began + 4_000_000, began - 500_000)
     )  # noticed half a second late; the grace is 2 s
-    world.turn(DrainRequested(began + 5_000_000, began - 500_000))
-    assert world.core.requests.stop_us == began + 4_000_000
-    world.time += 1_490_000
-    world.turn(world.request("in time"))
-    world.time += 20_000
-    world.turn(world.request("after"))
-    assert ("start", "in time") in world.backend.said
-    assert world.verdicts("after") == [Verdict.REJECTED]
-    world.turn(DrainRequested(began + 3_000_000, began - 500_000))
-    assert world.core.requests.stop_us == began + 3_000_000
+    harness.process(DrainRequested(began + 5_000_000, began - 500_000))
+    assert harness.core.requests.stop_us == began + 4_000_000
+    harness.time += 1_490_000
+    harness.process(harness.request("in time"))
+    harness.time += 20_000
+    harness.process(harness.request("after"))
+    assert ("start", "in time") in harness.backend.said
+    assert harness.verdicts("after") == [Verdict.REJECTED]
+    harness.process(DrainRequested(began + 3_000_000, began - 500_000))
+    assert harness.core.requests.stop_us == began + 3_000_000
 
 
 def test_an_outbox_is_shut_only_when_all_is_sent_and_is_closed_by_its_last_user() -> None:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from test_core import World
+from test_core import CoreHarness
 
 from reelusher.config import ConfigError
 from reelusher.config.operator import parse
@@ -353,9 +353,9 @@
     assert numbers == list(range(1, 81))
 
 
-def world_with(log: KeyLog) -> World:
+def world_with(log: KeyLog) -> CoreHarness:
     """Return a core whose keys are durable, with those of the life before."""
-    world = World()
+    world = CoreHarness()
     for number, line in enumerate(log.live()):
         world.core.keys.restore(line.name, (1 << 40) + number, line.until_us, bytes.fromhex(line.digest))
     world.core.deduplication.key_log = log
@@ -363,19 +363,19 @@
 
 
 def test_no_keyed_run_begins_before_its_key_is_durable_and_none_again_after_a_restart() -> None:
-    now = [World().time]
+    now = [CoreHarness().time]
     disk = Disk()
     log = KeyLog(disk, lambda: now[0])
     world = world_with(log)
-    world.turn(world.request("a", 2, "k"), world.request("b", 2, "other"))
+    world.process(world.request("a", 2, "k"), world.request("b", 2, "other"))
     assert not [said for said in world.backend.said if said[0] == "start"]
     log.close()
     log._work()  # the log's thread has its turn
     world.core.process_batch(list(world.core.next_batch()))  # type: ignore[arg-type]
     assert {said[1] for said in world.backend.said if said[0] == "start"} == {"a", "b"}
     again = world_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # killed while they run
-    again.turn(again.request("c", 2, "k"), again.request("d", 2, "new"))
-    again.turn(later_us=100_000)
+    again.process(again.request("c", 2, "k"), again.request("d", 2, "new"))
+    again.process(later_us=100_000)
     assert again.verdicts("c") == [Verdict.FAILED]
     assert not again.verdicts("d")
     assert not [said for said in again.backend.said if said[0] == "start"]
@@ -386,11 +386,11 @@
 @pytest.mark.parametrize("well", [True, False])
 def test_a_keyed_request_answered_before_its_key_is_durable_never_ran(well: bool) -> None:
     world = world_with(KeyLog(Disk(), lambda: 0))
-    world.turn(world.request("a", 2, "k"))
+    world.process(world.request("a", 2, "k"))
     if well:
-        world.turn(later_us=9_000_000)  # past its due time
+        world.process(later_us=9_000_000)  # past its due time
     number = next(iter(world.core.attempts)).id
-    world.turn(KeyPersisted(number, well))
+    world.process(KeyPersisted(number, well))
     assert len(world.verdicts("a")) == 1
     assert not [said for said in world.backend.said if said[0] == "start"]
     assert not well or world.verdicts("a") == [Verdict.FAILED]
