--- a/reelusher/drain/__init__.py
+++ b/reelusher/drain/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving: when each stage of a drain begins, and how the connections of a front are brought to their end."""
+"""Graceful shutdown: its schedule, the signals that start it, and the shutdown of client connections."""
--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a front's connections, by the clock: what `plan` decides, done by the front's own poller."""
+"""The shutdown of the connections of a front end by the schedule of a drain, on the thread of its poller."""
 
 import array
 import contextlib
@@ -7,128 +7,141 @@
 import termios
 import time
 from collections.abc import Iterable
-from dataclasses import replace
 from typing import Generic, Protocol, TypeVar
 
-from reelusher.drain.schedule import Facts, Stages, Step, cheapest_first, next_step
+from reelusher.drain.schedule import (
+    ConnectionPhase,
+    ConnectionState,
+    DrainObservation,
+    DrainSchedule,
+    next_phase,
+    shutdown_cost,
+)
 from reelusher.net.poller import Poller
 from reelusher.net.send_buffer import SendBuffer
 
-LOOK_S = 0.02  # between two looks at what is still owed
+POLL_INTERVAL_S = 0.02
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """Count what has come in on a socket and is not read; 0 for one that is closed."""
+    """Return how many received bytes of a socket are unread; 0 for a closed one."""
     count = array.array("i", [0])
     with contextlib.suppress(OSError, ValueError):
         fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
     return count[0]
 
 
-class Ending(Protocol):
-    """A connection that is brought to its end."""
+class DrainableConnection(Protocol):
+    """A connection that can be shut down gracefully."""
 
     outbox: SendBuffer
-    ended: bool  # nothing more is read on it
-    step: Step
+    phase: ConnectionPhase
 
     @property
-    def facts(self) -> Facts:
-        """What is known of it."""
+    def state(self) -> ConnectionState:
+        """What is still to be done on it."""
 
-    def last_call(self, now: float) -> None:
-        """Tell the other side to send nothing more here."""
+    def send_last_call(self, now: float) -> None:
+        """Tell the caller to send nothing more."""
 
 
-C = TypeVar("C", bound=Ending)
+ConnectionT = TypeVar("ConnectionT", bound=DrainableConnection)
 
 
-class Leaver(Protocol[C]):
-    """A front whose connections are brought to their end; all of it is called by the poller's thread."""
+class PolledFrontend(Protocol[ConnectionT]):
+    """A front end whose poller shuts down its connections. All methods are called on the poller's thread."""
 
     def stop_listening(self) -> None:
-        """Accept what has connected by now, then nothing more."""
+        """Accept the connections that wait now, and no others."""
 
-    def ending(self) -> list[C]:
-        """Return the connections."""
+    def connections(self) -> list[ConnectionT]:
+        """Return the open connections."""
 
-    def refuse(self) -> None:
-        """Refuse from now on whatever is read."""
+    def reject_requests(self) -> None:
+        """Reject all requests that are read from now on."""
 
-    def read_out(self, connection: C) -> None:
-        """Read what has come in on a connection, all of it."""
+    def read_pending(self, connection: ConnectionT) -> None:
+        """Read what a connection has received."""
 
-    def fail(self, connection: C) -> None:
-        """Answer what is still open with an error, whatever its run may come to."""
+    def fail_open_requests(self, connection: ConnectionT) -> None:
+        """Answer all open requests of a connection with an error, whatever their runs come to."""
 
 
-def summed(facts: Iterable[Facts]) -> Facts:
-    """Return what is owed on several connections together."""
-    total = Facts(0, 0, 0)
-    for one in facts:
-        total = replace(
-            total,
-            open=total.open + one.open,
-            backlog=total.backlog + one.backlog,
-            unread=total.unread + one.unread,
-        )
-    return total
+def total_state(states: Iterable[ConnectionState]) -> ConnectionState:
+    """Return the sum of the states of several connections."""
+    unanswered = unsent = unread = 0
+    for state in states:
+        unanswered += state.unanswered
+        unsent += state.unsent_bytes
+        unread += state.unread_bytes
+    return ConnectionState(unanswered, unsent, unread)
 
 
-class Endings(Generic[C]):
-    """Takes the connections of one front through the steps of `plan.Step`.
+class ConnectionShutdown(Generic[ConnectionT]):
+    """Takes the connections of one front end through the phases of their shutdown.
 
-    It lives in the thread that reads them, so nothing can come in between a look at what is unread and the
-    step that rests on it, and no other thread's delay can hold it up.
+    It runs on the thread that reads them: so nothing arrives between a check for unread bytes and the
+    shutdown that relies on it, and no other thread can delay it.
     """
 
-    def __init__(self, poller: Poller, front: Leaver[C]) -> None:
+    def __init__(self, poller: Poller, frontend: PolledFrontend[ConnectionT]) -> None:
         self._poller = poller
-        self._front = front
-        self._plan: Stages | None = None
-        self._told = self._started = False
-        self.owed: tuple[Facts, float] | None = None  # on all of them at the last look, and when that was
-
-    def follow(self, plan: Stages) -> None:
-        """Go by this plan from now on, from any thread."""
-        self._plan = plan
-        if not self._started:
-            self._started = True
-            self._poller.call(self._begin)
-
-    def _begin(self) -> None:
-        self._poller.every(LOOK_S, self._look)
-        self._look()
-
-    def _look(self) -> None:
-        plan, now = self._plan, time.monotonic()
-        assert plan is not None
-        if now < plan.tell_s:
+        self._frontend = frontend
+        self._schedule: DrainSchedule | None = None
+        self._stopped_listening = False
+        self.observation: DrainObservation | None = None  # the latest one
+
+    def follow(self, schedule: DrainSchedule) -> None:
+        """Follow this schedule from now on; any thread may call this."""
+        first, self._schedule = self._schedule is None, schedule
+        if first:
+            self._poller.call(self._start)
+
+    def _start(self) -> None:
+        self._poller.every(POLL_INTERVAL_S, self._poll)
+        self._poll()
+
+    def _poll(self) -> None:
+        schedule, now = self._schedule, time.monotonic()
+        assert schedule is not None
+        if now < schedule.notify_s:
             return
-        if not self._told:
-            self._told = True
-            self._front.stop_listening()
-        if now >= plan.refuse_s:
-            self._front.refuse()
-        connections = self._front.ending()
-        facts = [(connection, connection.facts) for connection in connections]
-        if now >= plan.shut_s:  # before, whatever is unread is read in its turn
-            facts.sort(key=lambda pair: cheapest_first(pair[1]))
-        for connection, known in facts:
-            self._bring(connection, known, now, plan)
-        self.owed = summed(connection.facts for connection in self._front.ending()), now
-
-    def _bring(self, connection: C, known: Facts, now: float, plan: Stages) -> None:
-        """Take one connection as far as it goes now."""
-        if connection.step is Step.SERVED:
-            connection.step = next_step(connection.step, known, now, plan)
-            connection.last_call(now)
-        if now >= plan.shut_s and known.unread:
-            self._front.read_out(connection)
-            known = connection.facts
-        if now >= plan.shut_s and known.open:  # the module's time is over; it, or its thread, came too late
-            self._front.fail(connection)
-            known = connection.facts
-        step = next_step(connection.step, known, now, plan)
-        if step is not Step.SHUT or connection.step is Step.SHUT or connection.outbox.shut():
-            connection.step = step
+        if not self._stopped_listening:
+            self._stopped_listening = True
+            self._frontend.stop_listening()
+        if now >= schedule.reject_s:
+            self._frontend.reject_requests()
+        for connection, state in self._ordered_connections(now, schedule):
+            self._advance(connection, state, now, schedule)
+        states = (connection.state for connection in self._frontend.connections())
+        self.observation = DrainObservation(total_state(states), now)
+
+    def _ordered_connections(
+        self, now: float, schedule: DrainSchedule
+    ) -> list[tuple[ConnectionT, ConnectionState]]:
+        """Return connections with their states, the cheapest first once they are being shut down."""
+        states = [(connection, connection.state) for connection in self._frontend.connections()]
+        if now >= schedule.shutdown_s:
+            states.sort(key=lambda pair: shutdown_cost(pair[1]))
+        return states
+
+    def _advance(
+        self, connection: ConnectionT, state: ConnectionState, now: float, schedule: DrainSchedule
+    ) -> None:
+        """Take one connection through the phases that it may enter now."""
+        if connection.phase is ConnectionPhase.SERVING:
+            connection.phase = next_phase(connection.phase, state, now, schedule)
+            connection.send_last_call(now)
+        if now >= schedule.shutdown_s and state.unread_bytes:
+            self._frontend.read_pending(connection)
+            state = connection.state
+        if now >= schedule.shutdown_s and state.unanswered:  # the controller, or its thread, came too late
+            self._frontend.fail_open_requests(connection)
+            state = connection.state
+        self._enter(connection, next_phase(connection.phase, state, now, schedule))
+
+    def _enter(self, connection: ConnectionT, phase: ConnectionPhase) -> None:
+        """Enter a phase; SHUT_DOWN only if the send buffer could be shut down."""
+        shuts_down = phase is ConnectionPhase.SHUT_DOWN and connection.phase is not phase
+        if not shuts_down or connection.outbox.shut():
+            connection.phase = phase
--- a/reelusher/drain/graceful_shutdown.py
+++ b/reelusher/drain/graceful_shutdown.py
@@ -1,64 +1,77 @@
-"""Leads a drain from its signal to the end of the process."""
+"""The graceful shutdown of a node, from its signal to the end of the process."""
 
 import time
 from collections.abc import Callable, Collection
 from typing import Protocol
 
-from reelusher.drain.schedule import Facts, Quiet, Stages, stages
+from reelusher.drain.schedule import DrainObservation, DrainSchedule, QuietPeriod, make_schedule
 
-LOOK_S = 0.02
-WORTH_S = 0.02  # a plan that ends earlier by less than that is not worth another order
+POLL_INTERVAL_S = 0.02
+EXIT_POLL_INTERVAL_S = 0.005  # while connections close
+MIN_CHANGE_S = 0.02  # a schedule that ends earlier by less than this is not announced again
 
 
 class DrainableFrontend(Protocol):
-    """What a drain needs of a front."""
+    """A front end that can be shut down gracefully."""
 
-    def drain(self, plan: Stages) -> None:
-        """End by this plan, which may come again with earlier times."""
+    def drain(self, schedule: DrainSchedule) -> None:
+        """Follow this schedule, which may be replaced by an earlier one."""
 
-    def owed(self) -> tuple[Facts, float] | None:
-        """Return what was owed on all connections together at the last look, and when that was."""
+    def drain_observation(self) -> DrainObservation | None:
+        """Return the latest observation of all connections."""
 
     def open_connections(self) -> int:
-        """Count the connections."""
-
-
-def lead(
-    fronts: Collection[DrainableFrontend],
-    order: Callable[[float, float], None],
-    late: Callable[[], float],
-    signal_s: float,
-    span_s: float,
-    grace_s: float,
-) -> Stages:
-    """Drain from a signal at `signal_s` by the monotonic clock; return the plan that was gone by.
-
-    The owner hears by `order(left, since)`: how many seconds are left until its stop, and how many have
-    passed since the signal. It hears again where this process turns out to be later than it was thought to
-    be; `late()` tells by how many seconds.
-    """
-    plan, quiet = stages(signal_s, span_s, grace_s, late()), Quiet()
-    _spread(plan, fronts, order)
-    while (now := time.monotonic()) < plan.leave_s:
-        newer = stages(signal_s, span_s, grace_s, late()).no_later_than(plan)
-        if newer.leave_s < plan.leave_s - WORTH_S:
-            plan = newer
-            _spread(plan, fronts, order)
-        if now >= plan.tell_s and quiet.over([front.owed() for front in fronts], now, plan):
-            plan = plan.over_at(now)
-            for front in fronts:
-                front.drain(plan)
-            break
-        time.sleep(max(0.0, min(LOOK_S, plan.leave_s - now)))
-    while time.monotonic() < plan.leave_s and any(front.open_connections() for front in fronts):
-        time.sleep(LOOK_S / 4)
-    return plan
-
-
-def _spread(
-    plan: Stages, fronts: Collection[DrainableFrontend], order: Callable[[float, float], None]
-) -> None:
-    now = time.monotonic()
-    order(plan.module_stop_s - now, now - plan.signal_s)
-    for front in fronts:
-        front.drain(plan)
+        """Return the number of connections."""
+
+
+class GracefulShutdown:
+    """Drains the front ends and the core of a node."""
+
+    def __init__(
+        self,
+        frontends: Collection[DrainableFrontend],
+        drain_core: Callable[[float, float], None],
+        lag_s: Callable[[], float],
+    ) -> None:
+        """Prepare a shutdown.
+
+        `drain_core(time_left_s, elapsed_s)` tells the core its stop and the time since the signal.
+        It is called again when the scheduling lag `lag_s()` turns out to be larger than before.
+        """
+        self._frontends = frontends
+        self._drain_core = drain_core
+        self._lag_s = lag_s
+
+    def run(self, signal_s: float, duration_s: float, grace_s: float) -> DrainSchedule:
+        """Drain since a signal, by the monotonic clock; return the schedule that was followed."""
+        schedule = make_schedule(signal_s, duration_s, grace_s, self._lag_s())
+        quiet_period = QuietPeriod()
+        self._announce(schedule)
+        while (now := time.monotonic()) < schedule.exit_s:
+            newer = make_schedule(signal_s, duration_s, grace_s, self._lag_s()).no_later_than(schedule)
+            if newer.exit_s < schedule.exit_s - MIN_CHANGE_S:
+                schedule = newer
+                self._announce(schedule)
+            observations = [frontend.drain_observation() for frontend in self._frontends]
+            if now >= schedule.notify_s and quiet_period.is_over(observations, now, schedule):
+                schedule = schedule.completed_at(now)
+                self._drain_frontends(schedule)
+                break
+            time.sleep(max(0.0, min(POLL_INTERVAL_S, schedule.exit_s - now)))
+        self._await_closed_connections(schedule)
+        return schedule
+
+    def _announce(self, schedule: DrainSchedule) -> None:
+        now = time.monotonic()
+        self._drain_core(schedule.controller_stop_s - now, now - schedule.signal_s)
+        self._drain_frontends(schedule)
+
+    def _drain_frontends(self, schedule: DrainSchedule) -> None:
+        for frontend in self._frontends:
+            frontend.drain(schedule)
+
+    def _await_closed_connections(self, schedule: DrainSchedule) -> None:
+        while time.monotonic() < schedule.exit_s:
+            if not any(frontend.open_connections() for frontend in self._frontends):
+                return
+            time.sleep(EXIT_POLL_INTERVAL_S)
--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -1,157 +1,169 @@
-"""What a drain decides, free of I/O: its stages by the clock, and the order in which connections end.
+"""The schedule of a graceful shutdown, and the state machine of a connection during it; free of I/O.
 
-A drain is a promise with a date: `stop_ms` after the signal the process is killed. All that is planned
-counts back from there, and the later this process does what is due, the earlier each stage begins.
+The process is killed `stop_ms` after the signal. All times count back from there, and the later this process
+runs what is due, the earlier each phase starts.
 
-    signal ── serve ──> tell ── read, run ──> refuse ──> answer ──> shut ──> leave ──> (stop)
+    signal -- serve --> notify -- read, run --> reject --> answered --> shutdown --> exit --> (stop)
 
-- until *tell* the node serves as ever: callers hear late that it leaves;
-- from *tell* on nothing new is accepted and callers are told to send nothing more;
-- from *refuse* on what is read is refused where it is read: that costs least, and proves that nothing ran;
-- by *answer* the module has given its last answer;
-- from *shut* on each connection is read out, flushed and shut, cheapest first; what still has no answer is
-  failed;
-- by *leave* the process ends.
+- until *notify* the node serves as usual: callers learn late that it drains;
+- from *notify* on nothing new is accepted, and callers are told to send nothing more;
+- from *reject* on requests are rejected where they are read: that costs least and proves that nothing ran;
+- by *answered* the controller has given its last answer;
+- from *shutdown* on each connection is read, flushed and shut down, the cheapest first; requests that still
+  have no answer are failed;
+- by *exit* the process ends.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import IntEnum
 
-LAG_MOST_PART = 0.08  # of the whole drain: however late this process is, a stage moves by no more than that
-LEAVE_S = 0.25  # the process ends so long before the stop
-SHUT_S = 0.10  # for reading out, flushing and shutting all connections
-ANSWER_S = 0.05  # between the last answer and the shut
-REFUSE_S = 0.20  # between the first refusal at the door and the module's last answer
-MODULE_S = 0.24  # the module answers a margin and a period before the stop that it is told of
-CROSSING_S = 0.2  # requests may cross what callers are told for so long
-FRESH_S = 0.15  # a look at what is owed counts for so long
-TELL_PART = 0.5  # callers are told after this part of the drain at the latest
+MAX_LAG_FRACTION = 0.08  # of the whole drain, by which the scheduling lag may move a phase
+EXIT_MARGIN_S = 0.25  # between the end of the process and the stop
+SHUTDOWN_S = 0.10  # for reading, flushing and shutting down all connections
+ANSWERED_S = 0.05  # between the last answer and the shutdown of connections
+REJECT_S = 0.20  # between the first rejection on reading and the last answer of the controller
+CONTROLLER_MARGIN_S = 0.24  # by which the controller answers before the stop that it is given
+CROSSING_S = 0.2  # how long requests may still arrive after callers were told to send nothing more
+OBSERVATION_TTL_S = 0.15
+NOTIFY_FRACTION = 0.5  # of the drain, after which callers are told at the latest
 
 
 @dataclass(slots=True, frozen=True)
-class Stages:
-    """When each stage of a drain begins, in seconds of one clock; in order whatever is asked for."""
+class DrainSchedule:
+    """When each phase of a drain starts, in seconds of one clock. The times are in order."""
 
     signal_s: float
-    tell_s: float
-    refuse_s: float
-    answer_s: float
-    shut_s: float
-    leave_s: float
+    notify_s: float
+    reject_s: float
+    answered_s: float
+    shutdown_s: float
+    exit_s: float
     stop_s: float
 
     @property
-    def module_stop_s(self) -> float:
-        """The stop that the decision module is told of, so that its last answer comes by `answer_s`."""
-        return self.answer_s + MODULE_S
+    def controller_stop_s(self) -> float:
+        """The stop that the controller is given, so that its last answer comes by `answered_s`."""
+        return self.answered_s + CONTROLLER_MARGIN_S
 
-    def over_at(self, now_s: float) -> "Stages":
-        """Return the plan where nothing is owed any more: all connections are shut now."""
-        return Stages(
+    def completed_at(self, now_s: float) -> "DrainSchedule":
+        """Return the schedule once nothing is unanswered any more: all connections are shut down now."""
+        return DrainSchedule(
             self.signal_s,
-            min(self.tell_s, now_s),
+            min(self.notify_s, now_s),
             now_s,
             now_s,
             now_s,
-            min(self.leave_s, now_s + SHUT_S),
+            min(self.exit_s, now_s + SHUTDOWN_S),
             self.stop_s,
         )
 
-    def no_later_than(self, other: "Stages") -> "Stages":
-        """Return the earlier of each: what was brought forward stays there, since callers act on it."""
-        return Stages(
+    def no_later_than(self, other: "DrainSchedule") -> "DrainSchedule":
+        """Return the earlier time of each phase: callers may have acted on those of either schedule."""
+        return DrainSchedule(
             self.signal_s,
-            min(self.tell_s, other.tell_s),
-            min(self.refuse_s, other.refuse_s),
-            min(self.answer_s, other.answer_s),
-            min(self.shut_s, other.shut_s),
-            min(self.leave_s, other.leave_s),
+            min(self.notify_s, other.notify_s),
+            min(self.reject_s, other.reject_s),
+            min(self.answered_s, other.answered_s),
+            min(self.shutdown_s, other.shutdown_s),
+            min(self.exit_s, other.exit_s),
             self.stop_s,
         )
 
 
-def stages(signal_s: float, span_s: float, grace_s: float, late_s: float) -> Stages:
-    """Plan a drain that was asked for at `signal_s` and must be over `span_s` later, all in seconds.
+def make_schedule(signal_s: float, duration_s: float, grace_s: float, lag_s: float) -> DrainSchedule:
+    """Schedule a drain that was requested at `signal_s` and must be over `duration_s` later.
 
-    `grace_s` is how long callers may not have heard of it; `late_s` how late this process is, see
-    `core.pace`. A span too short for all of it is shared out in the same proportions.
+    Callers may learn of it `grace_s` late; `lag_s` is the scheduling lag of this process. A duration too
+    short for all phases is divided in the same proportions.
     """
-    room = TELL_PART * span_s - (LEAVE_S + SHUT_S + ANSWER_S + REFUSE_S)
-    late = max(0.0, min(late_s, LAG_MOST_PART * span_s, room / 3))
-    shrink = min(1.0, 1 + room / (TELL_PART * span_s - room))
-    leave, shut, answer, refuse = (
-        part * shrink for part in (LEAVE_S + late, SHUT_S + late, ANSWER_S, REFUSE_S + late)
-    )
-    stop_s = signal_s + span_s
-    leave_s = stop_s - leave
-    shut_s = leave_s - shut
-    answer_s = shut_s - answer
-    refuse_s = answer_s - refuse
-    tell_s = signal_s + max(0.0, min(grace_s, TELL_PART * span_s))
-    return Stages(signal_s, min(tell_s, refuse_s), refuse_s, answer_s, shut_s, leave_s, stop_s)
-
-
-class Step(IntEnum):
-    """How far the end of one connection has come."""
-
-    SERVED = 0  # as ever
-    TOLD = 1  # it was told to send nothing more
-    SHUT = 2  # all that came in is answered and flushed, and its writing side is shut
-    ENDED = 3  # the other side has closed too, or there is no time left for it
+    spare_s = NOTIFY_FRACTION * duration_s - (EXIT_MARGIN_S + SHUTDOWN_S + ANSWERED_S + REJECT_S)
+    lag_s = max(0.0, min(lag_s, MAX_LAG_FRACTION * duration_s, spare_s / 3))
+    scale = min(1.0, 1 + spare_s / (NOTIFY_FRACTION * duration_s - spare_s))
+    stop_s = signal_s + duration_s
+    exit_s = stop_s - (EXIT_MARGIN_S + lag_s) * scale
+    shutdown_s = exit_s - (SHUTDOWN_S + lag_s) * scale
+    answered_s = shutdown_s - ANSWERED_S * scale
+    reject_s = answered_s - (REJECT_S + lag_s) * scale
+    notify_s = signal_s + max(0.0, min(grace_s, NOTIFY_FRACTION * duration_s))
+    return DrainSchedule(signal_s, min(notify_s, reject_s), reject_s, answered_s, shutdown_s, exit_s, stop_s)
+
+
+class ConnectionPhase(IntEnum):
+    """How far the shutdown of a connection has come."""
+
+    SERVING = 0
+    NOTIFIED = 1  # its caller was told to send nothing more
+    SHUT_DOWN = 2  # all requests are answered and flushed, and its writing side is shut down
+    CLOSED = 3  # its caller has closed it too, or no time is left
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
-    """What is known of one connection at its end."""
+class ConnectionState:
+    """What is still to be done on a connection, or on several together."""
 
-    open: int  # requests that are owed an answer
-    backlog: int  # bytes of answers that the socket has not taken yet
-    unread: int  # bytes that have come in and are not read
+    unanswered: int  # requests
+    unsent_bytes: int  # of answers
+    unread_bytes: int
 
+    def is_idle(self) -> bool:
+        """Return whether nothing is left to be done."""
+        return not (self.unanswered or self.unsent_bytes or self.unread_bytes)
+
+
+@dataclass(slots=True, frozen=True)
+class DrainObservation:
+    """The state of all connections of a front end at one time."""
 
-def next_step(step: Step, facts: Facts, now_s: float, plan: Stages) -> Step:
-    """Return how far a connection's end may be taken now.
+    state: ConnectionState
+    observed_s: float
 
-    It is shut once nothing is owed on it, and while something is owed not before the time for answers is
-    over: what has been read gets its answer first. Nothing is shut that holds bytes which nobody has read.
+
+def next_phase(
+    phase: ConnectionPhase, state: ConnectionState, now_s: float, schedule: DrainSchedule
+) -> ConnectionPhase:
+    """Return the phase that a connection may enter now.
+
+    It is shut down once it has nothing unanswered or unsent, and otherwise not before the time for answers is
+    over. It is never shut down while it holds unread bytes.
     """
-    owed = facts.open or facts.backlog
-    if step is Step.SERVED and now_s >= plan.tell_s:
-        return Step.TOLD
-    if (
-        step is Step.TOLD
-        and now_s >= plan.shut_s
-        and not facts.unread
-        and (not owed or now_s >= plan.leave_s)
-    ):
-        return Step.SHUT
-    if step is Step.SHUT and now_s >= plan.leave_s:
-        return Step.ENDED
-    return step
-
-
-def cheapest_first(facts: Facts) -> tuple[int, int, int]:
-    """Sort key of connections when time is short.
-
-    One that owes nothing costs a system call, one with little unread a refusal or two, one with a backlog
-    waits for its reader. So most connections are whole when the time is up, whatever the rest may cost.
+    if phase is ConnectionPhase.SERVING and now_s >= schedule.notify_s:
+        return ConnectionPhase.NOTIFIED
+    if phase is ConnectionPhase.NOTIFIED and now_s >= schedule.shutdown_s and not state.unread_bytes:
+        pending = state.unanswered or state.unsent_bytes
+        return phase if pending and now_s < schedule.exit_s else ConnectionPhase.SHUT_DOWN
+    if phase is ConnectionPhase.SHUT_DOWN and now_s >= schedule.exit_s:
+        return ConnectionPhase.CLOSED
+    return phase
+
+
+def shutdown_cost(state: ConnectionState) -> tuple[int, int, int]:
+    """Return the sort key of connections when time is short, the cheapest first.
+
+    An idle one costs a system call, one with few unread bytes a rejection or two, one with unsent bytes waits
+    for its reader. So most connections are complete when the time is up, whatever the others cost.
     """
-    return facts.backlog, facts.unread, facts.open
+    return state.unsent_bytes, state.unread_bytes, state.unanswered
 
 
-class Quiet:
-    """Tells when a drain may end early: nothing was owed or unread for as long as a request may cross."""
+class QuietPeriod:
+    """Detects that a drain may end early: all was idle for as long as requests may still arrive."""
 
     def __init__(self) -> None:
-        self._busy_s = 0.0  # when something was last owed, or not known
+        self._busy_s = 0.0  # when something was last pending, or unknown
 
-    def over(self, looks: Sequence[tuple[Facts, float] | None], now_s: float, plan: Stages) -> bool:
-        """Note the newest look at each front, with its time.
+    def is_over(
+        self, observations: Sequence[DrainObservation | None], now_s: float, schedule: DrainSchedule
+    ) -> bool:
+        """Take the latest observation of each front end, and return whether the quiet period is over.
 
-        A look older than `FRESH_S` tells nothing: whoever makes them did not get the time to.
+        An observation older than `OBSERVATION_TTL_S` proves nothing: its front end had no time for another.
         """
-        for look in looks:
-            if look is None or now_s - look[1] > FRESH_S or look[0].open or look[0].backlog or look[0].unread:
+        for observation in observations:
+            if (
+                observation is None
+                or now_s - observation.observed_s > OBSERVATION_TTL_S
+                or not observation.state.is_idle()
+            ):
                 self._busy_s = now_s
-        return now_s - max(self._busy_s, plan.tell_s) >= CROSSING_S
+        return now_s - max(self._busy_s, schedule.notify_s) >= CROSSING_S
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -21,8 +21,8 @@
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Answer, IncomingRequest, RequestArrived, Verdict
 from reelusher.drain.connection_shutdown import unread_bytes
-from reelusher.drain.graceful_shutdown import LOOK_S
-from reelusher.drain.schedule import Facts, Stages
+from reelusher.drain.graceful_shutdown import POLL_INTERVAL_S
+from reelusher.drain.schedule import ConnectionState, DrainObservation, DrainSchedule
 from reelusher.frontends.rpc.frontend import subject_of
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
@@ -104,8 +104,8 @@
         self._lock = threading.Lock()
         self._turned = threading.BoundedSemaphore(MOST_TURNED)  # held by those too many that are read out
         self._leaving = self._closed = False
-        self._plan: Stages | None = None  # of a drain
-        self._owed: tuple[Facts, float] | None = None
+        self._schedule: DrainSchedule | None = None  # of a drain
+        self._observation: DrainObservation | None = None
         self._listener = Listener("ajp", config.listen, core.counters, self._serve)
         self.address = self._listener.address
 
@@ -113,15 +113,15 @@
         """Start to listen."""
         self._listener.start()
 
-    def drain(self, plan: Stages) -> None:
-        """End by this plan, which may come again with earlier times."""
-        first, self._plan = self._plan is None, plan
+    def drain(self, schedule: DrainSchedule) -> None:
+        """Follow this schedule, which may be replaced by an earlier one."""
+        first, self._schedule = self._schedule is None, schedule
         if first:
             start_thread("ajp-ending", self._end_all)
 
-    def owed(self) -> tuple[Facts, float] | None:
-        """Return what was owed on all connections together at the last look, and when that was."""
-        return self._owed
+    def drain_observation(self) -> DrainObservation | None:
+        """Return the latest observation of all connections."""
+        return self._observation
 
     def close(self) -> None:
         """End everything at once."""
@@ -135,22 +135,22 @@
     def _end_all(self) -> None:
         """Let each connection end after what it carries, and look what is still owed."""
         while not self._closed:
-            now, plan = time.monotonic(), self._plan
-            if plan is not None and now >= plan.tell_s:
+            now, schedule = time.monotonic(), self._schedule
+            if schedule is not None and now >= schedule.notify_s:
                 if not self._leaving:
                     self._leaving = True
                     self._listener.stop()
                 with self._lock:
                     carrying = dict(self._open)
-                self._owed = (
-                    Facts(
+                self._observation = DrainObservation(
+                    ConnectionState(
                         sum(place.busy for place in carrying.values()),
                         0,
                         sum(unread_bytes(sock) for sock, place in carrying.items() if not place.busy),
                     ),
                     now,
                 )
-            time.sleep(LOOK_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def open_connections(self) -> int:
         """Count the connections of web servers."""
@@ -284,7 +284,7 @@
         secret = forward.attributes.get("secret", "")
         if self._config.secret and not hmac.compare_digest(secret.encode(), self._config.secret.encode()):
             raise RejectedRequestError(403, "the secret is missing or wrong", closes=True)
-        if self._plan is not None and time.monotonic() >= self._plan.refuse_s:
+        if self._schedule is not None and time.monotonic() >= self._schedule.reject_s:
             self._core.counters.add("drain.refused_at_the_door")
             return Answer(Verdict.REJECTED)  # its body stays unread, and the connection ends
         door_us = self._core.clock.now()
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -14,8 +14,8 @@
 from reelusher.codecs.errors import MalformedError
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Answer, CallersDisconnected, IncomingRequest, RequestArrived, Verdict
-from reelusher.drain.connection_shutdown import Endings, unread_bytes
-from reelusher.drain.schedule import Facts, Stages, Step
+from reelusher.drain.connection_shutdown import ConnectionShutdown, unread_bytes
+from reelusher.drain.schedule import ConnectionPhase, ConnectionState, DrainObservation, DrainSchedule
 from reelusher.net.listener import ConnectionResourcesError, Listener
 from reelusher.net.poller import Poller
 from reelusher.net.send_buffer import ByteBudget, SendBuffer
@@ -78,12 +78,12 @@
         self.told_last = 0.0  # when `lastCall` was sent; 0: not yet
         self.ended = False  # nothing more is taken; it goes once nothing is owed on it
         self.heard_out = False  # and nothing more can come: the other side has shut its writing side
-        self.step = Step.SERVED  # how far its end has come in a drain
+        self.phase = ConnectionPhase.SERVING  # of a drain
 
     @property
-    def facts(self) -> Facts:
-        """What is known of it at its end."""
-        return Facts(self.owed, self.outbox.backlog, 0 if self.ended else unread_bytes(self.sock))
+    def state(self) -> ConnectionState:
+        """What is still to be done on it in a drain."""
+        return ConnectionState(self.owed, self.outbox.backlog, 0 if self.ended else unread_bytes(self.sock))
 
     @property
     def owed(self) -> int:
@@ -107,7 +107,7 @@
         """Send the answer to what never was open."""
         self.outbox.send(msgpack.pack([ANSWER, number, error, result]))
 
-    def last_call(self, now: float) -> None:
+    def send_last_call(self, now: float) -> None:
         """Tell the caller to send nothing more here."""
         with self.lock:
             if self.told_last:
@@ -189,7 +189,7 @@
         self._listener = Listener("platform", address, core.counters, shared=shared)
         self._poller.watch(self._listener.sock, self._accept)
         self._poller.every(SWEEP_S, self._sweep)
-        self._endings = Endings(self._poller, self)
+        self._shutdown = ConnectionShutdown(self._poller, self)
         self.address = self._listener.address
 
     def start(self) -> None:
@@ -214,13 +214,13 @@
                 raise BadRequestError("no such class")
         return kind
 
-    def drain(self, plan: Stages) -> None:
-        """End by this plan, which may come again with earlier times."""
-        self._endings.follow(plan)
+    def drain(self, schedule: DrainSchedule) -> None:
+        """Follow this schedule, which may be replaced by an earlier one."""
+        self._shutdown.follow(schedule)
 
-    def owed(self) -> tuple[Facts, float] | None:
-        """Return what was owed on all connections together at the last look, and when that was."""
-        return self._endings.owed
+    def drain_observation(self) -> DrainObservation | None:
+        """Return the latest observation of all connections."""
+        return self._shutdown.observation
 
     def close(self) -> None:
         """End everything at once."""
@@ -256,15 +256,15 @@
             self._poller.forget(self._listener.sock)
             self._listener.stop()
 
-    def ending(self) -> list[Connection]:
-        """Return the connections that are to be brought to their end."""
+    def connections(self) -> list[Connection]:
+        """Return the open connections."""
         return self._all()
 
-    def refuse(self) -> None:
-        """Refuse from now on whatever is read."""
+    def reject_requests(self) -> None:
+        """Reject all requests that are read from now on."""
         self._refuses = True
 
-    def read_out(self, connection: Connection) -> None:
+    def read_pending(self, connection: Connection) -> None:
         """Read what has come in on a connection; of one that goes on sending, as much as others can wait."""
         for _ in range(MOST_READS):
             if not self._read(connection):
@@ -321,7 +321,7 @@
             self._core.counters.add("platform.closed_for_room")
             if connection.outbox.backlog:
                 connection.outbox.close()
-            connection.last_call(now)
+            connection.send_last_call(now)
             self._close_idle(connection)
         if going:
             self._core.counters.warn(
@@ -424,10 +424,10 @@
         They were dropped without one. Served they must not be, since nothing tells any more which request
         an answer would be taken for.
         """
-        self.fail(connection)
+        self.fail_open_requests(connection)
         self._end(connection, heard_out=False)
 
-    def fail(self, connection: Connection) -> None:
+    def fail_open_requests(self, connection: Connection) -> None:
         """Answer what is still open with an error, whatever its run may come to."""
         with connection.lock:
             calls = dict(connection.open)
@@ -451,7 +451,7 @@
         It was closed at once before: on a busy core, requests that lay unread were lost with it. What comes
         between that look and the shutdown crosses it: it is not heeded, and its caller sends it again.
         """
-        self.read_out(connection)
+        self.read_pending(connection)
         if (
             not connection.owed
             and not connection.ended
@@ -600,13 +600,13 @@
     def _end_refused(self, connection: Connection, now: float) -> None:
         """End a connection that was refused, once its time is over."""
         if now - connection.refused_since > LINGER_S:
-            self.read_out(connection)  # on a busy core what it asked may lie there still
+            self.read_pending(connection)  # on a busy core what it asked may lie there still
             if not connection.ended:
                 self._end(connection, heard_out=False)
 
     def _end_partial(self, connection: Connection, begun: float) -> None:
         """End a connection whose message does not get complete."""
-        self.read_out(connection)
+        self.read_pending(connection)
         if not connection.ended and connection.partial_since == begun:
             self._core.counters.add("platform.closed_partial")
             self._end(connection, heard_out=False)
@@ -633,7 +633,7 @@
                 self._close_idle(connection)
         elif not connection.heard and idle > SILENT_S:
             self._core.counters.add("platform.closed_silent")
-            connection.last_call(now)
+            connection.send_last_call(now)
         elif idle > limit_s:
             self._core.counters.add("platform.closed_idle")
-            connection.last_call(now)
+            connection.send_last_call(now)
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -25,8 +25,8 @@
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import DrainRequested, Message, Runner
 from reelusher.core.scheduling_lag import SchedulingLag
-from reelusher.drain.graceful_shutdown import DrainableFrontend, lead
-from reelusher.drain.signals import LOOK_S, SignalWatch
+from reelusher.drain.graceful_shutdown import DrainableFrontend, GracefulShutdown
+from reelusher.drain.signals import POLL_INTERVAL_S, SignalWatch
 from reelusher.frontends.rpc import frontend as rpc_frontend
 from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.net.sockets import Address
@@ -551,7 +551,8 @@
             self.catalog.stop()
         if self.fleet:
             self.fleet.leave()
-        lead(self.fronts.values(), self._order, self._late_s, self._asked_s, span_s, grace_s)
+        shutdown = GracefulShutdown(self.fronts.values(), self._order, self._late_s)
+        shutdown.run(self._asked_s, span_s, grace_s)
         self._close_copy()
         left = self.core.attempts.unanswered
         logger.info("left after {:.0f} ms, {} unanswered", (time.monotonic() - self._asked_s) * 1000, left)
@@ -617,14 +618,14 @@
     """
     leaving: threading.Thread | None = None
     while leaving is None or leaving.is_alive():
-        found = watch.look()
-        if found is not None and found[0] is signal.SIGHUP:
+        received = watch.poll()
+        if received is not None and received.signal is signal.SIGHUP:
             start_thread("reload", node.reload)
-        elif found is not None:
-            node.ask_to_leave(found[1])
+        elif received is not None:
+            node.ask_to_leave(received.earliest_s)
         elif leaving is not None:
-            leaving.join(LOOK_S)
-        elif node.asked_to_leave.wait(LOOK_S):
+            leaving.join(POLL_INTERVAL_S)
+        elif node.asked_to_leave.wait(POLL_INTERVAL_S):
             leaving = start_thread("leave", node.leave)
 
 
