--- a/reelusher/codecs/http1.py
+++ b/reelusher/codecs/http1.py
@@ -15,7 +15,7 @@
     204: "No Content",
     400: "Bad Request",
     401: "Unauthorized",
-    403: "ForbiddenAttributeError",
+    403: "Forbidden",
     404: "Not Found",
     405: "Method Not Allowed",
     409: "Conflict",
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -40,10 +40,10 @@
 DESCRIPTORS = MOST_TURNED + 2  # the listener, and one that is closed at once
 LONGEST_WAIT_S = 3600.0  # no answer takes as long: the core answers by the due time
 REASONS = {
-    400: "Bad IncomingRequest",
-    403: "ForbiddenAttributeError",
+    400: "Bad Request",
+    403: "Forbidden",
     404: "Not Found",
-    408: "IncomingRequest Timeout",
+    408: "Request Timeout",
     413: "Content Too Large",
     500: "Internal Server Error",
     503: "Service Unavailable",
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -34,6 +34,7 @@
     save(test_interfaces.ANSWERS, test_interfaces.answers())
     save(test_interfaces.COUNTERS, test_interfaces.counter_names())
     save(test_interfaces.ERRORS, test_interfaces.configuration_errors())
+    save(test_interfaces.REASONS, test_interfaces.reason_phrases())
     save(test_interfaces.IMPORTED, test_interfaces.imported())
     (stored / "state.json").write_text(json.dumps(OLD_STATE_FILE))
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -24,12 +24,13 @@
 from reelusher.node import Node
 
 ROOT = Path(__file__).parent.parent.parent
-OPENAPI, ANSWERS, COUNTERS, ERRORS, IMPORTED = (
+OPENAPI, ANSWERS, COUNTERS, ERRORS, IMPORTED, REASONS = (
     "openapi.json",
     "answers.json",
     "counters.json",
     "configuration_errors.json",
     "imported.json",
+    "reason_phrases.json",
 )
 OPERATOR_ANSWERS = (
     ("GET", "/healthcheck"),
@@ -180,6 +181,23 @@
     return sorted(f"{how}: {name}" for how, name in found)
 
 
+def reason_phrases() -> list[list[Any]]:
+    """Return the reason phrases of the tables by which the program answers HTTP and AJP requests."""
+    found = []
+    for path in (ROOT / "reelusher").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if not isinstance(node, ast.Dict) or "lab" in path.parts or "admin" in path.parts:
+                continue
+            pairs = [
+                [key.value, value.value]
+                for key, value in zip(node.keys, node.values, strict=True)
+                if isinstance(key, ast.Constant) and isinstance(value, ast.Constant)
+            ]
+            if pairs and all(isinstance(key, int) and 100 <= key < 600 for key, _ in pairs):
+                found += [pair for pair in pairs if isinstance(pair[1], str)]
+    return sorted(found)
+
+
 def configuration_errors() -> dict[str, str]:
     """Return the error of each faulty configuration that the tests of the parts have."""
     made = {}
@@ -223,6 +241,10 @@
     return made
 
 
+def test_answers_have_the_recorded_reason_phrases() -> None:
+    assert reason_phrases() == load(REASONS)
+
+
 def test_the_openapi_document_is_the_recorded_one() -> None:
     assert as_json(openapi.document()) == load(OPENAPI)
 
