--- a/reelusher/assembly/hosted.py
+++ b/reelusher/assembly/hosted.py
@@ -84,5 +84,5 @@
     """Remember the keys that earlier incarnations of the node stored, and store new ones from now on."""
     log = tenant_store.opened_keys(directory)
     for request_id, entry in enumerate(log.live(), FIRST_RECOVERED_REQUEST_ID):
-        parts.core.keys.remember(entry.name, request_id, entry.until_us, bytes.fromhex(entry.digest))
-    parts.core.key_log = parts.key_log = log
+        parts.core.keys.restore(entry.name, request_id, entry.until_us, bytes.fromhex(entry.digest))
+    parts.core.deduplication.key_log = parts.key_log = log
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -122,7 +122,7 @@
             return
         self.core.notices.diverting_callers = divert
         logger.info("operator: callers are diverted" if divert else "operator: callers are accepted again")
-        self.core.on_health()
+        self.core.on_health_changed()
 
     def close_replication(self) -> None:
         """Close the replica of the table of tenants, once, with no write in progress."""
@@ -193,7 +193,7 @@
             self.counters,
             self.random_for("catalog"),
         )
-        self.core.on_health = registry.changed
+        self.core.on_health_changed = registry.changed
         return registry
 
     def _build_platform_frontends(self, platform: Platform, callbacks: NodeCallbacks) -> None:
@@ -228,4 +228,4 @@
         except OSError as error:
             logger.error("upgrade: {} is unusable, no other process can take over: {}", folder, error)
             return
-        self.core.key_locks = self.key_locks
+        self.core.deduplication.key_locks = self.key_locks
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -13,8 +13,8 @@
 from reelusher.assembly.parts import NodeParts
 from reelusher.config import Config, ConfigError, load
 from reelusher.core.messages import DrainRequested
-from reelusher.drain.graceful_shutdown import lead
-from reelusher.drain.signals import LOOK_S, SignalWatch
+from reelusher.drain.graceful_shutdown import GracefulShutdown
+from reelusher.drain.signals import POLL_INTERVAL_S, SignalWatch
 from reelusher.logging_setup import set_up_logging
 from reelusher.net.threads import start_thread
 from reelusher.reload import Reloader
@@ -141,14 +141,8 @@
             parts.service_registry.stop()
         if parts.fleet:
             parts.fleet.leave()
-        lead(
-            parts.frontends.values(),
-            self._notify_core,
-            self._lag_s,
-            self._drain_requested_s,
-            times.total_s,
-            times.grace_s,
-        )
+        shutdown = GracefulShutdown(parts.frontends.values(), self._notify_core, self._lag_s)
+        shutdown.run(self._drain_requested_s, times.total_s, times.grace_s)
         parts.close_replication()
         unanswered = parts.core.attempts.unanswered
         duration_ms = (time.monotonic() - self._drain_requested_s) * 1000
@@ -205,14 +199,14 @@
     """
     drain: threading.Thread | None = None
     while drain is None or drain.is_alive():
-        found = watch.look()
-        if found is not None and found[0] is signal.SIGHUP:
+        received = watch.poll()
+        if received is not None and received.signal is signal.SIGHUP:
             start_thread("reload", node.reload)
-        elif found is not None:
-            node.request_drain(found[1])
+        elif received is not None:
+            node.request_drain(received.earliest_s)
         elif drain is not None:
-            drain.join(LOOK_S)
-        elif node.drain_requested.wait(LOOK_S):
+            drain.join(POLL_INTERVAL_S)
+        elif node.drain_requested.wait(POLL_INTERVAL_S):
             drain = start_thread("drain", node.drain)
 
 
