--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -207,7 +207,7 @@
             shared=platform.operator is not None,
         )
         if platform.operator:
-            from reelusher.frontends.operations import OperationsFrontend, most_calls
+            from reelusher.frontends.operations import OperationsFrontend, max_calls
 
             self.operations = OperationsFrontend(
                 platform.operator,
@@ -215,7 +215,7 @@
                 callbacks.is_ready,
                 self.core.stats.snapshot,
                 self.divert_callers,
-                most_calls(self._config.sockets),
+                max_calls(self._config.sockets),
             )
 
     def _build_upgrade_parts(self, name: str, folder: Path) -> None:
--- a/reelusher/frontends/operations.py
+++ b/reelusher/frontends/operations.py
@@ -1,7 +1,7 @@
-"""The second address, for operators alone: HTTP/1.1, one call a connection. docs/operation.md.
+"""The operations endpoint, for operators alone: HTTP/1.1, one call a connection. docs/operation.md.
 
-Each call has a thread of its own, and nothing here asks the owner: however busy the node is, and whoever
-else connects and says nothing, an operator is answered. A 2xx means yes, a 4xx or 5xx no.
+Each call has a thread of its own, and none waits for the event loop: an operator is answered however busy
+the node is, and however many silent connections there are. A 2xx means yes, a 4xx or 5xx no.
 """
 
 import json
@@ -18,48 +18,52 @@
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
 
-MOST_CALLS, LEAST_CALLS, CALLS_PART = 24, 4, 16  # at once; of few descriptors one in so many
-CALL_S = 6.0  # for a call to come in
-MOST_BODY = 1 << 12
+MAX_CALLS = 24  # at once
+MIN_CALLS = 4
+CALLS_PART = 16  # and of few descriptors, one in so many
+CALL_TIMEOUT_S = 6.0  # for a request to be read
+MAX_BODY_BYTES = 1 << 12
+READ_BYTES = 1 << 12
+MIN_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
 Reply = tuple[int, dict[str, Any]]
 
 
-def most_calls(sockets: int) -> int:
-    """Return how many calls there may be at once; past them the oldest makes room: it has had its time."""
-    return max(LEAST_CALLS, min(MOST_CALLS, sockets // CALLS_PART))
+def max_calls(sockets: int) -> int:
+    """Return how many calls there may be at once; a further one ends the oldest."""
+    return max(MIN_CALLS, min(MAX_CALLS, sockets // CALLS_PART))
 
 
 def descriptors(sockets: int) -> int:
-    """Return how many it may hold: the calls, the listener, and one taken while the oldest makes room."""
-    return most_calls(sockets) + 2
+    """Return how many it may hold: the calls, the listener, and one accepted while the oldest ends."""
+    return max_calls(sockets) + 2
 
 
 class OperationsFrontend:
-    """Answers operators."""
+    """Listens for operators."""
 
     def __init__(
         self,
         address: Address,
         counters: Counters,
-        ready: Callable[[], bool],
-        figures: Callable[[], dict[str, Any]],
-        send_away: Callable[[bool], None],
-        most: int = MOST_CALLS,
+        is_ready: Callable[[], bool],
+        stats: Callable[[], dict[str, Any]],
+        divert_callers: Callable[[bool], None],
+        max_calls: int = MAX_CALLS,
     ) -> None:
-        """`ready` and `figures` must not wait; `send_away(True)` sends callers away, False has them back.
+        """Prepare to listen. `is_ready` and `stats` must not block.
 
-        `most` calls at once.
+        `divert_callers(True)` answers health checks as unhealthy, False by the node's own health again.
         """
-        self._most = most
+        self._max_calls = max_calls
         self._counters = counters
-        self._ready, self._figures, self._send_away = ready, figures, send_away
+        self._is_ready, self._stats, self._divert_callers = is_ready, stats, divert_callers
         self._lock = threading.Lock()
         self._open: dict[socket.socket, None] = {}  # the oldest first
         self._routes: dict[tuple[str, str], Callable[[], Reply]] = {
             ("GET", "/healthcheck"): self._health,
-            ("GET", "/stats"): lambda: (200, self._figures()),
-            ("POST", "/healthcheck/fail"): lambda: self._away(True),
-            ("POST", "/healthcheck/ok"): lambda: self._away(False),
+            ("GET", "/stats"): lambda: (200, self._stats()),
+            ("POST", "/healthcheck/fail"): lambda: self._divert(True),
+            ("POST", "/healthcheck/ok"): lambda: self._divert(False),
         }
         self._listener = Listener("operator", address, counters, self._serve, self._admit)
         self.address = self._listener.address
@@ -74,7 +78,7 @@
 
     def _admit(self, sock: socket.socket) -> bool:
         with self._lock:
-            if len(self._open) >= self._most:
+            if len(self._open) >= self._max_calls:
                 oldest = next(iter(self._open))
                 del self._open[oldest]
                 try:
@@ -97,35 +101,35 @@
                 self._open.pop(sock, None)
 
     def _answer(self, sock: socket.socket) -> bytes:
-        decoder, until = http1.Decoder(MOST_BODY), time.monotonic() + CALL_S
+        decoder, until = http1.Decoder(MAX_BODY_BYTES), time.monotonic() + CALL_TIMEOUT_S
         try:
             while True:
-                sock.settimeout(max(0.001, until - time.monotonic()))
-                data = sock.recv(1 << 12)
+                sock.settimeout(max(MIN_TIMEOUT_S, until - time.monotonic()))
+                data = sock.recv(READ_BYTES)
                 if not data:
-                    raise OSError("closed before the call was whole")
+                    raise OSError("closed before the request was complete")
                 for message in decoder.feed(data):
-                    return self._written(*self._dispatch(message.start[0], message.start[1]))
+                    return self._encode(*self._dispatch(message.start[0], message.start[1]))
         except http1.MalformedHttpError as error:
-            return self._written(error.status, {"error": str(error)})
+            return self._encode(error.status, {"error": str(error)})
 
     def _dispatch(self, method: str, target: str) -> Reply:
         path = target.partition("?")[0]
-        react = self._routes.get((method, path))
-        if react is not None:
-            return react()
-        known = any(path == there for _, there in self._routes)
+        handler = self._routes.get((method, path))
+        if handler is not None:
+            return handler()
+        known = any(path == route for _, route in self._routes)
         return (405, {"error": "no such method here"}) if known else (404, {"error": "no such resource"})
 
     @staticmethod
-    def _written(status: int, value: dict[str, Any]) -> bytes:
+    def _encode(status: int, value: dict[str, Any]) -> bytes:
         body = json.dumps(value, separators=(",", ":")).encode()
         return http1.response(status, body, {"Content-Type": "application/json", "Connection": "close"})
 
     def _health(self) -> Reply:
-        good = self._ready()
-        return (200 if good else 503), {"ready": good}
+        ready = self._is_ready()
+        return (200 if ready else 503), {"ready": ready}
 
-    def _away(self, away: bool) -> Reply:
-        self._send_away(away)
-        return 200, {"away": away}
+    def _divert(self, divert: bool) -> Reply:
+        self._divert_callers(divert)
+        return 200, {"away": divert}
--- /dev/null
+++ b/reelusher/frontends/rpc/half_closed.py
@@ -0,0 +1,78 @@
+"""Connections whose answers are all out and whose writing side is shut.
+
+A close while something is unread would reset the connection, and the answers on their way with it. So what
+still comes is read and discarded for a while.
+"""
+
+import socket
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+
+from reelusher.core.counters import Counters
+from reelusher.frontends.rpc.connection import Connection
+from reelusher.net.poller import Poller
+
+LINGER_S = 0.5  # how long a half-closed connection is read
+LINGER_BYTES = 1 << 16  # and how much of it
+READ_BYTES = 1 << 14
+
+
+@dataclass(slots=True)
+class HalfClosedConnection:
+    """One such connection."""
+
+    connection: Connection
+    until_s: float
+    remaining_bytes: int = LINGER_BYTES
+
+
+class HalfClosedConnections:
+    """Reads and discards what still comes. All of it is called on the poller's thread."""
+
+    def __init__(
+        self, poller: Poller, counters: Counters, max_connections: int, release: Callable[[Connection], None]
+    ) -> None:
+        """Past `max_connections` the oldest is released as it is."""
+        self._poller = poller
+        self._counters = counters
+        self._max_connections = max_connections
+        self._release = release
+        self._by_socket: dict[socket.socket, HalfClosedConnection] = {}  # the oldest first
+
+    def __len__(self) -> int:
+        return len(self._by_socket)
+
+    def add(self, connection: Connection) -> None:
+        """Read a connection to the other side's end, or as far as the limits go."""
+        if len(self._by_socket) >= self._max_connections:
+            self._counters.add("platform.linger_cut")
+            self._remove(next(iter(self._by_socket)))
+        self._by_socket[connection.sock] = HalfClosedConnection(connection, time.monotonic() + LINGER_S)
+        self._poller.watch(connection.sock, partial(self._discard, connection.sock))
+
+    def release_expired(self, now: float) -> None:
+        """Release those that were read for long enough."""
+        for sock in [sock for sock, entry in self._by_socket.items() if now >= entry.until_s]:
+            self._remove(sock)
+
+    def release_all(self) -> None:
+        """Release all at once."""
+        for sock in list(self._by_socket):
+            self._remove(sock)
+
+    def _discard(self, sock: socket.socket) -> None:
+        entry = self._by_socket[sock]
+        try:
+            size = len(sock.recv(READ_BYTES, socket.MSG_DONTWAIT))
+        except BlockingIOError:
+            return
+        except OSError:
+            size = 0
+        entry.remaining_bytes -= size
+        if not size or entry.remaining_bytes <= 0:
+            self._remove(sock)
+
+    def _remove(self, sock: socket.socket) -> None:
+        self._release(self._by_socket.pop(sock).connection)
--- /dev/null
+++ b/reelusher/frontends/rpc/requests.py
@@ -0,0 +1,145 @@
+"""Turns messages of the platform's callers into requests of the core, and its answers into replies."""
+
+import time
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import Answer, IncomingRequest, Verdict
+from reelusher.frontends.rpc.fields import (
+    BAD_REQUEST_ERROR,
+    FAILED_ERROR,
+    NO_RETRY,
+    REASON,
+    REJECTED_ERROR,
+    RETRY_AFTER_MS,
+    BadRequestError,
+    capacity_fields,
+    read_fields,
+)
+from reelusher.policy.settings import Idempotency
+
+MAX_BODY_BYTES = 2048
+MAX_OPEN_REQUESTS = 32 + 8  # on one connection: the protocol's, and some whose answers cross new ones
+REMOVED_CLASS_GRACE_S = 5.0  # a removed class is still accepted for so long: callers learn of it late
+EARLY_RETRY_AFTER_MS = 100  # of requests that the frontend itself rejects; the policy's shortest time
+
+
+class Reply(NamedTuple):
+    """What an answer of MessagePack-RPC carries."""
+
+    error: list[Any] | None
+    result: list[Any] | None
+
+
+class RemovedClass(NamedTuple):
+    """A class that a reload removed."""
+
+    class_index: int
+    accepted_until_s: float
+
+
+class RequestParser:
+    """Checks requests against the classes and settings in use."""
+
+    def __init__(self, core: Core, tenant: str) -> None:
+        self._core = core
+        self._tenant = tenant
+        self._class_indexes = {name: index for index, name in enumerate(core.class_names)}
+        self._removed: dict[str, RemovedClass] = {}
+        self.longest_deadline_us = self._longest_deadline_us()
+
+    def apply_classes(self, class_indexes: dict[str, int]) -> None:
+        """Accept these classes from now on; the core has them already. From any thread."""
+        now_s = time.monotonic()
+        removed = {name: entry for name, entry in self._removed.items() if entry.accepted_until_s > now_s}
+        for name, index in self._class_indexes.items():
+            if name not in class_indexes:
+                removed[name] = RemovedClass(index, now_s + REMOVED_CLASS_GRACE_S)
+        self._removed = removed
+        self.longest_deadline_us = self._longest_deadline_us()
+        self._class_indexes = class_indexes
+
+    def is_current_class(self, name: str) -> bool:
+        """Return whether a class is in use, and not removed."""
+        return name in self._class_indexes
+
+    def parse(
+        self, method: str, params: list[Any], open_requests: int, reply: Callable[[Answer], None]
+    ) -> IncomingRequest:
+        """Check and translate a request; raise `BadRequestError` for one that can't be used."""
+        class_index = self._class_index(method)
+        match params:
+            case [dict(fields), bytes(body)]:
+                pass
+            case _:
+                raise BadRequestError("the parameters are not fields and a body")
+        if len(body) > MAX_BODY_BYTES:
+            raise BadRequestError(f"a body of more than {MAX_BODY_BYTES} bytes")
+        if open_requests >= MAX_OPEN_REQUESTS:
+            raise BadRequestError("too many open requests on this connection")
+        idempotency = self._core.settings.classes[class_index].idempotency
+        unix_ahead_us = self._core.clock.unix_ahead_us()
+        checked = read_fields(
+            fields,
+            idempotency is Idempotency.IDEMPOTENCY_KEY,
+            self._core.clock.now() + unix_ahead_us,
+            self.longest_deadline_us,
+        )
+        return IncomingRequest(
+            run_id=checked.run_id,
+            class_index=class_index,
+            body=body,
+            received_us=checked.received_unix_us - unix_ahead_us,
+            reply=reply,
+            tenant=self._tenant,
+            caller=checked.caller,
+            subject=checked.subject,
+            held_kb=checked.held_kb,
+            expected_work_us=checked.expected_work_us,
+            idempotency_key=checked.idempotency_key,
+        )
+
+    def _class_index(self, name: str) -> int:
+        index = self._class_indexes.get(name)
+        if index is not None:
+            return index
+        removed = self._removed.get(name)
+        if removed is None or time.monotonic() >= removed.accepted_until_s:
+            raise BadRequestError("no such class")
+        return removed.class_index
+
+    def _longest_deadline_us(self) -> int:
+        return max(request_class.deadline_us for request_class in self._core.settings.classes)
+
+
+def reply_of(answer: Answer) -> Reply:
+    """Return the reply that carries the core's answer."""
+    fields = capacity_fields(answer.advertised_capacity)
+    if answer.verdict is Verdict.SERVED and answer.result is not None:
+        return Reply(None, [answer.result.body, fields])
+    if answer.verdict is not Verdict.REJECTED:
+        return Reply([FAILED_ERROR, fields], None)
+    if answer.retry_after_us:
+        fields[RETRY_AFTER_MS] = str(answer.retry_after_us // 1000)
+    if answer.no_retry:
+        fields[NO_RETRY] = "1"
+    return Reply([REJECTED_ERROR, fields], None)
+
+
+def failed_reply(advertised_capacity: float | None) -> Reply:
+    """Return the reply to a request that can't be answered any more, whatever became of it."""
+    return Reply([FAILED_ERROR, capacity_fields(advertised_capacity)], None)
+
+
+def bad_request_reply(advertised_capacity: float | None, reason: str) -> Reply:
+    """Return the reply to a request that can't be used."""
+    return Reply([BAD_REQUEST_ERROR, {**capacity_fields(advertised_capacity), REASON: reason}], None)
+
+
+def early_rejection(advertised_capacity: float | None, max_retry_after_us: int) -> Reply:
+    """Return the reply to a request that the frontend rejects without the core."""
+    fields = capacity_fields(advertised_capacity)
+    if max_retry_after_us:
+        fields[RETRY_AFTER_MS] = str(min(EARLY_RETRY_AFTER_MS, max_retry_after_us // 1000))
+    return Reply([REJECTED_ERROR, fields], None)
--- a/reelusher/reload.py
+++ b/reelusher/reload.py
@@ -84,7 +84,8 @@
         assert isinstance(frontend, RpcFrontend)
 
         def apply() -> None:
-            frontend.retune(core.apply_settings(platform.settings, platform.gauges, platform.class_names))
+            class_indexes = core.apply_settings(platform.settings, platform.gauges, platform.class_names)
+            frontend.apply_classes(class_indexes)
 
         try:  # in one step of the event loop, so that core and frontend never use different files
             core.run_on_loop(apply)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,10 @@
 from reelusher.drain.connection_shutdown import unread_bytes
 from reelusher.frontends.ajp import frontend as ajp_frontend
 from reelusher.frontends.rpc import frontend as rpc_frontend
-from reelusher.frontends.rpc.frontend import Connection, RpcFrontend
+from reelusher.frontends.rpc.connection import Connection
+from reelusher.frontends.rpc.frontend import RpcFrontend
+from reelusher.frontends.rpc.half_closed import LINGER_S
+from reelusher.frontends.rpc.idle_limits import IdleLimits
 from reelusher.net import listener as listener_module
 from reelusher.net import threads
 from reelusher.net.listener import Listener
@@ -114,7 +117,7 @@
 
 def only(front: RpcFrontend) -> Connection:
     assert soon(lambda: front.open_connections() == 1)
-    return front._all()[0]
+    return front.connections()[0]
 
 
 def test_a_request_between_the_last_look_and_the_close_resets_nothing(
@@ -123,7 +126,7 @@
     front, peer = front_of(world), Peer(world["node"].node)
     peer.ask(1, method="health")
     connection = only(front)
-    assert soon(lambda: connection.heard)
+    assert soon(lambda: connection.messages_read)
     shut, release = connection.outbox.shut, connection.outbox.release
     crossed: list[bool] = []
 
@@ -141,7 +144,7 @@
     assert peer.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # a reset would be told here
     world["runtime"].expect(["nothing"])  # what crossed the close is not run: its caller sends it again
     peer.sock.close()
-    assert soon(lambda: not front._lingering)
+    assert soon(lambda: not front._half_closed)
 
 
 def test_answers_on_their_way_survive_bytes_that_can_not_be_read(world: dict[str, Any]) -> None:
@@ -156,11 +159,11 @@
 @pytest.mark.parametrize("world", [{"sockets": "32"}], indirect=True)
 def test_a_caller_for_whom_there_is_no_room_is_refused_before_it_is_closed(world: dict[str, Any]) -> None:
     front = front_of(world)
-    busy = [Peer(world["node"].node) for _ in range(front._most)]
+    busy = [Peer(world["node"].node) for _ in range(front.max_connections)]
     for number, peer in enumerate(busy, 1):
         peer.ask(number)  # owed an answer, so none of them is closed for others
-    assert soon(lambda: front.open_connections() == front._most)
-    late = [Peer(world["node"].node) for _ in range(3 * rpc_frontend.SPARE)]
+    assert soon(lambda: front.open_connections() == front.max_connections)
+    late = [Peer(world["node"].node) for _ in range(3 * rpc_frontend.MAX_SPARE)]
     for number, peer in enumerate(late, 101):
         peer.ask(number)
     for number, peer in enumerate(late, 101):
@@ -177,15 +180,15 @@
     front, peer, whole = front_of(world), Peer(world["node"].node), asked(1, "health")
     peer.sock.sendall(whole[:20])
     connection = only(front)
-    assert soon(lambda: connection.partial_since)
+    assert soon(lambda: connection.partial_since_s)
 
     def late() -> None:
         if state == "refused":
-            connection.refused_since = time.monotonic() - rpc_frontend.LINGER_S - 1
-        connection.partial_since = time.monotonic() - rpc_frontend.FRAME_S - 1
+            connection.rejecting_since_s = time.monotonic() - LINGER_S - 1
+        connection.partial_since_s = time.monotonic() - rpc_frontend.MAX_FRAME_S - 1
         peer.sock.sendall(whole[20:])
         assert soon(lambda: unread_bytes(connection.sock) > 0)
-        front._look_at(connection, time.monotonic(), 100.0, 100.0)
+        front._check(connection, time.monotonic(), IdleLimits(100.0, 100.0, 100.0))
 
     on_poller(front, late)
     assert peer.answer()[1] == 1
@@ -208,19 +211,19 @@
 def test_what_comes_behind_too_many_bad_requests_is_refused_and_not_run(world: dict[str, Any]) -> None:
     peer = Peer(world["node"].node)
     peer.sock.sendall(
-        b"".join(asked(number, "no-such-class") for number in range(1, rpc_frontend.MOST_BAD + 1))
+        b"".join(asked(number, "no-such-class") for number in range(1, rpc_frontend.MAX_BAD_REQUESTS + 1))
         + asked(90)
         + asked(91)
     )
     errors = {message[1]: message[2][0] for message in peer.until_end()}
-    assert (errors[90], errors[91], len(errors)) == ("Full", "Full", rpc_frontend.MOST_BAD + 2)
+    assert (errors[90], errors[91], len(errors)) == ("Full", "Full", rpc_frontend.MAX_BAD_REQUESTS + 2)
     world["runtime"].expect(["nothing"])
 
 
 def test_half_a_request_is_closed_without_a_reset_of_the_answer_before_it(
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(rpc_frontend, "FRAME_S", 0.2)
+    monkeypatch.setattr(rpc_frontend, "MAX_FRAME_S", 0.2)
     front, peer = front_of(world), Peer(world["node"].node)
     end = front._end
 
@@ -247,7 +250,7 @@
         assert soon(lambda: unread_bytes(sock) > 0)
         return False
 
-    monkeypatch.setattr(front, "_wait", cross)
+    monkeypatch.setattr(front, "_wait_for_request", cross)
     web.connect(front.address)
     assert web.recv(100) == b""
 
@@ -256,7 +259,7 @@
 def test_callers_that_read_no_answer_do_not_hold_their_places(
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(rpc_frontend, "FRAME_S", 0.2)
+    monkeypatch.setattr(rpc_frontend, "MAX_FRAME_S", 0.2)
     front, take = front_of(world), Listener.take
 
     def narrow(listener: Listener) -> tuple[socket.socket, Address] | None:
@@ -266,16 +269,16 @@
         return taken
 
     monkeypatch.setattr(Listener, "take", narrow)
-    deaf = [Peer(world["node"].node, receive_bytes=2048) for _ in range(front._most)]
+    deaf = [Peer(world["node"].node, receive_bytes=2048) for _ in range(front.max_connections)]
     big = asked(1, "health") * 500
     for peer in deaf:  # until the node has answers that nobody takes
         peer.sock.settimeout(0.05)
         with pytest.raises(TimeoutError):
             while True:
                 peer.sock.sendall(big)
-                if front.open_connections() and all(one.outbox.backlog for one in front._all()):
+                if front.open_connections() and all(one.outbox.backlog for one in front.connections()):
                     raise TimeoutError
-    late = [Peer(world["node"].node, ask=1) for _ in range(rpc_frontend.SPARE + 4)]
+    late = [Peer(world["node"].node, ask=1) for _ in range(rpc_frontend.MAX_SPARE + 4)]
     assert [peer.answer()[1] for peer in late] == [1] * len(late)
 
 
@@ -320,12 +323,12 @@
         parting.append(sock)
         hold.wait(parties.PATIENCE_S)
 
-    monkeypatch.setattr(front, "_part", part)
+    monkeypatch.setattr(ajp_frontend, "shut_and_discard", part)
     webs = [socket.create_connection(front.address, parties.PATIENCE_S) for _ in range(30)]
     counters = world["node"].node.parts.counters
     try:
         assert soon(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
-        assert len(parting) <= ajp_frontend.MOST_TURNED
+        assert len(parting) <= ajp_frontend.MAX_TURNED_AWAY
     finally:
         hold.set()
         for web in webs:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -188,7 +188,8 @@
         node: Node = world["node"].node
         front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
-        callers = front._most + front._spare + front._most_lingering + max_ajp_connections(node.config)
+        callers = front.max_connections + front.max_spare + front.max_half_closed
+        callers += max_ajp_connections(node.config)
         assert callers == max_caller_connections(node.config)
         assert 1024 - callers >= node.parts.worker_pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
 
@@ -201,5 +202,5 @@
         node = Node(merge(parse_platform(told, {}), None))
         front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
-        assert front._most >= sockets / 2
+        assert front.max_connections >= sockets / 2
         node.close()
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -884,7 +884,7 @@
             rows.held.set()
             assert status("i") == 200
         assert made._pager is not None
-        assert not front._in_hand
+        assert not front._in_flight
         assert all(not resident.pins for resident in made._pager._residents.values())
         counted = core.counters.snapshot()
         assert [counted[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -29,7 +29,8 @@
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import CallFinished, Message
-from reelusher.frontends.rpc.frontend import Connection, RpcFrontend
+from reelusher.frontends.rpc.connection import Connection
+from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.importer import httpd, jk
 from reelusher.importer.__main__ import main as run_importer
 from reelusher.importer.model import Imported
