--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -56,7 +56,7 @@
             self._tokens.append(Token(OPERATOR, digest(config.token), ""))
         self._parts = parts
         self._listener = Listener(
-            "admin", config.listen, parts.core.counters, self._serve, most=MOST_CONNECTIONS
+            "admin", config.listen, parts.core.counters, self._serve, max_connections=MOST_CONNECTIONS
         )
         self.address = self._listener.address
         self._routes: dict[tuple[str, str, bool], Handler] = {
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -54,7 +54,7 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.outbox: SendBuffer | None = None  # once it is connected
+        self.send_buffer: SendBuffer | None = None  # once it is connected
         self.wanted: PendingCall | None = None  # the call that is out
         self.served: set[str] = set()  # calls made here: a second copy of a reply is not a later call's
         self.used = time.monotonic()
@@ -122,8 +122,8 @@
             if line is not None and line.wanted is not None and line.wanted.ticket == ticket:
                 del self._busy[call]
                 line.wanted = None
-                if line.outbox is not None:
-                    line.outbox.send(lines.vault_unask(call))
+                if line.send_buffer is not None:
+                    line.send_buffer.send(lines.vault_unask(call))
                 self._end(line)
             else:
                 self._waiting = deque(one for one in self._waiting if one.ticket != ticket)
@@ -158,15 +158,15 @@
             line.wanted = wanted
             line.served.add(wanted.call)
             self._busy[wanted.call] = line
-            if line.outbox is not None:
+            if line.send_buffer is not None:
                 self._send(line)
 
     def _send(self, line: DownstreamConnection) -> None:
         wanted = line.wanted
         assert wanted is not None
-        assert line.outbox is not None
+        assert line.send_buffer is not None
         left_ms = max((wanted.until_us - self._clock.now()) // 1000, 1)
-        if not line.outbox.send(lines.vault_ask(wanted.call, left_ms, wanted.body)):
+        if not line.send_buffer.send(lines.vault_ask(wanted.call, left_ms, wanted.body)):
             # not a byte was taken, so it never ran: it goes out on the next connection
             self._end(line)
             line.wanted = None
@@ -187,8 +187,8 @@
     @staticmethod
     def _end(line: DownstreamConnection) -> None:
         line.over = True
-        if line.outbox is not None:
-            line.outbox.close()
+        if line.send_buffer is not None:
+            line.send_buffer.close()
 
     # The thread of a connection
 
@@ -203,14 +203,14 @@
                 self._unmade(line)
             else:
                 self._counters.add("vault.connected")
-                line.outbox = SendBuffer(sock, BACKLOG_BYTES)
+                line.send_buffer = SendBuffer(sock, BACKLOG_BYTES)
                 if line.wanted is None or line.over:  # given up or closed meanwhile
                     self._end(line)
                 else:
                     self._send(line)
-        if sock is not None and line.outbox is not None:
+        if sock is not None and line.send_buffer is not None:
             self._read(line, sock)
-            line.outbox.release()
+            line.send_buffer.release()
         with self._lock:
             line.over = True
             if line in self._idle:
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -122,7 +122,7 @@
         self._post = post
         self._counters = counters
         self._lock = threading.Lock()
-        self._outbox: SendBuffer | None = None
+        self._send_buffer: SendBuffer | None = None
         self._ready = False  # caught up with the runtime on this link
         self._sent = UnacknowledgedCommands()
         self._serial = 0  # of the last notice taken
@@ -163,8 +163,8 @@
                 if wanted and sock is not None:
                     unused = self._next  # of a move before, not taken up yet
                     self._next, sock, wanted = (address, sock), unused[1] if unused else None, False
-                    if self._outbox is not None:
-                        self._outbox.close()  # its reader sees the end and takes up the next link
+                    if self._send_buffer is not None:
+                        self._send_buffer.close()  # its reader sees the end and takes up the next link
             if sock is not None:
                 sock.close()
             if not wanted:
@@ -175,8 +175,8 @@
         """Let go of the link for good."""
         with self._lock:
             self._closed = True
-            if self._outbox is not None:
-                self._outbox.close()
+            if self._send_buffer is not None:
+                self._send_buffer.close()
 
     @property
     def up(self) -> bool:
@@ -208,17 +208,17 @@
     def request_gauges(self, cookie: str) -> bool:
         """Ask for the gauges."""
         with self._lock:
-            if not self._ready or self._outbox is None:
+            if not self._ready or self._send_buffer is None:
                 return False
             self._sent.mark(cookie)
-            return self._outbox.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
+            return self._send_buffer.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
 
     def _command(self, word: str, call: str, **more: Any) -> None:
         line = lines.json_line({"msg": word, "call": call, **more})
         with self._lock:
             self._sent.add(call, line)
-            if self._ready and self._outbox is not None:
-                self._outbox.send(line)
+            if self._ready and self._send_buffer is not None:
+                self._send_buffer.send(line)
 
     # The link
 
@@ -250,17 +250,17 @@
             if sock is None:
                 time.sleep(backoff.next_s())
                 continue
-            outbox, opened = SendBuffer(sock, BACKLOG_BYTES), time.monotonic()
+            send_buffer, opened = SendBuffer(sock, BACKLOG_BYTES), time.monotonic()
             with self._lock:
-                self._outbox, self._links = outbox, self._links + 1
+                self._send_buffer, self._links = send_buffer, self._links + 1
                 if self._next is not None or self._closed:
-                    outbox.close()
-            outbox.send(lines.json_line({"msg": "sync", "serial": self._serial}))
+                    send_buffer.close()
+            send_buffer.send(lines.json_line({"msg": "sync", "serial": self._serial}))
             self._read(sock)
             with self._lock:
-                self._ready, self._outbox, self._linked = False, None, None
+                self._ready, self._send_buffer, self._linked = False, None, None
                 moved = self._next is not None
-            outbox.release()
+            send_buffer.release()
             if self._closed:
                 return
             if moved:
@@ -322,18 +322,18 @@
             self._post(RunsLost(self))
         self._began = began
         with self._lock:
-            if self._outbox is not None:
+            if self._send_buffer is not None:
                 cookie = f"sync{self._links}"
-                self._outbox.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
+                self._send_buffer.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
 
     def _catch_up(self) -> None:
         """Send again what may have been lost, now that all missed notices are read."""
         with self._lock:
             lost = self._sent.on_new_link()
             self._ready = True
-            if self._outbox is not None:
+            if self._send_buffer is not None:
                 for line in lost:
-                    self._outbox.send(line)
+                    self._send_buffer.send(line)
                 if self._links > 1 and lost:
                     self._counters.add("runtime.sent_again", len(lost))
 
--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -34,7 +34,7 @@
 class DrainableConnection(Protocol):
     """A connection that can be shut down gracefully."""
 
-    outbox: SendBuffer
+    send_buffer: SendBuffer
     phase: ConnectionPhase
 
     @property
@@ -143,5 +143,5 @@
     def _enter(self, connection: ConnectionT, phase: ConnectionPhase) -> None:
         """Enter a phase; SHUT_DOWN only if the send buffer could be shut down."""
         shuts_down = phase is ConnectionPhase.SHUT_DOWN and connection.phase is not phase
-        if not shuts_down or connection.outbox.shut():
+        if not shuts_down or connection.send_buffer.shutdown_write():
             connection.phase = phase
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -137,7 +137,7 @@
             try:
                 sock.bind(address)
                 return sock, Listener(
-                    "fleet", sock.getsockname(), self._counters, self._serve, most=MOST_ASKERS
+                    "fleet", sock.getsockname(), self._counters, self._serve, max_connections=MOST_ASKERS
                 )
             except OSError:
                 sock.close()
--- a/reelusher/frontends/rpc/connection.py
+++ b/reelusher/frontends/rpc/connection.py
@@ -24,7 +24,7 @@
     def __init__(self, sock: socket.socket, budget: ByteBudget, peer: Address = ("", 0)) -> None:
         self.sock = sock
         self.peer = peer
-        self.outbox = SendBuffer(sock, MAX_BACKLOG_BYTES, budget)
+        self.send_buffer = SendBuffer(sock, MAX_BACKLOG_BYTES, budget)
         self.decoder = msgpack.Decoder(MAX_FRAME_BYTES)
         self.lock = threading.Lock()
         self.open_requests: dict[int, str] = {}  # by message id: the run id
@@ -45,7 +45,7 @@
     def state(self) -> ConnectionState:
         """What is unfinished on it."""
         return ConnectionState(
-            self.unanswered, self.outbox.backlog, 0 if self.ended else unread_bytes(self.sock)
+            self.unanswered, self.send_buffer.backlog, 0 if self.ended else unread_bytes(self.sock)
         )
 
     @property
@@ -68,7 +68,7 @@
 
     def send_reply(self, message_id: int, error: Any, result: Any) -> None:
         """Send an answer; for requests that never were open."""
-        self.outbox.send(msgpack.pack([ANSWER, message_id, error, result]))
+        self.send_buffer.send(msgpack.pack([ANSWER, message_id, error, result]))
 
     def send_last_call(self, now: float) -> None:
         """Ask the caller to send nothing more on this connection."""
@@ -76,7 +76,7 @@
             if self.last_call_s:
                 return
             self.last_call_s = now
-        self.outbox.send(msgpack.pack([NOTICE, LAST_CALL_NOTICE, []]))
+        self.send_buffer.send(msgpack.pack([NOTICE, LAST_CALL_NOTICE, []]))
 
     def idle_s(self, now: float) -> float:
         """Return for how long no request has been open."""
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -111,7 +111,7 @@
 
     def _close(self) -> None:
         for connection in self.connections():
-            connection.outbox.close()
+            connection.send_buffer.close()
             self._release(connection)
         self._half_closed.release_all()
         self.stop_listening()
@@ -163,7 +163,7 @@
         """Accept connections; return False where none waits. `draining`: however many are open."""
         for _ in range(MAX_ACCEPTED):
             try:
-                accepted = self._listener.take()
+                accepted = self._listener.accept()
             except BlockingIOError:
                 return False
             except ConnectionResourcesError:
@@ -207,8 +207,8 @@
         evicted = heapq.nsmallest(max(self.max_connections // EVICTED_PART, 1), candidates)
         for *_, connection in evicted:
             self._core.counters.add("platform.closed_for_room")
-            if connection.outbox.backlog:
-                connection.outbox.close()
+            if connection.send_buffer.backlog:
+                connection.send_buffer.close()
             connection.send_last_call(now)
             self._close_idle(connection)
         if evicted:
@@ -235,7 +235,7 @@
         if not data:
             self._end(connection, peer_closed=True)
             return False
-        if connection.outbox.closed:  # nothing can be answered any more, so nothing is run either
+        if connection.send_buffer.closed:  # nothing can be answered any more, so nothing is run either
             return True
         return self._decode(connection, data)
 
@@ -335,12 +335,12 @@
 
     def _finish(self, connection: Connection) -> None:
         """Close a connection if all answers have gone out; otherwise the next sweep tries again."""
-        if connection.unanswered or (connection.outbox.backlog and not connection.outbox.closed):
+        if connection.unanswered or (connection.send_buffer.backlog and not connection.send_buffer.closed):
             return
         if connection.peer_closed:
             self._release(connection)
             return
-        if not connection.outbox.shut():
+        if not connection.send_buffer.shutdown_write():
             return  # its writer is about to finish: a close now would be a reset
         with self._lock:
             self._connections.pop(connection.sock, None)
@@ -361,7 +361,7 @@
         with self._lock:
             self._connections.pop(connection.sock, None)
         connection.ended = True
-        connection.outbox.release()
+        connection.send_buffer.release()
 
     def _close_idle(self, connection: Connection) -> None:
         """End a connection that carries nothing, once what has come in by now is read.
@@ -373,8 +373,8 @@
         if (
             not connection.unanswered
             and not connection.ended
-            and not connection.outbox.backlog
-            and (not unread_bytes(connection.sock) or connection.outbox.closed)
+            and not connection.send_buffer.backlog
+            and (not unread_bytes(connection.sock) or connection.send_buffer.closed)
         ):
             self._finish(connection)
 
@@ -397,12 +397,12 @@
 
     def _check(self, connection: Connection, now: float, limits: IdleLimits) -> None:
         """End one connection if it is time: the last call first, and never with open requests."""
-        if connection.outbox.stalled_for(now) * 1e6 > self._parser.longest_deadline_us:
+        if connection.send_buffer.stalled_for(now) * 1e6 > self._parser.longest_deadline_us:
             self._core.counters.add("platform.closed_stalled")  # no caller waits for what it holds
-            connection.outbox.close()
+            connection.send_buffer.close()
         if not connection.ended:
             self._check_idle(connection, now, limits)
-        elif connection.outbox.closed:
+        elif connection.send_buffer.closed:
             self._release(connection)
         else:
             self._finish(connection)
@@ -443,7 +443,7 @@
     """Return whether a connection may be closed for a new one."""
     if connection.unanswered or connection.ended or connection.rejecting_since_s:
         return False
-    if connection.outbox.backlog and connection.outbox.stalled_for(now) <= MAX_FRAME_S:
+    if connection.send_buffer.backlog and connection.send_buffer.stalled_for(now) <= MAX_FRAME_S:
         return False
     protected_since_s = max(connection.last_used_s, connection.partial_since_s + PARTIAL_PROTECTED_S)
     return now - protected_since_s > MIN_AGE_S
--- a/reelusher/net/__init__.py
+++ b/reelusher/net/__init__.py
@@ -1,1 +1,1 @@
-"""Threads, sockets and the poller: what front ends and backends share of the operating system."""
+"""Threads, sockets and the poller: what frontends and backends use of the operating system."""
--- a/reelusher/net/poller.py
+++ b/reelusher/net/poller.py
@@ -1,8 +1,7 @@
-"""One thread that waits for many sockets, reads those that are ready, and does small things by the clock.
+"""One thread that waits for many sockets, reads those that are ready, and runs timers.
 
-A thread for each connection was half of a node's CPU where 230 connections came each second, and under a
-starved interpreter each of some hundred readers waited for all others: what lay unread at a node's end was
-reset. One reader takes what is ready in turn, and can tell that nothing is left.
+A thread for each connection costs much processor time where many connections come and go, and on a busy
+core each reader waits for all others. One reader takes what is ready in turn, and knows when nothing is left.
 """
 
 import contextlib
@@ -21,31 +20,31 @@
 from reelusher.core.counters import Counters
 from reelusher.net.threads import start_thread
 
-MOST_EVENTS = 128  # sockets that one look finds ready
-MOST_CALLS = 128  # of other threads' wishes before the next look at sockets
-Work = Callable[[], object]
+MAX_EVENTS = 128  # ready sockets of one poll
+MAX_CALLS = 128  # of other threads, between two polls
+Callback = Callable[[], object]
 
 
 class Poller:
-    """Runs callbacks of sockets, of the clock and of other threads, all in one thread, one at a time.
+    """Runs the callbacks of sockets, of timers and of other threads in one thread, one at a time.
 
-    A callback must not block. `watch`, `forget` and `every` are for the poller's own thread, and for any
-    thread before `start`; `call` is for all.
+    A callback must not block. `watch`, `forget` and `every` are for the poller's own thread, and before
+    `start` for any thread; `call` is for all.
     """
 
     def __init__(
-        self, name: str, counters: Counters, late: Callable[[float], None] = lambda late_s: None
+        self, name: str, counters: Counters, on_lag: Callable[[float], None] = lambda lag_s: None
     ) -> None:
-        """`late` hears by how many seconds each callback of the clock came after its time."""
+        """`on_lag` is called with the seconds that each timer ran late."""
         self._name = name
         self._counters = counters
-        self._late = late
+        self._on_lag = on_lag
         self._epoll = select.epoll()
-        self._ready: dict[int, Work] = {}  # by descriptor
-        self._calls: queue.SimpleQueue[Work] = queue.SimpleQueue()
-        self._bell = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self._epoll.register(self._bell, select.EPOLLIN)
-        self._timers: list[tuple[float, int, float, Work]] = []  # when, order, seconds between two, what
+        self._ready: dict[int, Callback] = {}  # by descriptor
+        self._calls: queue.SimpleQueue[Callback] = queue.SimpleQueue()
+        self._wakeup_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self._epoll.register(self._wakeup_fd, select.EPOLLIN)
+        self._timers: list[tuple[float, int, float, Callback]] = []  # due, order, interval, callback
         self._order = count()
         self._thread: threading.Thread | None = None
         self._closed = False
@@ -56,88 +55,87 @@
 
     @property
     def started(self) -> bool:
-        """Tell whether there is a thread, which alone may then watch and forget."""
+        """Whether there is a thread, which alone may then watch and forget."""
         return self._thread is not None
 
     def close(self) -> None:
-        """Let the thread end, after the callback that it is at."""
+        """End the thread after its present callback."""
         self._closed = True
-        self._ring()
+        self._wake()
         if self._thread is None:
             self._release()
 
-    def call(self, work: Work) -> None:
-        """Have something done by the poller's thread, from any thread."""
-        self._calls.put(work)
-        self._ring()
+    def call(self, callback: Callback) -> None:
+        """Run a callback on the poller's thread; from any thread."""
+        self._calls.put(callback)
+        self._wake()
 
-    def watch(self, sock: socket.socket, ready: Work) -> None:
+    def watch(self, sock: socket.socket, ready: Callback) -> None:
         """Call `ready` whenever the socket can be read, or has ended."""
         self._ready[sock.fileno()] = ready
         self._epoll.register(sock.fileno(), select.EPOLLIN)
 
     def forget(self, sock: socket.socket) -> None:
-        """Watch a socket no longer; before it is closed, or another may come under its descriptor."""
+        """Stop watching a socket; before it is closed, since its descriptor may be reused."""
         if self._ready.pop(sock.fileno(), None) is not None:
             with contextlib.suppress(OSError):
                 self._epoll.unregister(sock.fileno())
 
-    def every(self, seconds: float, work: Work) -> None:
-        """Do something each so many seconds."""
-        heapq.heappush(self._timers, (time.monotonic() + seconds, next(self._order), seconds, work))
+    def every(self, seconds: float, callback: Callback) -> None:
+        """Run a callback periodically."""
+        heapq.heappush(self._timers, (time.monotonic() + seconds, next(self._order), seconds, callback))
 
-    def _ring(self) -> None:
-        with contextlib.suppress(OSError):  # closed by now
-            os.eventfd_write(self._bell, 1)
+    def _wake(self) -> None:
+        with contextlib.suppress(OSError):  # closed already
+            os.eventfd_write(self._wakeup_fd, 1)
 
     def _release(self) -> None:
         self._epoll.close()
-        os.close(self._bell)
+        os.close(self._wakeup_fd)
 
     def _run(self) -> None:
         while not self._closed:
             wait = max(0.0, self._timers[0][0] - time.monotonic()) if self._timers else None
-            found = self._epoll.poll(wait, MOST_EVENTS)
-            self._run_due()  # the clock, and what others ask for, go before what has come in
+            found = self._epoll.poll(wait, MAX_EVENTS)
+            self._run_timers()  # timers and calls go before sockets
             self._run_calls()
             for fd, _ in found:
-                if fd == self._bell:
+                if fd == self._wakeup_fd:
                     with contextlib.suppress(BlockingIOError):
-                        os.eventfd_read(self._bell)
+                        os.eventfd_read(self._wakeup_fd)
                 elif (ready := self._ready.get(fd)) is not None:
-                    self._guarded(ready)
+                    self._run_callback(ready)
                 if self._timers and self._timers[0][0] <= time.monotonic():
-                    break  # on a starved core a round took seconds; what is left out is told again
+                    break  # on a busy core a round may take seconds; the next poll finds the rest again
         self._release()
 
     def _run_calls(self) -> None:
-        """Do what others asked for, until now: also what came while this thread was at one of these.
+        """Run the calls of other threads, also those that are made meanwhile.
 
-        It was left for the round after. A drain asked for meanwhile then found that connections whose bytes
-        had come no earlier had been read as if the node did not leave: refused before they were told.
+        Left for the next round, a drain would begin after sockets that became readable no earlier than it.
         """
-        for _ in range(MOST_CALLS):
+        for _ in range(MAX_CALLS):
             try:
-                work = self._calls.get_nowait()
+                callback = self._calls.get_nowait()
             except queue.Empty:
                 return
-            self._guarded(work)
+            self._run_callback(callback)
 
-    def _run_due(self) -> None:
+    def _run_timers(self) -> None:
         now = time.monotonic()
         while self._timers and self._timers[0][0] <= now:
-            due, order, seconds, work = self._timers[0]
-            self._late(now - due)
-            # from now on, not from when it was due: one that came late must not come several times at once
-            heapq.heapreplace(self._timers, (now + seconds, order, seconds, work))
-            self._guarded(work)
-
-    def _guarded(self, work: Work) -> None:
-        """Do something. A fault in it is that connection's, never the end of the thread that all need."""
+            due, order, seconds, callback = self._timers[0]
+            self._on_lag(now - due)
+            # counted from now, not from when it was due: a late timer must not run several times at once
+            heapq.heapreplace(self._timers, (now + seconds, order, seconds, callback))
+            self._run_callback(callback)
+
+    def _run_callback(self, callback: Callback) -> None:
+        """Run a callback. An exception in it must not end the thread that all connections need."""
         try:
-            work()
+            callback()
         except Exception:
             self._counters.add("poller.failed")
-            logger.exception("the poller {} failed at a step", self._name)
+            logger.exception("poller {}: a step failed", self._name)
             if __debug__:
                 raise
--- a/reelusher/net/sockets.py
+++ b/reelusher/net/sockets.py
@@ -6,9 +6,9 @@
 
 
 def connect(address: Address, timeout: float, source: Address | None = None) -> socket.socket:
-    """Open a connection within `timeout` seconds, from `source` if given. Raises OSError.
+    """Open a connection within `timeout` seconds, from `source` if given; raise OSError where that fails.
 
-    The socket blocks and sends small writes at once.
+    The socket is blocking, and sends small writes at once.
     """
     sock = socket.create_connection(address, timeout, source)
     sock.settimeout(None)
--- a/reelusher/net/threads.py
+++ b/reelusher/net/threads.py
@@ -6,9 +6,9 @@
 STACK_BYTES = 256 * 1024  # of every thread; the deepest parser needs a small part of that
 
 
-def start_thread(name: str, work: Callable[[], object]) -> threading.Thread:
-    """Start a daemon thread with a small stack. Raises RuntimeError where the process may start no more."""
+def start_thread(name: str, function: Callable[[], object]) -> threading.Thread:
+    """Start a daemon thread with a small stack. Raises RuntimeError where none can be started."""
     threading.stack_size(STACK_BYTES)
-    thread = threading.Thread(target=work, name=name, daemon=True)
+    thread = threading.Thread(target=function, name=name, daemon=True)
     thread.start()
     return thread
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -127,7 +127,7 @@
     peer.ask(1, method="health")
     connection = only(front)
     assert soon(lambda: connection.messages_read)
-    shut, release = connection.outbox.shut, connection.outbox.release
+    shut, release = connection.send_buffer.shutdown_write, connection.send_buffer.release
     crossed: list[bool] = []
 
     def crossing(step: Callable[[], Any]) -> Any:
@@ -137,8 +137,8 @@
             assert soon(lambda: unread_bytes(connection.sock) > 0)
         return step()
 
-    monkeypatch.setattr(connection.outbox, "shut", lambda: crossing(shut))
-    monkeypatch.setattr(connection.outbox, "release", lambda: crossing(release))
+    monkeypatch.setattr(connection.send_buffer, "shutdown_write", lambda: crossing(shut))
+    monkeypatch.setattr(connection.send_buffer, "release", lambda: crossing(release))
     on_poller(front, lambda: front._close_idle(connection))
     assert [message[1] for message in peer.until_end()] == [1]
     assert peer.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # a reset would be told here
@@ -199,10 +199,10 @@
     front, peer = front_of(world), Peer(world["node"].node, ask=1)
     connection = only(front)
     assert peer.answer()[1] == 1
-    connection.outbox._writer = True
+    connection.send_buffer._has_writer = True
     on_poller(front, lambda: front._close_idle(connection))
     assert front.open_connections() == 1
-    connection.outbox._writer = False
+    connection.send_buffer._has_writer = False
     on_poller(front, lambda: front._close_idle(connection))
     assert peer.until_end() == []
     assert front.open_connections() == 0
@@ -260,7 +260,7 @@
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rpc_frontend, "MAX_FRAME_S", 0.2)
-    front, take = front_of(world), Listener.take
+    front, take = front_of(world), Listener.accept
 
     def narrow(listener: Listener) -> tuple[socket.socket, Address] | None:
         taken = take(listener)
@@ -268,7 +268,7 @@
             taken[0].setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return taken
 
-    monkeypatch.setattr(Listener, "take", narrow)
+    monkeypatch.setattr(Listener, "accept", narrow)
     deaf = [Peer(world["node"].node, receive_bytes=2048) for _ in range(front.max_connections)]
     big = asked(1, "health") * 500
     for peer in deaf:  # until the node has answers that nobody takes
@@ -276,7 +276,7 @@
         with pytest.raises(TimeoutError):
             while True:
                 peer.sock.sendall(big)
-                if front.open_connections() and all(one.outbox.backlog for one in front.connections()):
+                if front.open_connections() and all(one.send_buffer.backlog for one in front.connections()):
                     raise TimeoutError
     late = [Peer(world["node"].node, ask=1) for _ in range(rpc_frontend.MAX_SPARE + 4)]
     assert [peer.answer()[1] for peer in late] == [1] * len(late)
@@ -520,12 +520,12 @@
     """The vault makes a call again on a False; it may have run."""
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    outbox = SendBuffer(near, limit=1000)
-    assert outbox.send(b"x" * 1_000_000) is True
-    assert outbox.closed
-    assert outbox.send(b"x") is False
+    send_buffer = SendBuffer(near, limit=1000)
+    assert send_buffer.send(b"x" * 1_000_000) is True
+    assert send_buffer.closed
+    assert send_buffer.send(b"x") is False
     far.close()
-    outbox.release()
+    send_buffer.release()
 
 
 def test_the_file_of_a_reload_does_not_make_a_cold_node_warm() -> None:
@@ -548,7 +548,7 @@
             served.append(peer)
             hold.wait(parties.PATIENCE_S)
 
-    listener = Listener("some", ("127.0.0.1", 0), counters, serve, most=2)
+    listener = Listener("some", ("127.0.0.1", 0), counters, serve, max_connections=2)
     listener.start()
     start = threads.start_thread
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -276,19 +276,19 @@
 
 def test_send_buffer_is_shut_down_only_when_all_is_sent_and_closed_by_its_last_user() -> None:
     near, far = socket.socketpair()
-    outbox = SendBuffer(near, limit=32 << 20)
-    outbox.send(b"x" * (8 << 20))
-    assert outbox.backlog
-    assert not outbox.shut()
+    send_buffer = SendBuffer(near, limit=32 << 20)
+    send_buffer.send(b"x" * (8 << 20))
+    assert send_buffer.backlog
+    assert not send_buffer.shutdown_write()
     got = 0
     while got < 8 << 20:
         got += len(far.recv(1 << 20))
     until = time.monotonic() + 10
-    while not outbox.shut():
+    while not send_buffer.shutdown_write():
         assert time.monotonic() < until
         time.sleep(0.01)
     assert far.recv(10) == b""
-    outbox.release()
+    send_buffer.release()
     far.close()
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -46,32 +46,32 @@
 
 def test_a_slow_reader_neither_blocks_the_sender_nor_holds_more_than_its_backlog() -> None:
     near, far = socket.socketpair()
-    outbox, began = SendBuffer(near, limit=1 << 20), time.monotonic()
+    send_buffer, began = SendBuffer(near, limit=1 << 20), time.monotonic()
     sent = 0
-    while outbox.send(b"x" * 65_536):
+    while send_buffer.send(b"x" * 65_536):
         sent += 65_536
     assert time.monotonic() - began < 5
     assert sent < 8 << 20
-    assert outbox.closed
-    outbox.release()
+    assert send_buffer.closed
+    send_buffer.release()
     far.close()
 
 
 def test_what_waits_in_an_outbox_arrives_whole_and_in_order() -> None:
     near, far = socket.socketpair()
-    outbox = SendBuffer(near, limit=8 << 20)
+    send_buffer = SendBuffer(near, limit=8 << 20)
     data = bytes(range(256)) * 4096
     for at in range(0, len(data), 10_000):
-        assert outbox.send(data[at : at + 10_000])
+        assert send_buffer.send(data[at : at + 10_000])
     got = bytearray()
     while len(got) < len(data):
         got += far.recv(1 << 16)
     until = time.monotonic() + 10
-    while outbox.backlog and time.monotonic() < until:  # the writer counts what it has sent a little later
+    while send_buffer.backlog and time.monotonic() < until:  # the writer counts what it sent later
         time.sleep(0.01)
     assert got == data
-    assert not outbox.backlog
-    outbox.release()
+    assert not send_buffer.backlog
+    send_buffer.release()
     far.close()
 
 
