--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -12,7 +12,8 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.policy.events import Request
-from reelusher.tenancy.fair_queue import FairQueue, Quota
+from reelusher.tenancy.fair_queue import FairQueue
+from reelusher.tenancy.quota import Quota
 
 WINDOW_US, TAIL_US = 22_971_000, 7_700_000
 RESULT_BYTES = 1000
@@ -63,7 +64,7 @@
     def entitle() -> FairQueue:
         shares = FairQueue(8, 65_536.0)
         for number in range(size):
-            shares.entitle(number, Quota())
+            shares.set_quota(number, Quota())
         return shares
 
     def asked() -> None:
--- a/reelusher/tenancy/rate_limit.py
+++ b/reelusher/tenancy/rate_limit.py
@@ -1,4 +1,4 @@
-"""Arithmetic of fair shares, free of state and I/O: rate limits and max-min allocation."""
+"""Arithmetic of fair sharing, free of I/O: rate limits, max-min allocation and a fairness index."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,30 +8,30 @@
 class Gcra:
     """Generic cell rate algorithm, the virtual scheduling form (ITU-T I.371, annex A).
 
-    It allows `rate` units for each microsecond, and `burst_us` worth of that rate at once. Credit for time
-    that was not used ends with `credit_us`, so nobody hoards. What is charged may be corrected later: the
-    theoretical arrival time is moved by the difference.
+    It allows `rate` units in each microsecond, and `burst_us` worth of that rate at once. Credit for unused
+    time is limited to `credit_us`. A charge may be corrected later: the theoretical arrival time moves by
+    the difference.
     """
 
-    rate: float  # units for each microsecond, above 0
+    rate: float  # units in each microsecond, above 0
     burst_us: float
     credit_us: float = 0.0
-    tat_us: float = 0.0  # theoretical arrival time: when all that was charged has been earned
+    tat_us: float = 0.0  # theoretical arrival time: when everything charged so far has been earned
 
     def conforms(self, now_us: float) -> bool:
-        """Tell whether more may be taken now."""
+        """Return whether more units may be taken now."""
         return self.tat_us - now_us <= self.burst_us
 
     def charge(self, units: float, now_us: float) -> None:
-        """Book units that are taken now; negative ones give back what was booked too much."""
+        """Charge units that are taken now; a negative amount returns what was charged too much."""
         if units >= 0:
             self.tat_us = max(self.tat_us, now_us - self.credit_us)
         self.tat_us += units / self.rate
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
-    """What one flow wants and is entitled to, all in the unit of the capacity."""
+class FlowDemand:
+    """The demand of one flow and what it is entitled to, all in the unit of the capacity."""
 
     demand: float
     weight: float
@@ -39,46 +39,52 @@
     ceiling: float = float("inf")
 
     @property
-    def most(self) -> float:
-        """What it can take at most."""
+    def maximum(self) -> float:
+        """The most that it can use."""
         return min(self.demand, self.ceiling)
 
     @property
-    def least(self) -> float:
+    def minimum(self) -> float:
         """What it gets before others get more than that by their weight."""
-        return min(self.most, self.guarantee)
+        return min(self.maximum, self.guarantee)
 
 
-def allocate(claims: Sequence[Claim], capacity: float) -> list[float]:
-    """Share a capacity out: weighted max-min fairness with guarantees and ceilings, in O(n log n).
+def allocate(demands: Sequence[FlowDemand], capacity: float) -> list[float]:
+    """Return the weighted max-min allocation of a capacity, with guarantees and ceilings, in O(n log n).
 
-    Each claim gets min(most, max(least, level * weight)) for the one level at which that adds up to the
-    capacity, or all that it wants where there is enough (water filling: Bertsekas and Gallager, Data
-    Networks, 6.5.2). Guarantees that add up to more than the capacity are cut in proportion.
+    Each flow gets min(maximum, max(minimum, level * weight)) for the one level at which that adds up to the
+    capacity, or its maximum where the capacity suffices for all (water filling: Bertsekas and Gallager, Data
+    Networks, 6.5.2). Guarantees that add up to more than the capacity are reduced in proportion.
     """
-    if sum(claim.most for claim in claims) <= capacity:
-        return [claim.most for claim in claims]
-    least = sum(claim.least for claim in claims)
-    if least >= capacity:
-        return [claim.least * capacity / least for claim in claims]
-    # as the level rises a claim begins to grow at `least / weight` and stops at `most / weight`
-    turns = sorted(
-        [(claim.least / claim.weight, claim.weight) for claim in claims]
-        + [(claim.most / claim.weight, -claim.weight) for claim in claims]
+    if sum(demand.maximum for demand in demands) <= capacity:
+        return [demand.maximum for demand in demands]
+    minimum = sum(demand.minimum for demand in demands)
+    if minimum >= capacity:
+        return [demand.minimum * capacity / minimum for demand in demands]
+    level = _water_level(demands, capacity, minimum)
+    return [min(demand.maximum, max(demand.minimum, level * demand.weight)) for demand in demands]
+
+
+def _water_level(demands: Sequence[FlowDemand], capacity: float, minimum: float) -> float:
+    """Return the level at which the allocations add up to the capacity; at 0 they add up to `minimum`."""
+    # as the level rises, a flow starts to grow at `minimum / weight` and stops at `maximum / weight`
+    breakpoints = sorted(
+        [(demand.minimum / demand.weight, demand.weight) for demand in demands]
+        + [(demand.maximum / demand.weight, -demand.weight) for demand in demands]
     )
-    level, slope, given = 0.0, 0.0, least
-    for at, change in turns:
-        if slope > 0 and given + slope * (at - level) >= capacity:
+    level, slope, allocated = 0.0, 0.0, minimum
+    for next_level, slope_change in breakpoints:
+        if slope > 0 and allocated + slope * (next_level - level) >= capacity:
             break
-        given += slope * (at - level)
-        level, slope = at, slope + change
+        allocated += slope * (next_level - level)
+        level, slope = next_level, slope + slope_change
     if slope > 0:
-        level += (capacity - given) / slope
-    return [min(claim.most, max(claim.least, level * claim.weight)) for claim in claims]
+        level += (capacity - allocated) / slope
+    return level
 
 
 def jain(values: Sequence[float]) -> float:
-    """Jain's fairness index: 1 where all are equal, 1/n where one has everything; 1 for nothing at all.
+    """Return Jain's fairness index: 1 where all are equal, 1/n where one has everything; 1 for no values.
 
     Source: Jain, Chiu and Hawe, DEC-TR-301, 1984.
     """
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -12,9 +12,10 @@
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import EventLoopTask, Runner
-from reelusher.tenancy.fair_queue import FairQueue, Quota
+from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.index import Index, Leaf, Routes
 from reelusher.tenancy.lifecycle import DRAIN_US, Lifecycle, TenantRecord, TenantState
+from reelusher.tenancy.quota import Quota
 from reelusher.tenancy.reader_pool import WAIT_S, ReaderPool
 from reelusher.tenancy.tenant_cache import (
     IDLE_US,
@@ -95,7 +96,7 @@
         if source is not None:
             self._readers = ReaderPool(core.counters)
             self._pager = TenantCache(source, self._readers.read, core.clock.now, WAIT_S)
-            shares.forgetful = True
+            shares.advances_while_idle = True
         core.admits_tenant = self._life.admits
         for tenant, state in entries:
             self.put(tenant, state)
@@ -150,7 +151,7 @@
             "state": entry.state.value,
             "in_hand": self._core.attempts.of_tenant(entry.number),
             "answers": self._core.counters.of_tenant(name),
-            **told,
+            **told._asdict(),
         }
 
     def read(self, value: Any, name: str | None = None) -> Tenant:
@@ -214,7 +215,7 @@
 
     def _entitle(self, entry: TenantRecord) -> None:
         tenant = entry.tenant
-        self._shares.entitle(entry.number, self._share(tenant))
+        self._shares.set_quota(entry.number, self._share(tenant))
         runner = self._runner_of(tenant.backend)
         if runner is None:
             self._core.runners.pop(tenant.name, None)
@@ -244,7 +245,7 @@
         for gone in self._life.tick(self._core.clock.now(), self._core.attempts.of_tenant, numbers):
             if gone.in_hand:  # what is in hand of all is gone through
                 self._core.end_tenant_requests(gone.entry.number)
-            self._shares.drop(gone.entry.number)
+            self._shares.remove(gone.entry.number)
             if self._life.get(gone.entry.tenant.name) is None:
                 self._core.runners.pop(gone.entry.tenant.name, None)
             self._core.counters.add("tenants.removed")
@@ -422,6 +423,6 @@
                 self._core.counters.add("tenants.let_go")
 
     def _free(self, number: int) -> bool:
-        return not self._core.attempts.of_tenant(number) and self._shares.let_go(
+        return not self._core.attempts.of_tenant(number) and self._shares.evict(
             number, self._core.clock.now()
         )
--- a/tests/test_generated.py
+++ b/tests/test_generated.py
@@ -33,7 +33,8 @@
 )
 from reelusher.policy.in_flight import RequestState
 from reelusher.policy.settings import CapacityHint, Idempotency, PreemptionMode, RequestClass, Settings
-from reelusher.tenancy.fair_queue import FairQueue, Quota
+from reelusher.tenancy.fair_queue import FairQueue
+from reelusher.tenancy.quota import Quota
 
 KINDS = [
     RequestClass(
@@ -76,7 +77,7 @@
         self.shares = FairQueue(site.cores, site.memory_kb) if tenants else None
         for tenant in range(tenants):
             assert self.shares is not None
-            self.shares.entitle(tenant, SHARES[tenant % len(SHARES)] if tenants > 1 else Quota())
+            self.shares.set_quota(tenant, SHARES[tenant % len(SHARES)] if tenants > 1 else Quota())
         self.controller = Controller(site, 1, self.shares)
         self.twin = Controller(site, 1) if tenants == 1 else None
         self.now = 0
@@ -120,10 +121,10 @@
         assert abs(made.in_flight.memory_kb - sum(sizes)) < 1e-6
         for tenant in range(self.tenants if self.shares else 0):
             assert self.shares is not None
-            told = self.shares.usage(tenant, self.now)
+            usage = self.shares.usage(tenant, self.now)
             own = [w for w in made.in_flight.by_id.values() if w.request.tenant == tenant]
-            assert told["held"] == sum(w.state is RequestState.HELD for w in own)
-            assert told["running"] == sum(w.started for w in own)
+            assert usage.held == sum(w.state is RequestState.HELD for w in own)
+            assert usage.running == sum(w.started for w in own)
 
     def check(self, action: Action) -> None:
         """Carry out one action."""
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -176,7 +176,7 @@
         for _ in range(2):
             race.now += 100_000
             race.core.process_batch([])
-        assert set(race.shares._flows) <= live, "a tenant that is gone still has a standing"
+        assert set(race.shares.flows) <= live, "a tenant that is gone still has a standing"
         removed += race.core.counters.snapshot().get("tenants.removed", 0)
     assert removed > 20
     assert WINDOW_US > 60 * 120_000
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -30,8 +30,10 @@
 from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.policy.events import Outcome, Request
 from reelusher.tenancy import tenant_cache
-from reelusher.tenancy.fair_queue import DEMAND_US, FairQueue, Quota
+from reelusher.tenancy.fair_queue import FairQueue
+from reelusher.tenancy.flow_state import DEMAND_TIME_CONSTANT_US
 from reelusher.tenancy.lifecycle import TenantRecord, TenantState
+from reelusher.tenancy.quota import Quota
 from reelusher.tenancy.reader_pool import ReaderPool
 from reelusher.tenancy.registry import IDLE_LOOK_US, Match, TenantRegistry, reason
 from reelusher.tenancy.tenant_cache import TenantUnavailableError
@@ -529,7 +531,7 @@
     assert len(world.pager) == 1
     world.pass_s(5)
     assert len(world.pager) == 0
-    assert not world.shares._flows
+    assert not world.shares.flows
     assert not world.core.runners
     assert not world.tenants._life._by_number
     assert world.count("tenants.let_go") == 1
@@ -766,7 +768,7 @@
     assert len(world.pager) == 0
     used = world.tenants.usage(entry)
     assert (used["name"], used["in_hand"], used["state"]) == ("a", 0, "active")
-    assert not world.shares._flows
+    assert not world.shares.flows
     known = ("safe",), frozenset({"w"})
     assert reason("a", world.rows.lines["a"].tenant, *known) == ""
     for value in (b"{", b"\xff", b"[" * 100_000, b"[]", world.rows.lines["b"].tenant):
@@ -782,30 +784,30 @@
 
 def test_who_is_ahead_of_the_others_or_of_its_clocks_is_not_let_go() -> None:
     shares = FairQueue(1, 1000.0)
-    shares.entitle(1, Quota(guarantee=0.5, ceiling=0.5))
+    shares.set_quota(1, Quota(guarantee=0.5, ceiling=0.5))
     one, other = request(1, 1), request(2, 2)
     shares.request_arrived(one, 0)
-    assert not shares.let_go(1, 0)  # it asks for something
+    assert not shares.evict(1, 0)  # it asks for something
     shares.run_started(one, 0)
     shares.run_ended(one, 400_000, 400_000)
-    quiet_us = 20 * DEMAND_US
-    assert not shares.let_go(1, quiet_us)  # ahead by its run
+    quiet_us = 20 * DEMAND_TIME_CONSTANT_US
+    assert not shares.evict(1, quiet_us)  # ahead by its run
     for number in range(3):
         shares.run_started(replace_id(other, 10 + number), quiet_us)
         shares.run_ended(replace_id(other, 10 + number), 400_000, quiet_us)
-    assert shares._virtual >= 400_000
-    flow = shares._flows[1]
-    assert flow.limit
-    assert flow.reserve
-    flow.limit.tat_us = quiet_us + 1.0
-    assert not shares.let_go(1, quiet_us)  # over its ceiling
-    flow.limit.tat_us = 0.0
-    flow.reserve.tat_us = quiet_us - 1.0
-    assert not shares.let_go(1, quiet_us)  # its guarantee has less credit than a fresh one
-    flow.reserve.tat_us = 0.0
-    assert shares.let_go(1, quiet_us)
-    assert 1 not in shares._flows
-    assert shares.let_go(1, quiet_us)
+    assert shares.virtual_time >= 400_000
+    flow = shares.flows[1]
+    assert flow.ceiling_clock
+    assert flow.guarantee_clock
+    flow.ceiling_clock.tat_us = quiet_us + 1.0
+    assert not shares.evict(1, quiet_us)  # over its ceiling
+    flow.ceiling_clock.tat_us = 0.0
+    flow.guarantee_clock.tat_us = quiet_us - 1.0
+    assert not shares.evict(1, quiet_us)  # its guarantee has less credit than a fresh one
+    flow.guarantee_clock.tat_us = 0.0
+    assert shares.evict(1, quiet_us)
+    assert 1 not in shares.flows
+    assert shares.evict(1, quiet_us)
 
 
 def replace_id(made: Request, number: int) -> Request:
@@ -814,28 +816,28 @@
 
 def test_nobody_is_ahead_for_good_where_nobody_waits() -> None:
     shares = FairQueue(1, 1000.0)
-    shares.forgetful = True
+    shares.advances_while_idle = True
     one = request(1, 1)
     shares.run_started(one, 0)
     shares.run_ended(one, 400_000, 400_000)
     shares.period_elapsed(500_000)
-    assert not shares.let_go(1, 500_000)
+    assert not shares.evict(1, 500_000)
     shares.period_elapsed(850_000)
-    assert not shares.let_go(1, 850_000)
+    assert not shares.evict(1, 850_000)
     shares.holding_changed(request(2, 2), 1, 20.0)  # somebody waits: virtual time is what starts make it
     for now_us in range(900_000, 9_000_000, 100_000):
         shares.period_elapsed(now_us)
-    assert not shares.let_go(1, 9_000_000)
+    assert not shares.evict(1, 9_000_000)
     shares.holding_changed(request(2, 2), -1, -20.0)
     shares.period_elapsed(9_100_000)
     shares.period_elapsed(9_200_000)
-    assert shares.let_go(1, 9_200_000)
+    assert shares.evict(1, 9_200_000)
 
 
 def test_a_look_at_the_usage_of_who_is_not_there_leaves_nothing() -> None:
     shares = FairQueue(1, 1000.0)
-    assert shares.usage(7, 0)["held"] == 0
-    assert not shares._flows
+    assert shares.usage(7, 0).held == 0
+    assert not shares.flows
 
 
 def test_looks_at_who_is_idle_end_with_the_last_tenant(world: World) -> None:
