--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -16,7 +16,7 @@
 from reelusher.core.event_loop import Core
 from reelusher.storage.journal import JournalError
 from reelusher.storage.tenant_state import StoredTenant, TenantVersion, shown
-from reelusher.tenancy.lifecycle import DRAIN_US, TenantState, TenantStateError
+from reelusher.tenancy.lifecycle import DEFAULT_DRAIN_TIMEOUT_US, TenantState, TenantStateError
 from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
 
@@ -141,17 +141,17 @@
         limit, after = asked.whole("limit", MOST_PAGE, MOST_PAGE, 1), asked.query.get("after", "")
         page, last = self._tenants.page(after, limit)
         more = {"next": last} if last else {}
-        return Reply(200, {"tenants": [self._tenants.shown(entry) for entry in page], **more})
+        return Reply(200, {"tenants": [self._tenants.to_json(entry) for entry in page], **more})
 
     def _show(self, asked: ApiCall) -> Reply:
-        entry = self._tenants.entry(asked.name)
+        entry = self._tenants.record(asked.name)
         if entry is None:
             raise self._nobody(asked.name)
         kept = self._table.kept(asked.name)
-        return Reply(200, self._tenants.shown(entry), etag(kept))
+        return Reply(200, self._tenants.to_json(entry), etag(kept))
 
     def _usage(self, asked: ApiCall) -> Reply:
-        entry = self._tenants.entry(asked.name)
+        entry = self._tenants.record(asked.name)
         if entry is None:
             raise self._nobody(asked.name)
         return Reply(200, self._core.run_on_loop(lambda: self._tenants.usage(entry)))
@@ -184,11 +184,11 @@
 
     def _read(self, value: Any, name: str | None = None) -> Tenant:
         """Check a tenant that comes with a call."""
-        return self._tenants.read(value, name)
+        return self._tenants.parse(value, name)
 
     def _known(self, name: str) -> bool:
         """Tell whether there is a tenant of this name, if only until it is gone."""
-        return self._tenants.entry(name) is not None
+        return self._tenants.record(name) is not None
 
     def _apply(self, change: Callable[[], object]) -> None:
         """Have the owner go by a change that is durable."""
@@ -252,21 +252,21 @@
             if asked.dry:
                 return self._would(before, StoredTenant(before.tenant, to.value, 0))
             kept = self._table.change("state", asked.name, asked.who, state=to.value)
-            self._apply(lambda: self._tenants.move(asked.name, to))
+            self._apply(lambda: self._tenants.set_state(asked.name, to))
             return Reply(200, self._told(kept), etag(kept))
 
     def _delete(self, asked: ApiCall) -> Reply:
-        within_us = asked.whole("within_ms", DRAIN_US // 1000, MOST_WITHIN_MS) * 1000
+        within_us = asked.whole("within_ms", DEFAULT_DRAIN_TIMEOUT_US // 1000, MOST_WITHIN_MS) * 1000
         with self._table.changing():
-            entry = self._tenants.entry(asked.name)
+            entry = self._tenants.record(asked.name)
             if entry is None or entry.state is not TenantState.DRAINING:
                 before = self._current(asked)
                 if asked.dry:
                     return self._would(before, None)
                 self._table.change("remove", asked.name, asked.who)
-            self._core.run_on_loop(lambda: self._tenants.delete(asked.name, within_us))
-        left = self._tenants.entry(asked.name)
-        return Reply(204) if left is None else Reply(202, self._tenants.shown(left))
+            self._core.run_on_loop(lambda: self._tenants.remove(asked.name, within_us))
+        left = self._tenants.record(asked.name)
+        return Reply(204) if left is None else Reply(202, self._tenants.to_json(left))
 
     def _current(self, asked: ApiCall) -> TenantVersion:
         """Return what is kept of a tenant that may be changed, and is as the caller thinks."""
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -29,7 +29,7 @@
 from reelusher.net.threads import start_thread
 from reelusher.policy.settings import Idempotency
 from reelusher.tenancy.registry import Match, TenantRegistry
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 SEND_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
 BODY_S = 10.0  # a piece of a body that is asked for has come within this
@@ -385,7 +385,7 @@
     def _matched(self, forward: ajp13.Forward) -> Iterator[Match]:
         """Tell whose a request is, which is to be handed over within."""
         path = forward.uri.partition(";")[0]
-        with self._tenants.matched(forward.method, forward.server_name, path) as match:
+        with self._tenants.pinned_match(forward.method, forward.server_name, path) as match:
             if match is None or not match.class_name:
                 raise RejectedRequestError(404, f"no tenant's route has {forward.method} {path}")
             yield match
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -250,8 +250,9 @@
         from reelusher.fleet.replication.replica_store import ReplicaError
         from reelusher.fleet.replication.service import Replication
         from reelusher.fleet.replication.sqlite_replica import SqliteReplica
-        from reelusher.tenancy.registry import TenantRegistry, reason
+        from reelusher.tenancy.cached_registry import CachedTenantRegistry
         from reelusher.tenancy.replicated import ReplicatedTable
+        from reelusher.tenancy.tenant_source import unreadable_reason
 
         told, backends = own.replication, self._backends(own)
         assert told is not None
@@ -261,12 +262,12 @@
                 Path(told.copy),
                 own.fleet.name if own.fleet else "",
                 told.control,
-                lambda name, value: reason(name, value, own.class_names, backends),
+                lambda name, value: unreadable_reason(name, value, own.class_names, backends),
             )
         except ReplicaError as error:
             raise ConfigError("replication.copy", str(error)) from None
-        tenants = TenantRegistry(
-            (), own.class_names, self._pool.runner, self.core, self._shares, backends, copy
+        tenants = CachedTenantRegistry(
+            own.class_names, self._pool.runner, self.core, self._shares, backends, copy
         )
         place = self.fleet.live()[0].place if self.fleet else ""
         replica = Replica(
@@ -289,11 +290,11 @@
         table = ReplicatedTable(replication, own.class_names, backends, self.counters)
 
         def changed(names: list[str]) -> None:
-            tenants.changed(names)
+            tenants.rows_changed(names)
             table.noticed(names)
 
         copy.on_change = changed
-        tenants.filling = replication.filling
+        tenants.is_bootstrapping = replication.filling
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
             self.fleet.serve[ChangeRequest] = calls.carried
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -1,137 +1,147 @@
-"""Whose a request is, found by host, then prefix, then route, and tenants in pages by name. Free of I/O.
+"""The index of tenants: which tenant and which class a request belongs to. Free of I/O.
 
-A request belongs to the tenant that says most about it: one with its host before those without hosts, of
-these the one with the longest prefix that its path is or lies under, of these the least name. Its class is
-that of the tenant's first route that fits.
+A request belongs to the most specific tenant: one that names its host before those without hosts, of these
+the one with the longest prefix that its path lies under, of these the first by name. Its class is that of the
+tenant's first route that matches.
 
-One thread changes the index. Any other reads it without a lock: what is read is never changed, but replaced
-as a whole, by parts that are small whatever the whole is.
+One thread changes the index. Others read it without a lock: what they read is immutable, and is replaced in
+parts that stay small whatever the size of the whole.
 """
 
 from bisect import bisect_left, bisect_right, insort
 from collections.abc import Iterator
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 from reelusher.config.operator import FULL_GUARANTEE, Route, Tenant, guarantee_units
 from reelusher.tenancy.lifecycle import TenantRecord
 
 T = TypeVar("T")
-PART = 64  # prefixes in one part of a host's table, about: a change copies one part and the list of parts
-GROWTH = 4  # times as many parts where they have become too full
-FEW_ROUTES = 8  # up to so many it is quicker to go through them
+ANY_METHOD = "*"
+ANY_HOST = ""  # of tenants without hosts of their own
+PREFIXES_PER_PART = 64  # of a host's table, about: a change copies one part and the list of parts
+GROWTH_FACTOR = 4  # of the number of parts once they are too full
+MAX_SCANNED_ROUTES = 8  # up to so many, a scan is faster than look-ups by length
 
 
 def lies_under(path: str, prefix: str) -> bool:
-    """Tell whether a path is a prefix or lies below it; /visit does not hold /visits."""
+    """Return whether a path equals a prefix or lies below it; /visits does not lie below /visit."""
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
-def _ends_there(path: str, length: int) -> bool:
-    """Tell whether a path lies under what it begins with, so many characters long."""
+def _is_prefix_end(path: str, length: int) -> bool:
+    """Return whether a path lies under the prefix that its first `length` characters are."""
     return len(path) == length or path[length] == "/" or path[length - 1 : length] == "/"
 
 
+class Location(NamedTuple):
+    """A host and a prefix under which a tenant takes requests."""
+
+    host: str  # in lower case, or `ANY_HOST`
+    prefix: str
+
+
 class Routes:
-    """The routes of one tenant, by the lengths of their paths where they are many."""
+    """The routes of one tenant, indexed by the lengths of their paths where there are many."""
 
     __slots__ = ("_first", "_lengths", "_routes")
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
         self._routes = routes
-        self._first: dict[tuple[str, str], int] = {}
+        self._first: dict[tuple[str, str], int] = {}  # by method and path: its first position
         self._lengths: tuple[int, ...] = ()
-        if len(routes) > FEW_ROUTES:
-            for place, route in enumerate(routes):
-                self._first.setdefault((route.method, route.path), place)
+        if len(routes) > MAX_SCANNED_ROUTES:
+            for position, route in enumerate(routes):
+                self._first.setdefault((route.method, route.path), position)
             self._lengths = tuple(sorted({len(route.path) for route in routes}))
 
     def class_of(self, method: str, path: str) -> str | None:
-        """Return the class of the first route that fits; None where none does."""
+        """Return the class of the first route that matches; None where none does."""
         if not self._lengths:
-            return next(
-                (
-                    route.class_name
-                    for route in self._routes
-                    if route.method in ("*", method) and lies_under(path, route.path)
-                ),
-                None,
-            )
-        least = len(self._routes)
+            return self._class_by_scan(method, path)
+        first = len(self._routes)
         for length in self._lengths:
             if length > len(path):
                 break
-            if _ends_there(path, length):
+            if _is_prefix_end(path, length):
                 start = path[:length]
-                least = min(
-                    least, self._first.get((method, start), least), self._first.get(("*", start), least)
-                )
-        return self._routes[least].class_name if least < len(self._routes) else None
+                first = min(first, self._first.get((method, start), first))
+                first = min(first, self._first.get((ANY_METHOD, start), first))
+        return self._routes[first].class_name if first < len(self._routes) else None
+
+    def _class_by_scan(self, method: str, path: str) -> str | None:
+        for route in self._routes:
+            if route.method in (ANY_METHOD, method) and lies_under(path, route.path):
+                return route.class_name
+        return None
 
 
-class Leaf:
-    """A tenant as a look-up finds it."""
+class IndexedTenant:
+    """A tenant and its routes, as a look-up returns them."""
 
-    __slots__ = ("entry", "routes")
+    __slots__ = ("record", "routes")
 
-    def __init__(self, entry: TenantRecord, routes: Routes) -> None:
-        self.entry, self.routes = entry, routes
+    def __init__(self, record: TenantRecord, routes: Routes | None = None) -> None:
+        self.record = record
+        self.routes = Routes(record.tenant.routes) if routes is None else routes
 
     @property
-    def places(self) -> set[tuple[str, str]]:
-        """Return where it is found: hosts with the prefix; without hosts at none, called ``""``."""
-        tenant = self.entry.tenant
-        return {(host, tenant.prefix) for host in tenant.hosts or ("",)}
+    def locations(self) -> set[Location]:
+        """Return the hosts and prefixes at which it is found."""
+        tenant = self.record.tenant
+        return {Location(host, tenant.prefix) for host in tenant.hosts or (ANY_HOST,)}
 
     def class_of(self, method: str, path: str) -> str:
-        """Return the class of a request; empty where no route names it, nor the tenant a default."""
+        """Return the class of a request; empty where no route matches and the tenant has no default."""
         found = self.routes.class_of(method, path)
-        return self.entry.tenant.default_class if found is None else found
+        return self.record.tenant.default_class if found is None else found
 
 
 class VirtualHost(Generic[T]):
-    """The tenants of one host, by prefix; never changed. A look-up asks once for each length of a prefix."""
+    """The tenants of one host, by prefix. Immutable. A look-up costs one step for each length of a prefix."""
 
     __slots__ = ("_lengths", "_parts", "_size")
 
     def __init__(self, lengths: dict[int, int], parts: tuple[dict[str, T], ...], size: int) -> None:
-        self._lengths = lengths  # the longest first, and how many prefixes have each
+        self._lengths = lengths  # the longest first: how many prefixes have it
         self._parts = parts  # by the hash of a prefix
         self._size = size
 
     def find(self, path: str) -> T | None:
         """Return the value of the longest prefix that a path is or lies under."""
         for length in self._lengths:
-            if length <= len(path) and _ends_there(path, length):
-                found = self.at(path[:length])
+            if length <= len(path) and _is_prefix_end(path, length):
+                found = self.get(path[:length])
                 if found is not None:
                     return found
         return None
 
-    def at(self, prefix: str) -> T | None:
+    def get(self, prefix: str) -> T | None:
         """Return the value of one prefix."""
         return self._parts[hash(prefix) & len(self._parts) - 1].get(prefix)
 
     def put(self, prefix: str, value: T) -> "VirtualHost[T]":
-        """Return the same with one prefix added or its value replaced."""
-        place = hash(prefix) & len(self._parts) - 1
-        new = prefix not in self._parts[place]
-        made = VirtualHost(
+        """Return a copy with one prefix added or its value replaced."""
+        position = hash(prefix) & len(self._parts) - 1
+        new = prefix not in self._parts[position]
+        copy = VirtualHost(
             self._with_length(len(prefix), 1) if new else self._lengths,
-            self._with_part(place, {**self._parts[place], prefix: value}),
+            self._with_part(position, {**self._parts[position], prefix: value}),
             self._size + new,
         )
-        return made._grown() if made._size > PART * len(made._parts) else made
+        return copy._with_more_parts() if copy._size > PREFIXES_PER_PART * len(copy._parts) else copy
 
     def without(self, prefix: str) -> "VirtualHost[T] | None":
-        """Return the same without one prefix; None where it was the last."""
+        """Return a copy without one prefix; None where it was the last."""
         if self._size == 1:
             return None
-        place = hash(prefix) & len(self._parts) - 1
-        part = {known: value for known, value in self._parts[place].items() if known != prefix}
-        return VirtualHost(self._with_length(len(prefix), -1), self._with_part(place, part), self._size - 1)
+        position = hash(prefix) & len(self._parts) - 1
+        part = {known: value for known, value in self._parts[position].items() if known != prefix}
+        return VirtualHost(
+            self._with_length(len(prefix), -1), self._with_part(position, part), self._size - 1
+        )
 
-    def _with_part(self, place: int, part: dict[str, T]) -> tuple[dict[str, T], ...]:
-        return (*self._parts[:place], part, *self._parts[place + 1 :])
+    def _with_part(self, position: int, part: dict[str, T]) -> tuple[dict[str, T], ...]:
+        return (*self._parts[:position], part, *self._parts[position + 1 :])
 
     def _with_length(self, length: int, change: int) -> dict[int, int]:
         count = self._lengths.get(length, 0)
@@ -143,137 +153,140 @@
             for known in sorted([*others, length] if change > 0 else others, reverse=True)
         }
 
-    def _grown(self) -> "VirtualHost[T]":
-        parts: tuple[dict[str, T], ...] = tuple({} for _ in range(GROWTH * len(self._parts)))
+    def _with_more_parts(self) -> "VirtualHost[T]":
+        parts: tuple[dict[str, T], ...] = tuple({} for _ in range(GROWTH_FACTOR * len(self._parts)))
         for part in self._parts:
             for prefix, value in part.items():
                 parts[hash(prefix) & len(parts) - 1][prefix] = value
         return VirtualHost(self._lengths, parts, self._size)
 
 
-EMPTY_HOST: VirtualHost[Leaf] = VirtualHost({}, ({},), 0)
+EMPTY_HOST: VirtualHost[IndexedTenant] = VirtualHost({}, ({},), 0)
 
 
-class Index:
-    """Tenants by name, in the order of their names, and by what requests they take."""
+class TenantIndex:
+    """Tenants by name, in the order of their names, and by the requests that belong to them."""
 
     def __init__(self) -> None:
-        self._leaves: dict[str, Leaf] = {}
+        self._tenants: dict[str, IndexedTenant] = {}
         self._names: list[str] = []  # sorted
-        self._hosts: dict[str, VirtualHost[Leaf]] = {}
-        self._rivals: dict[tuple[str, str], list[str]] = {}  # by host and prefix, where several have both
-        self._guaranteed = 0  # all guarantees together, in units that add up exactly
+        self._hosts: dict[str, VirtualHost[IndexedTenant]] = {}
+        self._sharing: dict[Location, list[str]] = {}  # sorted names, where several tenants have one location
+        self._guaranteed = 0  # sum of all guarantees, in units that add up exactly
 
     def __len__(self) -> int:
-        return len(self._leaves)
+        return len(self._tenants)
 
     def get(self, name: str) -> TenantRecord | None:
         """Return one tenant."""
-        leaf = self._leaves.get(name)
-        return leaf.entry if leaf else None
+        indexed = self._tenants.get(name)
+        return indexed.record if indexed else None
 
-    def entries(self) -> Iterator[TenantRecord]:
+    def records(self) -> Iterator[TenantRecord]:
         """Return all tenants, in no order."""
-        return iter([leaf.entry for leaf in tuple(self._leaves.values())])
+        return iter([indexed.record for indexed in tuple(self._tenants.values())])
 
     def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
-        """Return so many tenants whose names come after one, and the last name where more follow."""
+        """Return at most `limit` tenants whose names come after one, and the last name where more follow."""
         while True:
             start = bisect_right(self._names, after)
             before = min(start, 1)
             names = self._names[start - before : start + limit + 1]
-            # where names moved between the two looks, another place has been cut out
+            # if names were added or removed since the search, the slice starts elsewhere
             if all(name <= after for name in names[:before]) and all(
                 name > after for name in names[before : before + 1]
             ):
                 del names[:before]
                 break
-        found = [leaf.entry for name in names[:limit] if (leaf := self._leaves.get(name)) is not None]
+        found = [indexed.record for name in names[:limit] if (indexed := self._tenants.get(name)) is not None]
         return found, names[limit - 1] if len(names) > limit else ""
 
-    def fits(self, tenant: Tenant) -> bool:
-        """Tell whether guarantees add up to no more than all, with this tenant for the one of its name."""
-        leaf = self._leaves.get(tenant.name)
-        before = guarantee_units(leaf.entry.tenant) if leaf else 0
+    def guarantee_fits(self, tenant: Tenant) -> bool:
+        """Return whether the guarantees add up to at most 1 with this tenant in place of its namesake."""
+        indexed = self._tenants.get(tenant.name)
+        before = guarantee_units(indexed.record.tenant) if indexed else 0
         return self._guaranteed - before + guarantee_units(tenant) <= FULL_GUARANTEE
 
-    # Changes, by one thread. What is new is there before what is old goes: a reader finds one or the other.
+    # Changes, by one thread. The new is added before the old is removed: a reader finds one or the other.
 
-    def put(self, entry: TenantRecord) -> None:
+    def put(self, record: TenantRecord) -> None:
         """Add a tenant, or replace the one of its name."""
-        name, known = entry.tenant.name, self._leaves.get(entry.tenant.name)
-        same = known is not None and known.entry.tenant.routes == entry.tenant.routes
-        leaf = Leaf(entry, known.routes if known is not None and same else Routes(entry.tenant.routes))
-        self._guaranteed += guarantee_units(entry.tenant)
-        self._leaves[name] = leaf
-        if known is None:
+        name = record.tenant.name
+        previous = self._tenants.get(name)
+        same_routes = previous is not None and previous.record.tenant.routes == record.tenant.routes
+        indexed = IndexedTenant(record, previous.routes if previous is not None and same_routes else None)
+        self._guaranteed += guarantee_units(record.tenant)
+        self._tenants[name] = indexed
+        if previous is None:
             insort(self._names, name)
-        places, before = leaf.places, known.places if known else set()
-        for place in places:
-            if place not in before:
-                self._join(place, name)
-            self._show(place, name)
-        for place in before - places:
-            self._leave(place, name)
-        if known is not None:
-            self._guaranteed -= guarantee_units(known.entry.tenant)
+        locations, old_locations = indexed.locations, previous.locations if previous else set()
+        for location in locations:
+            if location not in old_locations:
+                self._add_sharing(location, name)
+            self._publish(location, name)
+        for location in old_locations - locations:
+            self._remove_location(location, name)
+        if previous is not None:
+            self._guaranteed -= guarantee_units(previous.record.tenant)
 
     def remove(self, name: str) -> None:
-        """Take a tenant out, if it is there."""
-        leaf = self._leaves.get(name)
-        if leaf is None:
+        """Remove a tenant, if it is there."""
+        indexed = self._tenants.get(name)
+        if indexed is None:
             return
-        for place in leaf.places:
-            self._leave(place, name)
+        for location in indexed.locations:
+            self._remove_location(location, name)
         del self._names[bisect_left(self._names, name)]
-        del self._leaves[name]
-        self._guaranteed -= guarantee_units(leaf.entry.tenant)
-
-    def _join(self, place: tuple[str, str], name: str) -> None:
-        host, prefix = place
-        rivals = self._rivals.get(place)
-        if rivals is None:
-            there = self._hosts.get(host, EMPTY_HOST).at(prefix)
-            if there is None:
+        del self._tenants[name]
+        self._guaranteed -= guarantee_units(indexed.record.tenant)
+
+    def _add_sharing(self, location: Location, name: str) -> None:
+        """Record that a tenant shares a location with others, if it does."""
+        names = self._sharing.get(location)
+        if names is None:
+            first = self._hosts.get(location.host, EMPTY_HOST).get(location.prefix)
+            if first is None:
                 return
-            rivals = self._rivals[place] = [there.entry.tenant.name]
-        insort(rivals, name)
-
-    def _show(self, place: tuple[str, str], name: str) -> None:
-        """Let readers find a tenant at a place of its own, if it is the first there."""
-        rivals = self._rivals.get(place)
-        if rivals is None or rivals[0] == name:
-            host, prefix = place
-            self._hosts[host] = self._hosts.get(host, EMPTY_HOST).put(prefix, self._leaves[name])
-
-    def _leave(self, place: tuple[str, str], name: str) -> None:
-        host, prefix = place
-        rivals = self._rivals.get(place)
-        if rivals is not None:
-            first = rivals[0]
-            del rivals[bisect_left(rivals, name)]
-            if first == name:
-                self._show(place, rivals[0])
-            if len(rivals) == 1:
-                del self._rivals[place]
+            names = self._sharing[location] = [first.record.tenant.name]
+        insort(names, name)
+
+    def _publish(self, location: Location, name: str) -> None:
+        """Let readers find a tenant at a location, if it is the first by name there."""
+        names = self._sharing.get(location)
+        if names is None or names[0] == name:
+            host = self._hosts.get(location.host, EMPTY_HOST)
+            self._hosts[location.host] = host.put(location.prefix, self._tenants[name])
+
+    def _remove_location(self, location: Location, name: str) -> None:
+        names = self._sharing.get(location)
+        if names is None:
+            self._unpublish(location)
             return
-        left = self._hosts[host].without(prefix)
-        if left is None:
-            del self._hosts[host]
+        first = names[0]
+        del names[bisect_left(names, name)]
+        if first == name:
+            self._publish(location, names[0])
+        if len(names) == 1:
+            del self._sharing[location]
+
+    def _unpublish(self, location: Location) -> None:
+        remaining = self._hosts[location.host].without(location.prefix)
+        if remaining is None:
+            del self._hosts[location.host]
         else:
-            self._hosts[host] = left
+            self._hosts[location.host] = remaining
 
     # Look-ups, by any thread
 
-    def find(self, host: str, path: str) -> Leaf | None:
-        """Return whose a request is, by its host in lower case and its path."""
+    def find(self, host: str, path: str) -> IndexedTenant | None:
+        """Return the tenant that a request belongs to, by its host in lower case and its path."""
         while True:
             own = self._hosts.get(host) if host else None
             found = own.find(path) if own is not None else None
             if found is not None:
                 return found
-            of_any = self._hosts.get("")
-            found = of_any.find(path) if of_any is not None else None
-            # a tenant that has just taken hosts is found at neither, where the two looks are of two tables
+            default = self._hosts.get(ANY_HOST)
+            found = default.find(path) if default is not None else None
+            # a tenant whose first hosts were added between the two look-ups is found by neither
             if not host or self._hosts.get(host) is own:
                 return found
--- a/reelusher/tenancy/reader_pool.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -1,4 +1,4 @@
-"""Threads that read the table of tenants from the disk, for others that wait so long and no longer."""
+"""Threads that read the table of tenants from the disk, for others that wait for a limited time."""
 
 import queue
 from collections.abc import Callable
@@ -8,48 +8,50 @@
 
 from reelusher.core.counters import Counters
 from reelusher.net.threads import start_thread
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 T = TypeVar("T")
-READERS = 3  # threads, as many as a copy has connections to read by
-MOST_WAITING = 64  # requests that wait for the disk at once; further ones are refused
-WAIT_S = 0.5  # within which what a request waits for has been read, or it is refused
+READER_THREADS = 3  # the replica has a connection for each
+MAX_WAITING_READS = 64  # requests that wait for the disk at once; further ones are rejected
+READ_TIMEOUT_S = 0.5  # after which the request that waits for a read is rejected
 
 
 class ReaderPool:
-    """Reads for threads of fronts. A disk that hangs holds up these threads, and no request."""
+    """Reads for threads of front ends. A disk that hangs blocks the threads of the pool, and no request."""
 
-    def __init__(self, counters: Counters, wait_s: float = WAIT_S, most_waiting: int = MOST_WAITING) -> None:
+    def __init__(
+        self, counters: Counters, timeout_s: float = READ_TIMEOUT_S, max_waiting: int = MAX_WAITING_READS
+    ) -> None:
         self._counters = counters
-        self._wait_s = wait_s
-        self._places = BoundedSemaphore(most_waiting)
+        self._timeout_s = timeout_s
+        self._waiting_slots = BoundedSemaphore(max_waiting)
         self._jobs: queue.SimpleQueue[tuple[Future[Any], Callable[[], Any]] | None] = queue.SimpleQueue()
-        for number in range(READERS):
+        for number in range(READER_THREADS):
             start_thread(f"tenant-reader-{number}", self._run)
 
     def read(self, action: Callable[[], T]) -> T:
-        """Return what an action reads. Raises `TenantUnavailableError` where it fails or takes too long."""
-        if not self._places.acquire(blocking=False):
+        """Run an action that reads; raises `TenantUnavailableError` where it fails or takes too long."""
+        if not self._waiting_slots.acquire(blocking=False):
             self._counters.add("tenants.refused_waiting")
             raise TenantUnavailableError("too many requests wait for the table of tenants")
         try:
             done: Future[T] = Future()
             self._jobs.put((done, action))
             try:
-                return done.result(self._wait_s)
+                return done.result(self._timeout_s)
             except TimeoutError:
-                done.cancel()  # where it has not begun, it never will
+                done.cancel()  # if it has not started, it never will
                 self._counters.add("tenants.refused_late")
                 raise TenantUnavailableError("the table of tenants was not read in time") from None
             except Exception as error:
                 self._counters.warn("tenants.refused_unread", "tenants: the table can't be read: {}", error)
                 raise TenantUnavailableError(str(error)) from None
         finally:
-            self._places.release()
+            self._waiting_slots.release()
 
     def close(self) -> None:
-        """End the threads after what they read now."""
-        for _ in range(READERS):
+        """Stop the threads once their current reads have ended."""
+        for _ in range(READER_THREADS):
             self._jobs.put(None)
 
     def _run(self) -> None:
@@ -59,5 +61,5 @@
                 continue
             try:
                 done.set_result(action())
-            except Exception as error:  # belongs to whoever waits
+            except Exception as error:  # the waiting thread handles it
                 done.set_exception(error)
--- a/reelusher/tenancy/tenant_cache.py
+++ b/reelusher/tenancy/tenant_cache.py
@@ -1,13 +1,13 @@
-"""Which tenants of a table on the disk are in memory: those in use, and few enough. Free of I/O.
+"""Which tenants of the table on the disk are in memory: those in use, up to a limit. Free of I/O.
 
-A request's thread finds whose it is by tables of hosts, which are kept for hosts of few prefixes, or else by
-the table on the disk. It *pins* its tenant until the owner has been handed the request. A tenant that is not
-there is read and put; while it is read, others wait for the same read. What changes on the disk meanwhile
-makes that read stale, and it is made again.
+The thread that reads a request resolves its tenant by tables of hosts, which are cached for hosts of few
+prefixes, or else by the table on the disk. It *pins* the tenant until the request has been posted to the
+event loop. A tenant that is not cached is read and put; other requests for it wait for the same read. A
+change on the disk in the meantime makes that read stale, and it is repeated.
 
-Who puts a tenant has the owner told of it in the same step, under a lock that nobody holds while reading or
-waiting: so the owner hears of a tenant before any request of it, and before any change that came after it was
-read. That it has heard is not waited for. The owner alone replaces and lets go.
+A tenant is put and posted to the event loop in one step, under a lock that nobody holds while reading or
+waiting: so the event loop learns of a tenant before any request of it, and before any change that follows
+the read. Nobody waits until it has learnt of it. Only the event loop replaces and evicts.
 """
 
 import threading
@@ -15,399 +15,340 @@
 from collections.abc import Callable, Iterable, Sequence
 from contextlib import suppress
 from dataclasses import dataclass, field
-from typing import Protocol, TypeVar
-
-from reelusher.tenancy.index import Leaf, VirtualHost
-
-T = TypeVar("T")
-MOST_TENANTS = 8192  # in memory
-MOST_HOSTS = 8192  # whose tables are kept
-FEW_PREFIXES = 16  # up to so many, of a host and of those without hosts together, a table is kept
-IDLE_US = 600_000_000  # unused for so long, a tenant may be let go: its place is cheap, reading it is dear
-LOOKS = 512  # tenants looked at at a time, whether they may be let go
-TRIES, TRIES_S = 8, 1.0  # reads that may turn out stale, one after another, before a request is refused
-MANY_CHANGES = 256  # at once, past which no host's table is kept, in place of a look at each
-MOST_NOTED = 1000  # rows that can't be served whose reasons are kept
-
-
-class TenantRow(Protocol):
-    """A tenant as the table on the disk has it."""
-
-    @property
-    def name(self) -> str:
-        """Return its name."""
-
-    @property
-    def number(self) -> int:
-        """Return its number: the same while it exists, and no other's ever."""
-
-    @property
-    def state(self) -> str:
-        """Return where it stands."""
-
-    @property
-    def tenant(self) -> bytes:
-        """Return it as JSON."""
-
-
-class TenantSource(Protocol):
-    """The table on the disk. Calls may come from any thread; each reads one state of the table."""
-
-    def match(self, host: str, path: str) -> TenantRow | None:
-        """Return whose a request is."""
-
-    def prefixes(self, host: str, most: int) -> Sequence[tuple[bool, str, str]] | None:
-        """Return what is said of a host: whether by its name or of any, prefix, and tenant.
-
-        None where that is more than so much.
-        """
-
-    def get(self, name: str) -> TenantRow | None:
-        """Return one tenant."""
-
-    def page(self, after: str, limit: int) -> Sequence[TenantRow]:
-        """Return so many tenants whose names come after one, in their order."""
-
-    def guaranteed(self) -> float:
-        """Return all guarantees together."""
-
-
-class Read(Protocol):
-    """What runs an action that reads, and returns what that returns."""
-
-    def __call__(self, action: Callable[[], T]) -> T:
-        """Raise `TenantUnavailableError` where it fails or is not over in time."""
-
-
-class TenantUnavailableError(Exception):
-    """A request whose tenant can't be put in memory now; it may come again."""
+from typing import NamedTuple
+
+from reelusher.tenancy.host_tables import HostTable, HostTables, build_host_table
+from reelusher.tenancy.index import IndexedTenant
+from reelusher.tenancy.tenant_source import (
+    ReadWithTimeout,
+    TenantRow,
+    TenantSource,
+    TenantUnavailableError,
+    row_hosts,
+)
+
+MAX_CACHED_TENANTS = 8192
+MAX_TABLE_PREFIXES = 16  # of a host, with those of tenants without hosts, for which a table is cached
+IDLE_TIMEOUT_US = 600_000_000  # unused for so long, a tenant may be evicted
+IDLE_SCAN_SIZE = 512  # tenants that one scan for idle ones looks at
+MAX_READ_ATTEMPTS = 8  # reads that turn out stale, one after another, before a request is rejected
+READ_TIMEOUT_US = 1_000_000  # for all of these attempts
+MAX_CHANGES_BY_HOST = 256  # changes at once, past which all host tables are dropped
+MAX_UNREADABLE_REASONS = 1000
 
 
 @dataclass(slots=True)
 class CachedTenant:
     """A tenant in memory."""
 
-    leaf: Leaf
-    pins: int = 0  # requests that were read and that the owner has not been handed yet
+    indexed: IndexedTenant
+    pins: int = 0  # requests that were read and not yet posted to the event loop
     uses: int = 0
     used_us: int = 0
 
 
-@dataclass(slots=True)
-class Load:
-    """A tenant that is being read."""
+class IdleTenant(NamedTuple):
+    """A tenant that was found idle, and its count of uses then."""
 
-    row: TenantRow | None = None  # as it was read with the table of its host, if nothing has changed since
-    stale: bool = False  # it has changed since
-    done: threading.Event = field(default_factory=threading.Event)
+    cached: CachedTenant
+    uses: int
 
 
-@dataclass(slots=True, frozen=True)
-class CacheIndex:
-    """The tenants that take requests of a host, by prefix: those that name it, and those without hosts."""
+@dataclass(slots=True)
+class TenantLoad:
+    """A read of a tenant that is under way."""
 
-    own: VirtualHost[str]
-    of_any: VirtualHost[str]
-    names: frozenset[str]
+    row: TenantRow | None = None  # as it was read with the table of its host, if it has not changed since
+    stale: bool = False  # it has changed since
+    done: threading.Event = field(default_factory=threading.Event)
 
-    def find(self, path: str) -> str | None:
-        """Return whose a path is."""
-        return self.own.find(path) or self.of_any.find(path)
 
+class _Resolution(NamedTuple):
+    """The tenant that a request belongs to."""
 
-def table_of(rows: Iterable[tuple[bool, str, str]]) -> CacheIndex:
-    """Return the table that rows of a host make."""
-    hosts: dict[bool, VirtualHost[str]] = {True: VirtualHost({}, ({},), 0), False: VirtualHost({}, ({},), 0)}
-    names = set()
-    for own, prefix, name in rows:
-        names.add(name)
-        first = hosts[own].at(prefix)
-        hosts[own] = hosts[own].put(prefix, name if first is None else min(first, name))
-    return CacheIndex(hosts[True], hosts[False], frozenset(names))
+    name: str | None
+    row: TenantRow | None  # where it was read at the same time
 
 
 class TenantCache:
-    """Residents, tables of hosts, and reads under way."""
+    """Cached tenants, tables of hosts, and reads under way."""
 
     def __init__(
         self,
         source: TenantSource,
-        read: Read,
+        read: ReadWithTimeout,
         now_us: Callable[[], int],
-        wait_s: float,
-        most: int = MOST_TENANTS,
+        read_timeout_s: float,
+        max_tenants: int = MAX_CACHED_TENANTS,
     ) -> None:
-        """Begin with nobody in memory; `read` is over within `wait_s` in any case."""
+        """Start empty; `read` returns or raises within `read_timeout_s`."""
         self._source = source
         self._read = read
         self._now_us = now_us
-        self._wait_s = wait_s
-        self.most = most
+        self._read_timeout_s = read_timeout_s
+        self.max_tenants = max_tenants
         self._lock = threading.Lock()  # never held while something is read or waited for
-        self._residents: OrderedDict[str, CachedTenant] = (
-            OrderedDict()
-        )  # what was used or looked at last, last
-        self._loads: dict[str, Load] = {}
-        self._looks: dict[str, threading.Event] = {}  # hosts whose tables are being read
-        self._tables: OrderedDict[str, CacheIndex | None] = OrderedDict()  # None: more prefixes than are kept
-        self._hosts_of: dict[str, set[str]] = {}  # hosts whose tables name a tenant
-        self._changes = 0  # that were heard of
-        self._noted: OrderedDict[str, str] = OrderedDict()  # why rows can't be served
-        self._order = threading.Lock()  # one change after another
-        self._missed = set[str]()  # changes that could not be read; with that lock held
+        self._tenants: OrderedDict[str, CachedTenant] = OrderedDict()  # the last used or scanned at the end
+        self._loads: dict[str, TenantLoad] = {}  # by tenant
+        self._host_reads: dict[str, threading.Event] = {}  # by host: its table is being read
+        self._host_tables = HostTables()
+        self._version = 0  # counts changes of the table
+        self._unreadable: OrderedDict[str, str] = OrderedDict()  # by tenant: why its row can't be served
+        self._changes_lock = threading.Lock()  # changes are applied one after another
+        self._missed = set[str]()  # tenants whose change could not be read; guarded by that lock
 
     def __len__(self) -> int:
-        return len(self._residents)
+        return len(self._tenants)
 
     def get(self, name: str) -> CachedTenant | None:
-        """Return a tenant that is in memory."""
-        return self._residents.get(name)
+        """Return a tenant that is cached."""
+        return self._tenants.get(name)
 
-    def leaves(self) -> list[Leaf]:
-        """Return the tenants that are in memory."""
+    def indexed_tenants(self) -> list[IndexedTenant]:
+        """Return the tenants that are cached."""
         with self._lock:
-            return [resident.leaf for resident in self._residents.values()]
+            return [cached.indexed for cached in self._tenants.values()]
 
-    # By threads of fronts
+    # Called by threads of front ends
 
-    def find(self, host: str, path: str, load: Callable[[str, Load], bool]) -> CachedTenant | None:
-        """Return whose a request is, pinned; None: nobody's.
+    def find(self, host: str, path: str, load: Callable[[str, TenantLoad], bool]) -> CachedTenant | None:
+        """Return the tenant that a request belongs to, pinned; None where there is none.
 
         `load` reads a tenant and puts it; False: there is none of this name, or what was read is stale.
         Raises `TenantUnavailableError`, and what `read` raises.
         """
-        until_us = self._now_us() + int(TRIES_S * 1e6)
-        for _ in range(TRIES):
-            changes = self._changes
-            name, row = self._name(host, path, until_us)
+        deadline_us = self._now_us() + READ_TIMEOUT_US
+        for _ in range(MAX_READ_ATTEMPTS):
+            version = self._version
+            name, row = self._resolve(host, path, deadline_us)
             if name is None:
                 return None
-            found = self._pinned(name, load, until_us, row, changes)
-            if found is not None:
-                return found
-            self._drop_tables([host])  # it names a tenant that is gone
-            if self._now_us() > until_us:
+            cached = self._pin(name, load, deadline_us, row, version)
+            if cached is not None:
+                return cached
+            with self._lock:
+                self._host_tables.drop(host)  # it names a tenant that was removed
+            if self._now_us() > deadline_us:
                 break
         raise TenantUnavailableError("the table of tenants changes too fast")
 
-    def release(self, resident: CachedTenant) -> None:
-        """Note that the owner has been handed a request, or that there is none after all."""
+    def release(self, cached: CachedTenant) -> None:
+        """Unpin a tenant whose request has been posted to the event loop, or was not a request after all."""
         with self._lock:
-            resident.pins -= 1
-            resident.uses += 1
-            resident.used_us = self._now_us()
-
-    def _name(self, host: str, path: str, until_us: int) -> tuple[str | None, TenantRow | None]:
-        """Return whose a request is, and the row where that was read as well."""
-        for _ in range(TRIES):
-            if self._now_us() > until_us:
+            cached.pins -= 1
+            cached.uses += 1
+            cached.used_us = self._now_us()
+
+    def _resolve(self, host: str, path: str, deadline_us: int) -> _Resolution:
+        for _ in range(MAX_READ_ATTEMPTS):
+            if self._now_us() > deadline_us:
                 break
             with self._lock:
-                if host in self._tables:
-                    self._tables.move_to_end(host)
-                    table = self._tables[host]
+                if host in self._host_tables:
+                    table = self._host_tables.use(host)
                     if table is not None:
-                        return table.find(path), None
+                        return _Resolution(table.find(path), None)
                     break
-                under_way = self._looks.get(host)
-                if under_way is None:
-                    mine, changes = threading.Event(), self._changes
-                    self._looks[host] = mine
-            if under_way is not None:  # the table may be there after that
-                if not under_way.wait(self._wait_s):
-                    raise TenantUnavailableError(f"the table of {host!r} was not read in time")
-                continue
-            try:
-                table, row = self._read(lambda: self._look(host, path))
-                with self._lock:
-                    if changes == self._changes:
-                        self._keep(host, table)
-            finally:
-                with self._lock:
-                    del self._looks[host]
-                mine.set()
-            return (row.name if row else None) if table is None else table.find(path), row
-        found = self._read(lambda: self._source.match(host, path))
-        return None if found is None else found.name, found
-
-    def _look(self, host: str, path: str) -> tuple[CacheIndex | None, TenantRow | None]:
-        """Read the table of a host, and the row of whose a request is."""
-        rows = self._source.prefixes(host, FEW_PREFIXES)
-        if rows is None:
+                read_under_way = self._host_reads.get(host)
+                if read_under_way is None:
+                    version = self._version
+                    done = self._host_reads[host] = threading.Event()
+            if read_under_way is None:
+                return self._resolve_by_read(host, path, version, done)
+            if not read_under_way.wait(self._read_timeout_s):
+                raise TenantUnavailableError(f"the table of {host!r} was not read in time")
+        row = self._read(lambda: self._source.match(host, path))
+        return _Resolution(None if row is None else row.name, row)
+
+    def _resolve_by_read(self, host: str, path: str, version: int, done: threading.Event) -> _Resolution:
+        """Read the table of a host, and cache it unless the table of tenants has changed meanwhile."""
+        try:
+            table, row = self._read(lambda: self._read_host(host, path))
+            with self._lock:
+                if version == self._version:
+                    self._host_tables.put(host, table)
+        finally:
+            with self._lock:
+                del self._host_reads[host]
+            done.set()
+        if table is None:
+            return _Resolution(row.name if row else None, row)
+        return _Resolution(table.find(path), row)
+
+    def _read_host(self, host: str, path: str) -> tuple[HostTable | None, TenantRow | None]:
+        """Read the table of a host, and the row of the tenant that a request belongs to unless cached."""
+        prefixes = self._source.prefixes(host, MAX_TABLE_PREFIXES)
+        if prefixes is None:
             return None, self._source.match(host, path)
-        table = table_of(rows)
+        table = build_host_table(prefixes)
         name = table.find(path)
-        return table, None if name is None or name in self._residents else self._source.get(name)
-
-    def _keep(self, host: str, table: CacheIndex | None) -> None:
-        """Keep a host's table; with the lock held."""
-        self._forget(host)
-        self._tables[host] = table
-        for name in table.names if table else ():
-            self._hosts_of.setdefault(name, set()).add(host)
-        if len(self._tables) > MOST_HOSTS:
-            self._forget(next(iter(self._tables)))
-
-    def _forget(self, host: str) -> None:
-        table = self._tables.pop(host, None)
-        for name in table.names if table else ():
-            hosts = self._hosts_of[name]
-            hosts.discard(host)
-            if not hosts:
-                del self._hosts_of[name]
-
-    def _drop_tables(self, hosts: Iterable[str]) -> None:
-        with self._lock:
-            for host in hosts:
-                self._forget(host)
+        return table, None if name is None or name in self._tenants else self._source.get(name)
 
-    def _pinned(
+    def _pin(
         self,
         name: str,
-        load: Callable[[str, Load], bool],
-        until_us: int,
+        load: Callable[[str, TenantLoad], bool],
+        deadline_us: int,
         row: TenantRow | None,
-        changes: int,
+        version: int,
     ) -> CachedTenant | None:
-        """Return a tenant, pinned, after it has been read where it must be; None: there is none.
+        """Return a tenant, pinned, after it has been read if necessary; None where it does not exist.
 
-        `row` was read when so many changes had been heard of. What is committed before that is in it, and of
-        what comes after it the load hears.
+        `row` was read at or after `version`: it contains what was committed before, and the load is marked
+        stale by what is committed later.
         """
-        for _ in range(TRIES):
-            if self._now_us() > until_us:
+        for _ in range(MAX_READ_ATTEMPTS):
+            if self._now_us() > deadline_us:
                 break
             with self._lock:
-                resident = self._residents.get(name)
-                if resident is not None:
-                    resident.pins += 1
-                    resident.uses += 1
-                    resident.used_us = self._now_us()
-                    self._residents.move_to_end(name)
-                    return resident
-                under_way = self._loads.get(name)
-                if under_way is None:
-                    mine = self._loads[name] = Load(row if changes == self._changes else None)
-            if under_way is not None:
-                if not under_way.done.wait(self._wait_s):
+                cached = self._pin_cached(name)
+                if cached is not None:
+                    return cached
+                load_under_way = self._loads.get(name)
+                if load_under_way is None:
+                    own_load = self._loads[name] = TenantLoad(row if version == self._version else None)
+            if load_under_way is not None:
+                if not load_under_way.done.wait(self._read_timeout_s):
                     raise TenantUnavailableError(f"{name!r} was not read in time")
                 continue
             try:
-                if not load(name, mine) and not mine.stale:
+                if not load(name, own_load) and not own_load.stale:
                     return None
             finally:
                 with self._lock:
                     del self._loads[name]
-                mine.done.set()
+                own_load.done.set()
         raise TenantUnavailableError(f"{name!r} changes too fast, or is wanted too often")
 
-    # Changes, by whoever made them
+    def _pin_cached(self, name: str) -> CachedTenant | None:
+        """Pin a tenant that is cached; the caller holds the lock."""
+        cached = self._tenants.get(name)
+        if cached is not None:
+            cached.pins += 1
+            cached.uses += 1
+            cached.used_us = self._now_us()
+            self._tenants.move_to_end(name)
+        return cached
 
-    def changed(
-        self,
-        names: Sequence[str],
-        hosts_of: Callable[[TenantRow], Iterable[str]],
-        put: Callable[[str, TenantRow | None], None],
-    ) -> None:
-        """Take note that rows have changed: read those in memory anew and hand them to `put`, in order.
+    def put(self, indexed: IndexedTenant, load: TenantLoad, post: Callable[[], None]) -> bool | None:
+        """Cache a tenant that was read; False: it has changed since. None: the cache is full.
 
-        `hosts_of` returns the hosts of a row, none where it is of any. What can't be read stays as it was,
-        and is read again with the next change.
+        `post` posts it to the event loop and must not block.
         """
-        with self._order:
+        with self._lock:
+            if load.stale:
+                return False
+            if len(self._tenants) >= self.max_tenants:
+                return None
+            post()
+            self._tenants[indexed.record.tenant.name] = CachedTenant(indexed, used_us=self._now_us())
+            return True
+
+    # Called by the thread that made a change
+
+    def rows_changed(self, names: Sequence[str], apply: Callable[[str, TenantRow | None], None]) -> None:
+        """Read changed rows of cached tenants again and pass them to `apply`, in order.
+
+        A tenant whose row can't be read stays as it was, and is read again with the next change.
+        """
+        with self._changes_lock:
             names = list(dict.fromkeys([*names, *self._missed]))
             self._missed.clear()
-            rows: dict[str, TenantRow | None] = {}
-            if len(names) <= MANY_CHANGES:
-                with suppress(Exception):
-                    rows = {name: self._source.get(name) for name in names}
-            hosts: set[str] | None = set()
-            for row in rows.values():
-                found = set(hosts_of(row)) if row is not None else set()
-                hosts = None if hosts is None or (row is not None and not found) else hosts | found
-            with self._lock:
-                self._changes += 1
-                if hosts is None or len(rows) < len(names):
-                    self._tables.clear()
-                    self._hosts_of.clear()
-                else:
-                    for host in hosts.union(*(self._hosts_of.get(name, ()) for name in names)):
-                        self._forget(host)
-                for name in names:
-                    if name in self._loads:
-                        self._loads[name].stale = True
-                residents = [name for name in names if name in self._residents]
-            for name in residents:
+            rows = self._read_rows(names)
+            for name in self._invalidate(names, rows):
                 try:
-                    put(name, rows[name] if name in rows else self._source.get(name))
+                    apply(name, rows[name] if name in rows else self._source.get(name))
                 except Exception as error:
                     self._missed.add(name)
-                    self.note(name, f"it could not be read again: {error}")
-
-    def note(self, name: str, why: str) -> None:
-        """Keep why a row can't be served."""
+                    self.set_unreadable(name, f"it could not be read again: {error}")
+
+    def _read_rows(self, names: list[str]) -> dict[str, TenantRow | None]:
+        """Return the rows of these tenants, or no rows where they are too many or can't be read."""
+        if len(names) <= MAX_CHANGES_BY_HOST:
+            with suppress(Exception):
+                return {name: self._source.get(name) for name in names}
+        return {}
+
+    def _invalidate(self, names: list[str], rows: dict[str, TenantRow | None]) -> list[str]:
+        """Drop the tables of hosts that changes concern, and mark loads stale; return the cached tenants."""
+        hosts = _hosts_of(rows.values()) if len(rows) == len(names) else None
         with self._lock:
-            self._noted[name] = why
-            self._noted.move_to_end(name)
-            if len(self._noted) > MOST_NOTED:
-                self._noted.popitem(last=False)
-
-    def forget_note(self, name: str) -> None:
-        """Note that a row can be served."""
-        if name in self._noted:
+            self._version += 1
+            if hosts is None:
+                self._host_tables.clear()
+            else:
+                for host in hosts.union(*(self._host_tables.hosts_naming(name) for name in names)):
+                    self._host_tables.drop(host)
+            for name in names:
+                if name in self._loads:
+                    self._loads[name].stale = True
+            return [name for name in names if name in self._tenants]
+
+    # Rows that can't be served
+
+    def set_unreadable(self, name: str, reason: str) -> None:
+        """Record why a row can't be served."""
+        with self._lock:
+            self._unreadable[name] = reason
+            self._unreadable.move_to_end(name)
+            if len(self._unreadable) > MAX_UNREADABLE_REASONS:
+                self._unreadable.popitem(last=False)
+
+    def set_readable(self, name: str) -> None:
+        """Record that a row can be served."""
+        if name in self._unreadable:
             with self._lock:
-                self._noted.pop(name, None)
+                self._unreadable.pop(name, None)
 
-    def noted(self) -> dict[str, str]:
-        """Return why rows that were wanted can't be served, by name."""
+    def unreadable(self) -> dict[str, str]:
+        """Return why requested rows can't be served, by name."""
         with self._lock:
-            return dict(self._noted)
+            return dict(self._unreadable)
 
-    def put(self, leaf: Leaf, load: Load, tell: Callable[[], None]) -> bool | None:
-        """Put a tenant that was read in memory; False: it has changed since. None: there is no room.
+    # Called by the event loop
 
-        `tell` posts it to the owner, which must not wait for anything.
-        """
+    def replace(self, indexed: IndexedTenant) -> None:
+        """Replace a tenant that is cached."""
         with self._lock:
-            if load.stale:
-                return False
-            if len(self._residents) >= self.most:
-                return None
-            tell()
-            self._residents[leaf.entry.tenant.name] = CachedTenant(leaf, used_us=self._now_us())
-            return True
-
-    # By the owner
-
-    def replace(self, leaf: Leaf) -> None:
-        """Replace what is said of a tenant that is in memory."""
-        with self._lock:
-            self._residents[leaf.entry.tenant.name].leaf = leaf
+            self._tenants[indexed.record.tenant.name].indexed = indexed
 
     def remove(self, name: str) -> None:
-        """Take a tenant out that is gone from the table."""
+        """Remove a tenant that is no longer in the table."""
         with self._lock:
-            self._residents.pop(name, None)
+            self._tenants.pop(name, None)
 
-    def idle(self, unused_us: int, most: int = LOOKS) -> list[tuple[CachedTenant, int]]:
-        """Return tenants that nobody has used for so long, and their uses, of those looked at longest ago."""
+    def idle_tenants(self, idle_us: int, scan_size: int = IDLE_SCAN_SIZE) -> list[IdleTenant]:
+        """Return tenants that have not been used for so long, of those that were scanned longest ago."""
         with self._lock:
-            before_us, found = self._now_us() - unused_us, []
-            for _ in range(min(most, len(self._residents))):
-                name = next(iter(self._residents))
-                self._residents.move_to_end(name)
-                resident = self._residents[name]
-                if not resident.pins and resident.used_us <= before_us:
-                    found.append((resident, resident.uses))
+            used_before_us, found = self._now_us() - idle_us, []
+            for _ in range(min(scan_size, len(self._tenants))):
+                name = next(iter(self._tenants))
+                self._tenants.move_to_end(name)
+                cached = self._tenants[name]
+                if not cached.pins and cached.used_us <= used_before_us:
+                    found.append(IdleTenant(cached, cached.uses))
             return found
 
-    def let_go(self, resident: CachedTenant, uses: int, free: Callable[[], bool]) -> bool:
-        """Take a tenant out that is free and has not been used since it was found idle."""
-        name = resident.leaf.entry.tenant.name
+    def evict(self, idle: IdleTenant, may_evict: Callable[[], bool]) -> bool:
+        """Evict a tenant that has not been used since it was found idle; return whether it was evicted."""
+        name = idle.cached.indexed.record.tenant.name
         with self._lock:
-            if self._residents.get(name) is not resident or resident.pins or resident.uses != uses:
+            if self._tenants.get(name) is not idle.cached:
                 return False
-            if not free():
+            if idle.cached.pins or idle.cached.uses != idle.uses or not may_evict():
                 return False
-            del self._residents[name]
+            del self._tenants[name]
             return True
+
+
+def _hosts_of(rows: Iterable[TenantRow | None]) -> frozenset[str] | None:
+    """Return the hosts that rows name; None where a row takes requests of any host."""
+    hosts: set[str] = set()
+    for row in rows:
+        if row is None:
+            continue
+        named = row_hosts(row)
+        if not named:
+            return None
+        hosts.update(named)
+    return frozenset(hosts)
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -1,4 +1,4 @@
-"""Tenants of a table on the disk: who is in memory, and what races with a change, a removal or a let-go."""
+"""The tenant cache: which tenants are in memory, and races with changes, removals and evictions."""
 
 import json
 import queue
@@ -13,10 +13,10 @@
 import pytest
 from helpers import KEYED, SAFE, settings, soon
 from hypothesis import given
-from hypothesis import settings as bounds
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from test_core import Backend
-from test_tenant_index import asked, rule, tenant, tenants
+from test_tenant_index import expected_match, requests_strategy, tenant, tenants
 
 from reelusher.codecs import ajp13
 from reelusher.config.operator import Ajp, ShareOf, Tenant
@@ -29,22 +29,23 @@
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.policy.events import Outcome, Request
-from reelusher.tenancy import tenant_cache
+from reelusher.tenancy import host_tables, tenant_cache
+from reelusher.tenancy.cached_registry import IDLE_CHECK_INTERVAL_US, CachedTenantRegistry
 from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.flow_state import DEMAND_TIME_CONSTANT_US
 from reelusher.tenancy.lifecycle import TenantRecord, TenantState
 from reelusher.tenancy.quota import Quota
 from reelusher.tenancy.reader_pool import ReaderPool
-from reelusher.tenancy.registry import IDLE_LOOK_US, Match, TenantRegistry, reason
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.registry import Match
+from reelusher.tenancy.tenant_source import TenantUnavailableError, unreadable_reason
 
-WAIT_S = 10.0  # for what must happen
-IDLE_US = 10_000_000  # that a tenant here is kept unused: tests pass time in steps
+WAIT_S = 10.0  # for what must happen eventually
+IDLE_TIMEOUT_US = 10_000_000  # of the node under test
 
 
 @dataclass(frozen=True)
-class Line:
-    """A row."""
+class StoredRow:
+    """A row of the table."""
 
     name: str
     number: int
@@ -52,113 +53,111 @@
     tenant: bytes
 
 
-class Rows:
-    """A table in memory, whose reads a test may hold up."""
+class SourceDouble:
+    """A table in memory whose reads a test may block."""
 
     def __init__(self) -> None:
-        self.lines: dict[str, Line] = {}
+        self.rows_by_name: dict[str, StoredRow] = {}
         self.last = 0
         self.on_change: Callable[[list[str]], None] = lambda names: None
         self.calls: Counter[str] = Counter()
-        self.held = threading.Event()  # reads of tenants end only once it is set
+        self.held = threading.Event()  # reads of tenants return only once it is set
         self.held.set()
         self.reached = threading.Semaphore(0)  # released by each such read once it has read
         self.prefixes_held, self.prefixes_reached = threading.Event(), threading.Semaphore(0)  # of hosts
         self.prefixes_held.set()
 
-    def put(self, one: Tenant, state: str = "active", tell: bool = True) -> None:
-        known = self.lines.get(one.name)
+    def put(self, one: Tenant, state: str = "active", notify: bool = True) -> None:
+        known = self.rows_by_name.get(one.name)
         if known is None:
             self.last += 1
-        self.lines = self.lines | {
-            one.name: Line(
+        self.rows_by_name = self.rows_by_name | {
+            one.name: StoredRow(
                 one.name, known.number if known else self.last, state, json.dumps(one.to_json()).encode()
             )
         }
-        if tell:
+        if notify:
             self.on_change([one.name])
 
-    def remove(self, name: str, tell: bool = True) -> None:
-        self.lines = {known: line for known, line in self.lines.items() if known != name}
-        if tell:
+    def remove(self, name: str, notify: bool = True) -> None:
+        self.rows_by_name = {known: row for known, row in self.rows_by_name.items() if known != name}
+        if notify:
             self.on_change([name])
 
-    def told(self) -> list[tuple[Line, dict[str, Any]]]:
-        return [(line, json.loads(line.tenant)) for line in self.lines.values() if line.tenant != b"{"]
+    def parsed_rows(self) -> list[tuple[StoredRow, dict[str, Any]]]:
+        return [(row, json.loads(row.tenant)) for row in self.rows_by_name.values() if row.tenant != b"{"]
 
-    def match(self, host: str, path: str) -> Line | None:
+    def match(self, host: str, path: str) -> StoredRow | None:
         self.calls["match"] += 1
-        found = rule(
+        found = expected_match(
             [
-                TenantRecord(tenant(line.name, tuple(told["hosts"]), told["prefix"]), line.number)
-                for line, told in self.told()
+                TenantRecord(tenant(row.name, tuple(fields["hosts"]), fields["prefix"]), row.number)
+                for row, fields in self.parsed_rows()
             ],
             "GET",
             host,
             path,
         )
-        return None if found is None else self.lines[found.tenant.name]
+        return None if found is None else self.rows_by_name[found.tenant.name]
 
-    def prefixes(self, host: str, most: int) -> Sequence[tuple[bool, str, str]] | None:
+    def prefixes(self, host: str, limit: int) -> Sequence[tuple[bool, str, str]] | None:
         self.calls["prefixes"] += 1
         found = [
-            (bool(told["hosts"]), told["prefix"], line.name)
-            for line, told in self.told()
-            if not told["hosts"] or host in told["hosts"]
+            (bool(fields["hosts"]), fields["prefix"], row.name)
+            for row, fields in self.parsed_rows()
+            if not fields["hosts"] or host in fields["hosts"]
         ]
         self.prefixes_reached.release()
         assert self.prefixes_held.wait(WAIT_S)
-        return found if len(found) <= most else None
+        return found if len(found) <= limit else None
 
-    def get(self, name: str) -> Line | None:
+    def get(self, name: str) -> StoredRow | None:
         self.calls["get"] += 1
-        found = self.lines.get(name)
+        found = self.rows_by_name.get(name)
         self.reached.release()
         assert self.held.wait(WAIT_S)
         return found
 
-    def page(self, after: str, limit: int) -> list[Line]:
-        return [self.lines[name] for name in sorted(self.lines) if name > after][:limit]
+    def page(self, after: str, limit: int) -> list[StoredRow]:
+        return [self.rows_by_name[name] for name in sorted(self.rows_by_name) if name > after][:limit]
 
     def guaranteed(self) -> float:
-        return float(sum(told.get("share", {}).get("guarantee", 0.0) for _, told in self.told()))
+        return float(sum(fields.get("share", {}).get("guarantee", 0.0) for _, fields in self.parsed_rows()))
 
 
-class World:
-    """A node on a clock of its own, whose owner takes a turn when the test says so, or while it waits."""
+class SimulatedNode:
+    """A node on a simulated clock, whose event loop runs when the test says so, or while it waits."""
 
     def __init__(self, source: "SqliteReplica | None" = None, **changes: Any) -> None:
-        self.now_us, self.rows = 1_000_000_000_000, Rows()
-        told = settings(SAFE, KEYED, **{"cores": 2, **changes})
-        self.shares = FairQueue(told.cores, told.memory_kb)
+        self.now_us, self.source = 1_000_000_000_000, SourceDouble()
+        node_settings = settings(SAFE, KEYED, **{"cores": 2, **changes})
+        self.fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
         self.core = Core(
-            told,
+            node_settings,
             [],
             1,
             self.runners["w"],
             clock=Clock(*[lambda: self.now_us * 1000] * 2),
-            standing=self.shares,
+            standing=self.fair_queue,
         )
         self.core.process_batch([])
-        self.tenants = TenantRegistry(
-            (),
+        self.tenants = CachedTenantRegistry(
             ("safe", "keyed"),
             self.runners.get,
             self.core,
-            self.shares,
+            self.fair_queue,
             frozenset(self.runners),
-            source=source or self.rows,
-            idle_us=IDLE_US,
+            source=source or self.source,
+            idle_timeout_us=IDLE_TIMEOUT_US,
         )
-        (source or self.rows).on_change = self.tenants.changed
-        assert self.tenants._pager is not None
-        self.pager = self.tenants._pager
+        (source or self.source).on_change = self.tenants.rows_changed
+        self.cache = self.tenants.cache
         self.pool = ThreadPoolExecutor(8)
         self.answers: dict[str, list[Answer]] = {}
 
-    def turn(self, later_us: int = 0) -> None:
-        """Let the owner take one turn with all that is queued."""
+    def run_event_loop(self, later_us: int = 0) -> None:
+        """Process all that is in the queue of the event loop as one batch."""
         self.now_us += later_us
         batch = []
         while True:
@@ -168,31 +167,31 @@
                 break
         self.core.process_batch([message for message in batch if message is not None])
 
-    def pass_s(self, seconds: float) -> None:
+    def advance_s(self, seconds: float) -> None:
         for _ in range(round(seconds * 10)):
-            self.turn(100_000)
+            self.run_event_loop(100_000)
 
-    def begin(self, action: Callable[[], Any]) -> "Future[Any]":
+    def run_in_thread(self, action: Callable[[], Any]) -> "Future[Any]":
         return self.pool.submit(action)
 
-    def end(self, doing: "Future[Any]") -> Any:
-        """Have the owner take turns until something is done."""
+    def wait_for(self, doing: "Future[Any]") -> Any:
+        """Run the event loop until a call in another thread has ended, and return its result."""
         for _ in range(2000):
             if doing.done():
                 break
-            self.turn()
+            self.run_event_loop()
             threading.Event().wait(0.005)
         return doing.result(0)
 
     def find(self, host: str = "h", path: str = "/x", method: str = "GET") -> Match | None:
         def look() -> Match | None:
-            with self.tenants.matched(method, host, path) as match:
+            with self.tenants.pinned_match(method, host, path) as match:
                 return match
 
         try:
-            found: Match | None = self.end(self.begin(look))
+            found: Match | None = self.wait_for(self.run_in_thread(look))
         finally:
-            self.turn()  # nobody waits until the owner has heard of a tenant that was put
+            self.run_event_loop()  # nobody waits until the event loop has learnt of a tenant that was put
         return found
 
     def post(self, call: str, match: Match, kind: int = 0, key: str = "") -> None:
@@ -213,20 +212,20 @@
             )
         )
 
-    def ask(self, call: str, host: str = "h", kind: int = 0, key: str = "") -> None:
-        """Do as a front does."""
+    def send_request(self, call: str, host: str = "h", kind: int = 0, key: str = "") -> None:
+        """Post a request as a front end does."""
 
         def hand_over() -> None:
-            with self.tenants.matched("GET", host, "/x") as match:
+            with self.tenants.pinned_match("GET", host, "/x") as match:
                 assert match
                 self.post(call, match, kind, key)
 
-        self.end(self.begin(hand_over))
-        self.turn()
+        self.wait_for(self.run_in_thread(hand_over))
+        self.run_event_loop()
 
-    def over(self, call: str) -> None:
+    def finish_run(self, call: str) -> None:
         self.core.post(RunFinished(call, Outcome.OK, 10_000, Result(call.encode())))
-        self.turn()
+        self.run_event_loop()
 
     def verdicts(self, call: str) -> list[Verdict]:
         return [answer.verdict for answer in self.answers[call]]
@@ -236,96 +235,101 @@
 
 
 @pytest.fixture
-def world() -> Any:
-    made = World()
+def node() -> Any:
+    made = SimulatedNode()
     yield made
-    made.rows.held.set()
+    made.source.held.set()
     made.tenants.close()
     made.pool.shutdown()
 
 
-def read_and_held(world: World) -> "tuple[Future[Any], Callable[[], None]]":
-    """Have a thread look for a tenant: it has read the row, and goes on once it is told to."""
-    go_on, read, get = threading.Event(), threading.Event(), world.rows.get
+def read_and_held(node: SimulatedNode) -> "tuple[Future[Any], Callable[[], None]]":
+    """Have a thread look up a tenant: it has read the row, and continues when the second result is called."""
+    go_on, read, get = threading.Event(), threading.Event(), node.source.get
 
-    def held(name: str) -> Line | None:
+    def held(name: str) -> StoredRow | None:
         found = get(name)
-        world.rows.get = get  # type: ignore[method-assign]  # only the first
+        node.source.get = get  # type: ignore[method-assign]  # only the first
         read.set()
         assert go_on.wait(WAIT_S)
         return found
 
-    world.rows.get = held  # type: ignore[method-assign]
-    doing = world.begin(lambda: world.tenants.match("GET", "h", "/"))
+    node.source.get = held  # type: ignore[method-assign]
+    doing = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))
     assert read.wait(WAIT_S)
     return doing, go_on.set
 
 
-def on(name: str, host: str = "h", backend: str = "w", **more: Any) -> Tenant:
+def make_tenant(name: str, host: str = "h", backend: str = "w", **more: Any) -> Tenant:
     return replace(tenant(name, (host,)), backend=backend, default_class="safe", **more)
 
 
-def test_a_tenant_is_read_when_it_is_wanted_and_no_further_time(world: World) -> None:
-    world.rows.put(on("a"))
-    assert world.tenants.all() == ()
+def test_tenant_is_read_on_first_use_only(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    assert node.tenants.tenants() == ()
     for _ in range(3):
-        found = world.find()
+        found = node.find()
         assert found
-        assert (found.tenant, found.number, found.admitted) == (on("a"), 1, True)
-    assert world.rows.calls == {"prefixes": 1, "get": 2}  # once by the change that put it
-    assert world.find("elsewhere") is None
-    assert world.find("elsewhere") is None
-    assert world.rows.calls["prefixes"] == 2
-    assert world.rows.calls["match"] == 0
-    assert not any(resident.pins for resident in world.pager._residents.values())
-
-
-def test_a_host_of_many_prefixes_is_asked_of_the_table(world: World) -> None:
-    for number in range(tenant_cache.FEW_PREFIXES + 1):
-        world.rows.put(replace(on(f"t{number}"), prefix=f"/p{number}"))
+        assert (found.tenant, found.number, found.admitted) == (make_tenant("a"), 1, True)
+    assert node.source.calls == {"prefixes": 1, "get": 2}  # once by the change that put it
+    assert node.find("elsewhere") is None
+    assert node.find("elsewhere") is None
+    assert node.source.calls["prefixes"] == 2
+    assert node.source.calls["match"] == 0
+    assert not any(cached.pins for cached in node.cache._tenants.values())
+
+
+def test_host_with_many_prefixes_is_resolved_by_the_source(node: SimulatedNode) -> None:
+    for number in range(tenant_cache.MAX_TABLE_PREFIXES + 1):
+        node.source.put(replace(make_tenant(f"t{number}"), prefix=f"/p{number}"))
     for number in (0, 3, 0):
-        found = world.find("h", f"/p{number}/x")
+        found = node.find("h", f"/p{number}/x")
         assert found
         assert found.tenant.name == f"t{number}"
-    assert world.rows.calls["match"] == 3
-    assert world.rows.calls["prefixes"] == 1
+    assert node.source.calls["match"] == 3
+    assert node.source.calls["prefixes"] == 1
 
 
+row_change = st.sampled_from(["put", "put", "remove", "suspend"])
 steps = st.lists(
-    st.tuples(st.sampled_from(["put", "put", "remove", "suspend"]), tenants, st.lists(asked, max_size=4)),
+    st.tuples(
+        st.sampled_from(["put", "put", "remove", "suspend"]), tenants, st.lists(requests_strategy, max_size=4)
+    ),
     max_size=12,
 )
 
 
 @given(steps)
-@bounds(max_examples=40, deadline=None)
-def test_it_finds_whom_the_rule_names_after_any_changes(played: list[Any]) -> None:
-    world = World()
+@hypothesis_settings(max_examples=40, deadline=None)
+def test_cache_resolves_as_a_linear_scan_after_any_changes(changes: list[Any]) -> None:
+    node = SimulatedNode()
     try:
-        for what, one, requests in played:
+        for what, one, requests in changes:
             one = replace(one, backend="w", routes=(), default_class="safe")
             if what == "remove":
-                world.rows.remove(one.name)
+                node.source.remove(one.name)
             else:
-                world.rows.put(one, "suspended" if what == "suspend" else "active")
-            world.turn()
-            entries = [world.tenants.entry(name) for name in world.rows.lines]
+                node.source.put(one, "suspended" if what == "suspend" else "active")
+            node.run_event_loop()
+            found = [node.tenants.record(name) for name in node.source.rows_by_name]
+            records = [record for record in found if record]
             for method, host, path in requests:
-                assert world.find(host, path, method) == rule([e for e in entries if e], method, host, path)
+                expected = expected_match(records, method, host, path)
+                assert node.find(host, path, method) == expected
     finally:
-        world.tenants.close()
-        world.pool.shutdown()
+        node.tenants.close()
+        node.pool.shutdown()
 
 
 @given(steps)
-@bounds(max_examples=25, deadline=None)
-def test_it_finds_whom_the_rule_names_in_a_local_copy(
-    tmp_path_factory: pytest.TempPathFactory, played: list[Any]
+@hypothesis_settings(max_examples=25, deadline=None)
+def test_cache_over_a_replica_resolves_as_a_linear_scan_after_any_changes(
+    tmp_path_factory: pytest.TempPathFactory, changes: list[Any]
 ) -> None:
     copy = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
-    world, number, rows = World(copy), 0, dict[str, tuple[Tenant, TenantState]]()
+    node, number, rows = SimulatedNode(copy), 0, dict[str, tuple[Tenant, TenantState]]()
     try:
-        for what, one, requests in played:
+        for what, one, requests in changes:
             one = replace(one, backend="w", routes=(), default_class="safe")
             if what == "remove":
                 rows.pop(one.name, None)
@@ -333,19 +337,19 @@
                 rows[one.name] = one, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
             number += 1
             state = rows[one.name][1].value if one.name in rows else ""
-            told = json.dumps(one.to_json()).encode() if state else b""
+            data = json.dumps(one.to_json()).encode() if state else b""
             copy.changed(
                 copy.apply(
                     "c1",
-                    [Row(number, one.name, 0, "me", state, told)],
+                    [Row(number, one.name, 0, "me", state, data)],
                     PartitionState(1, number, covered=number, goal=number),
                 )
             )
-            world.turn()
+            node.run_event_loop()
             for method, host, path in requests:
                 found, wanted = (
-                    world.find(host, path, method),
-                    rule(
+                    node.find(host, path, method),
+                    expected_match(
                         [TenantRecord(tenant, 0, state) for tenant, state in rows.values()],
                         method,
                         host,
@@ -356,307 +360,311 @@
                     wanted and (wanted.tenant, wanted.admitted, wanted.class_name)
                 )
     finally:
-        world.tenants.close()
-        world.pool.shutdown()
+        node.tenants.close()
+        node.pool.shutdown()
         copy.close()
 
 
 @pytest.mark.parametrize("known_host", [False, True])
-def test_two_threads_that_want_a_tenant_wait_for_one_read(world: World, known_host: bool) -> None:
-    world.rows.put(on("a"), tell=False)
+def test_concurrent_lookups_of_a_tenant_share_one_read(node: SimulatedNode, known_host: bool) -> None:
+    node.source.put(make_tenant("a"), notify=False)
     if known_host:
-        assert world.find()
-        world.pass_s(14)
-        assert len(world.pager) == 0
-        world.rows.calls.clear()
-        while world.rows.reached.acquire(blocking=False):
+        assert node.find()
+        node.advance_s(14)
+        assert len(node.cache) == 0
+        node.source.calls.clear()
+        while node.source.reached.acquire(blocking=False):
             pass
-    world.rows.held.clear()
-    doing = [world.begin(lambda: world.tenants.match("GET", "h", "/"))]
-    assert world.rows.reached.acquire(timeout=WAIT_S)
-    doing.append(world.begin(lambda: world.tenants.match("GET", "h", "/")))
-    event: Any = world.pager._loads["a"].done if known_host else world.pager._looks["h"]
+    node.source.held.clear()
+    doing = [node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))]
+    assert node.source.reached.acquire(timeout=WAIT_S)
+    doing.append(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")))
+    event: Any = node.cache._loads["a"].done if known_host else node.cache._host_reads["h"]
     assert soon(lambda: bool(event._cond._waiters))
-    world.rows.held.set()
-    found = [world.end(one) for one in doing]
+    node.source.held.set()
+    found = [node.wait_for(one) for one in doing]
     assert found[0] == found[1]
     assert found[0].tenant.name == "a"
-    assert world.rows.calls["get"] == 1
+    assert node.source.calls["get"] == 1
     assert found[0].pin is found[1].pin
     assert found[0].pin.pins == 2
 
 
-CHANGED: list[tuple[Callable[[Rows], None], list[Verdict], str]] = [
-    (lambda rows: rows.put(on("a", backend="v")), [], "v"),
-    (lambda rows: rows.put(on("a"), "suspended"), [Verdict.REJECTED], ""),
+CHANGED: list[tuple[Callable[[SourceDouble], None], list[Verdict], str]] = [
+    (lambda rows: rows.put(make_tenant("a", backend="v")), [], "v"),
+    (lambda rows: rows.put(make_tenant("a"), "suspended"), [Verdict.REJECTED], ""),
     (lambda rows: rows.remove("a"), [Verdict.REJECTED], ""),
 ]
 
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
-def test_a_request_read_under_the_old_row_goes_by_the_new_one(
-    world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str
+def test_request_matched_before_a_change_is_handled_by_the_new_row(
+    node: SimulatedNode, change: Callable[[SourceDouble], None], verdicts: list[Verdict], runs_on: str
 ) -> None:
-    world.rows.put(on("a"))
-    old = world.find()
+    node.source.put(make_tenant("a"))
+    old = node.find()
     assert old
-    change(world.rows)
-    world.turn()  # the owner has taken it up
-    world.post("c", old)
-    world.turn()
-    assert world.verdicts("c") == verdicts
-    assert [name for name, runner in world.runners.items() if ("start", "c") in runner.said] == [
+    change(node.source)
+    node.run_event_loop()  # the owner has taken it up
+    node.post("c", old)
+    node.run_event_loop()
+    assert node.verdicts("c") == verdicts
+    assert [name for name, runner in node.runners.items() if ("start", "c") in runner.said] == [
         runs_on
     ] * bool(runs_on)
 
 
-def test_a_tenant_that_moves_has_what_runs_where_it_is_and_a_repeat_finds_its_result(world: World) -> None:
-    world.rows.put(on("a"))
-    world.ask("one", kind=1, key="k")
-    world.ask("two", kind=1, key="l")
-    world.over("one")
-    world.rows.put(on("a", backend="v"))
-    world.ask("new")
-    world.ask("again", kind=1, key="k")  # of one that is over
-    world.ask("meanwhile", kind=1, key="l")  # of one that runs
-    assert world.verdicts("one") == world.verdicts("again") == [Verdict.SERVED]
-    world.over("two")
-    assert world.verdicts("two") == world.verdicts("meanwhile") == [Verdict.SERVED]
-    told = {
+def test_tenant_changing_backend_keeps_its_runs_and_retries_find_their_results(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.send_request("one", kind=1, key="k")
+    node.send_request("two", kind=1, key="l")
+    node.finish_run("one")
+    node.source.put(make_tenant("a", backend="v"))
+    node.send_request("new")
+    node.send_request("again", kind=1, key="k")  # of one that is over
+    node.send_request("meanwhile", kind=1, key="l")  # of one that runs
+    assert node.verdicts("one") == node.verdicts("again") == [Verdict.SERVED]
+    node.finish_run("two")
+    assert node.verdicts("two") == node.verdicts("meanwhile") == [Verdict.SERVED]
+    started = {
         name: [call for word, call, *_ in runner.said if word == "start"]
-        for name, runner in world.runners.items()
+        for name, runner in node.runners.items()
     }
-    assert told == {"w": ["one", "two"], "v": ["new"]}
+    assert started == {"w": ["one", "two"], "v": ["new"]}
 
 
-def test_a_tenant_that_is_removed_while_a_request_waits_for_the_disk_is_nobody(world: World) -> None:
-    world.rows.put(on("a"), tell=False)
-    doing, go_on = read_and_held(world)
-    world.rows.remove("a")
+def test_tenant_removed_during_its_read_is_not_found(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"), notify=False)
+    doing, go_on = read_and_held(node)
+    node.source.remove("a")
     go_on()
-    assert world.end(doing) is None
-    assert len(world.pager) == 0
-    world.turn()
-    assert not world.tenants._life._by_number
-
-
-def test_a_table_of_a_host_that_was_read_before_a_change_is_not_kept(world: World) -> None:
-    world.rows.put(on("a"))
-    world.rows.prefixes_held.clear()
-    doing = world.begin(lambda: world.tenants.match("GET", "h", "/x"))
-    assert world.rows.prefixes_reached.acquire(timeout=WAIT_S)
-    world.rows.put(replace(on("b"), prefix="/x"))
-    world.rows.prefixes_held.set()
-    before, after = world.end(doing), world.find()
+    assert node.wait_for(doing) is None
+    assert len(node.cache) == 0
+    node.run_event_loop()
+    assert not node.tenants.lifecycle.records()
+
+
+def test_host_table_read_before_a_change_is_not_cached(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.source.prefixes_held.clear()
+    doing = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/x"))
+    assert node.source.prefixes_reached.acquire(timeout=WAIT_S)
+    node.source.put(replace(make_tenant("b"), prefix="/x"))
+    node.source.prefixes_held.set()
+    before, after = node.wait_for(doing), node.find()
     assert before
     assert before.tenant.name == "a"
     assert after
     assert after.tenant.name == "b"
 
 
-def test_a_row_that_changes_between_the_read_and_the_put_is_read_again(world: World) -> None:
-    world.rows.put(on("a"), tell=False)
-    doing, go_on = read_and_held(world)
-    world.rows.put(on("a", backend="v"))
+def test_row_changed_between_read_and_put_is_read_again(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"), notify=False)
+    doing, go_on = read_and_held(node)
+    node.source.put(make_tenant("a", backend="v"))
     go_on()
-    found = world.end(doing)
+    found = node.wait_for(doing)
     assert found
     assert found.tenant.backend == "v"
-    world.turn()
-    assert world.core.runners["a"] is world.runners["v"]
+    node.run_event_loop()
+    assert node.core.runners["a"] is node.runners["v"]
 
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
 @pytest.mark.parametrize("posted_first", [False, True])
-def test_a_row_that_changes_before_the_owner_has_heard_of_its_tenant_counts_as_it_was_made(
-    world: World, change: Callable[[Rows], None], verdicts: list[Verdict], runs_on: str, posted_first: bool
+def test_change_before_the_event_loop_learns_of_the_tenant_applies_in_order(
+    node: SimulatedNode,
+    change: Callable[[SourceDouble], None],
+    verdicts: list[Verdict],
+    runs_on: str,
+    posted_first: bool,
 ) -> None:
-    """The owner takes in the tenant, then the change; the request goes by what came before it."""
-    world.rows.put(on("a"), tell=False)
-    match = world.begin(lambda: world.tenants.match("GET", "h", "/")).result(WAIT_S)
+    """The event loop adds the tenant, then applies the change; a request is handled by what precedes it."""
+    node.source.put(make_tenant("a"), notify=False)
+    match = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")).result(WAIT_S)
     if posted_first:
-        world.post("c", match)
-        change(world.rows)
+        node.post("c", match)
+        change(node.source)
     else:
-        change(world.rows)
-        world.post("c", match)
-    world.turn()
-    started = [name for name, runner in world.runners.items() if ("start", "c") in runner.said]
+        change(node.source)
+        node.post("c", match)
+    node.run_event_loop()
+    started = [name for name, runner in node.runners.items() if ("start", "c") in runner.said]
     if posted_first:  # it came before the change: it is run as it was read
-        assert (world.verdicts("c"), started) == ([], ["w"])
+        assert (node.verdicts("c"), started) == ([], ["w"])
     else:
-        assert (world.verdicts("c"), started) == (verdicts, [runs_on] * bool(runs_on))
-    world.pager.release(match.pin)
-    later = world.find()
+        assert (node.verdicts("c"), started) == (verdicts, [runs_on] * bool(runs_on))
+    node.cache.release(match.pin)
+    later = node.find()
     assert (later is not None and later.admitted) is not bool(verdicts)
 
 
-def test_a_request_is_handed_over_though_the_owner_is_busy_and_runs_once_it_has_time(world: World) -> None:
-    """The thread of a front waited for the owner first: two changes of threads more for each such request."""
-    world.rows.put(on("a"), tell=False)
+def test_request_of_a_new_tenant_is_posted_without_waiting_for_the_event_loop(node: SimulatedNode) -> None:
+    """Waiting for the event loop would cost two more context switches for each such request."""
+    node.source.put(make_tenant("a"), notify=False)
 
     def hand_over() -> None:
-        with world.tenants.matched("GET", "h", "/x") as match:
+        with node.tenants.pinned_match("GET", "h", "/x") as match:
             assert match
-            world.post("c", match)
+            node.post("c", match)
 
-    world.begin(hand_over).result(WAIT_S)  # without a turn of the owner
-    world.turn()
-    world.over("c")
-    assert world.verdicts("c") == [Verdict.SERVED]
+    node.run_in_thread(hand_over).result(WAIT_S)  # the event loop has not run
+    node.run_event_loop()
+    node.finish_run("c")
+    assert node.verdicts("c") == [Verdict.SERVED]
 
 
-def test_a_name_that_is_given_anew_is_another_tenant_while_the_old_one_drains(world: World) -> None:
-    world.rows.put(on("a"))
-    world.ask("old")
-    world.rows.remove("a", tell=False)
-    world.rows.put(on("a", backend="v"))
-    world.ask("new")
-    numbers = {entry.number: entry.state for entry in world.tenants._life._by_number.values()}
+def test_readded_name_is_another_tenant_while_the_old_one_drains(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.send_request("old")
+    node.source.remove("a", notify=False)
+    node.source.put(make_tenant("a", backend="v"))
+    node.send_request("new")
+    numbers = {entry.number: entry.state for entry in node.tenants.lifecycle.records()}
     assert numbers == {1: TenantState.DRAINING, 2: TenantState.ACTIVE}
-    world.over("old")
-    world.over("new")
-    world.pass_s(0.2)
-    assert world.verdicts("old") == world.verdicts("new") == [Verdict.SERVED]
-    assert list(world.tenants._life._by_number) == [2]
-    assert world.core.runners["a"] is world.runners["v"]
-    assert ("start", "new") in world.runners["v"].said
-
-
-def test_a_tenant_that_nobody_uses_is_let_go_and_found_again_under_its_number(world: World) -> None:
-    world.rows.put(on("a"))
-    world.ask("one")
-    world.over("one")
-    world.pass_s(9)
-    assert len(world.pager) == 1
-    world.pass_s(5)
-    assert len(world.pager) == 0
-    assert not world.shares.flows
-    assert not world.core.runners
-    assert not world.tenants._life._by_number
-    assert world.count("tenants.let_go") == 1
-    world.ask("two")
-    world.over("two")
-    assert world.verdicts("two") == [Verdict.SERVED]
-    assert world.tenants._life.admits(1)
-
-
-def test_a_tenant_stays_while_it_has_something_in_hand_or_a_key_is_kept(world: World) -> None:
-    world.rows.put(on("a"))
-    world.rows.put(on("b", "i"))
-    world.ask("runs")
-    world.ask("keyed", "i", 1, "k")
-    world.over("keyed")
-    world.pass_s(14)
-    assert [name for name in ("a", "b") if world.pager.get(name)] == [
+    node.finish_run("old")
+    node.finish_run("new")
+    node.advance_s(0.2)
+    assert node.verdicts("old") == node.verdicts("new") == [Verdict.SERVED]
+    assert [record.number for record in node.tenants.lifecycle.records()] == [2]
+    assert node.core.runners["a"] is node.runners["v"]
+    assert ("start", "new") in node.runners["v"].said
+
+
+def test_idle_tenant_is_evicted_and_found_again_under_its_number(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.send_request("one")
+    node.finish_run("one")
+    node.advance_s(9)
+    assert len(node.cache) == 1
+    node.advance_s(5)
+    assert len(node.cache) == 0
+    assert not node.fair_queue.flows
+    assert not node.core.runners
+    assert not node.tenants.lifecycle.records()
+    assert node.count("tenants.let_go") == 1
+    node.send_request("two")
+    node.finish_run("two")
+    assert node.verdicts("two") == [Verdict.SERVED]
+    assert node.tenants.lifecycle.admits(1)
+
+
+def test_tenant_with_requests_in_flight_or_remembered_keys_is_not_evicted(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.source.put(make_tenant("b", "i"))
+    node.send_request("runs")
+    node.send_request("keyed", "i", 1, "k")
+    node.finish_run("keyed")
+    node.advance_s(14)
+    assert [name for name in ("a", "b") if node.cache.get(name)] == [
         "a",
         *["b"] * (KEYED.idempotency_window_us > 14e6),
     ]
-    world.over("runs")
-    world.pass_s(KEYED.idempotency_window_us / 1e6 + 14)
-    assert len(world.pager) == 0
+    node.finish_run("runs")
+    node.advance_s(KEYED.idempotency_window_us / 1e6 + 14)
+    assert len(node.cache) == 0
 
 
-def idle_and_marked(world: World) -> None:
-    """Bring a tenant so far that the owner has found it idle, and has not let it go yet."""
-    world.rows.put(on("a"))
-    world.ask("one")
-    world.over("one")
-    world.pass_s(9)
+def with_pending_eviction(node: SimulatedNode) -> None:
+    """Leave a tenant idle until its eviction is queued, and not yet carried out."""
+    node.source.put(make_tenant("a"))
+    node.send_request("one")
+    node.finish_run("one")
+    node.advance_s(9)
     for _ in range(40):
-        if not world.core._inbox.empty():
+        if not node.core._inbox.empty():
             break
-        world.now_us += 100_000
-        world.core.process_batch([])
-    assert len(world.pager) == 1
-    assert not world.core._inbox.empty()
+        node.now_us += 100_000
+        node.core.process_batch([])
+    assert len(node.cache) == 1
+    assert not node.core._inbox.empty()
 
 
-def test_a_tenant_wanted_again_while_it_is_let_go_stays(world: World) -> None:
-    idle_and_marked(world)
-    match = world.tenants.match("GET", "h", "/x")  # in memory: nothing is waited for
+def test_tenant_used_during_its_eviction_stays(node: SimulatedNode) -> None:
+    with_pending_eviction(node)
+    match = node.tenants.match("GET", "h", "/x")  # in memory: returns at once
     assert match
     assert match.pin
-    world.turn()
-    assert len(world.pager) == 1
-    world.post("two", match)
-    world.pager.release(match.pin)
-    world.turn()
-    world.over("two")
-    assert world.verdicts("two") == [Verdict.SERVED]
-
-
-def test_a_request_handed_over_while_its_tenant_is_let_go_is_taken(world: World) -> None:
-    world.rows.put(on("a"))
-    world.ask("one")
-    world.over("one")
-    with world.tenants.matched("GET", "h", "/x") as match:
+    node.run_event_loop()
+    assert len(node.cache) == 1
+    node.post("two", match)
+    node.cache.release(match.pin)
+    node.run_event_loop()
+    node.finish_run("two")
+    assert node.verdicts("two") == [Verdict.SERVED]
+
+
+def test_request_posted_during_the_eviction_of_its_tenant_is_served(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.send_request("one")
+    node.finish_run("one")
+    with node.tenants.pinned_match("GET", "h", "/x") as match:
         assert match
-    world.pass_s(9)
-    with world.tenants.matched("GET", "h", "/x") as match:
+    node.advance_s(9)
+    with node.tenants.pinned_match("GET", "h", "/x") as match:
         assert match
-        world.post("two", match)  # queued, and not in hand yet
-    resident = world.pager.get("a")
-    assert resident
-    assert resident.pins == 0
-    resident.used_us -= 60_000_000  # as if the owner had been late by a minute
-    world.tenants._let_go_later(IDLE_US)  # the order to let it go is behind the request
-    world.turn()
-    world.over("two")
-    assert world.verdicts("two") == [Verdict.SERVED]
-    assert len(world.pager) == 1
-
-
-def test_a_pinned_tenant_is_never_let_go(world: World) -> None:
-    world.rows.put(on("a"))
-    match = world.end(world.begin(lambda: world.tenants.match("GET", "h", "/x")))
-    world.pass_s(30)
-    assert len(world.pager) == 1
-    assert world.tenants._life.admits(match.number)
-    world.pager.release(match.pin)
-    world.pass_s(14)
-    assert len(world.pager) == 0
-
-
-def test_past_the_bound_requests_are_refused_until_there_is_room(world: World) -> None:
-    world.pager.most = 2
+        node.post("two", match)  # queued, and not in flight yet
+    cached = node.cache.get("a")
+    assert cached
+    assert cached.pins == 0
+    cached.used_us -= 60_000_000  # as if the event loop had been late by a minute
+    node.tenants._evict_idle(IDLE_TIMEOUT_US)  # the eviction is queued behind the request
+    node.run_event_loop()
+    node.finish_run("two")
+    assert node.verdicts("two") == [Verdict.SERVED]
+    assert len(node.cache) == 1
+
+
+def test_pinned_tenant_is_never_evicted(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    match = node.wait_for(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/x")))
+    node.advance_s(30)
+    assert len(node.cache) == 1
+    assert node.tenants.lifecycle.admits(match.number)
+    node.cache.release(match.pin)
+    node.advance_s(14)
+    assert len(node.cache) == 0
+
+
+def test_full_cache_rejects_requests_until_a_tenant_is_evicted(node: SimulatedNode) -> None:
+    node.cache.max_tenants = 2
     for name in "abc":
-        world.rows.put(on(name, name))
-    world.ask("one", "a")
-    world.ask("two", "b")
+        node.source.put(make_tenant(name, name))
+    node.send_request("one", "a")
+    node.send_request("two", "b")
     with pytest.raises(TenantUnavailableError, match="too many"):
-        world.find("c")
-    assert world.count("tenants.refused_full") == world.count("tenants.unserved") == 1
-    world.over("one")
-    world.pass_s(8)
-    with pytest.raises(TenantUnavailableError):  # it asks for room, which there is behind that
-        world.find("c")
-    world.turn()
-    assert len(world.pager) == 1
-    world.ask("three", "c")
-    world.over("three")
-    assert world.verdicts("three") == [Verdict.SERVED]
-
-
-def test_a_disk_that_hangs_holds_up_no_request_for_long_and_no_other_tenant(world: World) -> None:
-    world.rows.put(on("a"))
-    world.rows.put(on("b", "i"))
-    assert world.find("i")
-    world.rows.held.clear()
+        node.find("c")
+    assert node.count("tenants.refused_full") == node.count("tenants.unserved") == 1
+    node.finish_run("one")
+    node.advance_s(8)
+    with pytest.raises(TenantUnavailableError):  # triggers an eviction, which takes effect later
+        node.find("c")
+    node.run_event_loop()
+    assert len(node.cache) == 1
+    node.send_request("three", "c")
+    node.finish_run("three")
+    assert node.verdicts("three") == [Verdict.SERVED]
+
+
+def test_hanging_disk_delays_requests_by_the_timeout_only_and_no_cached_tenant(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    node.source.put(make_tenant("b", "i"))
+    assert node.find("i")
+    node.source.held.clear()
     with pytest.raises(TenantUnavailableError, match="in time"):
-        world.find("h")
-    assert world.find("i")
-    assert world.count("tenants.refused_late") == 1
-    world.rows.held.set()
-    assert world.find("h")
+        node.find("h")
+    assert node.find("i")
+    assert node.count("tenants.refused_late") == 1
+    node.source.held.set()
+    assert node.find("h")
 
 
-def test_so_many_may_wait_for_the_disk_and_no_more() -> None:
+def test_reader_pool_limits_waiting_reads() -> None:
     counts, held = Counters(), threading.Event()
     readers = ReaderPool(counts, 5.0, 2)
     with ThreadPoolExecutor(2) as pool:
         waiting = [pool.submit(readers.read, held.wait) for _ in range(2)]
-        assert soon(lambda: not readers._places._value)
+        assert soon(lambda: not readers._waiting_slots._value)
         with pytest.raises(TenantUnavailableError, match="too many"):
             readers.read(lambda: 1)
         held.set()
@@ -678,181 +686,181 @@
         lambda row: replace(row, state="newer"),
     ],
 )
-def test_a_row_that_this_node_cannot_read_is_not_served_and_told_of(
-    world: World, changed: Callable[[Line], Line]
+def test_unreadable_row_is_not_served_and_is_reported(
+    node: SimulatedNode, changed: Callable[[StoredRow], StoredRow]
 ) -> None:
-    world.rows.put(on("a"))
-    good = world.rows.lines["a"]
-    assert world.find()
-    world.rows.lines = {"a": changed(good)}
-    world.rows.on_change(["a"])
-    world.turn()
-    found = world.find()  # it was in memory
-    assert (found is None) is (world.rows.lines["a"].tenant == b"{")  # nobody knows its hosts then
+    node.source.put(make_tenant("a"))
+    good = node.source.rows_by_name["a"]
+    assert node.find()
+    node.source.rows_by_name = {"a": changed(good)}
+    node.source.on_change(["a"])
+    node.run_event_loop()
+    found = node.find()  # it was in memory
+    assert (found is None) is (node.source.rows_by_name["a"].tenant == b"{")  # nobody knows its hosts then
     assert found is None or not found.admitted
-    assert "a" in world.tenants.unreadable()
-    assert not world.tenants._life.admits(1)
-    world.pass_s(14)
-    assert len(world.pager) == 0
-    if b"hosts" in world.rows.lines["a"].tenant:
+    assert "a" in node.tenants.unreadable()
+    assert not node.tenants.lifecycle.admits(1)
+    node.advance_s(14)
+    assert len(node.cache) == 0
+    if b"hosts" in node.source.rows_by_name["a"].tenant:
         with pytest.raises(TenantUnavailableError, match="can't be served"):
-            world.find()
-    assert world.count("tenants.unreadable")
-    assert world.tenants.page("", 10) == ([], "")
-    world.rows.lines = {"a": good}
-    world.rows.on_change(["a"])
-    world.turn()
-    found = world.find()
+            node.find()
+    assert node.count("tenants.unreadable")
+    assert node.tenants.page("", 10) == ([], "")
+    node.source.rows_by_name = {"a": good}
+    node.source.on_change(["a"])
+    node.run_event_loop()
+    found = node.find()
     assert found
     assert found.admitted
-    assert not world.tenants.unreadable()
+    assert not node.tenants.unreadable()
 
 
-def test_a_change_that_could_not_be_read_is_read_with_the_next(world: World, monkeypatch: Any) -> None:
-    world.rows.put(on("a"))
-    assert world.find()
+def test_change_that_could_not_be_read_is_read_with_the_next(node: SimulatedNode, monkeypatch: Any) -> None:
+    node.source.put(make_tenant("a"))
+    assert node.find()
     with monkeypatch.context() as broken:
-        broken.setattr(world.rows, "get", lambda name: {}[name])
-        world.rows.put(on("a", backend="v"))
-    world.turn()
-    assert world.core.runners["a"] is world.runners["w"]
-    assert "a" in world.tenants.unreadable()
-    world.rows.put(on("b"))
-    world.turn()
-    assert world.core.runners["a"] is world.runners["v"]
-    assert not world.tenants.unreadable()
-
-
-def test_many_changes_at_once_forget_all_tables_and_reach_who_is_in_memory(world: World) -> None:
-    world.rows.put(on("a"))
-    assert world.find()
-    assert world.find("i") is None
-    names = [f"t{number}" for number in range(tenant_cache.MANY_CHANGES + 1)]
+        broken.setattr(node.source, "get", lambda name: {}[name])
+        node.source.put(make_tenant("a", backend="v"))
+    node.run_event_loop()
+    assert node.core.runners["a"] is node.runners["w"]
+    assert "a" in node.tenants.unreadable()
+    node.source.put(make_tenant("b"))
+    node.run_event_loop()
+    assert node.core.runners["a"] is node.runners["v"]
+    assert not node.tenants.unreadable()
+
+
+def test_many_changes_at_once_drop_all_host_tables_and_reach_cached_tenants(node: SimulatedNode) -> None:
+    node.source.put(make_tenant("a"))
+    assert node.find()
+    assert node.find("i") is None
+    names = [f"t{number}" for number in range(tenant_cache.MAX_CHANGES_BY_HOST + 1)]
     for name in names:
-        world.rows.put(on(name, "i"), tell=False)
-    world.rows.put(on("a", backend="v"), tell=False)
-    world.rows.calls.clear()
-    world.rows.on_change([*names, "a"])
-    world.turn()
-    assert world.rows.calls["get"] == 1
-    assert world.core.runners["a"] is world.runners["v"]
-    found = world.find("i")
+        node.source.put(make_tenant(name, "i"), notify=False)
+    node.source.put(make_tenant("a", backend="v"), notify=False)
+    node.source.calls.clear()
+    node.source.on_change([*names, "a"])
+    node.run_event_loop()
+    assert node.source.calls["get"] == 1
+    assert node.core.runners["a"] is node.runners["v"]
+    found = node.find("i")
     assert found
     assert found.tenant.name == "t0"
 
 
-def test_tables_of_hosts_are_bounded_and_forgotten_with_their_tenants(world: World, monkeypatch: Any) -> None:
-    monkeypatch.setattr(tenant_cache, "MOST_HOSTS", 2)
-    world.rows.put(on("a"))
+def test_host_tables_are_limited_and_dropped_with_tenants(node: SimulatedNode, monkeypatch: Any) -> None:
+    monkeypatch.setattr(host_tables, "MAX_HOST_TABLES", 2)
+    node.source.put(make_tenant("a"))
     for host in ("h", "i", "j", "h"):
-        world.find(host)
-    assert list(world.pager._tables) == ["j", "h"]
-    assert world.pager._hosts_of == {"a": {"h"}}
-    world.rows.remove("a")
-    assert list(world.pager._tables) == ["j"]
-    assert not world.pager._hosts_of
-    assert world.find() is None
+        node.find(host)
+    assert node.cache._host_tables.hosts() == ["j", "h"]
+    assert node.cache._host_tables._hosts_by_tenant == {"a": {"h"}}
+    node.source.remove("a")
+    assert node.cache._host_tables.hosts() == ["j"]
+    assert not node.cache._host_tables._hosts_by_tenant
+    assert node.find() is None
 
 
-def test_guarantees_pages_and_usage_are_the_tables(world: World) -> None:
+def test_guarantees_pages_and_usage_come_from_the_source(node: SimulatedNode) -> None:
     for name, part in (("a", 0.6), ("b", 0.3)):
-        world.rows.put(on(name, name, share=ShareOf(guarantee=part)))
-    world.tenants.check(on("b", "b", share=ShareOf(guarantee=0.4)))
+        node.source.put(make_tenant(name, name, share=ShareOf(guarantee=part)))
+    node.tenants.check(make_tenant("b", "b", share=ShareOf(guarantee=0.4)))
     with pytest.raises(Exception, match=r"share.guarantee"):
-        world.tenants.check(on("c", "c", share=ShareOf(guarantee=0.2)))
-    assert [entry.tenant.name for entry in world.tenants.page("", 1)[0]] == ["a"]
-    assert world.tenants.page("", 1)[1] == "a"
-    assert world.tenants.page("a", 1)[1] == ""
-    entry = world.tenants.entry("a")
+        node.tenants.check(make_tenant("c", "c", share=ShareOf(guarantee=0.2)))
+    assert [entry.tenant.name for entry in node.tenants.page("", 1)[0]] == ["a"]
+    assert node.tenants.page("", 1)[1] == "a"
+    assert node.tenants.page("a", 1)[1] == ""
+    entry = node.tenants.record("a")
     assert entry
-    assert len(world.pager) == 0
-    used = world.tenants.usage(entry)
+    assert len(node.cache) == 0
+    used = node.tenants.usage(entry)
     assert (used["name"], used["in_hand"], used["state"]) == ("a", 0, "active")
-    assert not world.shares.flows
+    assert not node.fair_queue.flows
     known = ("safe",), frozenset({"w"})
-    assert reason("a", world.rows.lines["a"].tenant, *known) == ""
-    for value in (b"{", b"\xff", b"[" * 100_000, b"[]", world.rows.lines["b"].tenant):
-        assert reason("a", value, *known) != ""
+    assert unreadable_reason("a", node.source.rows_by_name["a"].tenant, *known) == ""
+    for value in (b"{", b"\xff", b"[" * 100_000, b"[]", node.source.rows_by_name["b"].tenant):
+        assert unreadable_reason("a", value, *known) != ""
 
 
-# Shares of who is let go
+# Accounts in the fair queue of an evicted tenant
 
 
 def request(number: int, of: int) -> Request:
     return Request(number, 0, 0, 0, of, 20.0, 0, 0, 0, 0)
 
 
-def test_who_is_ahead_of_the_others_or_of_its_clocks_is_not_let_go() -> None:
-    shares = FairQueue(1, 1000.0)
-    shares.set_quota(1, Quota(guarantee=0.5, ceiling=0.5))
+def test_tenant_ahead_of_virtual_time_or_of_its_clocks_is_not_evicted() -> None:
+    fair_queue = FairQueue(1, 1000.0)
+    fair_queue.set_quota(1, Quota(guarantee=0.5, ceiling=0.5))
     one, other = request(1, 1), request(2, 2)
-    shares.request_arrived(one, 0)
-    assert not shares.evict(1, 0)  # it asks for something
-    shares.run_started(one, 0)
-    shares.run_ended(one, 400_000, 400_000)
+    fair_queue.request_arrived(one, 0)
+    assert not fair_queue.evict(1, 0)  # it has demand
+    fair_queue.run_started(one, 0)
+    fair_queue.run_ended(one, 400_000, 400_000)
     quiet_us = 20 * DEMAND_TIME_CONSTANT_US
-    assert not shares.evict(1, quiet_us)  # ahead by its run
+    assert not fair_queue.evict(1, quiet_us)  # its finish tag is ahead
     for number in range(3):
-        shares.run_started(replace_id(other, 10 + number), quiet_us)
-        shares.run_ended(replace_id(other, 10 + number), 400_000, quiet_us)
-    assert shares.virtual_time >= 400_000
-    flow = shares.flows[1]
+        fair_queue.run_started(replace_id(other, 10 + number), quiet_us)
+        fair_queue.run_ended(replace_id(other, 10 + number), 400_000, quiet_us)
+    assert fair_queue.virtual_time >= 400_000
+    flow = fair_queue.flows[1]
     assert flow.ceiling_clock
     assert flow.guarantee_clock
     flow.ceiling_clock.tat_us = quiet_us + 1.0
-    assert not shares.evict(1, quiet_us)  # over its ceiling
+    assert not fair_queue.evict(1, quiet_us)  # over its ceiling
     flow.ceiling_clock.tat_us = 0.0
     flow.guarantee_clock.tat_us = quiet_us - 1.0
-    assert not shares.evict(1, quiet_us)  # its guarantee has less credit than a fresh one
+    assert not fair_queue.evict(1, quiet_us)  # its guarantee has less credit than a fresh one
     flow.guarantee_clock.tat_us = 0.0
-    assert shares.evict(1, quiet_us)
-    assert 1 not in shares.flows
-    assert shares.evict(1, quiet_us)
+    assert fair_queue.evict(1, quiet_us)
+    assert 1 not in fair_queue.flows
+    assert fair_queue.evict(1, quiet_us)
 
 
 def replace_id(made: Request, number: int) -> Request:
     return request(number, made.tenant)
 
 
-def test_nobody_is_ahead_for_good_where_nobody_waits() -> None:
-    shares = FairQueue(1, 1000.0)
-    shares.advances_while_idle = True
+def test_virtual_time_advances_while_nothing_is_held() -> None:
+    fair_queue = FairQueue(1, 1000.0)
+    fair_queue.advances_while_idle = True
     one = request(1, 1)
-    shares.run_started(one, 0)
-    shares.run_ended(one, 400_000, 400_000)
-    shares.period_elapsed(500_000)
-    assert not shares.evict(1, 500_000)
-    shares.period_elapsed(850_000)
-    assert not shares.evict(1, 850_000)
-    shares.holding_changed(request(2, 2), 1, 20.0)  # somebody waits: virtual time is what starts make it
+    fair_queue.run_started(one, 0)
+    fair_queue.run_ended(one, 400_000, 400_000)
+    fair_queue.period_elapsed(500_000)
+    assert not fair_queue.evict(1, 500_000)
+    fair_queue.period_elapsed(850_000)
+    assert not fair_queue.evict(1, 850_000)
+    fair_queue.holding_changed(request(2, 2), 1, 20.0)  # now only starts advance virtual time
     for now_us in range(900_000, 9_000_000, 100_000):
-        shares.period_elapsed(now_us)
-    assert not shares.evict(1, 9_000_000)
-    shares.holding_changed(request(2, 2), -1, -20.0)
-    shares.period_elapsed(9_100_000)
-    shares.period_elapsed(9_200_000)
-    assert shares.evict(1, 9_200_000)
+        fair_queue.period_elapsed(now_us)
+    assert not fair_queue.evict(1, 9_000_000)
+    fair_queue.holding_changed(request(2, 2), -1, -20.0)
+    fair_queue.period_elapsed(9_100_000)
+    fair_queue.period_elapsed(9_200_000)
+    assert fair_queue.evict(1, 9_200_000)
 
 
-def test_a_look_at_the_usage_of_who_is_not_there_leaves_nothing() -> None:
-    shares = FairQueue(1, 1000.0)
-    assert shares.usage(7, 0).held == 0
-    assert not shares.flows
+def test_usage_of_an_unknown_tenant_does_not_add_it() -> None:
+    fair_queue = FairQueue(1, 1000.0)
+    assert fair_queue.usage(7, 0).held == 0
+    assert not fair_queue.flows
 
 
-def test_looks_at_who_is_idle_end_with_the_last_tenant(world: World) -> None:
-    assert IDLE_LOOK_US < IDLE_US < tenant_cache.IDLE_US
-    world.rows.put(on("a"))
-    world.find()
-    world.pass_s(14)
-    assert len(world.pager) == 0
-    assert not world.tenants._idle_looks
-    world.find()
-    assert world.tenants._idle_looks
+def test_idle_check_ends_with_the_last_tenant(node: SimulatedNode) -> None:
+    assert IDLE_CHECK_INTERVAL_US < IDLE_TIMEOUT_US < tenant_cache.IDLE_TIMEOUT_US
+    node.source.put(make_tenant("a"))
+    node.find()
+    node.advance_s(14)
+    assert len(node.cache) == 0
+    assert not node.tenants.idle_check_scheduled
+    node.find()
+    assert node.tenants.idle_check_scheduled
 
 
-class Prompt(Backend):
-    """Runs each request at once."""
+class ImmediateBackend(Backend):
+    """Ends each run as soon as it is started."""
 
     core: Core
 
@@ -860,15 +868,15 @@
         self.core.post(RunFinished(request.run_id, Outcome.OK, 1000, Result(b"ok")))
 
 
-def test_the_ajp_front_refuses_a_request_whose_tenant_cannot_be_read_and_serves_on() -> None:
-    told, rows, runner = settings(SAFE, cores=2), Rows(), Prompt()
-    shares = FairQueue(told.cores, told.memory_kb)
-    core = runner.core = Core(told, [], 1, runner, class_names=["safe"], standing=shares)
-    made = TenantRegistry((), ("safe",), lambda backend: None, core, shares, frozenset({"w"}), source=rows)
+def test_ajp_front_end_answers_503_while_a_tenant_cannot_be_read_and_serves_others() -> None:
+    node_settings, rows, runner = settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
+    fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
+    core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], standing=fair_queue)
+    made = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
     listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
     front = AjpFrontend(core, listens, made)
-    rows.put(on("a"))
-    rows.put(on("b", "i"))
+    rows.put(make_tenant("a"))
+    rows.put(make_tenant("b", "i"))
     core.start()
     front.start()
     try:
@@ -891,9 +899,8 @@
             assert [status("i"), status("h")] == [503, 200]
             rows.held.set()
             assert status("i") == 200
-        assert made._pager is not None
         assert not front._in_hand
-        assert all(not resident.pins for resident in made._pager._residents.values())
+        assert all(not cached.pins for cached in made.cache._tenants.values())
         counted = core.counters.snapshot()
         assert [counted[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
             1,
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -34,8 +34,9 @@
 from reelusher.net.sockets import Address
 from reelusher.node import COPY_FILES, Node
 from reelusher.tenancy import replicated
+from reelusher.tenancy.cached_registry import CachedTenantRegistry
 from reelusher.tenancy.replicated import ReplicatedTable
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 CONTROL = ["c1", "c2"]
 C1, C2 = (names_of(stream, 10) for stream in CONTROL)
@@ -152,7 +153,7 @@
         front = self.all[at].fronts["ajp"]
         assert isinstance(front, AjpFrontend)
         try:
-            with front._tenants.matched("GET", host, "/") as found:
+            with front._tenants.pinned_match("GET", host, "/") as found:
                 return found.tenant.name if found is not None and found.admitted else ""
         except TenantUnavailableError:
             return REFUSED
@@ -569,9 +570,10 @@
     front = nodes.all["c1"].fronts["ajp"]
     assert isinstance(front, AjpFrontend)
     assert nodes.owner("c1", "nobody.example") == ""
-    front._tenants.filling = lambda: True
+    assert isinstance(front._tenants, CachedTenantRegistry)
+    front._tenants.is_bootstrapping = lambda: True
     assert nodes.serves("c1", C1[0])
-    with pytest.raises(TenantUnavailableError), front._tenants.matched("GET", "nobody.example", "/"):
+    with pytest.raises(TenantUnavailableError), front._tenants.pinned_match("GET", "nobody.example", "/"):
         pass
 
 
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -1,4 +1,4 @@
-"""The index of tenants: held against the rule that goes through all, and read while it changes."""
+"""The index of tenants: compared with a linear scan, and read while it changes."""
 
 import threading
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 from reelusher.core.event_loop import Core
 from reelusher.tenancy import index
 from reelusher.tenancy.fair_queue import FairQueue
-from reelusher.tenancy.index import Index, Routes
+from reelusher.tenancy.index import Routes, TenantIndex
 from reelusher.tenancy.lifecycle import Lifecycle, TenantRecord, TenantState
 from reelusher.tenancy.registry import Match, TenantRegistry
 
@@ -39,14 +39,14 @@
     )
 
 
-# The rule, as it was before there was an index: all tenants are gone through for each request.
+# The expected result, by a linear scan of all tenants.
 
 
 def lies_under(path: str, prefix: str) -> bool:
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
-def rule(entries: list[TenantRecord], method: str, host: str, path: str) -> Match | None:
+def expected_match(entries: list[TenantRecord], method: str, host: str, path: str) -> Match | None:
     host = host.lower()
     for entry in sorted(
         entries, key=lambda entry: (not entry.tenant.hosts, -len(entry.tenant.prefix), entry.tenant.name)
@@ -65,16 +65,16 @@
     return None
 
 
-def found(made: Index, method: str, host: str, path: str) -> Match | None:
+def index_match(made: TenantIndex, method: str, host: str, path: str) -> Match | None:
     leaf = made.find(host.lower(), path)
     return (
         None
         if leaf is None
         else Match(
-            leaf.entry.tenant,
-            leaf.entry.number,
+            leaf.record.tenant,
+            leaf.record.number,
             leaf.class_of(method, path),
-            leaf.entry.state is TenantState.ACTIVE,
+            leaf.record.state is TenantState.ACTIVE,
         )
     )
 
@@ -94,38 +94,40 @@
 changes = st.lists(
     st.tuples(st.sampled_from(["put", "put", "remove", "suspend", "resume", "drain"]), tenants), max_size=40
 )
-asked = st.tuples(
+requests_strategy = st.tuples(
     st.sampled_from(["GET", "PUT"]),
     st.sampled_from([*HOSTS, "A", "elsewhere", ""]),
     st.sampled_from([*PATHS, "/a/b/c/d", "/a/bc", "/abc", "", "*", "/" * 3000]),
 )
 
 
-@given(changes, st.lists(asked, min_size=5, max_size=10))
-def test_it_finds_whom_the_rule_names_after_any_changes(
+@given(changes, st.lists(requests_strategy, min_size=5, max_size=10))
+def test_index_resolves_as_a_linear_scan_after_any_changes(
     steps: list[tuple[str, Tenant]], requests: list[tuple[str, str, str]]
 ) -> None:
-    made, life = Index(), Lifecycle()
+    made, lifecycle = TenantIndex(), Lifecycle()
     for what, one in steps:
-        known = life.get(one.name)
+        known = lifecycle.get(one.name)
         if what == "put" and (known is None or known.state is not TenantState.DRAINING):
-            made.put(life.put(one)[0])
+            made.put(lifecycle.put(one)[0])
         elif known is not None and what == "remove":
-            life.remove(one.name, 0, 0)
-            for gone in life.tick(0, lambda number: 0):
-                made.remove(gone.entry.tenant.name)
+            lifecycle.remove(one.name, 0, 0)
+            for gone in lifecycle.remove_drained(0, lambda number: 0):
+                made.remove(gone.record.tenant.name)
         elif known is not None and what == "drain":
-            entry = life.remove(one.name, 0)
+            entry = lifecycle.remove(one.name, 0)
             assert entry
             made.put(entry)
         elif known is not None and what != "put" and known.state is not TenantState.DRAINING:
-            entry = life.move(one.name, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE)
+            entry = lifecycle.set_state(
+                one.name, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
+            )
             assert entry
             made.put(entry)
         for request in requests:
-            assert found(made, *request) == rule(list(life), *request)
-    entries = sorted(life, key=lambda entry: entry.tenant.name)
-    assert sorted(made.entries(), key=lambda entry: entry.tenant.name) == entries
+            assert index_match(made, *request) == expected_match(list(lifecycle), *request)
+    entries = sorted(lifecycle, key=lambda entry: entry.tenant.name)
+    assert sorted(made.records(), key=lambda entry: entry.tenant.name) == entries
     assert len(made) == len(entries)
     page, last = made.page("t1", 3)
     later = [entry for entry in entries if entry.tenant.name > "t1"]
@@ -133,20 +135,20 @@
     assert last == (later[2].tenant.name if len(later) > 3 else "")
     for _, one in steps:
         others = [entry.tenant for entry in entries if entry.tenant.name != one.name]
-        assert made.fits(one) is not over_guaranteed([*others, one])
+        assert made.guarantee_fits(one) is not over_guaranteed([*others, one])
 
 
-@given(routes, st.lists(asked, min_size=1))
-def test_of_many_routes_the_first_that_fits_is_taken(
-    told: tuple[Route, ...], requests: list[tuple[str, str, str]]
+@given(routes, st.lists(requests_strategy, min_size=1))
+def test_first_matching_route_is_found_among_many(
+    first_routes: tuple[Route, ...], requests: list[tuple[str, str, str]]
 ) -> None:
-    never = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.FEW_ROUTES))
-    made = Routes(told * 3 + never)
+    never = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.MAX_SCANNED_ROUTES))
+    made = Routes(first_routes * 3 + never)
     for method, _, path in requests:
         assert made.class_of(method, path) == next(
             (
                 route.class_name
-                for route in told
+                for route in first_routes
                 if route.method in ("*", method) and lies_under(path, route.path)
             ),
             None,
@@ -154,37 +156,37 @@
 
 
 @pytest.mark.parametrize("hosts", [(), ("a",)])
-def test_a_host_of_thousands_of_prefixes_is_asked_once_for_each_length(hosts: tuple[str, ...]) -> None:
-    made = Index()
+def test_host_with_thousands_of_prefixes_is_split_into_parts(hosts: tuple[str, ...]) -> None:
+    made = TenantIndex()
     for number in range(5000):
         made.put(TenantRecord(tenant(f"t{number}", hosts, f"/p{number:04d}"), number + 1))
     host = made._hosts[hosts[0] if hosts else ""]
-    assert max(len(part) for part in host._parts) < 4 * index.PART
+    assert max(len(part) for part in host._parts) < 4 * index.PREFIXES_PER_PART
     assert len(host._lengths) == 1
     for number in (0, 1, 4999):
         match = made.find("a", f"/p{number:04d}/x")
         assert match
-        assert match.entry.number == number + 1
+        assert match.record.number == number + 1
     assert made.find("a", "/p" + "/" * 100_000) is None
     for number in range(5000):
         made.remove(f"t{number}")
     assert not made._hosts
-    assert not made._rivals
+    assert not made._sharing
     assert not len(made)
     assert made.find("a", "/p0000") is None
 
 
-def test_the_next_of_a_prefix_is_found_when_the_first_goes() -> None:
-    made = Index()
+def test_next_tenant_by_name_takes_a_shared_prefix_when_the_first_is_removed() -> None:
+    made = TenantIndex()
     for number, name in enumerate("cab", 1):
         made.put(TenantRecord(tenant(name, ("h",), "/x"), number))
     for name in "abc":
         match = made.find("h", "/x/y")
         assert match
-        assert match.entry.tenant.name == name
+        assert match.record.tenant.name == name
         made.remove(name)
     assert made.find("h", "/x/y") is None
-    assert not made._rivals
+    assert not made._sharing
 
 
 MOVES = [
@@ -196,15 +198,15 @@
 
 
 @pytest.mark.parametrize(("one", "other"), MOVES)
-def test_a_reader_never_misses_a_tenant_that_moves(one: Tenant, other: Tenant) -> None:
-    made, stop, missed = Index(), threading.Event(), list[int]()
+def test_reader_never_misses_a_tenant_whose_hosts_or_prefix_change(one: Tenant, other: Tenant) -> None:
+    made, stop, missed = TenantIndex(), threading.Event(), list[int]()
     made.put(TenantRecord(tenant("zz", (), "/"), 1))
     made.put(TenantRecord(one, 2))
 
     def look() -> None:
         while not stop.is_set():
             match = made.find("h", "/x/y/z")
-            if match is None or match.entry.tenant not in (one, other):
+            if match is None or match.record.tenant not in (one, other):
                 missed.append(1)
 
     threads = [threading.Thread(target=look) for _ in range(2)]
@@ -219,17 +221,17 @@
     assert not missed
 
 
-class Between(Index):
-    """An index in which something happens between the looks of a reader at two tables."""
+class InterleavedIndex(TenantIndex):
+    """An index that changes between the two look-ups of a reader."""
 
     def __init__(self) -> None:
         super().__init__()
         self.steps: list[TenantRecord] = []
 
-    def find(self, host: str, path: str) -> index.Leaf | None:
+    def find(self, host: str, path: str) -> index.IndexedTenant | None:
         hosts = self._hosts
 
-        class Watched(dict[str, index.VirtualHost[index.Leaf]]):
+        class Watched(dict[str, index.VirtualHost[index.IndexedTenant]]):
             def get(inner, key: str, default: object = None) -> object:  # type: ignore[override]  # noqa: N805  # `self` is the outer one
                 value = hosts.get(key)
                 if self.steps and key:
@@ -245,18 +247,18 @@
             self._hosts = hosts
 
 
-def test_a_tenant_that_takes_hosts_between_two_looks_is_found() -> None:
-    made = Between()
+def test_tenant_that_gets_hosts_between_two_lookups_is_found() -> None:
+    made = InterleavedIndex()
     made.put(TenantRecord(tenant("t"), 1))
     made.steps = [TenantRecord(tenant("t", ("h",)), 1)]
     match = made.find("h", "/")
     assert match
-    assert match.entry.tenant.hosts == ("h",)
+    assert match.record.tenant.hosts == ("h",)
     assert not made.steps
 
 
-def test_a_page_is_whole_while_names_come_and_go() -> None:
-    made, stop, wrong = Index(), threading.Event(), list[object]()
+def test_pages_are_complete_while_names_are_added_and_removed() -> None:
+    made, stop, wrong = TenantIndex(), threading.Event(), list[object]()
     for number in range(300):
         made.put(TenantRecord(tenant(f"n{number:04d}"), number + 1))
 
@@ -283,12 +285,12 @@
     assert made.page("n0297", 1)[1] == "n0298"
 
 
-class Moving(list[str]):
-    """Names of which some come or go just before a page is cut out."""
+class ConcurrentlyChangedNames(list[str]):
+    """Names that change just before a slice of them is taken."""
 
-    def __init__(self, names: list[str], move: Callable[["Moving"], None]) -> None:
+    def __init__(self, names: list[str], move: Callable[["ConcurrentlyChangedNames"], None]) -> None:
         super().__init__(names)
-        self.move: Callable[[Moving], None] | None = move
+        self.move: Callable[[ConcurrentlyChangedNames], None] | None = move
 
     def __getitem__(self, key: Any) -> Any:
         if isinstance(key, slice) and self.move is not None:
@@ -306,27 +308,29 @@
         lambda names: names.insert(2, "n1x"),
     ],
 )
-def test_a_page_that_moves_under_a_look_is_looked_at_again(move: Callable[[Moving], None]) -> None:
-    made = Index()
+def test_page_is_read_again_when_names_change_meanwhile(
+    move: Callable[[ConcurrentlyChangedNames], None],
+) -> None:
+    made = TenantIndex()
     for number in range(6):
         made.put(TenantRecord(tenant(f"n{number}"), number + 1))
-    made._names = Moving(made._names, move)
+    made._names = ConcurrentlyChangedNames(made._names, move)
     page, last = made.page("n1", 2)
     assert [entry.tenant.name for entry in page] == ["n2", "n3"] or "n1x" in made._names
     assert last == ("n3" if "n1x" not in made._names else "n2")
 
 
 def registry() -> tuple[TenantRegistry, Core]:
-    told = settings(SAFE, KEYED, cores=2)
-    shares = FairQueue(told.cores, told.memory_kb)
-    core = Core(told, [], 1, Backend(), standing=shares)
+    node_settings = settings(SAFE, KEYED, cores=2)
+    fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
+    core = Core(node_settings, [], 1, Backend(), standing=fair_queue)
     core.process_batch([])
     return TenantRegistry(
-        [], ("safe", "keyed"), lambda backend: None, core, shares, frozenset({"runtime"})
+        [], ("safe", "keyed"), lambda backend: None, core, fair_queue, frozenset({"runtime"})
     ), core
 
 
-def test_guarantees_are_added_up_as_they_change() -> None:
+def test_sum_of_guarantees_follows_changes() -> None:
     made, _ = registry()
     for number in range(10):
         made.put(tenant(f"t{number}", guarantee=0.1))  # in floats this is a little less than 1
@@ -336,24 +340,24 @@
         made.check(tenant("u", guarantee=1e-8))
     made.put(tenant("t3", guarantee=0.05))
     made.check(tenant("u", guarantee=0.05))
-    made.delete("t4")
+    made.remove("t4")
     made.check(tenant("u", guarantee=0.15))
     with pytest.raises(ConfigError):
         made.check(tenant("u", guarantee=0.16))
 
 
-def test_a_removal_looks_at_its_own_tenant_only() -> None:
-    life = Lifecycle()
+def test_removal_can_be_limited_to_one_tenant() -> None:
+    lifecycle = Lifecycle()
     for number in range(3):
-        life.put(tenant(f"t{number}"))
-    life.remove("t0", 0)
-    life.remove("t1", 0)
-    assert [gone.entry.number for gone in life.tick(0, lambda number: 0, [2])] == [2]
-    assert [gone.entry.tenant.name for gone in life.tick(0, lambda number: 0)] == ["t0"]
-    assert not life.draining()
+        lifecycle.put(tenant(f"t{number}"))
+    lifecycle.remove("t0", 0)
+    lifecycle.remove("t1", 0)
+    assert [gone.record.number for gone in lifecycle.remove_drained(0, lambda number: 0, [2])] == [2]
+    assert [gone.record.tenant.name for gone in lifecycle.remove_drained(0, lambda number: 0)] == ["t0"]
+    assert not lifecycle.is_draining()
 
 
-def test_two_tenants_of_one_name_are_refused() -> None:
+def test_duplicate_tenant_names_raise() -> None:
     value = {
         "classes": [{"name": "safe", "deadline_ms": 1}],
         "workers": [{"name": "w"}],
@@ -363,7 +367,7 @@
         parse(value)
 
 
-def test_of_too_many_tenants_those_counted_longest_ago_are_summed_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_counters_of_excess_tenants_are_summed_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counters, "MOST_TENANTS", 2)
     made = Counters()
     made.add("requests.read", 4)
@@ -386,10 +390,10 @@
     }
 
 
-def test_usage_tells_the_answers_of_a_tenant() -> None:
+def test_usage_contains_the_answers_of_a_tenant() -> None:
     made, core = registry()
     made.put(replace(tenant("t"), max_open=1))
     core.counters.add_for("t", "served")
-    entry = made.entry("t")
+    entry = made.record("t")
     assert entry
     assert made.usage(entry)["answers"] == {"served": 1}
