--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -25,8 +25,8 @@
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import DrainRequested, Message, Runner
 from reelusher.core.scheduling_lag import SchedulingLag
-from reelusher.drain.graceful_shutdown import DrainableFrontend, lead
-from reelusher.drain.signals import LOOK_S, SignalWatch
+from reelusher.drain.graceful_shutdown import DrainableFrontend, GracefulShutdown
+from reelusher.drain.signals import POLL_INTERVAL_S, SignalWatch
 from reelusher.frontends.rpc import frontend as rpc_frontend
 from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.net.sockets import Address
@@ -139,7 +139,7 @@
             else None
         )
         if self.catalog:
-            self.core.on_health = self.catalog.changed
+            self.core.on_health_changed = self.catalog.changed
         if told:
             self.fronts["platform"] = RpcFrontend(
                 self.core,
@@ -186,7 +186,7 @@
         except OSError as error:
             logger.error("upgrade: {} can't be used, so no other process may take over: {}", folder, error)
             return
-        self.core.key_locks = self._claims
+        self.core.deduplication.key_locks = self._claims
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
@@ -234,10 +234,8 @@
         if own.admin and own.admin.durable_keys:
             log = tenant_store.opened_keys(Path(folder))
             for number, line in enumerate(log.live()):
-                self.core.keys.remember(
-                    line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
-                )
-            self.core.key_log, self._key_log = log, log
+                self.core.keys.restore(line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest))
+            self.core.deduplication.key_log, self._key_log = log, log
         found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
         tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
@@ -424,7 +422,7 @@
         if self.core.notices.diverting_callers is not away:
             self.core.notices.diverting_callers = away
             logger.info("operator: callers are sent away" if away else "operator: callers are wanted again")
-            self.core.on_health()
+            self.core.on_health_changed()
 
     def status(self) -> dict[str, Any]:
         """Return how the node stands; called by the owner."""
@@ -554,7 +552,8 @@
             self.catalog.stop()
         if self.fleet:
             self.fleet.leave()
-        lead(self.fronts.values(), self._order, self._late_s, self._asked_s, span_s, grace_s)
+        shutdown = GracefulShutdown(self.fronts.values(), self._order, self._late_s)
+        shutdown.run(self._asked_s, span_s, grace_s)
         self._close_copy()
         left = self.core.attempts.unanswered
         logger.info("left after {:.0f} ms, {} unanswered", (time.monotonic() - self._asked_s) * 1000, left)
@@ -620,14 +619,14 @@
     """
     leaving: threading.Thread | None = None
     while leaving is None or leaving.is_alive():
-        found = watch.look()
-        if found is not None and found[0] is signal.SIGHUP:
+        received = watch.poll()
+        if received is not None and received.signal is signal.SIGHUP:
             start_thread("reload", node.reload)
-        elif found is not None:
-            node.ask_to_leave(found[1])
+        elif received is not None:
+            node.ask_to_leave(received.earliest_s)
         elif leaving is not None:
-            leaving.join(LOOK_S)
-        elif node.asked_to_leave.wait(LOOK_S):
+            leaving.join(POLL_INTERVAL_S)
+        elif node.asked_to_leave.wait(POLL_INTERVAL_S):
             leaving = start_thread("leave", node.leave)
 
 
--- a/reelusher/tenancy/cached_registry.py
+++ b/reelusher/tenancy/cached_registry.py
@@ -208,7 +208,7 @@
         record = self.lifecycle.remove(name, self._core.clock.now())
         self.lifecycle.release_name(name)
         self.cache.remove(name)
-        self._core.runners.pop(name, None)
+        self._core.requests.runners.pop(name, None)
         if record is not None:
             self._remove_drained([record.number])
 
@@ -231,10 +231,10 @@
             record = idle.cached.indexed.record
             if self.cache.evict(idle, partial(self._may_evict, record.number)):
                 self.lifecycle.evict(record.tenant.name)
-                self._core.runners.pop(record.tenant.name, None)
+                self._core.requests.runners.pop(record.tenant.name, None)
                 self._core.counters.add("tenants.let_go")
 
     def _may_evict(self, number: int) -> bool:
-        if self._core.attempts.of_tenant(number):
+        if self._core.attempts.count_of_tenant(number):
             return False
         return self._fair_queue.evict(number, self._core.clock.now())
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -62,7 +62,7 @@
         self.lifecycle = Lifecycle()
         self._index = TenantIndex()
         self._drain_check_scheduled = False
-        core.admits_tenant = self.lifecycle.admits
+        core.requests.admits_tenant = self.lifecycle.admits
         for tenant, state in tenants:
             self.put(tenant, state)
 
@@ -145,7 +145,7 @@
         return {
             "name": name,
             "state": record.state.value,
-            "in_hand": self._core.attempts.of_tenant(record.number),
+            "in_hand": self._core.attempts.count_of_tenant(record.number),
             "answers": self._core.counters.of_tenant(name),
             **usage._asdict(),
         }
@@ -185,9 +185,9 @@
         self._fair_queue.set_quota(number, self._quota(tenant))
         runner = self._runner_of(tenant.backend)
         if runner is None:
-            self._core.runners.pop(tenant.name, None)
+            self._core.requests.runners.pop(tenant.name, None)
         else:
-            self._core.runners[tenant.name] = runner
+            self._core.requests.runners[tenant.name] = runner
 
     def _quota(self, tenant: Tenant) -> Quota:
         share = tenant.share
@@ -205,7 +205,7 @@
 
     def _remove_drained(self, numbers: list[int] | None = None) -> None:
         now_us = self._core.clock.now()
-        for removed in self.lifecycle.remove_drained(now_us, self._core.attempts.of_tenant, numbers):
+        for removed in self.lifecycle.remove_drained(now_us, self._core.attempts.count_of_tenant, numbers):
             self._forget(removed)
         if self.lifecycle.is_draining() and not self._drain_check_scheduled:
             self._drain_check_scheduled = True
@@ -219,10 +219,10 @@
         """Forget a removed tenant, and answer what it still has in flight."""
         name, number = removed.record.tenant.name, removed.record.number
         if removed.in_flight:  # the requests of all tenants are searched
-            self._core.end_tenant_requests(number)
+            self._core.requests.end_tenant_requests(number)
         self._fair_queue.remove(number)
         if self.lifecycle.get(name) is None:
-            self._core.runners.pop(name, None)
+            self._core.requests.runners.pop(name, None)
         self._core.counters.add("tenants.removed")
         self._core.counters.add("tenants.ended_in_hand", removed.in_flight)
         self._index.remove(name)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -82,7 +82,7 @@
             seed,
             self.backend,
             clock=Clock(*[lambda: self.now_us * 1000] * 2),
-            standing=fair_queue,
+            scheduler=fair_queue,
         )
         self.tenants = TenantRegistry(
             [(tenant("a"), TenantState.ACTIVE), (tenant("b"), TenantState.ACTIVE)],
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -1,7 +1,6 @@
 """The tenant cache: which tenants are in memory, and races with changes, removals and evictions."""
 
 import json
-import queue
 import socket
 import threading
 from collections import Counter
@@ -139,7 +138,7 @@
             1,
             self.runners["w"],
             clock=Clock(*[lambda: self.now_us * 1000] * 2),
-            standing=self.fair_queue,
+            scheduler=self.fair_queue,
         )
         self.core.process_batch([])
         self.tenants = CachedTenantRegistry(
@@ -159,12 +158,7 @@
     def run_event_loop(self, later_us: int = 0) -> None:
         """Process all that is in the queue of the event loop as one batch."""
         self.now_us += later_us
-        batch = []
-        while True:
-            try:
-                batch.append(self.core._inbox.get_nowait())
-            except queue.Empty:
-                break
+        batch = self.core.queued_messages()
         self.core.process_batch([message for message in batch if message is not None])
 
     def advance_s(self, seconds: float) -> None:
@@ -467,7 +461,7 @@
     assert found
     assert found.tenant.backend == "v"
     node.run_event_loop()
-    assert node.core.runners["a"] is node.runners["v"]
+    assert node.core.requests.runners["a"] is node.runners["v"]
 
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
@@ -527,7 +521,7 @@
     node.advance_s(0.2)
     assert node.verdicts("old") == node.verdicts("new") == [Verdict.SERVED]
     assert [record.number for record in node.tenants.lifecycle.records()] == [2]
-    assert node.core.runners["a"] is node.runners["v"]
+    assert node.core.requests.runners["a"] is node.runners["v"]
     assert ("start", "new") in node.runners["v"].said
 
 
@@ -540,7 +534,7 @@
     node.advance_s(5)
     assert len(node.cache) == 0
     assert not node.fair_queue.flows
-    assert not node.core.runners
+    assert not node.core.requests.runners
     assert not node.tenants.lifecycle.records()
     assert node.count("tenants.let_go") == 1
     node.send_request("two")
@@ -572,12 +566,12 @@
     node.finish_run("one")
     node.advance_s(9)
     for _ in range(40):
-        if not node.core._inbox.empty():
+        if node.core.has_queued_messages():
             break
         node.now_us += 100_000
         node.core.process_batch([])
     assert len(node.cache) == 1
-    assert not node.core._inbox.empty()
+    assert node.core.has_queued_messages()
 
 
 def test_tenant_used_during_its_eviction_stays(node: SimulatedNode) -> None:
@@ -723,11 +717,11 @@
         broken.setattr(node.source, "get", lambda name: {}[name])
         node.source.put(make_tenant("a", backend="v"))
     node.run_event_loop()
-    assert node.core.runners["a"] is node.runners["w"]
+    assert node.core.requests.runners["a"] is node.runners["w"]
     assert "a" in node.tenants.unreadable()
     node.source.put(make_tenant("b"))
     node.run_event_loop()
-    assert node.core.runners["a"] is node.runners["v"]
+    assert node.core.requests.runners["a"] is node.runners["v"]
     assert not node.tenants.unreadable()
 
 
@@ -743,7 +737,7 @@
     node.source.on_change([*names, "a"])
     node.run_event_loop()
     assert node.source.calls["get"] == 1
-    assert node.core.runners["a"] is node.runners["v"]
+    assert node.core.requests.runners["a"] is node.runners["v"]
     found = node.find("i")
     assert found
     assert found.tenant.name == "t0"
@@ -871,7 +865,7 @@
 def test_ajp_front_end_answers_503_while_a_tenant_cannot_be_read_and_serves_others() -> None:
     node_settings, rows, runner = settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
-    core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], standing=fair_queue)
+    core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
     made = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
     listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
     front = AjpFrontend(core, listens, made)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import controller, ids, of
+from helpers import ids, of, started_controller
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
@@ -202,23 +202,23 @@
 def test_limits_of_a_tenant_apply_to_it_alone(limits: Quota) -> None:
     fair_queue = FairQueue(2, 10_000.0)
     fair_queue.set_quota(1, limits)
-    made = controller(
+    controller = started_controller(
         RequestClass(deadline_us=8_000_000),
         scheduler=fair_queue,
         memory_kb=10_000.0,
         running_memory_factor=4.0,
     )
     requests = [Request(n, 0, tenant=1, held_kb=20.0) for n in range(1, 31)]
-    first = made.handle(1, list(requests))
+    first = controller.handle(1, list(requests))
     rejected, started = ids(first, Reject), ids(first, Run)
     if limits.running:
-        made.concurrency.limit = 10.0
+        controller.concurrency.limit = 10.0
         assert len(started) == 2
         assert not rejected
-        assert not ids(made.handle(2, []), Run)  # slots are free, its limit is reached
+        assert not ids(controller.handle(2, []), Run)  # slots are free, its limit is reached
     else:
         assert len(rejected) >= 20
-    other = made.handle(3, [Request(100, 0, tenant=2, held_kb=20.0)])
+    other = controller.handle(3, [Request(100, 0, tenant=2, held_kb=20.0)])
     assert not of(other, Reject)
     assert not limits.running or ids(other, Run) == [100]
 
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -323,7 +323,7 @@
 def registry() -> tuple[TenantRegistry, Core]:
     node_settings = settings(SAFE, KEYED, cores=2)
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
-    core = Core(node_settings, [], 1, Backend(), standing=fair_queue)
+    core = Core(node_settings, [], 1, Backend(), scheduler=fair_queue)
     core.process_batch([])
     return TenantRegistry(
         [], ("safe", "keyed"), lambda backend: None, core, fair_queue, frozenset({"runtime"})
@@ -368,7 +368,7 @@
 
 
 def test_counters_of_excess_tenants_are_summed_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counters, "MOST_TENANTS", 2)
+    monkeypatch.setattr(counters, "MAX_TENANTS", 2)
     made = Counters()
     made.add("requests.read", 4)
     for name, what in (("a", "served"), ("b", "served"), ("a", "refused"), ("c", "served"), ("d", "failed")):
