--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -22,10 +22,16 @@
 from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
 from reelusher.fleet.replication.replica import Position
 from reelusher.fleet.replication.replica_store import ReplicaError
+from reelusher.storage.tenant_state import ChangeKind, to_json
 from reelusher.storage.tenant_state import TenantVersion as Kept
-from reelusher.storage.tenant_state import shown
 from reelusher.tenancy.registry import TenantRegistry
-from reelusher.tenancy.replicated import MOST_WHO, ReplicatedTable, ReplicatedTenant, TableBusyError, told
+from reelusher.tenancy.replicated import (
+    MAX_ACTOR_LENGTH,
+    ReplicatedTable,
+    ReplicatedTenant,
+    TableBusyError,
+    format_position,
+)
 
 COPIES_S = 5.0  # that a call waits for copies
 CARRIED_S = 4.0  # that the holder has for a call that is carried there, beside the wait for copies
@@ -78,14 +84,14 @@
         found = self._replicated.page(after, limit + 1)
         page = found[:limit]
         more = {"next": page[-1].tenant["name"]} if len(found) > limit else {}
-        return Reply(200, {"tenants": [shown(one) for one in page], **more})
+        return Reply(200, {"tenants": [to_json(one) for one in page], **more})
 
     def _show(self, asked: ApiCall) -> Reply:
-        kept = self._replicated.kept(asked.name)
+        kept = self._replicated.get(asked.name)
         if kept is None:
             raise self._nobody(asked.name)
         more = {"unreadable": kept.unreadable} if kept.unreadable else {}
-        return Reply(200, {**(self._told(self._replicated.overlapping(kept)) or {}), **more}, etag(kept))
+        return Reply(200, {**(self._told(self._replicated.with_overlaps(kept)) or {}), **more}, etag(kept))
 
     def _changes(self, asked: ApiCall) -> Reply:
         """Tell how far the members have the changes."""
@@ -96,15 +102,15 @@
         counted = {one["stream"]: one for one in self._counted()}
         streams = []
         for stream in table.replica.control:
-            state, further = table.replica.states[stream], table.lacks(stream)
+            state, further = table.replica.states[stream], table.position_ahead(stream)
             holder = table.holder(stream)
             streams.append(
                 {
                     "stream": stream,
                     "holder": holder,
                     "holder_at": places.get(holder, []),
-                    "position": told(table.position(stream)),
-                    "heard_of": told(further) if further else None,
+                    "position": format_position(table.position(stream)),
+                    "heard_of": format_position(further) if further else None,
                     "refilling": state.cursor >= 0,
                     "lost": state.lost,
                     "put_back": state.put_back,
@@ -144,35 +150,35 @@
     # Changing
 
     def _read(self, value: Any, name: str | None = None) -> Tenant:
-        return self._replicated.read(value, name)
+        return self._replicated.parse(value, name)
 
     def _known(self, name: str) -> bool:
-        return self._replicated.kept(name) is not None
+        return self._replicated.get(name) is not None
 
     def _apply(self, change: Callable[[], object]) -> None:
         """Do nothing: the node goes by its copy, which has told it by now."""
 
     def _told(self, kept: Kept | None) -> dict[str, Any] | None:
-        made = shown(kept)
+        made = to_json(kept)
         if made is not None and isinstance(kept, ReplicatedTenant):
-            for key, overlaps in (("shadowed", kept.lost), ("shadows", kept.won)):
+            for key, overlaps in (("shadowed", kept.shadowed_by), ("shadows", kept.shadows)):
                 if overlaps:
                     made[key] = [one.to_json() for one in overlaps]
         return made
 
     def _would(self, before: Kept | None, after: Kept | None) -> Reply:
         if after is not None:
-            after = self._replicated.overlapping(ReplicatedTenant(after.tenant, after.state, ""))
+            after = self._replicated.with_overlaps(ReplicatedTenant(after.tenant, after.state, ""))
         return super()._would(before, after)
 
     def _delete(self, asked: ApiCall) -> Reply:
         if "within_ms" in asked.query:
             raise ApiError(400, "each node ends what it has in hand within its own time", "within_ms")
-        with self._table.changing():
+        with self._table.exclusive():
             before = self._current(asked)
             if asked.dry:
                 return self._would(before, None)
-            self._table.change("remove", asked.name, asked.who)
+            self._table.change(ChangeKind.REMOVE, asked.name, asked.who)
         return Reply(204)
 
     def _make(self, key: Key, asked: ApiCall) -> Reply:
@@ -222,24 +228,24 @@
             raise ApiError(409, f"{own!r} writes stream {stream!r} already")
         self._sole(own)
         lives = holder != own and any(member.name == holder for member in self._live())
-        position, further = table.position(stream), table.lacks(stream)
+        position, further = table.position(stream), table.position_ahead(stream)
         if lives and self._fleet is not None:  # what it has just made was not told to anybody yet
             further = max(filter(None, (further, self._asked_holder(stream, holder))), default=None)
             further = None if further is not None and further <= position else further
         found = {
             "stream": stream,
             "holder": holder,
-            "has": told(position),
+            "has": format_position(position),
             "holder_lives": lives,
-            "heard_of": told(further) if further else None,
+            "heard_of": format_position(further) if further else None,
             "lost": _changes_past(position, further),
         }
         if asked.dry:
             return Reply(200, {"dry_run": True, **found})
         if further is not None and not force:
             raise self._later(
-                f"others have stream {stream!r} up to {told(further)}, this member up to "
-                f"{told(position)}: wait for them, or lose them by force=true",
+                f"others have stream {stream!r} up to {format_position(further)}, this member up to "
+                f"{format_position(position)}: wait for them, or lose them by force=true",
                 **found,
             )
         try:
@@ -251,11 +257,11 @@
             "replication: {} writes stream {} from {} on, as {} ordered; others had heard of {}",
             own,
             stream,
-            told(begun),
+            format_position(begun),
             asked.who,
             found["heard_of"] or "no more",
         )
-        return Reply(200, {**found, "begins": told(begun)})
+        return Reply(200, {**found, "begins": format_position(begun)})
 
     def _counted(self) -> list[dict[str, Any]]:
         """Return who has the newest changes, as holders have counted it; who does not say is left out."""
@@ -338,7 +344,7 @@
             target,
             {name: asked.headers[name] for name in HEADERS if name in asked.headers},
             body,
-            asked.who[:MOST_WHO],
+            asked.who[:MAX_ACTOR_LENGTH],
         )
         if not self._sends.acquire(blocking=False):
             raise self._later("too many calls are on their way to other members: nothing was changed")
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -14,8 +14,8 @@
 from reelusher.config.checked_table import ConfigError
 from reelusher.config.operator import Tenant
 from reelusher.core.event_loop import Core
-from reelusher.storage.journal import JournalError
-from reelusher.storage.tenant_state import StoredTenant, TenantVersion, shown
+from reelusher.storage.errors import JournalError
+from reelusher.storage.tenant_state import ChangeKind, StoredTenant, TenantVersion, to_json
 from reelusher.tenancy.lifecycle import DEFAULT_DRAIN_TIMEOUT_US, TenantState, TenantStateError
 from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
@@ -147,7 +147,7 @@
         entry = self._tenants.record(asked.name)
         if entry is None:
             raise self._nobody(asked.name)
-        kept = self._table.kept(asked.name)
+        kept = self._table.get(asked.name)
         return Reply(200, self._tenants.to_json(entry), etag(kept))
 
     def _usage(self, asked: ApiCall) -> Reply:
@@ -168,8 +168,8 @@
                     {
                         "number": one.number,
                         "at_ms": one.at_ms,
-                        "who": one.who,
-                        "change": one.op,
+                        "who": one.actor,
+                        "change": one.kind.value,
                         "tenant": one.name,
                         "before": one.before,
                         "after": one.after,
@@ -198,8 +198,8 @@
         key = asked.headers.get("idempotency-key", "")
         if len(key) > MOST_KEY:
             raise ApiError(400, f"more than {MOST_KEY} characters", "Idempotency-Key")
-        with self._table.changing():
-            made_before = self._table.made_by(key) if key else None
+        with self._table.exclusive():
+            made_before = self._table.created_by(key) if key else None
             tenant = self._read(asked.value)
             if made_before is not None:
                 return self._again(made_before, tenant)
@@ -207,13 +207,15 @@
                 raise ApiError(409, f"a tenant is named {tenant.name!r} already", "name")
             if asked.dry:
                 return self._would(None, StoredTenant(tenant.to_json(), TenantState.ACTIVE.value, 0))
-            kept = self._table.change("put", tenant.name, asked.who, tenant.to_json(), key=key)
+            kept = self._table.change(
+                ChangeKind.PUT, tenant.name, asked.who, tenant.to_json(), idempotency_key=key
+            )
             self._apply(lambda: self._tenants.put(tenant))
             return Reply(201, self._told(kept), etag(kept))
 
     def _again(self, name: str, tenant: Tenant) -> Reply:
         """Answer a call whose key made a tenant before: as then, if it still asks for the same."""
-        kept = self._table.kept(name)
+        kept = self._table.get(name)
         if tenant.name != name:
             raise ApiError(422, f"this key was used to make {name!r}", "Idempotency-Key")
         if kept is None:
@@ -221,14 +223,14 @@
         return Reply(201, self._told(kept), {**etag(kept), "Idempotent-Replayed": "true"})
 
     def _replace(self, asked: ApiCall) -> Reply:
-        with self._table.changing():
+        with self._table.exclusive():
             before = self._current(asked)
             return self._put(asked, before, self._read(asked.value, asked.name))
 
     def _patch(self, asked: ApiCall) -> Reply:
         if not isinstance(asked.value, dict):
             raise ApiError(400, "a merge patch is an object")
-        with self._table.changing():
+        with self._table.exclusive():
             before = self._current(asked)
             patched = merged(before.tenant, asked.value)
             return self._put(asked, before, self._read(patched, asked.name))
@@ -236,7 +238,7 @@
     def _put(self, asked: ApiCall, before: TenantVersion, tenant: Tenant) -> Reply:
         if asked.dry:
             return self._would(before, StoredTenant(tenant.to_json(), before.state, 0))
-        kept = self._table.change("put", asked.name, asked.who, tenant.to_json())
+        kept = self._table.change(ChangeKind.PUT, asked.name, asked.who, tenant.to_json())
         self._apply(lambda: self._tenants.put(tenant))
         return Reply(200, self._told(kept), etag(kept))
 
@@ -247,30 +249,30 @@
         return self._move(asked, TenantState.ACTIVE)
 
     def _move(self, asked: ApiCall, to: TenantState) -> Reply:
-        with self._table.changing():
+        with self._table.exclusive():
             before = self._current(asked)
             if asked.dry:
                 return self._would(before, StoredTenant(before.tenant, to.value, 0))
-            kept = self._table.change("state", asked.name, asked.who, state=to.value)
+            kept = self._table.change(ChangeKind.SET_STATE, asked.name, asked.who, state=to.value)
             self._apply(lambda: self._tenants.set_state(asked.name, to))
             return Reply(200, self._told(kept), etag(kept))
 
     def _delete(self, asked: ApiCall) -> Reply:
         within_us = asked.whole("within_ms", DEFAULT_DRAIN_TIMEOUT_US // 1000, MOST_WITHIN_MS) * 1000
-        with self._table.changing():
+        with self._table.exclusive():
             entry = self._tenants.record(asked.name)
             if entry is None or entry.state is not TenantState.DRAINING:
                 before = self._current(asked)
                 if asked.dry:
                     return self._would(before, None)
-                self._table.change("remove", asked.name, asked.who)
+                self._table.change(ChangeKind.REMOVE, asked.name, asked.who)
             self._core.run_on_loop(lambda: self._tenants.remove(asked.name, within_us))
         left = self._tenants.record(asked.name)
         return Reply(204) if left is None else Reply(202, self._tenants.to_json(left))
 
     def _current(self, asked: ApiCall) -> TenantVersion:
         """Return what is kept of a tenant that may be changed, and is as the caller thinks."""
-        kept = self._table.kept(asked.name)
+        kept = self._table.get(asked.name)
         if kept is None and not self._known(asked.name):
             raise self._nobody(asked.name)
         if kept is None:
@@ -284,12 +286,12 @@
 
     def _told(self, kept: TenantVersion | None) -> dict[str, Any] | None:
         """Return a tenant as a change's answer shows it."""
-        return shown(kept)
+        return to_json(kept)
 
     def _would(self, before: TenantVersion | None, after: TenantVersion | None) -> Reply:
         """Say what a change would do."""
         return Reply(
-            200, {"dry_run": True, "before": shown(before), "after": self._told(after)}, etag(before)
+            200, {"dry_run": True, "before": to_json(before), "after": self._told(after)}, etag(before)
         )
 
     @staticmethod
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -12,6 +12,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.storage.directory import LockedDirectory
+from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy.tenant_store import TenantStore
 from reelusher.upgrade.key_locks import KeyLockFiles
 
@@ -35,11 +36,11 @@
         folder = LockedDirectory(Path(name))
         store = TenantStore(folder)
         began = time.monotonic()
-        store.take_over(there(made.operator).tenants)
+        store.import_tenants(there(made.operator).tenants)
         snapshot_s = time.monotonic() - began
         began = time.monotonic()
         for number in range(CHANGES):
-            store.change("state", f"tenant-{number % size}", "operator", state="suspended")
+            store.change(ChangeKind.SET_STATE, f"tenant-{number % size}", "operator", state="suspended")
         change_ms = (time.monotonic() - began) / CHANGES * 1000
         folder.close()
         kept = sum(path.stat().st_size for path in Path(name).iterdir())
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -224,7 +224,7 @@
         backends = self._backends(own)
         assert self._shares is not None
         folder, old = (own.admin.state_dir, own.admin.state_file) if own.admin else ("", "")
-        kept = tenant_store.opened(
+        kept = tenant_store.open_store(
             Path(folder) if folder else None,
             Path(old) if old else None,
             own.tenants,
@@ -232,11 +232,15 @@
             backends,
         )
         if own.admin and own.admin.durable_keys:
-            log = tenant_store.opened_keys(Path(folder))
-            for number, line in enumerate(log.live()):
-                self.core.keys.restore(line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest))
+            log = tenant_store.open_key_log(Path(folder))
+            for number, line in enumerate(log.unexpired()):
+                self.core.keys.restore(
+                    line.idempotency_key, EARLIER + number, line.expires_us, bytes.fromhex(line.body_digest)
+                )
             self.core.deduplication.key_log, self._key_log = log, log
-        found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
+        found = [
+            (tenant, TenantState(state)) for tenant, state in kept.checked_tenants(own.class_names, backends)
+        ]
         tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
 
@@ -289,7 +293,7 @@
 
         def changed(names: list[str]) -> None:
             tenants.rows_changed(names)
-            table.noticed(names)
+            table.report_overlaps(names)
 
         copy.on_change = changed
         tenants.is_bootstrapping = replication.filling
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -1,204 +1,211 @@
-"""A journal of changes with snapshots: what is acknowledged is on the disk, whatever ends the process.
+"""A write-ahead journal of changes with snapshots: what is acknowledged survives a crash.
 
     snapshot-N   one frame, numbered N: the state after change N
     journal-N    frames N+1, N+2, …: the changes since
 
-A change is written and synced, then acknowledged. After enough of them the next journal is begun, a snapshot
-is written under another name, synced, and renamed, and what is older than the last snapshot but one goes. So
+A change is written and synced, then acknowledged. After enough changes a new journal is created, a snapshot
+is written under another name, synced, and renamed, and files older than the previous snapshot are removed. So
 a snapshot always has its journal, and a journal without its snapshot is empty, unless a file was lost.
 
-Recovery takes the newest snapshot and every change after it. The one before stays, so that a newest snapshot
-that a disk has damaged leaves something to go back to by hand; nothing goes back by itself, because changes
-that were acknowledged would be lost.
+Recovery reads the newest snapshot and every change after it. The previous snapshot is kept for recovery by
+hand in case the disk damages the newest one; it is never used automatically, because acknowledged changes
+would be lost.
 """
 
 import re
 from collections.abc import Callable
+from typing import NamedTuple
 
 from loguru import logger
 
 from reelusher.storage.directory import Directory
-from reelusher.storage.frames import MAGIC, DamagedFileError, Scan, encode, scan
+from reelusher.storage.errors import DamagedFileError, JournalError
+from reelusher.storage.frames import MAGIC, Frame, ScanResult, encode_frame, scan_frames
 
-NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
-FRESH = "snapshot.new"
-COMPACT_AFTER = 1000  # changes since the last snapshot
-COMPACT_BYTES = 1 << 22  # of them
+FILE_NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
+NEW_SNAPSHOT = "snapshot.new"  # while it is written
+COMPACT_AFTER_CHANGES = 1000  # since the last snapshot
+COMPACT_AFTER_BYTES = 1 << 22  # of the journal
 
 
-class JournalError(Exception):
-    """The state can't be read, or can't be changed any more; the text names file and position."""
+class Recovery(NamedTuple):
+    """What a journal holds."""
+
+    snapshot: bytes | None
+    changes: list[Frame]  # after the snapshot
 
 
 class Journal:
-    """One folder's journal; a thread at a time. `payload`s are bytes that end in one that is not zero."""
+    """The journal of one directory. Not thread-safe. The last byte of a payload is never zero."""
 
     def __init__(
-        self, disk: Directory, state: Callable[[], bytes], compact_after: int = COMPACT_AFTER
+        self, directory: Directory, snapshot: Callable[[], bytes], compact_after: int = COMPACT_AFTER_CHANGES
     ) -> None:
-        """`state` returns the state as it is now, for snapshots."""
-        self._disk = disk
-        self._state = state
+        """`snapshot` returns the current state."""
+        self._directory = directory
+        self._snapshot = snapshot
         self._compact_after = compact_after
-        self._base = 0  # of the newest snapshot
-        self._size = 0  # of the journal
-        self._changes: list[int] = []  # sizes of frames since the snapshot
-        self._failed = ""  # why nothing more can be written
+        self._snapshot_number = 0  # of the newest one
+        self._journal_bytes = 0
+        self._changes_since_snapshot = 0
+        self.failure = ""  # why the journal is closed to changes; empty while it is open
         self.number = 0  # of the last change
 
     # Recovery
 
-    def recover(self) -> tuple[bytes | None, list[tuple[int, bytes]]]:
-        """Read what is there: the snapshot, if any, and the changes after it. Raises `JournalError`."""
-        snapshots, journals = self._found()
-        state = None
+    def recover(self) -> Recovery:
+        """Read the newest snapshot, if any, and the changes after it. Raises `JournalError`."""
+        snapshots, journals = self._file_numbers()
+        snapshot = None
         if snapshots:
-            self._base = snapshots[-1]
-            state = self._read_snapshot(f"snapshot-{self._base}", self._base)
+            self._snapshot_number = snapshots[-1]
+            snapshot = self._read_snapshot()
         for number in journals:
-            if number > self._base and self._scan(f"journal-{number}", number + 1).frames:
+            if number > self._snapshot_number and self._scan(f"journal-{number}", number + 1).frames:
                 raise JournalError(f"journal-{number}: snapshot-{number}, which it goes on from, is missing")
-        if self._base not in journals and (snapshots or journals):
-            raise JournalError(
-                f"journal-{self._base}: it is missing, with the changes since snapshot-{self._base}"
-            )
+        if self._snapshot_number not in journals and (snapshots or journals):
+            number = self._snapshot_number
+            raise JournalError(f"journal-{number}: it is missing, with the changes since snapshot-{number}")
         changes = self._read_journal() if journals else []
-        if self._size < len(MAGIC):
-            self._begin(self._base)
-            self._size = len(MAGIC)
-        self.number = self._base + len(changes)
-        return state, changes
-
-    def _begin(self, number: int) -> None:
-        """Make an empty journal, durable."""
+        if self._journal_bytes < len(MAGIC):
+            self._create(self._snapshot_number)
+            self._journal_bytes = len(MAGIC)
+        self.number = self._snapshot_number + len(changes)
+        return Recovery(snapshot, changes)
+
+    def _create(self, number: int) -> None:
+        """Create an empty journal, durably."""
         name = f"journal-{number}"
-        self._disk.append(name, MAGIC, 0)
-        self._disk.cut(name, len(MAGIC))
-        self._disk.sync(name)
-        self._disk.sync_names()
+        self._directory.append(name, MAGIC, 0)
+        self._directory.truncate(name, len(MAGIC))
+        self._directory.sync(name)
+        self._directory.sync_directory()
 
-    def _scan(self, name: str, first: int) -> Scan:
+    def _scan(self, name: str, first: int) -> ScanResult:
         try:
-            return scan(self._disk.read(name), first)
+            return scan_frames(self._directory.read(name), first)
         except DamagedFileError as error:
             raise JournalError(f"{name}: {error}") from None
 
-    def _found(self) -> tuple[list[int], list[int]]:
+    def _file_numbers(self) -> tuple[list[int], list[int]]:
         found: dict[str, list[int]] = {"snapshot": [], "journal": []}
-        for name in self._disk.names():
-            fits = NAME.fullmatch(name)
-            if fits:
-                found[fits[1]].append(int(fits[2]))
+        for name in self._directory.file_names():
+            match = FILE_NAME.fullmatch(name)
+            if match:
+                found[match[1]].append(int(match[2]))
         return sorted(found["snapshot"]), sorted(found["journal"])
 
-    def _read_snapshot(self, name: str, number: int) -> bytes:
-        read = self._scan(name, number)
-        if len(read.frames) != 1 or read.torn:  # it was synced before it got its name
+    def _read_snapshot(self) -> bytes:
+        name = f"snapshot-{self._snapshot_number}"
+        result = self._scan(name, self._snapshot_number)
+        if len(result.frames) != 1 or result.incomplete_bytes:  # it was synced before it got its name
             raise JournalError(
-                f"{name}: at byte {read.end}: it holds {len(read.frames)} whole frames, not one"
+                f"{name}: at byte {result.end}: it holds {len(result.frames)} whole frames, not one"
             )
-        return read.frames[0].payload
+        return result.frames[0].payload
 
-    def _read_journal(self) -> list[tuple[int, bytes]]:
-        name = self._journal
-        read = self._scan(name, self._base + 1)
-        if read.torn:
+    def _read_journal(self) -> list[Frame]:
+        name = self._journal_name
+        result = self._scan(name, self._snapshot_number + 1)
+        if result.incomplete_bytes:
             logger.warning(
-                "state: {}: {} bytes at byte {} are of a change that was never acknowledged, "
-                "they are cut off",
+                "state: {}: truncated {} bytes at byte {} of a change that was never acknowledged",
                 name,
-                read.torn,
-                read.end,
+                result.incomplete_bytes,
+                result.end,
             )
-            self._disk.cut(name, read.end)
-            self._disk.sync(name)
-        self._size = read.end
-        self._changes = [len(frame.payload) for frame in read.frames]
-        return [(frame.number, frame.payload) for frame in read.frames]
+            self._directory.truncate(name, result.end)
+            self._directory.sync(name)
+        self._journal_bytes = result.end
+        self._changes_since_snapshot = len(result.frames)
+        return list(result.frames)
 
     # Changes
 
     @property
-    def _journal(self) -> str:
-        return f"journal-{self._base}"
+    def _journal_name(self) -> str:
+        return f"journal-{self._snapshot_number}"
 
     def append(self, payload: bytes) -> int:
-        """Make a change durable and return its number. Raises `JournalError`: then it was not made.
+        """Make a change durable and return its number. Raises `JournalError` if it was not made.
 
-        A write that fails (a full disk) is taken back, and the next may go well. Where that fails too, or a
-        sync fails, what the disk holds is not known: the journal is then closed to changes until a restart
-        has read it again.
+        A write that fails, for example on a full disk, is undone, and the next may succeed. If that fails, or
+        a sync fails, the contents of the disk are unknown: the journal is then closed to changes until a
+        restart has read it again.
         """
-        if self._failed:
-            raise JournalError(self._failed)
-        data = encode(self.number + 1, payload)
+        if self.failure:
+            raise JournalError(self.failure)
+        data = encode_frame(self.number + 1, payload)
         try:
-            self._disk.append(self._journal, data, self._size)
+            self._directory.append(self._journal_name, data, self._journal_bytes)
         except OSError as error:
-            self._take_back(error)
-            raise JournalError(f"{self._journal}: at byte {self._size}: {error}") from None
+            self._undo_append(error)
+            raise JournalError(f"{self._journal_name}: at byte {self._journal_bytes}: {error}") from None
         try:
-            self._disk.sync(self._journal)
+            self._directory.sync(self._journal_name)
         except OSError as error:
-            self._failed = f"{self._journal}: a sync failed, the state is closed to changes: {error}"
-            logger.error("state: {}", self._failed)
-            raise JournalError(self._failed) from None
-        self._size += len(data)
+            self.failure = f"{self._journal_name}: a sync failed, the state is closed to changes: {error}"
+            logger.error("state: {}", self.failure)
+            raise JournalError(self.failure) from None
+        self._journal_bytes += len(data)
         self.number += 1
-        self._changes.append(len(payload))
+        self._changes_since_snapshot += 1
         return self.number
 
-    def _take_back(self, error: OSError) -> None:
+    def _undo_append(self, error: OSError) -> None:
         try:
-            self._disk.cut(self._journal, self._size)
-        except OSError as second:
-            self._failed = (
-                f"{self._journal}: a write failed ({error}) and could not be taken back, the "
-                f"state is closed to changes: {second}"
+            self._directory.truncate(self._journal_name, self._journal_bytes)
+        except OSError as undo_error:
+            self.failure = (
+                f"{self._journal_name}: a write failed ({error}) and could not be taken back, the "
+                f"state is closed to changes: {undo_error}"
             )
-            logger.error("state: {}", self._failed)
+            logger.error("state: {}", self.failure)
 
     # Snapshots
 
     def compact_if_due(self) -> bool:
-        """Write a snapshot once there are enough changes since the last; True where one was written.
+        """Write a snapshot after enough changes since the last; return whether one was written.
 
-        One that fails is no harm: changes go on into the journal there is, and it is tried again later.
+        A failure does no harm: changes continue in the current journal, and the snapshot is retried later.
         """
-        due = len(self._changes) >= self._compact_after or self._size >= COMPACT_BYTES
-        return due and not self._failed and self.compact()
+        due = (
+            self._changes_since_snapshot >= self._compact_after or self._journal_bytes >= COMPACT_AFTER_BYTES
+        )
+        return due and not self.failure and self.compact()
 
     def compact(self) -> bool:
-        """Write a snapshot of the state as it is now and begin a new journal."""
+        """Write a snapshot of the current state and start a new journal; return whether that succeeded."""
         number = self.number
         try:
-            data = MAGIC + encode(number, self._state())
-            if number != self._base:
-                self._begin(number)
-            self._disk.remove(FRESH)  # of a try before
-            self._disk.append(FRESH, data, 0)
-            self._disk.sync(FRESH)
-            self._disk.rename(FRESH, f"snapshot-{number}")
-            self._disk.sync_names()
+            data = MAGIC + encode_frame(number, self._snapshot())
+            if number != self._snapshot_number:
+                self._create(number)
+            self._directory.remove(NEW_SNAPSHOT)  # of an earlier attempt
+            self._directory.append(NEW_SNAPSHOT, data, 0)
+            self._directory.sync(NEW_SNAPSHOT)
+            self._directory.rename(NEW_SNAPSHOT, f"snapshot-{number}")
+            self._directory.sync_directory()
         except OSError as error:
-            logger.warning("state: no snapshot: {}", error)
-            if f"snapshot-{number}" in self._disk.names():  # renamed, and not known to stay so
-                self._failed = f"snapshot-{number}: its name may not last: {error}"
+            logger.warning("state: snapshot failed: {}", error)
+            if f"snapshot-{number}" in self._directory.file_names():  # the rename may not be durable
+                self.failure = f"snapshot-{number}: its name may not last: {error}"
             else:
-                self._changes.clear()  # try again after as many more
+                self._changes_since_snapshot = 0  # retry after as many more
             return False
-        before, self._base, self._size, self._changes = self._base, number, len(MAGIC), []
+        previous, self._snapshot_number = self._snapshot_number, number
+        self._journal_bytes, self._changes_since_snapshot = len(MAGIC), 0
         try:
-            self._forget(before)
-        except OSError as error:  # what is too old is only in the way, and goes another time
-            logger.warning("state: old files stay: {}", error)
+            self._remove_older(previous)
+        except OSError as error:  # they take space only, and are removed after the next snapshot
+            logger.warning("state: removing old files failed: {}", error)
         return True
 
-    def _forget(self, before: int) -> None:
-        snapshots, journals = self._found()
+    def _remove_older(self, previous: int) -> None:
+        snapshots, journals = self._file_numbers()
         for number in journals:
-            if number < before:
-                self._disk.remove(f"journal-{number}")
+            if number < previous:
+                self._directory.remove(f"journal-{number}")
         for number in snapshots:
-            if number < before:
-                self._disk.remove(f"snapshot-{number}")
+            if number < previous:
+                self._directory.remove(f"snapshot-{number}")
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -1,8 +1,8 @@
-"""Keys of effects that survive a restart: none runs before its key is on the disk.
+"""Durable idempotency keys: no keyed run starts before its key is on the disk.
 
-A thread of its own writes what the owner hands it, all that waits in one sync, and tells when that is done;
-the owner starts a run only then. After a restart inside the window a repeat finds that its request may have
-run, and is failed: what it came to is not kept.
+A thread writes the keys that the event loop hands over, all that wait in one sync, and reports when that is
+done; only then does the event loop start a run. After a restart within the window a retry finds that its
+request may have run, and fails: the result of the run is not stored.
 """
 
 import queue
@@ -16,118 +16,132 @@
 from reelusher.core.messages import IdempotencyKey
 from reelusher.net.threads import start_thread
 from reelusher.storage.directory import Directory
-from reelusher.storage.journal import Journal, JournalError
+from reelusher.storage.errors import JournalError
+from reelusher.storage.journal import Journal
 
-MOST_BATCH = 500  # keys in one write
+MAX_BATCH = 500  # keys in one write
 VERSION = 1
+WITHDRAWN_US = 0  # in place of the expiry of a key that never ran
 
 
 class KeyRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One key, as it is written. `until_us` 0: it never ran, and is forgotten."""
+    """One key, as it is stored: an array in the order of these fields."""
 
     tenant: str
-    kind: int
+    class_index: int
     key: str
-    until_us: int  # Unix time
-    digest: str  # hexadecimal, of the body
+    expires_us: int  # Unix time, or `WITHDRAWN_US`
+    body_digest: str  # hexadecimal
 
     @property
-    def name(self) -> IdempotencyKey:
-        """Return the key as the table of keys has it."""
-        return self.tenant, self.kind, self.key
+    def idempotency_key(self) -> IdempotencyKey:
+        """Return the key of the idempotency table."""
+        return self.tenant, self.class_index, self.key
 
 
 class KeyBatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The payload of a change, or of a snapshot."""
 
     keys: list[KeyRecord]
-    v: int = VERSION
+    version: int = msgspec.field(default=VERSION, name="v")
 
 
 @dataclass(slots=True, frozen=True)
 class PendingWrite:
-    """A key that is to be durable, and who wants to know."""
+    """A key that is to be written, and whom to notify."""
 
-    line: KeyRecord
-    done: Callable[[bool], None]  # called in the log's thread
+    record: KeyRecord
+    done: Callable[[bool], None]  # called in the thread of the log
 
 
-def _read(payload: bytes) -> KeyBatch:
+def _decode(payload: bytes) -> KeyBatch:
     try:
-        made = msgspec.json.decode(payload, type=KeyBatch)
+        batch = msgspec.json.decode(payload, type=KeyBatch)
     except msgspec.MsgspecError as error:
         raise JournalError(f"kept keys: {error}") from None
-    if made.v != VERSION:
-        raise JournalError(f"kept keys: version {made.v} is not known here")
-    return made
+    if batch.version != VERSION:
+        raise JournalError(f"kept keys: version {batch.version} is not known here")
+    return batch
+
+
+def _ignore(succeeded: bool) -> None:
+    """Ignore whether a write succeeded."""
 
 
 class KeyLog:
-    """The journal of keys. `keep` and `forget` never block; all else is done by its thread."""
+    """The journal of keys. `persist` and `forget` never block; its thread does all else."""
 
-    def __init__(self, disk: Directory, now_us: Callable[[], int] = lambda: time.time_ns() // 1000) -> None:
-        """Read the keys that are there; raises `JournalError`."""
+    def __init__(
+        self, directory: Directory, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
+    ) -> None:
+        """Read the stored keys; raises `JournalError`."""
         self._now_us = now_us
-        self._live: dict[IdempotencyKey, KeyRecord] = {}
-        self._journal = Journal(disk, self._snapshot)
-        self._asked: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()
-        snapshot, changes = self._journal.recover()
-        for payload in ([snapshot] if snapshot else []) + [payload for _, payload in changes]:
-            self._apply(_read(payload).keys)
-
-    def live(self) -> list[KeyRecord]:
-        """Return the keys whose window is not over."""
-        now = self._now_us()
-        return [line for line in self._live.values() if line.until_us > now]
+        self._records: dict[IdempotencyKey, KeyRecord] = {}
+        self._journal = Journal(directory, self._snapshot)
+        self._pending: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()
+        recovery = self._journal.recover()
+        if recovery.snapshot:
+            self._apply(_decode(recovery.snapshot).keys)
+        for change in recovery.changes:
+            self._apply(_decode(change.payload).keys)
+
+    def unexpired(self) -> list[KeyRecord]:
+        """Return the keys whose window has not ended."""
+        now_us = self._now_us()
+        return [record for record in self._records.values() if record.expires_us > now_us]
 
     def start(self) -> None:
         """Start the thread."""
-        start_thread("key-log", self._work)
+        start_thread("key-log", self.run)
 
     def close(self) -> None:
-        """Let the thread end after what it was asked by now."""
-        self._asked.put(None)
+        """Stop the thread once it has written what is pending now."""
+        self._pending.put(None)
 
     def persist(
         self, key: IdempotencyKey, until_us: int, digest: bytes, done: Callable[[bool], None]
     ) -> None:
-        """Make a key durable; `done` hears whether it is, from another thread."""
-        self._asked.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
+        """Make a key durable; `done` receives whether that succeeded, on another thread."""
+        self._pending.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
     def forget(self, key: IdempotencyKey) -> None:
-        """Note that a key never ran after all. Should that be lost, its repeats are failed, no more."""
-        self._asked.put(PendingWrite(KeyRecord(*key, 0, ""), lambda well: None))
+        """Withdraw a key that never ran after all. If that is lost, its retries fail, nothing worse."""
+        self._pending.put(PendingWrite(KeyRecord(*key, WITHDRAWN_US, ""), _ignore))
 
-    def _work(self) -> None:
+    def run(self) -> None:
+        """Write pending keys until the log is closed; the body of the thread."""
         while True:
-            batch = [self._asked.get()]
-            while len(batch) < MOST_BATCH and not self._asked.empty():
-                batch.append(self._asked.get())
-            asked = [one for one in batch if one is not None]
-            if asked:
-                well = self._write([one.line for one in asked])
-                for one in asked:
-                    one.done(well)
+            batch = [self._pending.get()]
+            while len(batch) < MAX_BATCH and not self._pending.empty():
+                batch.append(self._pending.get())
+            writes = [write for write in batch if write is not None]
+            if writes:
+                self._write(writes)
             if None in batch:
                 return
 
-    def _write(self, lines: list[KeyRecord]) -> bool:
+    def _write(self, writes: list[PendingWrite]) -> None:
+        succeeded = self._append([write.record for write in writes])
+        for write in writes:
+            write.done(succeeded)
+
+    def _append(self, records: list[KeyRecord]) -> bool:
         try:
-            self._journal.append(msgspec.json.encode(KeyBatch(lines)))
+            self._journal.append(msgspec.json.encode(KeyBatch(records)))
         except JournalError as error:
-            logger.error("state: keys are not durable, nothing keyed is run: {}", error)
+            logger.error("state: keys are not durable, keyed requests are rejected: {}", error)
             return False
-        self._apply(lines)
+        self._apply(records)
         self._journal.compact_if_due()
         return True
 
-    def _apply(self, lines: Iterable[KeyRecord]) -> None:
-        for line in lines:
-            if line.until_us:
-                self._live[line.name] = line
+    def _apply(self, records: Iterable[KeyRecord]) -> None:
+        for record in records:
+            if record.expires_us == WITHDRAWN_US:
+                self._records.pop(record.idempotency_key, None)
             else:
-                self._live.pop(line.name, None)
+                self._records[record.idempotency_key] = record
 
     def _snapshot(self) -> bytes:
-        self._live = {line.name: line for line in self.live()}
-        return msgspec.json.encode(KeyBatch(list(self._live.values())))
+        self._records = {record.idempotency_key: record for record in self.unexpired()}
+        return msgspec.json.encode(KeyBatch(list(self._records.values())))
--- a/reelusher/storage/tenant_state.py
+++ b/reelusher/storage/tenant_state.py
@@ -1,42 +1,50 @@
-"""What is kept of the tenants, free of I/O: the changes, what each makes of the state, and its versions."""
+"""The stored state of tenants: changes, their application, and format versions. Free of I/O."""
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from enum import StrEnum
+from typing import Any, Protocol, TypeVar
 
 import msgspec
 
+from reelusher.storage.errors import UnreadableStateError
+
+T = TypeVar("T")
 VERSION = 1
-MOST_AUDIT = 1000  # changes whose trail is kept
-MOST_KEYS = 1000  # idempotency keys that are remembered, the newest
+MAX_AUDIT_ENTRIES = 1000  # the latest
+MAX_IDEMPOTENCY_KEYS = 1000  # the latest
+
 
+class ChangeKind(StrEnum):
+    """What a change does to a tenant."""
 
-class UnreadableStateError(Exception):
-    """A change or a state is not of a form that this version knows; the text names the field."""
+    PUT = "put"  # adds or replaces it
+    SET_STATE = "state"  # suspends or resumes it
+    REMOVE = "remove"
 
 
 class TenantChange(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
-    """One change, as the journal keeps it."""
+    """One change, as the journal stores it."""
 
-    op: str  # put, state or remove
+    kind: ChangeKind = msgspec.field(name="op")
     name: str
-    who: str
+    actor: str = msgspec.field(name="who")  # who made the change, for the audit trail
     at_ms: int
     tenant: dict[str, Any] | None = None  # of a put
     state: str = "active"
-    key: str = ""  # idempotency key of the request that asked for it
-    v: int = VERSION
+    idempotency_key: str = msgspec.field(default="", name="key")  # of the API call
+    version: int = msgspec.field(default=VERSION, name="v")
 
 
 class StoredTenant(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """One tenant."""
+    """One tenant, as a snapshot stores it."""
 
     tenant: dict[str, Any]
     state: str
-    revision: int  # number of the change that made it so
+    revision: int  # number of the change that stored it
 
     @property
     def version(self) -> str:
-        """Return what tells this from how the tenant stood before and will stand, for `ETag`."""
+        """Return the version of the tenant, for `ETag`."""
         return str(self.revision)
 
 
@@ -44,54 +52,62 @@
     """One entry of the audit trail."""
 
     number: int
-    op: str
+    kind: ChangeKind = msgspec.field(name="op")
     name: str
-    who: str
+    actor: str = msgspec.field(name="who")
     at_ms: int
     before: dict[str, Any] | None = None
     after: dict[str, Any] | None = None
 
 
 class StoredTenants(msgspec.Struct, forbid_unknown_fields=True):
-    """All that is kept. `apply` is the only thing that changes it."""
+    """The state, as a snapshot stores it. Only `apply` changes it."""
 
     tenants: dict[str, StoredTenant] = {}
     audit: list[AuditEntry] = []
-    keys: dict[str, str] = {}  # idempotency keys, oldest first, and the tenant that each made
-    v: int = VERSION
+    # by key, oldest first: the tenant that it created
+    idempotency_keys: dict[str, str] = msgspec.field(default_factory=dict, name="keys")
+    version: int = msgspec.field(default=VERSION, name="v")
 
     def apply(self, number: int, change: TenantChange) -> None:
-        """Make a change; raises `UnreadableStateError` where it can't follow from this state."""
+        """Apply a change; raises `UnreadableStateError` where it does not follow from this state."""
         before = self.tenants.get(change.name)
-        if change.op == "put" and change.tenant is not None:
+        if change.kind is ChangeKind.PUT and change.tenant is not None:
             state = before.state if before else change.state
             self.tenants[change.name] = StoredTenant(change.tenant, state, number)
-        elif change.op == "state" and before is not None:
+        elif change.kind is ChangeKind.SET_STATE and before is not None:
             self.tenants[change.name] = StoredTenant(before.tenant, change.state, number)
-        elif change.op == "remove" and before is not None:
+        elif change.kind is ChangeKind.REMOVE and before is not None:
             del self.tenants[change.name]
         else:
             raise UnreadableStateError(
-                f"change {number}: {change.op!r} of {change.name!r} does not fit the state"
+                f"change {number}: {change.kind.value!r} of {change.name!r} does not fit the state"
             )
+        self._audit(number, change, before)
+        if change.idempotency_key:
+            self._remember_key(change.idempotency_key, change.name)
+
+    def _audit(self, number: int, change: TenantChange, before: StoredTenant | None) -> None:
         after = self.tenants.get(change.name)
-        self.audit.append(
-            AuditEntry(number, change.op, change.name, change.who, change.at_ms, shown(before), shown(after))
+        entry = AuditEntry(
+            number, change.kind, change.name, change.actor, change.at_ms, to_json(before), to_json(after)
         )
-        del self.audit[:-MOST_AUDIT]
-        if change.key:
-            self.keys.pop(change.key, None)
-            self.keys[change.key] = change.name
-            while len(self.keys) > MOST_KEYS:
-                del self.keys[next(iter(self.keys))]
+        self.audit.append(entry)
+        del self.audit[:-MAX_AUDIT_ENTRIES]
+
+    def _remember_key(self, key: str, name: str) -> None:
+        self.idempotency_keys.pop(key, None)  # so that it becomes the latest
+        self.idempotency_keys[key] = name
+        while len(self.idempotency_keys) > MAX_IDEMPOTENCY_KEYS:
+            del self.idempotency_keys[next(iter(self.idempotency_keys))]
 
 
 class TenantVersion(Protocol):
-    """A tenant as it stands, wherever it is kept."""
+    """One version of a tenant, in any kind of storage."""
 
     @property
     def tenant(self) -> dict[str, Any]:
-        """Return it as JSON says it."""
+        """Return the tenant in JSON."""
 
     @property
     def state(self) -> str:
@@ -99,19 +115,34 @@
 
     @property
     def version(self) -> str:
-        """Return what tells this from how it stood before and will stand, for `ETag`."""
+        """Return its version, for `ETag`."""
 
 
-def shown(kept: TenantVersion | None) -> dict[str, Any] | None:
-    """Return a tenant as the trail and the API show it."""
-    return None if kept is None else {**kept.tenant, "state": kept.state}
+def to_json(version: TenantVersion | None) -> dict[str, Any] | None:
+    """Return a tenant as the audit trail and the administration API show it."""
+    return None if version is None else {**version.tenant, "state": version.state}
 
 
-# By the version that something was written in, what makes the next version of it. There is one so far.
+# By format version: converts a value to the next version. There is only one version so far.
 MIGRATIONS: dict[int, Callable[[dict[str, Any]], dict[str, Any]]] = {}
 
 
-def _decode(payload: bytes, kind: Any) -> Any:
+def decode_state(payload: bytes) -> StoredTenants:
+    """Return the state of a snapshot's payload; raises `UnreadableStateError`."""
+    return _decode(payload, StoredTenants)
+
+
+def decode_change(payload: bytes) -> TenantChange:
+    """Return the change of a journal's payload; raises `UnreadableStateError`."""
+    return _decode(payload, TenantChange)
+
+
+def encode(value: StoredTenants | TenantChange) -> bytes:
+    """Return a payload. It is JSON, which a person can read, and its last byte is never zero."""
+    return msgspec.json.encode(value)
+
+
+def _decode(payload: bytes, target: type[T]) -> T:
     try:
         value = msgspec.json.decode(payload)
         if not isinstance(value, dict):
@@ -121,23 +152,6 @@
             raise UnreadableStateError(f"version {version!r} is not known here, {VERSION} is the newest")
         for step in range(version, VERSION):
             value = MIGRATIONS[step](value)
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, target)
     except msgspec.MsgspecError as error:
         raise UnreadableStateError(str(error)) from None
-
-
-def read_state(payload: bytes) -> StoredTenants:
-    """Read a snapshot's payload; raises `UnreadableStateError`."""
-    made: StoredTenants = _decode(payload, StoredTenants)
-    return made
-
-
-def read_change(payload: bytes) -> TenantChange:
-    """Read a journal's payload; raises `UnreadableStateError`."""
-    made: TenantChange = _decode(payload, TenantChange)
-    return made
-
-
-def write(value: StoredTenants | TenantChange) -> bytes:
-    """Write a payload. It is JSON, so that a person can read it, and its last byte is never zero."""
-    return msgspec.json.encode(value)
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -1,7 +1,7 @@
 """The replicated table of tenants, as the administration API of any node sees it.
 
-Reads are answered from the node's own copy. A change is made by the holder of the stream that the name
-belongs to: it checks the row, numbers it and has it on the disk before anybody hears of it.
+Reads are answered from the node's own replica. A change is made by the leader of the partition that the name
+belongs to: it checks the row, numbers it and makes it durable before any other member learns of it.
 """
 
 import threading
@@ -21,15 +21,15 @@
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
 from reelusher.fleet.replication.sqlite_replica import ReplicaAuditEntry, ReplicaRow
-from reelusher.storage.journal import JournalError
-from reelusher.storage.tenant_state import AuditEntry
+from reelusher.storage.errors import JournalError
+from reelusher.storage.tenant_state import AuditEntry, ChangeKind
 
-CHANGING_S = 1.0  # that a change waits for another; whoever asked over the fleet waits a little longer
-SHOWN = "state", "shadowed", "shadows", "unreadable"  # beside what makes a tenant
-FULL = 1 + 1e-8  # all guarantees together, with some room: each is kept in billionths
-MOST_TOLD = 20  # overlaps with others
-MOST_NOTICED = 100  # changes at once; more are a copy that is being filled
-MOST_WHO = 256  # characters of who made a change, as entries carry it
+LOCK_TIMEOUT_S = 1.0  # that a change waits for another; a forwarded call waits a little longer
+DERIVED_KEYS = "state", "shadowed", "shadows", "unreadable"  # of an answer, beside those of a tenant
+MAX_GUARANTEES = 1 + 1e-8  # sum of all, with a tolerance: each is stored in billionths
+MAX_OVERLAPS = 20  # that are reported of one tenant
+MAX_CHECKED_CHANGES = 100  # at once; more are the bootstrap of a replica
+MAX_ACTOR_LENGTH = 256  # characters, of who made a change
 
 
 class TableBusyError(Exception):
@@ -50,30 +50,30 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicatedTenant:
-    """A tenant as the copy has it."""
+    """A version of a tenant in the replica."""
 
     tenant: dict[str, Any]
     state: str
-    version: str  # EPOCH.NUMBER of the change that made it so
+    version: str  # TERM.INDEX of the change that stored it
     unreadable: str = ""  # why this node can't serve it
-    lost: tuple[Overlap, ...] = ()  # where others get what it names
-    won: tuple[Overlap, ...] = ()  # where it gets what others name
+    shadowed_by: tuple[Overlap, ...] = ()  # where others get the requests of a location that it names
+    shadows: tuple[Overlap, ...] = ()  # where it gets the requests of a location that others name
 
 
-def told(position: Position) -> str:
-    """Return a position as people read it."""
+def format_position(position: Position) -> str:
+    """Return a position as text."""
     return f"{position.epoch}.{position.number}"
 
 
-def standing(row: ReplicaRow) -> ReplicatedTenant:
-    """Read a row of the copy."""
+def read_tenant_row(row: ReplicaRow) -> ReplicatedTenant:
+    """Return the tenant of a row of the replica."""
     return ReplicatedTenant(
         _tenant(row.name, row.tenant), row.state, f"{row.epoch}.{row.revision}", row.unreadable
     )
 
 
 def _tenant(name: str, data: bytes) -> dict[str, Any]:
-    """Read a tenant's JSON; of what is none, tell the name at least."""
+    """Decode a tenant's JSON; where it is invalid, return the name alone."""
     try:
         value = msgspec.json.decode(data)
     except msgspec.DecodeError:
@@ -81,20 +81,20 @@
     return {**value, "name": name} if isinstance(value, dict) else {"name": name}
 
 
-def trail(change: ReplicaAuditEntry) -> AuditEntry:
-    """Read a change of the copy's trail."""
+def read_audit_entry(change: ReplicaAuditEntry) -> AuditEntry:
+    """Return the audit entry of a change in the replica."""
     before, after = (
         {**_tenant(change.name, data), "state": state} if state else None
         for state, data in ((change.before_state, change.before), (change.after_state, change.after))
     )
-    op = "remove" if after is None else "put"
+    kind = ChangeKind.REMOVE if after is None else ChangeKind.PUT
     if before and after and change.before == change.after and change.before_state != change.after_state:
-        op = "state"
-    return AuditEntry(change.number, op, change.name, change.who, change.at_ms, before, after)
+        kind = ChangeKind.SET_STATE
+    return AuditEntry(change.number, kind, change.name, change.who, change.at_ms, before, after)
 
 
 class ReplicatedTable:
-    """The table as one node has it; a `TenantTable` for the names whose streams this node holds."""
+    """The table on one node; a `TenantTable` for names whose partitions this node leads."""
 
     def __init__(
         self,
@@ -126,68 +126,71 @@
         state = self.replica.states[stream]
         return Position(state.epoch, state.number)
 
-    def lacks(self, stream: str) -> Position | None:
+    def position_ahead(self, stream: str) -> Position | None:
         """Return how far somebody was heard to be of late, where that is further than this node."""
         return self.replica.claimed(stream, time.monotonic())
 
-    # Looking, at this node's copy
+    # Reads, from this node's replica
 
-    def kept(self, name: str) -> ReplicatedTenant | None:
-        """Return what is kept of a tenant."""
+    def get(self, name: str) -> ReplicatedTenant | None:
+        """Return the current version of a tenant."""
         row = self.copy.get(name)
-        return None if row is None else standing(row)
+        return None if row is None else read_tenant_row(row)
 
     def page(self, after: str, limit: int) -> list[ReplicatedTenant]:
-        """Return so many tenants with names past one, by name."""
-        return [standing(row) for row in self.copy.page(after, limit)]
+        """Return at most `limit` tenants whose names come after one, in the order of their names."""
+        return [read_tenant_row(row) for row in self.copy.page(after, limit)]
 
-    def made_by(self, key: str) -> str | None:
-        """Return the name of the tenant that a call with this idempotency key made."""
-        return self.copy.key(key)
+    def created_by(self, idempotency_key: str) -> str | None:
+        """Return the name of the tenant that a call with this idempotency key created."""
+        return self.copy.key(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return so many changes with a number above one, in the order in which they came to this node."""
-        return [trail(change) for change in self.copy.audit(after, limit)]
+        """Return at most `limit` changes with a number above one, in the order of their arrival here."""
+        return [read_audit_entry(change) for change in self.copy.audit(after, limit)]
 
-    # Checking
+    # Validation
 
-    def read(self, value: Any, name: str | None = None) -> Tenant:
-        """Check a tenant as JSON says it; where the name is given already, it may be left out."""
+    def parse(self, value: Any, name: str | None = None) -> Tenant:
+        """Validate a tenant in JSON; `name` is the name in the path, where there is one."""
         if isinstance(value, dict):
-            for key in SHOWN:
+            for key in DERIVED_KEYS:
                 value.pop(key, None)
         if name is not None and isinstance(value, dict) and value.setdefault("name", name) != name:
             raise ConfigError("name", "is not the name in the path")
         tenant = read_tenant(CheckedTable(value), self._class_names, self._backends)
-        before = self.kept(tenant.name)
+        before = self.get(tenant.name)
         held = _guarantee(before.tenant) if before else 0.0
-        if tenant.share.guarantee > held and self.copy.guaranteed() - held + tenant.share.guarantee > FULL:
+        if (
+            tenant.share.guarantee > held
+            and self.copy.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
+        ):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
         try:
             size = len(msgspec.json.encode(tenant.to_json()))
-        except UnicodeEncodeError as error:  # half of a pair of surrogates
+        except UnicodeEncodeError as error:  # a lone surrogate
             raise ConfigError(tenant.name, f"it is no Unicode: {error}") from None
         if size > MOST_TENANT:
             raise ConfigError(tenant.name, f"at most {MOST_TENANT} bytes of JSON are wanted, not {size}")
         return tenant
 
-    def overlapping(self, kept: ReplicatedTenant) -> ReplicatedTenant:
-        """Return the same with where others get what a tenant names, and where it gets what others name."""
+    def with_overlaps(self, kept: ReplicatedTenant) -> ReplicatedTenant:
+        """Return a tenant with its overlaps with others."""
         lost: list[Overlap] = []
         won: list[Overlap] = []
         own, prefix = str(kept.tenant["name"]), str(kept.tenant.get("prefix", "/"))
         for host in kept.tenant.get("hosts") or [""]:
-            for other in self.copy.sharing(str(host), prefix)[:MOST_TOLD]:
+            for other in self.copy.sharing(str(host), prefix)[:MAX_OVERLAPS]:
                 if other != own:
                     (lost if other < own else won).append(Overlap(str(host) or "*", other))
-        return replace(kept, lost=tuple(lost[:MOST_TOLD]), won=tuple(won[:MOST_TOLD]))
+        return replace(kept, shadowed_by=tuple(lost[:MAX_OVERLAPS]), shadows=tuple(won[:MAX_OVERLAPS]))
 
-    # Changing, by the holder only
+    # Changes, by the leader only
 
     @contextmanager
-    def changing(self) -> Iterator[None]:
-        """Keep others from changing what this node holds. Raises `TableBusyError`."""
-        if not self._lock.acquire(timeout=CHANGING_S):
+    def exclusive(self) -> Iterator[None]:
+        """Keep others from changing the partitions that this node leads. Raises `TableBusyError`."""
+        if not self._lock.acquire(timeout=LOCK_TIMEOUT_S):
             raise TableBusyError("other changes are being made")
         try:
             yield
@@ -196,24 +199,24 @@
 
     def change(
         self,
-        op: str,
+        kind: ChangeKind,
         name: str,
-        who: str,
+        actor: str,
         tenant: dict[str, Any] | None = None,
         state: str = "active",
-        key: str = "",
+        idempotency_key: str = "",
     ) -> ReplicatedTenant | None:
-        """Number one change and store it durably. Raises `TableBusyError` and `JournalError`."""
-        before = self.kept(name)
-        if op == "put":
+        """Number one change and make it durable. Raises `TableBusyError` and `JournalError`."""
+        before = self.get(name)
+        if kind is ChangeKind.PUT:
             state = before.state if before else state
-        elif op == "remove":
+        elif kind is ChangeKind.REMOVE:
             state, tenant = "", None
         elif before is not None:
             tenant = before.tenant
         data = b"" if tenant is None else msgspec.json.encode(tenant)
-        made = None if tenant is None else self.overlapping(ReplicatedTenant(tenant, state, ""))
-        wanted = LogEntry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
+        made = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
+        wanted = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
         try:
             entry = self.replication.writer.accept(self.stream_of(name), wanted)
         except NotLeaderError as error:
@@ -222,44 +225,48 @@
             raise JournalError(str(error)) from None
         if made is None:
             return None
-        self._tell(made)
+        self._log_overlaps(made)
         return replace(made, version=f"{entry.epoch}.{entry.number}")
 
-    def noticed(self, names: Sequence[str]) -> None:
-        """Look whether rows of other writers overlap with those that this node writes, and tell.
+    def report_overlaps(self, names: Sequence[str]) -> None:
+        """Log overlaps of changed rows of other leaders with rows of partitions that this node leads.
 
-        Two writers can't know of each other's changes until they have them.
+        A leader learns of another's changes only when it receives them.
         """
-        if self.own_name not in self.replica.control or len(names) > MOST_NOTICED:
+        if self.own_name not in self.replica.control or len(names) > MAX_CHECKED_CHANGES:
             return
         for name in names:
             if self.holder(self.stream_of(name)) == self.own_name:
-                continue  # told when it was made
+                continue  # logged when the change was made
             with suppress(ReplicaError):
-                kept = self.kept(name)
-                made = self.overlapping(kept) if kept is not None else None
+                kept = self.get(name)
+                made = self.with_overlaps(kept) if kept is not None else None
                 if made is not None:
-                    self._tell(replace(made, lost=self._own(made.lost), won=self._own(made.won)))
+                    self._log_overlaps(
+                        replace(
+                            made, shadowed_by=self._own(made.shadowed_by), shadows=self._own(made.shadows)
+                        )
+                    )
 
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
         return tuple(one for one in overlaps if self.holder(self.stream_of(one.tenant)) == self.own_name)
 
-    def _tell(self, made: ReplicatedTenant) -> None:
+    def _log_overlaps(self, made: ReplicatedTenant) -> None:
         name = str(made.tenant["name"])
         for winner, loser, host in (
-            *((one.tenant, name, one.host) for one in made.lost),
-            *((name, one.tenant, one.host) for one in made.won),
+            *((one.tenant, name, one.host) for one in made.shadowed_by),
+            *((name, one.tenant, one.host) for one in made.shadows),
         ):
             self._counters.warn(
                 "replication.shadowed", "replication: {} gets what {} names too: {}", winner, loser, host
             )
 
     def take_over(self, stream: str, force: bool) -> Position:
-        """Begin an epoch of a stream with this member as its holder.
+        """Start a term of a partition with this member as its leader.
 
         Raises `TableBusyError` and `JournalError`.
         """
-        with self.changing():
+        with self.exclusive():
             try:
                 return self.replication.writer.take_over(stream, force)
             except NotLeaderError as error:
@@ -270,5 +277,5 @@
 
 def _guarantee(tenant: dict[str, Any]) -> float:
     share = tenant.get("share")
-    told = share.get("guarantee", 0.0) if isinstance(share, dict) else 0.0
-    return float(told) if isinstance(told, int | float) else 0.0
+    guarantee = share.get("guarantee", 0.0) if isinstance(share, dict) else 0.0
+    return float(guarantee) if isinstance(guarantee, int | float) else 0.0
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -1,7 +1,7 @@
-"""The tenants' state: in memory, and where the operator wants it in a journal on the disk.
+"""The table of tenants of one node: in memory, and where the operator wants it in a journal on the disk.
 
-Changes come one at a time, from threads of the administration API. The owner applies a change only after it
-is durable, and an answer goes out only after that.
+Threads of the administration API make one change at a time. The event loop applies a change after it is
+durable, and the call is answered after that.
 """
 
 import json
@@ -10,183 +10,210 @@
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import AbstractContextManager, contextmanager
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from loguru import logger
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.storage.directory import Directory, LockedDirectory
-from reelusher.storage.journal import Journal, JournalError
+from reelusher.storage.errors import JournalError, UnreadableStateError
+from reelusher.storage.journal import Journal
 from reelusher.storage.key_log import KeyLog
 from reelusher.storage.tenant_state import (
     AuditEntry,
+    ChangeKind,
     StoredTenant,
     StoredTenants,
     TenantChange,
     TenantVersion,
-    UnreadableStateError,
-    read_change,
-    read_state,
-    write,
+    decode_change,
+    decode_state,
+    encode,
 )
 
-MIGRATED = ".migrated"  # what the old state file is called once its tenants are in the journal
-BY_FILE = "the operator's file"
+MIGRATED_SUFFIX = ".migrated"  # of the old state file once its tenants are in the journal
+OPERATOR_FILE_ACTOR = "the operator's file"
 
 
 class TenantTable(Protocol):
-    """Where tenants are kept, as the administration API sees it."""
+    """The table of tenants, as the administration API sees it."""
 
-    def changing(self) -> AbstractContextManager[None]:
-        """Keep others from changing what is kept: what was checked still holds when it is changed."""
+    def exclusive(self) -> AbstractContextManager[None]:
+        """Keep others from changing the table: what was checked still holds when it is changed."""
 
-    def kept(self, name: str) -> TenantVersion | None:
-        """Return what is kept of a tenant."""
+    def get(self, name: str) -> TenantVersion | None:
+        """Return the current version of a tenant."""
 
-    def made_by(self, key: str) -> str | None:
-        """Return the name of the tenant that a call with this idempotency key made."""
+    def created_by(self, idempotency_key: str) -> str | None:
+        """Return the name of the tenant that a call with this idempotency key created."""
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return so many changes with a number above one, oldest first."""
+        """Return at most `limit` changes with a number above one, oldest first."""
 
     def change(
         self,
-        op: str,
+        kind: ChangeKind,
         name: str,
-        who: str,
+        actor: str,
         tenant: dict[str, Any] | None = None,
         state: str = "active",
-        key: str = "",
+        idempotency_key: str = "",
     ) -> TenantVersion | None:
-        """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
+        """Make one change durable and return the version of the tenant after it. Raises `JournalError`."""
 
 
 class TenantStore:
-    """State and journal: the table of one node.
+    """The table of one node: its state and its journal.
 
-    `changing` is held round each change, from the check to the answer.
+    `exclusive` is held during each change, from the check to the answer.
     """
 
     def __init__(
-        self, disk: Directory | None, wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000
+        self,
+        directory: Directory | None,
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """Read the stored state; without a disk it lasts as long as the process. Raises `JournalError`."""
+        """Read the stored state; without a directory it lasts as long as the process.
+
+        Raises `JournalError`.
+        """
         self.state = StoredTenants()
-        self.fresh = True  # nothing was kept
+        self.is_new = True  # nothing was stored
         self._lock = threading.RLock()
         self._wall_ms = wall_ms
         self._number = 0
-        self._journal = None if disk is None else Journal(disk, lambda: write(self.state))
-        if self._journal is not None:
-            self._recover(self._journal)
+        self.journal = None if directory is None else Journal(directory, lambda: encode(self.state))
+        if self.journal is not None:
+            self._recover(self.journal)
 
     def _recover(self, journal: Journal) -> None:
-        kept, changes = journal.recover()
+        snapshot, changes = journal.recover()
         try:
-            if kept is not None:
-                self.state = read_state(kept)
-            for number, payload in changes:
-                self.state.apply(number, read_change(payload))
+            if snapshot is not None:
+                self.state = decode_state(snapshot)
+            for change in changes:
+                self.state.apply(change.number, decode_change(change.payload))
         except UnreadableStateError as error:
             raise JournalError(str(error)) from None
         self._number = journal.number
-        self.fresh = kept is None and not changes
+        self.is_new = snapshot is None and not changes
 
     @contextmanager
-    def changing(self) -> Iterator[None]:
+    def exclusive(self) -> Iterator[None]:
         """Keep others from changing the state: what was checked still holds when it is changed."""
         with self._lock:
             yield
 
-    def kept(self, name: str) -> StoredTenant | None:
-        """Return what is kept of a tenant."""
+    def get(self, name: str) -> StoredTenant | None:
+        """Return the current version of a tenant."""
         return self.state.tenants.get(name)
 
-    def made_by(self, key: str) -> str | None:
-        """Return the name of the tenant that a call with this idempotency key made."""
-        return self.state.keys.get(key)
+    def created_by(self, idempotency_key: str) -> str | None:
+        """Return the name of the tenant that a call with this idempotency key created."""
+        return self.state.idempotency_keys.get(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return so many changes with a number above one, oldest first."""
-        trail = list(self.state.audit)  # another thread may be adding to it
-        return [one for one in trail if one.number > after][:limit]
+        """Return at most `limit` changes with a number above one, oldest first."""
+        entries = list(self.state.audit)  # another thread may be adding to it
+        return [entry for entry in entries if entry.number > after][:limit]
 
     def change(
         self,
-        op: str,
+        kind: ChangeKind,
         name: str,
-        who: str,
+        actor: str,
         tenant: dict[str, Any] | None = None,
         state: str = "active",
-        key: str = "",
+        idempotency_key: str = "",
     ) -> StoredTenant | None:
-        """Make one change durable and return what is kept of the tenant then. Raises `JournalError`."""
+        """Make one change durable and return the version of the tenant after it. Raises `JournalError`."""
         with self._lock:
-            made = TenantChange(op, name, who, self._wall_ms(), tenant, state, key)
-            self._number = self._journal.append(write(made)) if self._journal else self._number + 1
-            self.state.apply(self._number, made)
-            if self._journal is not None:
-                self._journal.compact_if_due()
+            change = TenantChange(kind, name, actor, self._wall_ms(), tenant, state, idempotency_key)
+            self._number = self.journal.append(encode(change)) if self.journal else self._number + 1
+            self.state.apply(self._number, change)
+            if self.journal is not None:
+                self.journal.compact_if_due()
             return self.state.tenants.get(name)
 
-    def take_over(self, tenants: Iterable[Tenant], who: str = BY_FILE) -> None:
-        """Begin with these tenants, all or none of them, where nothing was kept. Raises `JournalError`."""
+    def import_tenants(self, tenants: Iterable[Tenant], actor: str = OPERATOR_FILE_ACTOR) -> None:
+        """Add all of these tenants to an empty store, or none. Raises `JournalError`."""
         for tenant in tenants:
             self._number += 1
-            self.state.apply(
-                self._number, TenantChange("put", tenant.name, who, self._wall_ms(), tenant.to_json())
-            )
-        if self._journal is not None:
-            self._journal.number = self._number
-            if not self._journal.compact():
+            change = TenantChange(ChangeKind.PUT, tenant.name, actor, self._wall_ms(), tenant.to_json())
+            self.state.apply(self._number, change)
+        if self.journal is not None:
+            self.journal.number = self._number
+            if not self.journal.compact():
                 raise JournalError("the first snapshot could not be written")
 
-    def tenants(self, class_names: tuple[str, ...], backends: frozenset[str]) -> list[tuple[Tenant, str]]:
-        """Return the kept tenants, checked against the configuration, with their states."""
+    def checked_tenants(
+        self, class_names: tuple[str, ...], backends: frozenset[str]
+    ) -> list["CheckedTenant"]:
+        """Return the stored tenants, checked against the configuration. Raises `ConfigError`."""
         return [
-            (read_tenant(CheckedTable(kept.tenant, f"state.{name}"), class_names, backends), kept.state)
-            for name, kept in self.state.tenants.items()
+            CheckedTenant(
+                read_tenant(CheckedTable(stored.tenant, f"state.{name}"), class_names, backends), stored.state
+            )
+            for name, stored in self.state.tenants.items()
         ]
 
 
-def opened(
-    folder: Path | None,
-    old: Path | None,
+class CheckedTenant(NamedTuple):
+    """A stored tenant that fits the configuration."""
+
+    tenant: Tenant
+    state: str
+
+
+def open_store(
+    directory: Path | None,
+    old_file: Path | None,
     tenants: Iterable[Tenant],
     class_names: tuple[str, ...],
     backends: frozenset[str],
 ) -> TenantStore:
-    """Open the state that an operator's file names; a fault is a `ConfigError` that says where it lies.
+    """Open the state that an operator's file names; raises `ConfigError` with the position of a fault.
 
-    Where nothing was kept it begins with the tenants of the old state file, if there is one, which is then
-    renamed, or else with those of the operator's file.
+    A new state starts with the tenants of the old state file, if there is one, which is then renamed, or else
+    with those of the operator's file.
     """
     try:
-        store = TenantStore(None if folder is None else LockedDirectory(folder))
-        if store.fresh:
-            from_old = None if old is None else read_old(old, class_names, backends)
-            if from_old is None:
-                store.take_over(tenants)
-            else:
-                store.take_over(from_old, str(old))
-        if old is not None and folder is not None and old.is_file():
-            old.rename(old.with_name(old.name + MIGRATED))
-            logger.info("state: the tenants of {} are kept in {} from now on", old, folder)
+        store = TenantStore(None if directory is None else LockedDirectory(directory))
+        if store.is_new:
+            _import_first(store, old_file, tenants, class_names, backends)
+        if old_file is not None and directory is not None and old_file.is_file():
+            old_file.rename(old_file.with_name(old_file.name + MIGRATED_SUFFIX))
+            logger.info("state: migrated the tenants of {} to {}", old_file, directory)
         return store
     except (JournalError, OSError) as error:
-        raise ConfigError("admin.state_dir" if old is None else "admin.state_file", str(error)) from None
+        key = "admin.state_dir" if old_file is None else "admin.state_file"
+        raise ConfigError(key, str(error)) from None
+
+
+def _import_first(
+    store: TenantStore,
+    old_file: Path | None,
+    tenants: Iterable[Tenant],
+    class_names: tuple[str, ...],
+    backends: frozenset[str],
+) -> None:
+    old_tenants = None if old_file is None else _read_old_file(old_file, class_names, backends)
+    if old_tenants is None:
+        store.import_tenants(tenants)
+    else:
+        store.import_tenants(old_tenants, str(old_file))
 
 
-def opened_keys(folder: Path) -> KeyLog:
-    """Open the journal of keys below a state folder; a fault is a `ConfigError` that says where it lies."""
+def open_key_log(directory: Path) -> KeyLog:
+    """Open the journal of keys in a state directory; raises `ConfigError` with the position of a fault."""
     try:
-        return KeyLog(LockedDirectory(folder / "keys"))
+        return KeyLog(LockedDirectory(directory / "keys"))
     except (JournalError, OSError) as error:
         raise ConfigError("admin.durable_keys", str(error)) from None
 
 
-def read_old(path: Path, class_names: tuple[str, ...], backends: frozenset[str]) -> list[Tenant] | None:
+def _read_old_file(path: Path, class_names: tuple[str, ...], backends: frozenset[str]) -> list[Tenant] | None:
     """Read the state file of versions before the journal; None where there is none."""
     if not path.exists():
         return None
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -24,8 +24,9 @@
 from reelusher.fleet.replication.replica_store import PartitionState
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.storage.directory import LockedDirectory
-from reelusher.storage.frames import MAGIC, scan
+from reelusher.storage.frames import MAGIC, scan_frames
 from reelusher.storage.key_log import KeyLog
+from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy import tenant_store
 from reelusher.tenancy.tenant_store import TenantStore
 from reelusher.upgrade.key_locks import KeyLockFiles
@@ -69,14 +70,14 @@
     """Write a snapshot and a journal after it."""
     disk = LockedDirectory(folder)
     made = TenantStore(disk, Clock())
-    made.change("put", "clinic", "operator", tenant("clinic"), key="key-1")
-    made.change("put", "ward", "token 2", tenant("ward", prefix="/ward"))
-    made.change("state", "ward", "operator", state="suspended")
-    assert made._journal is not None
-    assert made._journal.compact()
-    made.change("put", "clinic", "operator", tenant("clinic", prefix="/new"))
-    made.change("put", "gone", "operator", tenant("gone"))
-    made.change("remove", "gone", "operator")
+    made.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic"), idempotency_key="key-1")
+    made.change(ChangeKind.PUT, "ward", "token 2", tenant("ward", prefix="/ward"))
+    made.change(ChangeKind.SET_STATE, "ward", "operator", state="suspended")
+    assert made.journal is not None
+    assert made.journal.compact()
+    made.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic", prefix="/new"))
+    made.change(ChangeKind.PUT, "gone", "operator", tenant("gone"))
+    made.change(ChangeKind.REMOVE, "gone", "operator")
     disk.close()
 
 
@@ -194,7 +195,7 @@
     for path in sorted(folder.iterdir()):
         data = path.read_bytes()
         assert data.startswith(MAGIC)
-        found[path.name] = [[frame.number, frame.payload.decode()] for frame in scan(data).frames]
+        found[path.name] = [[frame.number, frame.payload.decode()] for frame in scan_frames(data).frames]
     return found
 
 
@@ -263,7 +264,7 @@
     assert {
         name: (one.state, one.version, one.tenant["prefix"]) for name, one in kept.state.tenants.items()
     } == {"clinic": ("active", "4", "/new"), "ward": ("suspended", "3", "/ward")}
-    assert [(one.number, one.op, one.name, one.who) for one in kept.audit(0, 100)] == [
+    assert [(one.number, one.kind, one.name, one.actor) for one in kept.audit(0, 100)] == [
         (1, "put", "clinic", "operator"),
         (2, "put", "ward", "token 2"),
         (3, "state", "ward", "operator"),
@@ -271,9 +272,9 @@
         (5, "put", "gone", "operator"),
         (6, "remove", "gone", "operator"),
     ]
-    assert kept.made_by("key-1") == "clinic"
-    assert not kept.fresh
-    kept.change("state", "ward", "operator", state="active")
+    assert kept.created_by("key-1") == "clinic"
+    assert not kept.is_new
+    kept.change(ChangeKind.SET_STATE, "ward", "operator", state="active")
     disk.close()
     assert frames(recorded / "tenants")["journal-3"][-1] == [
         7,
@@ -283,7 +284,7 @@
 
 def taken_over(folder: Path, old: Path) -> Any:
     """Take an old state file over; return the snapshot that is written of it, without its times."""
-    tenant_store.opened(folder, old, (), ("day-view",), frozenset({"w"}))
+    tenant_store.open_store(folder, old, (), ("day-view",), frozenset({"w"}))
     snapshot = json.loads(frames(folder)["snapshot-2"][0][1])
     for entry in snapshot["audit"]:
         assert entry.pop("at_ms") > START_MS
@@ -301,14 +302,16 @@
 def test_recorded_keys_are_live_until_their_windows_are_over(recorded: Path) -> None:
     disk = LockedDirectory(recorded / "keys")
     log = KeyLog(disk, lambda: START_US)
-    assert {(line.name, line.until_us, line.digest) for line in log.live()} == {
+    assert {(line.idempotency_key, line.expires_us, line.body_digest) for line in log.unexpired()} == {
         (RUNNING, START_US + WINDOW_US, "00" * 8),
         (ENDED, START_US + 2 * WINDOW_US, "01" * 8),
         (("x", 0, "last"), START_US + WINDOW_US, b"last".hex()),
     }
     disk.close()
     disk = LockedDirectory(recorded / "keys")
-    assert [line.name for line in KeyLog(disk, lambda: START_US + WINDOW_US).live()] == [ENDED]
+    assert [line.idempotency_key for line in KeyLog(disk, lambda: START_US + WINDOW_US).unexpired()] == [
+        ENDED
+    ]
     disk.close()
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -22,13 +22,14 @@
 import sys
 from pathlib import Path
 from reelusher.storage.directory import LockedDirectory
+from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy.tenant_store import TenantStore
 store = TenantStore(LockedDirectory(Path(sys.argv[1])))
 number = len(store.state.tenants)
 print("ready", flush=True)
 while True:
     name = f"t{number}"
-    store.change("put", name, "writer", {"name": name, "round": number})
+    store.change(ChangeKind.PUT, name, "writer", {"name": name, "round": number})
     print(number, flush=True)
     number += 1
 """
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -361,9 +361,9 @@
 def test_while_one_change_is_made_another_waits_for_so_long_and_is_then_refused(
     nodes: Nodes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(replicated, "CHANGING_S", 0.1)
+    monkeypatch.setattr(replicated, "LOCK_TIMEOUT_S", 0.1)
     nodes.start("c1")
-    with nodes.table("c1").changing():
+    with nodes.table("c1").exclusive():
         status, _, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))
     assert status == 503
     assert "retry-after" in headers
@@ -499,7 +499,7 @@
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # that nobody else has
     path = "/v1/fleet/take-over/c2"
     assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # it asks the holder
-    assert soon(lambda: nodes.table("c1").lacks("c2"))  # and has heard by now
+    assert soon(lambda: nodes.table("c1").position_ahead("c2"))  # and has heard by now
     nodes.stop("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[3]))[0] == 503
     for at, where, status, named in (
