--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -12,7 +12,8 @@
 from loguru import logger
 
 from reelusher.admin import openapi
-from reelusher.admin.tenant_api import ApiCall, ApiError, Handler, Reply, TenantApi, refusing
+from reelusher.admin.calls import ApiCall, ApiError, Handler, Reply, Route, errors_as_api_errors
+from reelusher.admin.tenant_api import TenantApi
 from reelusher.backends.ajp.worker_pool import WorkerPool
 from reelusher.codecs import http1
 from reelusher.config.checked_table import CheckedTable
@@ -26,77 +27,70 @@
 if TYPE_CHECKING:
     from reelusher.fleet.membership.service import Membership
 
-MOST_BODY = 1 << 18
-MOST_CONNECTIONS = 32  # at once; past them newcomers are closed
-DESCRIPTORS = MOST_CONNECTIONS + 2  # the listener, and one that is turned away
-OPERATOR = "operator"  # name of the token that stands in clear text, in the audit trail
-TIMEOUT_S = 30.0  # for the next request on a connection, and for one answer to be taken
+MAX_BODY_BYTES = 1 << 18
+MAX_CONNECTIONS = 32  # at once; further ones are closed
+DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and a connection that is being rejected
+OPERATOR_TOKEN_NAME = "operator"  # in the audit trail, of the token that is configured in clear text
+SOCKET_TIMEOUT_S = 30.0  # for the next call on a connection, and for sending a reply
 
 
 @dataclass(slots=True, frozen=True)
-class Parts:
+class AdminContext:
     """What the API administers."""
 
     core: Core
     tenants: TenantRegistry
     table: TenantTable
-    pool: WorkerPool
+    workers: WorkerPool
     status: Callable[[], dict[str, Any]]
-    drain: Callable[[], bool]  # False: it drains already
+    drain: Callable[[], bool]  # returns False where it is draining already
     fleet: "Membership | None" = None
-    calls: TenantApi | None = None  # that have to do with tenants; None: as the table is this node's own
+    tenant_api: TenantApi | None = None  # None: that of a table of this node alone
 
 
 class AdminApi:
-    """Listens for operators. Every change is made by the owner, through its queue."""
+    """Serves operators. Every change is made by the event loop."""
 
-    def __init__(self, config: Admin, parts: Parts) -> None:
+    def __init__(self, config: Admin, context: AdminContext) -> None:
         self._tokens = [*config.tokens]
         if config.token:
-            self._tokens.append(Token(OPERATOR, digest(config.token), ""))
-        self._parts = parts
+            self._tokens.append(Token(OPERATOR_TOKEN_NAME, token_digest(config.token), ""))
+        self._context = context
         self._listener = Listener(
-            "admin", config.listen, parts.core.counters, self._serve, most=MOST_CONNECTIONS
+            "admin", config.listen, context.core.counters, self._serve, most=MAX_CONNECTIONS
         )
         self.address = self._listener.address
-        self._routes: dict[tuple[str, str, bool], Handler] = {
-            ("GET", "workers", False): self._workers,
-            ("GET", "workers", True): self._worker,
-            ("PUT", "workers", True): self._activate,
-            ("GET", "status", False): self._status,
-            ("GET", "counters", False): self._counters,
-            ("GET", "openapi.json", False): lambda asked: Reply(200, openapi.document()),
-            ("POST", "drain", False): self._drain,
-            ("GET", "fleet", False): self._fleet,
-            ("POST", "fleet/forget", True): self._forget,
-            ("GET", "fleet/changes", False): self._no_replication,
-            ("POST", "fleet/take-over", True): self._no_replication,
-            **(parts.calls or TenantApi(parts.core, parts.tenants, parts.table)).routes,
+        self._routes: dict[Route, Handler] = {
+            Route("GET", "workers", False): self._workers,
+            Route("GET", "workers", True): self._worker,
+            Route("PUT", "workers", True): self._activate,
+            Route("GET", "status", False): self._status,
+            Route("GET", "counters", False): self._counters,
+            Route("GET", "openapi.json", False): lambda call: Reply(200, openapi.document()),
+            Route("POST", "drain", False): self._drain,
+            Route("GET", "fleet", False): self._fleet,
+            Route("POST", "fleet/forget", True): self._forget,
+            Route("GET", "fleet/changes", False): self._no_replication,
+            Route("POST", "fleet/take-over", True): self._no_replication,
+            **(context.tenant_api or TenantApi(context.core, context.tenants, context.table)).routes,
         }
 
     def routes(self) -> set[tuple[str, str]]:
-        """Return what is answered, as method and path."""
-        return {
-            (
-                method,
-                f"/v1/{kind.replace('tenants/', 'tenants/{name}/')}"
-                + "/{name}" * (named and not kind.startswith("tenants/")),
-            )
-            for method, kind, named in self._routes
-        }
+        """Return the methods and paths of all calls."""
+        return {(route.method, _path(route)) for route in self._routes}
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept connections."""
         self._listener.start()
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._listener.stop()
 
     def _serve(self, sock: socket.socket, peer: Address) -> None:
-        decoder = http1.Decoder(MOST_BODY)
+        decoder = http1.Decoder(MAX_BODY_BYTES)
         with sock:
-            sock.settimeout(TIMEOUT_S)
+            sock.settimeout(SOCKET_TIMEOUT_S)
             try:
                 while data := sock.recv(1 << 16):
                     for message in decoder.feed(data):
@@ -104,7 +98,7 @@
                         if not message.keeps_open:
                             return
             except http1.MalformedHttpError as error:
-                self._parts.core.counters.add("admin.malformed")
+                self._context.core.counters.add("admin.malformed")
                 logger.warning("admin: {}:{} closed: {}", peer[0], peer[1], error)
                 sock.sendall(_response(error.status, {"error": str(error)}, {"Connection": "close"}))
             except OSError as error:
@@ -112,117 +106,137 @@
 
     def _answer(self, message: http1.Message) -> bytes:
         method, target, _ = message.start
-        self._parts.core.counters.add("admin.requests")
+        self._context.core.counters.add("admin.requests")
         try:
             token = self._authorize(message)
             reply = self._dispatch(method, target, message, token)
         except ApiError as error:
             extra = {"WWW-Authenticate": "Bearer"} if error.status == 401 else {}
-            return _response(error.status, error.value, extra | error.headers)
-        except Exception:  # an operator sees that it failed, the log says why; the node goes on
+            return _response(error.status, error.body, extra | error.headers)
+        except Exception:  # the log tells the operator why; the node continues
             logger.exception("admin: {} {} failed", method, target)
             return _response(500, {"error": "internal error"})
         if method not in ("GET", "HEAD"):
             logger.info("admin: {} {} answered {}", method, target, reply.status)
-        return _response(reply.status, reply.value, reply.headers)
+        return _response(reply.status, reply.body, reply.headers)
 
     def _authorize(self, message: http1.Message) -> Token:
-        """Return whose token came with a request."""
+        """Return the token that came with a call."""
         scheme, _, text = message.headers.get("authorization", "").partition(" ")
-        given = digest(text.strip())
-        # each is compared, and in constant time: how long this takes tells nothing about any of them
-        fits = [token for token in self._tokens if hmac.compare_digest(given, token.sha256)]
-        if scheme.lower() != "bearer" or not fits:
-            self._parts.core.counters.add("admin.unauthorized")
+        received = token_digest(text.strip())
+        # all are compared, each in constant time, so that the duration reveals nothing about them
+        matching = [token for token in self._tokens if hmac.compare_digest(received, token.sha256)]
+        if scheme.lower() != "bearer" or not matching:
+            self._context.core.counters.add("admin.unauthorized")
             raise ApiError(401, "a valid bearer token is needed")
-        return fits[0]
+        return matching[0]
 
     def _dispatch(self, method: str, target: str, message: http1.Message, token: Token) -> Reply:
         path, _, query = target.partition("?")
-        match path.strip("/").split("/"):
-            case ["v1", "fleet", "changes"]:
-                kind, name = "fleet/changes", ""
-            case ["v1", kind]:
-                name = ""
-            case ["v1", kind, name] if name:
-                pass
-            case ["v1", "tenants", name, part] if name:
-                kind = f"tenants/{part}"
-            case ["v1", "fleet", part, name] if name:
-                kind = f"fleet/{part}"
-            case _:
-                raise ApiError(404, "no such resource")
-        if token.tenant and (method, kind, name) not in {
+        resource, name = _resource_and_name(path)
+        if token.tenant and (method, resource, name) not in {
             ("GET", "tenants", token.tenant),
             ("GET", "tenants/usage", token.tenant),
         }:
-            self._parts.core.counters.add("admin.forbidden")
+            self._context.core.counters.add("admin.forbidden")
             raise ApiError(403, f"this token may only look at {token.tenant!r}")
-        react = self._routes.get((method, kind, bool(name)))
-        if react is None:
-            known = any((kind, bool(name)) == key[1:] for key in self._routes)
-            raise ApiError(405 if known else 404, "no such method here" if known else "no such resource")
-        value = None
-        if method in ("POST", "PUT", "PATCH") and kind in ("tenants", "workers"):
-            try:
-                value = json.loads(message.body)
-            except (ValueError, RecursionError) as error:
-                raise ApiError(400, f"the body is not JSON: {error}") from None
-        with refusing(method, target):
-            return react(ApiCall(token.name, name, value, dict(parse_qsl(query)), message.headers))
-
-    # The rest
-
-    def _workers(self, _asked: ApiCall) -> Reply:
-        return Reply(200, {"workers": self._parts.pool.status()})
-
-    def _worker(self, asked: ApiCall) -> Reply:
-        found = [worker for worker in self._parts.pool.status() if worker["name"] == asked.name]
+        handler = self._handler(Route(method, resource, bool(name)))
+        body = None
+        if method in ("POST", "PUT", "PATCH") and resource in ("tenants", "workers"):
+            body = _decode(message.body)
+        with errors_as_api_errors(method, target):
+            return handler(ApiCall(token.name, name, body, dict(parse_qsl(query)), message.headers))
+
+    def _handler(self, route: Route) -> Handler:
+        handler = self._routes.get(route)
+        if handler is not None:
+            return handler
+        if any(route[1:] == known[1:] for known in self._routes):
+            raise ApiError(405, "no such method here")
+        raise ApiError(404, "no such resource")
+
+    # Calls other than those of tenants
+
+    def _workers(self, _call: ApiCall) -> Reply:
+        return Reply(200, {"workers": self._context.workers.status()})
+
+    def _worker(self, call: ApiCall) -> Reply:
+        found = [worker for worker in self._context.workers.status() if worker["name"] == call.name]
         if not found:
-            raise ApiError(404, f"no worker is named {asked.name!r}")
+            raise ApiError(404, f"no worker is named {call.name!r}")
         return Reply(200, found[0])
 
-    def _activate(self, asked: ApiCall) -> Reply:
-        table = CheckedTable(asked.value)
+    def _activate(self, call: ApiCall) -> Reply:
+        table = CheckedTable(call.body)
         table.only("activation")
         activation = table.word("activation", ACTIVATIONS)
-        if not self._parts.core.run_on_loop(lambda: self._parts.pool.activate(asked.name, activation)):
-            raise ApiError(404, f"no worker is named {asked.name!r}")
-        return self._worker(asked)
+        if not self._context.core.run_on_loop(lambda: self._context.workers.activate(call.name, activation)):
+            raise ApiError(404, f"no worker is named {call.name!r}")
+        return self._worker(call)
 
-    def _status(self, _asked: ApiCall) -> Reply:
-        return Reply(200, self._parts.core.run_on_loop(self._parts.status))
+    def _status(self, _call: ApiCall) -> Reply:
+        return Reply(200, self._context.core.run_on_loop(self._context.status))
 
-    def _counters(self, _asked: ApiCall) -> Reply:
-        return Reply(200, self._parts.core.counters.snapshot())
+    def _counters(self, _call: ApiCall) -> Reply:
+        return Reply(200, self._context.core.counters.snapshot())
 
-    def _fleet(self, _asked: ApiCall) -> Reply:
+    def _fleet(self, _call: ApiCall) -> Reply:
         return Reply(200, self._membership().status())
 
-    def _no_replication(self, _asked: ApiCall) -> Reply:
+    def _no_replication(self, _call: ApiCall) -> Reply:
         raise ApiError(404, "this node's tenants are its own: its configuration has no [replication]")
 
-    def _forget(self, asked: ApiCall) -> Reply:
-        done = self._membership().forget(asked.name)
+    def _forget(self, call: ApiCall) -> Reply:
+        done = self._membership().forget(call.name)
         if done is None:
-            raise ApiError(404, f"no member is named {asked.name!r}")
+            raise ApiError(404, f"no member is named {call.name!r}")
         if not done:
-            raise ApiError(409, f"{asked.name!r} lives; it leaves by its own drain")
-        return Reply(202, {"forgotten": asked.name})
+            raise ApiError(409, f"{call.name!r} lives; it leaves by its own drain")
+        return Reply(202, {"forgotten": call.name})
 
     def _membership(self) -> "Membership":
-        if self._parts.fleet is None:
+        if self._context.fleet is None:
             raise ApiError(404, "this node is in no fleet: its configuration has no [fleet]")
-        return self._parts.fleet
+        return self._context.fleet
 
-    def _drain(self, _asked: ApiCall) -> Reply:
-        if not self._parts.drain():
+    def _drain(self, _call: ApiCall) -> Reply:
+        if not self._context.drain():
             raise ApiError(409, "it drains already")
         return Reply(202, {"draining": True})
 
 
-def digest(token: str) -> str:
-    """Return what is kept of a bearer token."""
+def _resource_and_name(path: str) -> tuple[str, str]:
+    """Return the resource of a path and the name in it, which may be empty."""
+    match path.strip("/").split("/"):
+        case ["v1", "fleet", "changes"]:
+            return "fleet/changes", ""
+        case ["v1", resource]:
+            return resource, ""
+        case ["v1", resource, name] if name:
+            return resource, name
+        case ["v1", "tenants", name, action] if name:
+            return f"tenants/{action}", name
+        case ["v1", "fleet", action, name] if name:
+            return f"fleet/{action}", name
+    raise ApiError(404, "no such resource")
+
+
+def _path(route: Route) -> str:
+    """Return the path of a route, as in the OpenAPI document."""
+    if route.resource.startswith("tenants/"):
+        return f"/v1/{route.resource.replace('tenants/', 'tenants/{name}/')}"
+    return f"/v1/{route.resource}" + ("/{name}" if route.is_named else "")
+
+
+def _decode(body: bytes) -> Any:
+    try:
+        return json.loads(body)
+    except (ValueError, RecursionError) as error:
+        raise ApiError(400, f"the body is not JSON: {error}") from None
+
+
+def token_digest(token: str) -> str:
+    """Return the digest of a bearer token, as it is configured."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
--- /dev/null
+++ b/reelusher/admin/calls.py
@@ -0,0 +1,100 @@
+"""A call of the administration API, its reply, and its errors."""
+
+from collections.abc import Callable, Iterator, Mapping
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+from loguru import logger
+
+from reelusher.config.checked_table import ConfigError
+from reelusher.storage.errors import JournalError
+from reelusher.tenancy.lifecycle import TenantStateError
+
+MAX_DIGITS = 15  # of a number in a query
+
+
+class ApiError(Exception):
+    """A call that is answered with an error."""
+
+    def __init__(
+        self,
+        status: int,
+        text: str,
+        field: str = "",
+        headers: dict[str, str] | None = None,
+        extra: dict[str, Any] | None = None,
+    ) -> None:
+        """`extra` is added to the body of the reply."""
+        super().__init__(text)
+        self.status, self.field, self.headers, self.extra = status, field, headers or {}, extra or {}
+
+    @property
+    def body(self) -> dict[str, Any]:
+        """Return the body of the reply."""
+        return {"error": str(self), **({"field": self.field} if self.field else {}), **self.extra}
+
+
+@contextmanager
+def errors_as_api_errors(method: str, target: str) -> Iterator[None]:
+    """Raise `ApiError` in place of the errors that an invalid or impossible call raises."""
+    try:
+        yield
+    except ConfigError as error:
+        raise ApiError(400, str(error), error.key) from None
+    except TenantStateError as error:
+        raise ApiError(409, str(error)) from None
+    except JournalError as error:  # for example a full disk: nothing was changed
+        logger.error("admin: {} {} was not made durable: {}", method, target, error)
+        raise ApiError(507, f"not made durable, so not made: {error}") from None
+
+
+@dataclass(slots=True, frozen=True)
+class ApiCall:
+    """One call."""
+
+    actor: str  # name of the token that came with it, for the audit trail
+    name: str  # of the resource; empty for a call without one
+    body: Any  # decoded JSON
+    query: Mapping[str, str]
+    headers: Mapping[str, str]  # names in lower case
+
+    def integer(self, key: str, default: int, maximum: int, minimum: int = 0) -> int:
+        """Return an integer of the query."""
+        text = self.query.get(key, str(default))
+        is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
+        if not (is_number and minimum <= int(text) <= maximum):
+            raise ApiError(400, f"a whole number from {minimum} to {maximum} is wanted", key)
+        return int(text)
+
+    def boolean(self, key: str) -> bool:
+        """Return a boolean of the query; false where it is missing."""
+        text = self.query.get(key, "false")
+        if text not in ("true", "false"):
+            raise ApiError(400, "true or false is wanted", key)
+        return text == "true"
+
+    @property
+    def is_dry_run(self) -> bool:
+        """Return whether the call only asks what would change."""
+        return self.boolean("dry_run")
+
+
+@dataclass(slots=True, frozen=True)
+class Reply:
+    """The reply to a call."""
+
+    status: int
+    body: Any = None  # encoded as JSON; None: no body
+    headers: dict[str, str] = field(default_factory=dict)
+
+
+Handler = Callable[[ApiCall], Reply]
+
+
+class Route(NamedTuple):
+    """Which calls a handler answers."""
+
+    method: str
+    resource: str  # a path without version and name, such as "tenants" or "tenants/suspend"
+    is_named: bool  # whether the path contains a name
--- a/reelusher/admin/openapi.py
+++ b/reelusher/admin/openapi.py
@@ -1,14 +1,14 @@
-"""The administration API as an OpenAPI 3.1 document; a test holds it against the routes."""
+"""The administration API as an OpenAPI 3.1 document; a test compares it with the routes."""
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from reelusher.config.operator import ACTIVATIONS
 
-NUMBER: dict[str, Any] = {"type": "number", "minimum": 0}
-WHOLE: dict[str, Any] = {"type": "integer", "minimum": 0}
-TEXT: dict[str, Any] = {"type": "string"}
-PART: dict[str, Any] = {"type": "number", "minimum": 0, "maximum": 1}
-DRY = {
+NON_NEGATIVE_NUMBER: dict[str, Any] = {"type": "number", "minimum": 0}
+NON_NEGATIVE_INTEGER: dict[str, Any] = {"type": "integer", "minimum": 0}
+STRING: dict[str, Any] = {"type": "string"}
+FRACTION: dict[str, Any] = {"type": "number", "minimum": 0, "maximum": 1}
+DRY_RUN = {
     "name": "dry_run",
     "in": "query",
     "schema": {"type": "boolean"},
@@ -18,78 +18,93 @@
 IF_MATCH = {
     "name": "If-Match",
     "in": "header",
-    "schema": TEXT,
+    "schema": STRING,
     "description": "the version that this rests on",
 }
 COPIES = {
     "name": "copies",
     "in": "query",
-    "schema": WHOLE,
+    "schema": NON_NEGATIVE_INTEGER,
     "description": "with [replication]: answer once so many other members have the change",
 }
-NAME = {"name": "name", "in": "path", "required": True, "schema": TEXT}
+NAME = {"name": "name", "in": "path", "required": True, "schema": STRING}
 
 
 def _object(required: tuple[str, ...] = (), **properties: Any) -> dict[str, Any]:
     return {"type": "object", "properties": properties, **({"required": list(required)} if required else {})}
 
 
-def _closed(required: tuple[str, ...] = (), **properties: Any) -> dict[str, Any]:
+def _closed_object(required: tuple[str, ...] = (), **properties: Any) -> dict[str, Any]:
     return {**_object(required, **properties), "additionalProperties": False}
 
 
 SCHEMAS: dict[str, Any] = {
-    "Share": _closed(
+    "Share": _closed_object(
         weight={"type": "number", "exclusiveMinimum": 0},
-        guarantee=PART,
-        ceiling=PART,
-        burst_ms=WHOLE,
-        held=WHOLE,
-        running=WHOLE,
-        memory_kb=NUMBER,
-        keys=WHOLE,
-        connections=WHOLE,
+        guarantee=FRACTION,
+        ceiling=FRACTION,
+        burst_ms=NON_NEGATIVE_INTEGER,
+        held=NON_NEGATIVE_INTEGER,
+        running=NON_NEGATIVE_INTEGER,
+        memory_kb=NON_NEGATIVE_NUMBER,
+        keys=NON_NEGATIVE_INTEGER,
+        connections=NON_NEGATIVE_INTEGER,
         classes={"type": "object", "additionalProperties": {"type": "number", "exclusiveMinimum": 0}},
     ),
-    "Route": _closed(("class",), method=TEXT, path=TEXT, **{"class": TEXT}),
-    "Tenant": _closed(
+    "Route": _closed_object(("class",), method=STRING, path=STRING, **{"class": STRING}),
+    "Tenant": _closed_object(
         ("name", "backend"),
-        name={**TEXT, "pattern": "^[A-Za-z0-9._-]{1,64}$"},
-        backend=TEXT,
-        hosts={"type": "array", "items": TEXT},
-        prefix=TEXT,
-        key_header=TEXT,
-        default_class=TEXT,
-        max_open=WHOLE,
-        held_kb=NUMBER,
+        name={**STRING, "pattern": "^[A-Za-z0-9._-]{1,64}$"},
+        backend=STRING,
+        hosts={"type": "array", "items": STRING},
+        prefix=STRING,
+        key_header=STRING,
+        default_class=STRING,
+        max_open=NON_NEGATIVE_INTEGER,
+        held_kb=NON_NEGATIVE_NUMBER,
         share={"$ref": "#/components/schemas/Share"},
         routes={"type": "array", "items": {"$ref": "#/components/schemas/Route"}},
         state={"enum": ["active", "suspended", "draining"], "readOnly": True},
     ),
-    "Error": _object(("error",), error=TEXT, field=TEXT),
+    "Error": _object(("error",), error=STRING, field=STRING),
 }
 
-# with [replication], of changes
-AWAY = {
+# errors of changes, with [replication]
+REPLICATION_ERRORS = {
     503: "who makes changes of this name is away, nothing was changed",
     504: "it may have been made, or it was and too few others have it yet: the text says which",
 }
 
-# method, path, what it does, parameters, schema of the body, answers beside the errors that all have
-OPERATIONS: list[tuple[str, str, str, list[Any], Any, dict[int, str]]] = [
-    (
+
+class Operation(NamedTuple):
+    """One operation of the API."""
+
+    method: str
+    path: str
+    summary: str
+    parameters: list[dict[str, Any]]
+    body: str | dict[str, Any] | None  # name of its schema, or the schema
+    responses: dict[int, str]  # descriptions by status, beside those of all operations
+
+
+OPERATIONS: list[Operation] = [
+    Operation(
         "GET",
         "/v1/tenants",
         "List tenants by name.",
-        [LIMIT, {"name": "after", "in": "query", "schema": TEXT}],
+        [LIMIT, {"name": "after", "in": "query", "schema": STRING}],
         None,
         {200: "a page of tenants"},
     ),
-    (
+    Operation(
         "POST",
         "/v1/tenants",
         "Add a tenant.",
-        [DRY, COPIES, {"name": "Idempotency-Key", "in": "header", "schema": {**TEXT, "maxLength": 128}}],
+        [
+            DRY_RUN,
+            COPIES,
+            {"name": "Idempotency-Key", "in": "header", "schema": {**STRING, "maxLength": 128}},
+        ],
         "Tenant",
         {
             201: "the tenant",
@@ -98,15 +113,17 @@
             409: "the name is taken",
             422: "the key was used for another",
             507: "not made durable, not made",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    ("GET", "/v1/tenants/{name}", "Show a tenant.", [], None, {200: "the tenant", 404: "there is none"}),
-    (
+    Operation(
+        "GET", "/v1/tenants/{name}", "Show a tenant.", [], None, {200: "the tenant", 404: "there is none"}
+    ),
+    Operation(
         "PUT",
         "/v1/tenants/{name}",
         "Replace a tenant as a whole.",
-        [DRY, IF_MATCH, COPIES],
+        [DRY_RUN, IF_MATCH, COPIES],
         "Tenant",
         {
             200: "the tenant",
@@ -115,14 +132,14 @@
             409: "it is being removed",
             412: "it has another version",
             507: "not made durable, not made",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    (
+    Operation(
         "PATCH",
         "/v1/tenants/{name}",
         "Change a tenant by a merge patch (RFC 7396).",
-        [DRY, IF_MATCH, COPIES],
+        [DRY_RUN, IF_MATCH, COPIES],
         {"type": "object"},
         {
             200: "the tenant",
@@ -131,18 +148,18 @@
             409: "it is being removed",
             412: "it has another version",
             507: "not made durable, not made",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    (
+    Operation(
         "DELETE",
         "/v1/tenants/{name}",
         "Remove a tenant once it has nothing in hand.",
         [
-            DRY,
+            DRY_RUN,
             IF_MATCH,
             COPIES,
-            {"name": "within_ms", "in": "query", "schema": {**WHOLE, "maximum": 3_600_000}},
+            {"name": "within_ms", "in": "query", "schema": {**NON_NEGATIVE_INTEGER, "maximum": 3_600_000}},
         ],
         None,
         {
@@ -152,38 +169,38 @@
             404: "there is none",
             412: "it has another version",
             507: "not made durable, not made",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    (
+    Operation(
         "POST",
         "/v1/tenants/{name}/suspend",
         "Refuse a tenant's new requests.",
-        [DRY, IF_MATCH, COPIES],
+        [DRY_RUN, IF_MATCH, COPIES],
         None,
         {
             200: "the tenant",
             404: "there is none",
             409: "it is being removed",
             412: "it has another version",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    (
+    Operation(
         "POST",
         "/v1/tenants/{name}/resume",
         "Take a tenant's requests again.",
-        [DRY, IF_MATCH, COPIES],
+        [DRY_RUN, IF_MATCH, COPIES],
         None,
         {
             200: "the tenant",
             404: "there is none",
             409: "it is being removed",
             412: "it has another version",
-            **AWAY,
+            **REPLICATION_ERRORS,
         },
     ),
-    (
+    Operation(
         "GET",
         "/v1/tenants/{name}/usage",
         "Tell how a tenant stands.",
@@ -191,17 +208,19 @@
         None,
         {200: "work in core-milliseconds, counts, parts of the node", 404: "there is none"},
     ),
-    (
+    Operation(
         "GET",
         "/v1/audit",
         "List changes, oldest first.",
-        [LIMIT, {"name": "after", "in": "query", "schema": WHOLE}],
+        [LIMIT, {"name": "after", "in": "query", "schema": NON_NEGATIVE_INTEGER}],
         None,
         {200: "a page of changes"},
     ),
-    ("GET", "/v1/workers", "List workers.", [], None, {200: "all workers"}),
-    ("GET", "/v1/workers/{name}", "Show a worker.", [], None, {200: "the worker", 404: "there is none"}),
-    (
+    Operation("GET", "/v1/workers", "List workers.", [], None, {200: "all workers"}),
+    Operation(
+        "GET", "/v1/workers/{name}", "Show a worker.", [], None, {200: "the worker", 404: "there is none"}
+    ),
+    Operation(
         "PUT",
         "/v1/workers/{name}",
         "Change whether a worker gets requests.",
@@ -209,8 +228,15 @@
         _object(("activation",), activation={"enum": list(ACTIVATIONS)}),
         {200: "the worker", 400: "no such activation", 404: "there is none"},
     ),
-    ("GET", "/v1/status", "Tell how the node stands.", [], None, {200: "health, what is in hand, decisions"}),
-    (
+    Operation(
+        "GET",
+        "/v1/status",
+        "Tell how the node stands.",
+        [],
+        None,
+        {200: "health, what is in hand, decisions"},
+    ),
+    Operation(
         "GET",
         "/v1/fleet",
         "List the members of the fleet.",
@@ -218,7 +244,7 @@
         None,
         {200: "this node, its health, and all members that it knows", 404: "this node is in no fleet"},
     ),
-    (
+    Operation(
         "POST",
         "/v1/fleet/forget/{name}",
         "Have the fleet forget dead members of a name.",
@@ -226,7 +252,7 @@
         None,
         {202: "they count as left", 404: "none is known", 409: "one lives"},
     ),
-    (
+    Operation(
         "GET",
         "/v1/fleet/changes",
         "Tell how far the members have the changes of the replicated table.",
@@ -234,19 +260,19 @@
             {
                 "name": "after",
                 "in": "query",
-                "schema": WHOLE,
+                "schema": NON_NEGATIVE_INTEGER,
                 "description": "of orphans, for the next of them",
             }
         ],
         None,
         {200: "streams, positions, who is behind", 404: "this node has no [replication]"},
     ),
-    (
+    Operation(
         "POST",
         "/v1/fleet/take-over/{name}",
         "Have this control member write a stream from now on.",
         [
-            DRY,
+            DRY_RUN,
             {
                 "name": "force",
                 "in": "query",
@@ -263,33 +289,19 @@
             507: "not made durable, not made",
         },
     ),
-    ("GET", "/v1/counters", "Return all counters.", [], None, {200: "counts by name"}),
-    ("GET", "/v1/openapi.json", "Return this document.", [], None, {200: "an OpenAPI document"}),
-    ("POST", "/v1/drain", "Have the node leave.", [], None, {202: "it leaves", 409: "it does already"}),
+    Operation("GET", "/v1/counters", "Return all counters.", [], None, {200: "counts by name"}),
+    Operation("GET", "/v1/openapi.json", "Return this document.", [], None, {200: "an OpenAPI document"}),
+    Operation(
+        "POST", "/v1/drain", "Have the node leave.", [], None, {202: "it leaves", 409: "it does already"}
+    ),
 ]
 
 
 def document() -> dict[str, Any]:
-    """Return the document."""
-    error = {"content": {"application/json": {"schema": {"$ref": "#/components/schemas/Error"}}}}
+    """Return the OpenAPI document."""
     paths: dict[str, Any] = {}
-    for method, path, summary, parameters, body, answers in OPERATIONS:
-        schema = {"$ref": f"#/components/schemas/{body}"} if isinstance(body, str) else body
-        kind = "application/merge-patch+json" if method == "PATCH" else "application/json"
-        paths.setdefault(path, {})[method.lower()] = {
-            "summary": summary,
-            "operationId": f"{method.lower()} {path}",
-            "parameters": [*([NAME] if "{name}" in path else []), *parameters],
-            **({"requestBody": {"required": True, "content": {kind: {"schema": schema}}}} if body else {}),
-            "responses": {
-                **{
-                    str(status): {"description": text, **(error if status >= 400 else {})}
-                    for status, text in answers.items()
-                },
-                "401": {"description": "no valid token", **error},
-                "403": {"description": "the token is another tenant's", **error},
-            },
-        }
+    for operation in OPERATIONS:
+        paths.setdefault(operation.path, {})[operation.method.lower()] = _operation_json(operation)
     return {
         "openapi": "3.1.0",
         "info": {"title": "reelusher administration", "version": "1"},
@@ -300,3 +312,32 @@
             "securitySchemes": {"bearer": {"type": "http", "scheme": "bearer"}},
         },
     }
+
+
+def _operation_json(operation: Operation) -> dict[str, Any]:
+    method, path = operation.method, operation.path
+    return {
+        "summary": operation.summary,
+        "operationId": f"{method.lower()} {path}",
+        "parameters": [*([NAME] if "{name}" in path else []), *operation.parameters],
+        **({"requestBody": _request_body(operation)} if operation.body else {}),
+        "responses": {
+            **{str(status): _response(status, text) for status, text in operation.responses.items()},
+            "401": _response(401, "no valid token"),
+            "403": _response(403, "the token is another tenant's"),
+        },
+    }
+
+
+def _request_body(operation: Operation) -> dict[str, Any]:
+    body = operation.body
+    schema = {"$ref": f"#/components/schemas/{body}"} if isinstance(body, str) else body
+    media_type = "application/merge-patch+json" if operation.method == "PATCH" else "application/json"
+    return {"required": True, "content": {media_type: {"schema": schema}}}
+
+
+def _response(status: int, description: str) -> dict[str, Any]:
+    if status < 400:
+        return {"description": description}
+    content = {"application/json": {"schema": {"$ref": "#/components/schemas/Error"}}}
+    return {"description": description, "content": content}
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -1,430 +1,229 @@
 """Tenants of the replicated table over the administration API of any node.
 
-What is looked at comes from the node's own copy. A change is answered by the holder of the name's stream: a
-node that is not the holder sends the call on, whole, and gives back the answer. Who calls was told by the
-token which the asking node has checked; members believe each other.
+Reads are answered from the node's own replica. A change is answered by the leader of the partition that the
+name belongs to: another node forwards the call and returns the reply. The node that received the call has
+checked its token; members trust each other.
 """
 
 import json
 import threading
 from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
-from urllib.parse import parse_qsl, quote, urlencode
+from typing import Any
+from urllib.parse import parse_qsl
 
 from loguru import logger
 
-from reelusher.admin.tenant_api import ApiCall, ApiError, Handler, Reply, TenantApi, etag, refusing
+from reelusher.admin.calls import ApiCall, ApiError, Handler, Reply, Route, errors_as_api_errors
+from reelusher.admin.fleet_client import COPIES_TIMEOUT_S, Fleet, FleetClient
+from reelusher.admin.partition_api import COUNTED_TARGET, POSITIONS_TARGET, PartitionApi
+from reelusher.admin.tenant_api import MAX_PAGE, TenantApi, etag
 from reelusher.config.operator import Tenant
 from reelusher.core.event_loop import Core
-from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
-from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
-from reelusher.fleet.replication.replica import Position
+from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest
 from reelusher.fleet.replication.replica_store import ReplicaError
-from reelusher.storage.tenant_state import ChangeKind, to_json
-from reelusher.storage.tenant_state import TenantVersion as Kept
+from reelusher.storage.tenant_state import ChangeKind, TenantVersion, to_json
 from reelusher.tenancy.registry import TenantRegistry
-from reelusher.tenancy.replicated import (
-    MAX_ACTOR_LENGTH,
-    ReplicatedTable,
-    ReplicatedTenant,
-    TableBusyError,
-    format_position,
-)
+from reelusher.tenancy.replicated import ReplicatedTable, ReplicatedTenant, TableBusyError
 
-COPIES_S = 5.0  # that a call waits for copies
-CARRIED_S = 4.0  # that the holder has for a call that is carried there, beside the wait for copies
-MOST_WAITS = 3  # calls that wait for copies at once: members need the rest of the connections among them
-MOST_SENT = 8  # calls that are on their way to other members at once; each holds a connection
-RETRY_S = 2, 6  # after which a call may come again that can't be answered now: drawn, so that they spread
-MOST_LISTED = 100  # rows that are told of at once
-POSITIONS, COUNTED = "/positions", "/counted"  # what members ask each other: how far they are, and others
-ASK_S = 1.0  # that a member has to say it
-MOST_TARGET = 4096  # characters of path and query, as a carried call has them
-HEADERS = "if-match", "idempotency-key"  # that a call is carried with
-
-Key = tuple[str, str, bool]  # method, kind, is a name given
-
-
-class Fleet(Protocol):
-    """The other members, as far as calls are concerned."""
-
-    def live(self) -> list[Update]:
-        """Return the live members, this one first."""
-
-    def ask_once(self, place: str, request: Any, kind: type[ChangeReply], within_s: float) -> ChangeReply:
-        """Ask a member. Raises `MemberUnreachableError` where it was told nothing, and `NoReplyError`."""
+MAX_COPY_WAITS = 3  # calls that wait for copies at once: other calls need the rest of the connections
 
 
 class ReplicatedTenantApi(TenantApi):
-    """The calls that have to do with tenants, where they are kept in the replicated table."""
+    """The calls that concern tenants of the replicated table, and its partitions."""
 
     def __init__(
         self, core: Core, tenants: TenantRegistry, table: ReplicatedTable, fleet: Fleet | None, random: Random
     ) -> None:
         super().__init__(core, tenants, table)
-        self._replicated, self._fleet = table, fleet
-        self._counters, self._random = core.counters, random
-        self._waits = threading.BoundedSemaphore(MOST_WAITS)
-        self._sends = threading.BoundedSemaphore(MOST_SENT)
-        self._makes: dict[Key, Handler] = {
-            key: react for key, react in self.routes.items() if key[0] != "GET"
+        self._replicated = table
+        self._fleet = FleetClient(fleet, core.counters, random)
+        self._counters = core.counters
+        self._copy_waits = threading.BoundedSemaphore(MAX_COPY_WAITS)
+        self._local_changes: dict[Route, Handler] = {
+            route: handler for route, handler in self.routes.items() if route.method != "GET"
         }
-        self.routes |= {key: self._sender(key) for key in self._makes} | {
-            ("GET", "fleet/changes", False): self._changes,
-            ("POST", "fleet/take-over", True): self._take_over,
-        }
-        self.routes = {key: self._readable(react) for key, react in self.routes.items()}
+        routes = self.routes | {route: self._leader_handler(route) for route in self._local_changes}
+        routes |= PartitionApi(table, self._fleet, core.counters).routes
+        self.routes = {route: self._with_replica_errors(handler) for route, handler in routes.items()}
 
-    # Looking, at this node's copy
+    # Reads, from this node's replica
 
-    def _list(self, asked: ApiCall) -> Reply:
-        limit, after = asked.whole("limit", 1000, 1000, 1), asked.query.get("after", "")
+    def _list(self, call: ApiCall) -> Reply:
+        limit, after = call.integer("limit", MAX_PAGE, MAX_PAGE, 1), call.query.get("after", "")
         found = self._replicated.page(after, limit + 1)
         page = found[:limit]
         more = {"next": page[-1].tenant["name"]} if len(found) > limit else {}
-        return Reply(200, {"tenants": [to_json(one) for one in page], **more})
-
-    def _show(self, asked: ApiCall) -> Reply:
-        kept = self._replicated.get(asked.name)
-        if kept is None:
-            raise self._nobody(asked.name)
-        more = {"unreadable": kept.unreadable} if kept.unreadable else {}
-        return Reply(200, {**(self._told(self._replicated.with_overlaps(kept)) or {}), **more}, etag(kept))
-
-    def _changes(self, asked: ApiCall) -> Reply:
-        """Tell how far the members have the changes."""
-        table = self._replicated
-        places: dict[str, list[str]] = {}
-        for member in self._live():
-            places.setdefault(member.name, []).append(member.place)
-        counted = {one["stream"]: one for one in self._counted()}
-        streams = []
-        for stream in table.replica.control:
-            state, further = table.replica.states[stream], table.position_ahead(stream)
-            holder = table.holder(stream)
-            streams.append(
-                {
-                    "stream": stream,
-                    "holder": holder,
-                    "holder_at": places.get(holder, []),
-                    "position": format_position(table.position(stream)),
-                    "heard_of": format_position(further) if further else None,
-                    "refilling": state.cursor >= 0,
-                    "lost": state.lost,
-                    "put_back": state.put_back,
-                    "counted": counted.get(stream),
-                    "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases],
-                }
-            )
-        return Reply(
-            200,
-            {
-                "own": table.own_name,
-                "control": list(table.replica.control),
-                "tenants": table.copy.count(),
-                "guaranteed": table.copy.guaranteed(),
-                "streams": streams,
-                "unreadable": {
-                    "count": table.copy.unreadable_count(),
-                    "tenants": [
-                        {"name": name, "why": why} for name, why in table.copy.unreadable(MOST_LISTED)
-                    ],
-                },
-                "orphans": [
-                    {
-                        "number": one["number"],
-                        "stream": one["stream"],
-                        "version": f"{one['epoch']}.{one['revision']}",
-                        "tenant": one["name"],
-                        "who": one["who"],
-                        "at_ms": one["at_ms"],
-                        "state": one["state"],
-                    }
-                    for one in table.copy.orphans(asked.whole("after", 0, 1 << 53), MOST_LISTED)
-                ],
-            },
-        )
-
-    # Changing
-
-    def _read(self, value: Any, name: str | None = None) -> Tenant:
-        return self._replicated.parse(value, name)
-
-    def _known(self, name: str) -> bool:
+        return Reply(200, {"tenants": [to_json(version) for version in page], **more})
+
+    def _show(self, call: ApiCall) -> Reply:
+        version = self._replicated.get(call.name)
+        if version is None:
+            raise self._not_found(call.name)
+        body = self._to_json(self._replicated.with_overlaps(version)) or {}
+        if version.unreadable:
+            body["unreadable"] = version.unreadable
+        return Reply(200, body, etag(version))
+
+    # Changes, by the leader
+
+    def _parse(self, body: Any, name: str | None = None) -> Tenant:
+        return self._replicated.parse(body, name)
+
+    def _exists(self, name: str) -> bool:
         return self._replicated.get(name) is not None
 
     def _apply(self, change: Callable[[], object]) -> None:
-        """Do nothing: the node goes by its copy, which has told it by now."""
+        """Do nothing: the replica has notified the tenant registry by now."""
 
-    def _told(self, kept: Kept | None) -> dict[str, Any] | None:
-        made = to_json(kept)
-        if made is not None and isinstance(kept, ReplicatedTenant):
-            for key, overlaps in (("shadowed", kept.shadowed_by), ("shadows", kept.shadows)):
+    def _to_json(self, version: TenantVersion | None) -> dict[str, Any] | None:
+        body = to_json(version)
+        if body is not None and isinstance(version, ReplicatedTenant):
+            for key, overlaps in (("shadowed", version.shadowed_by), ("shadows", version.shadows)):
                 if overlaps:
-                    made[key] = [one.to_json() for one in overlaps]
-        return made
+                    body[key] = [overlap.to_json() for overlap in overlaps]
+        return body
 
-    def _would(self, before: Kept | None, after: Kept | None) -> Reply:
+    def _dry_run(self, before: TenantVersion | None, after: TenantVersion | None) -> Reply:
         if after is not None:
             after = self._replicated.with_overlaps(ReplicatedTenant(after.tenant, after.state, ""))
-        return super()._would(before, after)
+        return super()._dry_run(before, after)
 
-    def _delete(self, asked: ApiCall) -> Reply:
-        if "within_ms" in asked.query:
+    def _delete(self, call: ApiCall) -> Reply:
+        if "within_ms" in call.query:
             raise ApiError(400, "each node ends what it has in hand within its own time", "within_ms")
         with self._table.exclusive():
-            before = self._current(asked)
-            if asked.dry:
-                return self._would(before, None)
-            self._table.change(ChangeKind.REMOVE, asked.name, asked.who)
+            before = self._matching_version(call)
+            if call.is_dry_run:
+                return self._dry_run(before, None)
+            self._table.change(ChangeKind.REMOVE, call.name, call.actor)
         return Reply(204)
 
-    def _make(self, key: Key, asked: ApiCall) -> Reply:
-        """Make a change at its holder, and wait until as many others have it as the caller wants."""
-        copies = asked.whole("copies", 0, max(0, len(self._live()) - 1))
-        stream = self._replicated.stream_of(self._name(asked))
-        self._sole(self._replicated.own_name)
-        if copies and not self._waits.acquire(blocking=False):
-            raise self._later("others wait for copies: nothing was changed")
+    def _make_change(self, route: Route, call: ApiCall) -> Reply:
+        """Make a change as the leader, and wait until as many other members have it as the caller asks."""
+        copies = call.integer("copies", 0, max(0, len(self._fleet.live()) - 1))
+        self._fleet.sole_address(self._replicated.own_name)
+        if copies and not self._copy_waits.acquire(blocking=False):
+            raise self._fleet.retry_later("others wait for copies: nothing was changed")
         try:
-            reply = self._makes[key](asked)
-            if copies and not asked.dry and reply.status < 300:
-                position = self._replicated.position(stream)
-                have = self._replicated.replication.wait(stream, position, copies, COPIES_S)
-                if have < copies:
-                    raise ApiError(
-                        504,
-                        f"made, and {have} other members have it so far, not {copies}",
-                        "copies",
-                        reply.headers,
-                        {"made": True, "copies": have, "value": reply.value},
-                    )
+            reply = self._local_changes[route](call)
+            if copies and not call.is_dry_run and reply.status < 300:
+                self._wait_for_copies(call, copies, reply)
         except TableBusyError as error:
-            raise self._later(f"{error}: nothing was changed") from None
+            raise self._fleet.retry_later(f"{error}: nothing was changed") from None
         finally:
             if copies:
-                self._waits.release()
+                self._copy_waits.release()
         return reply
 
-    def _name(self, asked: ApiCall) -> str:
-        """Return the name of the tenant that a call is about."""
-        if asked.name:
-            return asked.name
-        # without a name it is refused wherever it is read
-        name = asked.value.get("name") if isinstance(asked.value, dict) else None
-        return name if isinstance(name, str) else ""
-
-    def _take_over(self, asked: ApiCall) -> Reply:
-        """Have this member write a stream from now on, as an operator orders."""
-        table, stream, own = self._replicated, asked.name, self._replicated.own_name
-        if stream not in table.replica.control:
-            raise ApiError(404, f"there is no stream {stream!r}: they are {', '.join(table.replica.control)}")
-        if own not in table.replica.control:
-            raise ApiError(409, f"{own!r} writes nothing: call one of {', '.join(table.replica.control)}")
-        force, holder = asked.flag("force"), table.holder(stream)
-        if holder == own and not table.replica.states[stream].lost:
-            raise ApiError(409, f"{own!r} writes stream {stream!r} already")
-        self._sole(own)
-        lives = holder != own and any(member.name == holder for member in self._live())
-        position, further = table.position(stream), table.position_ahead(stream)
-        if lives and self._fleet is not None:  # what it has just made was not told to anybody yet
-            further = max(filter(None, (further, self._asked_holder(stream, holder))), default=None)
-            further = None if further is not None and further <= position else further
-        found = {
-            "stream": stream,
-            "holder": holder,
-            "has": format_position(position),
-            "holder_lives": lives,
-            "heard_of": format_position(further) if further else None,
-            "lost": _changes_past(position, further),
-        }
-        if asked.dry:
-            return Reply(200, {"dry_run": True, **found})
-        if further is not None and not force:
-            raise self._later(
-                f"others have stream {stream!r} up to {format_position(further)}, this member up to "
-                f"{format_position(position)}: wait for them, or lose them by force=true",
-                **found,
+    def _wait_for_copies(self, call: ApiCall, copies: int, reply: Reply) -> None:
+        """Raise `ApiError` unless so many other members have the change within the time-out."""
+        partition = self._replicated.stream_of(_tenant_name(call))
+        position = self._replicated.position(partition)
+        count = self._replicated.replication.wait(partition, position, copies, COPIES_TIMEOUT_S)
+        if count < copies:
+            raise ApiError(
+                504,
+                f"made, and {count} other members have it so far, not {copies}",
+                "copies",
+                reply.headers,
+                {"made": True, "copies": count, "value": reply.body},
             )
-        try:
-            begun = table.take_over(stream, force)
-        except TableBusyError as error:
-            raise self._later(f"{error}: nothing was changed") from None
-        self._counters.add("replication.taken_over")
-        logger.warning(
-            "replication: {} writes stream {} from {} on, as {} ordered; others had heard of {}",
-            own,
-            stream,
-            format_position(begun),
-            asked.who,
-            found["heard_of"] or "no more",
-        )
-        return Reply(200, {**found, "begins": format_position(begun)})
-
-    def _counted(self) -> list[dict[str, Any]]:
-        """Return who has the newest changes, as holders have counted it; who does not say is left out."""
-        table = self._replicated
-        found: list[dict[str, Any]] = table.replication.changes()
-        holders = {table.holder(stream) for stream in table.replica.control} - {table.own_name}
-        for holder in sorted(holders & {member.name for member in self._live()}):
-            found += self._asked(holder, COUNTED, [])
-        return found
-
-    def _asked_holder(self, stream: str, holder: str) -> Position | None:
-        """Return how far the holder of a stream says that it is; None where it does not say."""
-        found = self._asked(holder, POSITIONS, {}).get(stream)
-        return None if found is None else Position(*found)
-
-    def _asked(self, name: str, target: str, otherwise: Any) -> Any:
-        """Ask a member of this fleet's what only it knows."""
-        assert self._fleet is not None
-        request = ChangeRequest(self._live()[0].place, "GET", target, {})
-        try:
-            reply = self._fleet.ask_once(self._sole(name), request, ChangeReply, ASK_S)
-        except (MemberUnreachableError, NoReplyError):
-            return otherwise
-        return json.loads(reply.value) if reply.status == 200 else otherwise
 
-    # Between nodes
+    # Calls between nodes
+
+    def _leader_of(self, call: ApiCall) -> str:
+        return self._replicated.holder(self._replicated.stream_of(_tenant_name(call)))
 
-    def _live(self) -> list[Update]:
-        return self._fleet.live() if self._fleet else []
+    def _leader_handler(self, route: Route) -> Handler:
+        """Return a handler that makes a change here, or forwards it to the leader."""
 
-    def _later(self, text: str, **more: Any) -> ApiError:
-        return ApiError(503, text, headers={"Retry-After": str(self._random.randint(*RETRY_S))}, more=more)
+        def handle(call: ApiCall) -> Reply:
+            leader = self._leader_of(call)
+            if leader == self._replicated.own_name:
+                return self._make_change(route, call)
+            return self._fleet.forward(route, call, leader, _tenant_name(call))
 
-    def _sole(self, name: str) -> str:
-        """Return the place of the one live member of a name. Raises `ApiError`."""
-        places = [member.place for member in self._live() if member.name == name]
-        if len(places) > 1:  # two that number the same stream would never be one table again
-            raise self._later(f"{len(places)} live members are named {name!r}: nothing was changed")
-        return places[0] if places else ""
+        return handle
 
-    def _readable(self, react: Handler) -> Handler:
-        """Return what answers the same, and 503 where this node's copy can't be read."""
+    def _with_replica_errors(self, handler: Handler) -> Handler:
+        """Return a handler that answers 503 where this node's replica can't be read."""
 
-        def answer(asked: ApiCall) -> Reply:
+        def handle(call: ApiCall) -> Reply:
             try:
-                return react(asked)
+                return handler(call)
             except ReplicaError as error:
-                raise self._later(f"this node's copy can't be read: {error}: nothing was changed") from None
-
-        return answer
-
-    def _sender(self, key: Key) -> Handler:
-        """Return what makes a change here or sends it on to its holder."""
+                raise self._fleet.retry_later(
+                    f"this node's copy can't be read: {error}: nothing was changed"
+                ) from None
 
-        def react(asked: ApiCall) -> Reply:
-            stream = self._replicated.stream_of(self._name(asked))
-            holder = self._replicated.holder(stream)
-            if holder == self._replicated.own_name:
-                return self._make(key, asked)
-            return self._send_on(key, asked, holder)
+        return handle
 
-        return react
-
-    def _send_on(self, key: Key, asked: ApiCall, holder: str) -> Reply:
-        method, kind, _ = key
-        place = self._sole(holder)
-        if not place or self._fleet is None:
-            self._counters.add("replication.holder_away")
-            raise self._later(
-                f"{holder!r} makes the changes of {self._name(asked)!r} and is not there: nothing was changed"
-            )
-        path = f"/v1/tenants{'/' * bool(asked.name)}{quote(asked.name, '')}{kind.removeprefix('tenants')}"
-        target = f"{path}?{urlencode(asked.query)}"
-        body = b"" if asked.value is None else json.dumps(asked.value).encode()
-        if len(target) > MOST_TARGET or len(body) > MOST_CHANGE:
-            raise ApiError(413, "it is too long to be carried to the member that makes the change")
-        request = ChangeRequest(
-            self._live()[0].place,
-            method,
-            target,
-            {name: asked.headers[name] for name in HEADERS if name in asked.headers},
-            body,
-            asked.who[:MAX_ACTOR_LENGTH],
-        )
-        if not self._sends.acquire(blocking=False):
-            raise self._later("too many calls are on their way to other members: nothing was changed")
-        try:
-            within_s = CARRIED_S + (COPIES_S if "copies" in asked.query else 0.0)
-            reply = self._fleet.ask_once(place, request, ChangeReply, within_s)
-        except MemberUnreachableError:
-            self._counters.add("replication.holder_away")
-            raise self._later(
-                f"{holder!r} makes the changes of {self._name(asked)!r} and can't be reached: "
-                "nothing was changed"
-            ) from None
-        except NoReplyError:
-            self._counters.add("replication.answers_lost")
-            raise ApiError(
-                504,
-                f"{holder!r} was asked and did not answer: it may have been made; the same "
-                "Idempotency-Key, or If-Match, tells",
-            ) from None
-        finally:
-            self._sends.release()
-        self._counters.add("replication.calls_sent_on")
-        return Reply(reply.status, json.loads(reply.value), reply.headers)
-
-    def carried(self, request: ChangeRequest) -> ChangeReply:
-        """Answer a call that another member was asked."""
+    def handle_forwarded(self, request: ChangeRequest) -> ChangeReply:
+        """Answer a call that another member has forwarded, or its query."""
         self._counters.add("replication.calls_carried")
         try:
-            with refusing(request.method, request.target):
-                reply = self._carried(request)
+            with errors_as_api_errors(request.method, request.target):
+                reply = self._dispatch(request)
         except ReplicaError as error:
-            later = self._later(
-                f"the copy of {self._replicated.own_name!r} can't be read: {error}: nothing was changed"
+            reply = _error_reply(
+                self._fleet.retry_later(
+                    f"the copy of {self._replicated.own_name!r} can't be read: {error}: nothing was changed"
+                )
             )
-            reply = Reply(later.status, later.value, later.headers)
         except ApiError as error:
-            reply = Reply(error.status, error.value, error.headers)
+            reply = _error_reply(error)
         except Exception:
             logger.exception("admin: {} {} failed", request.method, request.target)
             reply = Reply(500, {"error": "internal error"})
-        return ChangeReply(reply.status, json.dumps(reply.value).encode(), reply.headers)
+        return ChangeReply(reply.status, json.dumps(reply.body).encode(), reply.headers)
 
-    def _carried(self, request: ChangeRequest) -> Reply:
+    def _dispatch(self, request: ChangeRequest) -> Reply:
         path, _, query = request.target.partition("?")
-        match path.strip("/").split("/"):
-            case ["positions"]:
-                return Reply(
-                    200,
-                    {
-                        stream: self._replicated.position(stream)
-                        for stream in self._replicated.replica.control
-                    },
-                )
-            case ["counted"]:
-                return Reply(200, self._replicated.replication.changes())
-            case ["v1", "tenants"]:
-                kind, name = "tenants", ""
-            case ["v1", "tenants", name]:
-                kind = "tenants"
-            case ["v1", "tenants", name, part]:
-                kind = f"tenants/{part}"
-            case _:
-                raise ApiError(404, "no such resource")
-        key = request.method, kind, bool(name)
-        if key not in self._makes:
+        if path == POSITIONS_TARGET:
+            partitions = self._replicated.replica.control
+            return Reply(200, {partition: self._replicated.position(partition) for partition in partitions})
+        if path == COUNTED_TARGET:
+            return Reply(200, self._replicated.replication.changes())
+        resource, name = _forwarded_resource(path)
+        route = Route(request.method, resource, bool(name))
+        if route not in self._local_changes:
             raise ApiError(404, "no such change")
-        try:
-            value = json.loads(request.body) if request.body else None
-        except (ValueError, RecursionError) as error:
-            raise ApiError(400, f"the body is not JSON: {error}") from None
-        asked = ApiCall(request.who, name, value, dict(parse_qsl(query)), request.headers)
-        stream = self._replicated.stream_of(self._name(asked))
-        holder = self._replicated.holder(stream)
-        if holder != self._replicated.own_name:  # who asked knows it otherwise; one of the two will learn
-            raise self._later(f"{holder!r} makes the changes of {self._name(asked)!r}: nothing was changed")
-        return self._make(key, asked)
-
-
-def _changes_past(position: Position, further: Position | None) -> int | None:
-    """Return how many changes are past a position; None where that is not known."""
-    if further is None:
-        return 0
-    return further.number - position.number if further.epoch == position.epoch else None
+        call = ApiCall(request.who, name, _decode(request.body), dict(parse_qsl(query)), request.headers)
+        leader = self._leader_of(call)
+        if leader != self._replicated.own_name:  # the members disagree until one of them learns of the term
+            raise self._fleet.retry_later(
+                f"{leader!r} makes the changes of {_tenant_name(call)!r}: nothing was changed"
+            )
+        return self._make_change(route, call)
+
+
+def _tenant_name(call: ApiCall) -> str:
+    """Return the name of the tenant that a call concerns; empty for an invalid call."""
+    if call.name:
+        return call.name
+    name = call.body.get("name") if isinstance(call.body, dict) else None
+    return name if isinstance(name, str) else ""
+
+
+def _forwarded_resource(path: str) -> tuple[str, str]:
+    """Return the resource of a path and the name in it, which may be empty."""
+    match path.strip("/").split("/"):
+        case ["v1", "tenants"]:
+            return "tenants", ""
+        case ["v1", "tenants", name]:
+            return "tenants", name
+        case ["v1", "tenants", name, action]:
+            return f"tenants/{action}", name
+    raise ApiError(404, "no such resource")
+
+
+def _decode(body: bytes) -> Any:
+    try:
+        return json.loads(body) if body else None
+    except (ValueError, RecursionError) as error:
+        raise ApiError(400, f"the body is not JSON: {error}") from None
+
+
+def _error_reply(error: ApiError) -> Reply:
+    return Reply(error.status, error.body, error.headers)
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -190,7 +190,7 @@
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
-        from reelusher.admin.api import AdminApi, Parts
+        from reelusher.admin.api import AdminApi, AdminContext
         from reelusher.frontends.ajp.frontend import AjpFrontend
 
         if own.fleet:
@@ -210,7 +210,7 @@
         if own.admin:
             self.admin = AdminApi(
                 own.admin,
-                Parts(
+                AdminContext(
                     self.core, tenants, table, self._pool, self.status, self.ask_to_leave, self.fleet, calls
                 ),
             )
@@ -299,7 +299,7 @@
         tenants.is_bootstrapping = replication.filling
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
-            self.fleet.serve[ChangeRequest] = calls.carried
+            self.fleet.serve[ChangeRequest] = calls.handle_forwarded
         self._tenants = tenants
         return tenants, table, calls
 
@@ -342,9 +342,9 @@
 
                 kept += service.DESCRIPTORS
             if own.replication:
-                from reelusher.admin import replicated_api
+                from reelusher.admin import fleet_client
 
-                kept += COPY_FILES + replicated_api.MOST_SENT + 1  # and the one that pulls
+                kept += COPY_FILES + fleet_client.MAX_FORWARDED_CALLS + 1  # and the one that pulls
         return max(self.config.sockets - kept, LEAST_CONNECTIONS)
 
     def _most_ajp(self) -> int:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from reelusher.admin import openapi
-from reelusher.admin.api import AdminApi, Parts
-from reelusher.admin.tenant_api import merged
+from reelusher.admin.api import AdminApi, AdminContext
+from reelusher.admin.merge_patch import merge_patch
 from reelusher.config.operator import Admin, ShareOf, Tenant
 from reelusher.core.event_loop import Core
 from reelusher.storage.directory import LockedDirectory
@@ -35,30 +35,30 @@
 """
 
 
-def test_the_document_has_every_route_and_no_other() -> None:
+def test_openapi_document_has_every_route_and_no_other() -> None:
     from helpers import settings
     from test_core import Backend
 
     core = Core(settings(), [], 1, Backend())
     api = AdminApi(
         Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
-        Parts(core, None, TenantStore(None), None, dict, lambda: True),  # type: ignore[arg-type]
+        AdminContext(core, None, TenantStore(None), None, dict, lambda: True),  # type: ignore[arg-type]
     )
     made = openapi.document()
-    told = {(method.upper(), path) for path, methods in made["paths"].items() for method in methods}
-    assert told == api.routes()
-    assert len(told) == len(openapi.OPERATIONS)
+    documented = {(method.upper(), path) for path, methods in made["paths"].items() for method in methods}
+    assert documented == api.routes()
+    assert len(documented) == len(openapi.OPERATIONS)
     api.close()
 
 
-def test_the_document_has_every_field_of_a_tenant() -> None:
+def test_openapi_document_has_every_field_of_a_tenant() -> None:
     fields = {field.name for field in dataclasses.fields(Tenant)} | {"state"}
     assert set(openapi.SCHEMAS["Tenant"]["properties"]) == fields
     shares = {field.name for field in dataclasses.fields(ShareOf)}
     assert set(openapi.SCHEMAS["Share"]["properties"]) == shares
 
 
-def test_merge_patches_of_the_rfc() -> None:
+def test_merge_patches_of_rfc_7396() -> None:
     """Cases of RFC 7396, appendix A."""
     for target, patch, wanted in (
         ({"a": "b"}, {"a": "c"}, {"a": "c"}),
@@ -69,12 +69,12 @@
         (["a"], {"a": 1}, {"a": 1}),
         ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
     ):
-        assert merged(target, patch) == wanted
+        assert merge_patch(target, patch) == wanted
 
 
-def killed(folder: Path, rounds: int, seed: int, longest_s: float) -> int:
+def change_and_kill(folder: Path, rounds: int, seed: int, longest_s: float) -> int:
     """Kill a process that makes changes, again and again; return how many it had acknowledged."""
-    chance, acknowledged = random.Random(seed), 0
+    rng, acknowledged = random.Random(seed), 0
     for _ in range(rounds):
         process = subprocess.Popen(
             [sys.executable, "-c", WRITER, str(folder)],
@@ -85,11 +85,11 @@
         )
         assert process.stdout is not None
         assert process.stdout.readline() == "ready\n"
-        time.sleep(chance.uniform(0, longest_s))
+        time.sleep(rng.uniform(0, longest_s))
         process.send_signal(signal.SIGKILL)
-        told = process.stdout.read().split("\n")[:-1]  # what follows the last line end was not said whole
+        lines = process.stdout.read().split("\n")[:-1]  # the last one may be incomplete
         process.wait()
-        acknowledged = max([acknowledged, *(int(line) + 1 for line in told)])
+        acknowledged = max([acknowledged, *(int(line) + 1 for line in lines)])
         disk = LockedDirectory(folder)
         store = TenantStore(disk)
         assert len(store.state.tenants) in (acknowledged, acknowledged + 1)
@@ -99,5 +99,5 @@
     return acknowledged
 
 
-def test_a_process_that_is_killed_within_a_change_has_lost_nothing_it_acknowledged(tmp_path: Path) -> None:
-    assert killed(tmp_path / "state", 8, 1, 0.15) > 0
+def test_acknowledged_changes_survive_a_killed_process(tmp_path: Path) -> None:
+    assert change_and_kill(tmp_path / "state", 8, 1, 0.15) > 0
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -20,7 +20,7 @@
 from replicas import names_of
 from scenario import SETTINGS, TOKEN
 
-from reelusher.admin import replicated_api
+from reelusher.admin import fleet_client, replicated_api
 from reelusher.codecs import ajp13
 from reelusher.config.checked_table import ConfigError, address_of
 from reelusher.config.load import merge
@@ -114,8 +114,8 @@
     def table(self, at: str) -> ReplicatedTable:
         admin = self.all[at].admin
         assert admin is not None
-        assert isinstance(admin._parts.table, ReplicatedTable)
-        return admin._parts.table
+        assert isinstance(admin._context.table, ReplicatedTable)
+        return admin._context.table
 
     def replication(self, at: str) -> service.Replication:
         found = self.all[at]._replication
@@ -421,7 +421,8 @@
 
 
 def test_a_call_may_wait_until_others_have_its_change(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replicated_api, "COPIES_S", 0.7)
+    for module in (fleet_client, replicated_api):
+        monkeypatch.setattr(module, "COPIES_TIMEOUT_S", 0.7)
     nodes.start("c1", "c2", "n1")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=3", tenant(C2[0]))[1]["field"] == "copies"
     for at, name in (("c1", C2[0]), ("c2", C2[1])):
