--- a/reelusher/assembly/descriptors.py
+++ b/reelusher/assembly/descriptors.py
@@ -61,7 +61,7 @@
 
         reserved += service.DESCRIPTORS
     if operator.replication:
-        from reelusher.admin import replicated_api
+        from reelusher.admin import fleet_client
 
-        reserved += REPLICA_DESCRIPTORS + replicated_api.MOST_SENT + 1  # one for the pull in progress
+        reserved += REPLICA_DESCRIPTORS + fleet_client.MAX_FORWARDED_CALLS + 1  # one for the pull in progress
     return reserved
--- a/reelusher/assembly/hosted.py
+++ b/reelusher/assembly/hosted.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from reelusher.admin.api import AdminApi, Parts
+from reelusher.admin.api import AdminApi, AdminContext
 from reelusher.admin.tenant_api import TenantApi
 from reelusher.assembly.descriptors import max_ajp_connections
 from reelusher.assembly.parts import NodeCallbacks, NodeParts
@@ -44,7 +44,7 @@
         ajp = replace(operator.ajp, max_connections=max_ajp_connections(config))
         parts.frontends["ajp"] = AjpFrontend(parts.core, ajp, tenants.registry)
     if operator.admin:
-        administered = Parts(
+        context = AdminContext(
             parts.core,
             tenants.registry,
             tenants.table,
@@ -54,7 +54,7 @@
             parts.fleet,
             tenants.api,
         )
-        parts.admin = AdminApi(operator.admin, administered)
+        parts.admin = AdminApi(operator.admin, context)
 
 
 def _build_local_tenants(parts: NodeParts, operator: Operator, backends: frozenset[str]) -> TenantParts:
@@ -62,7 +62,7 @@
     assert parts.fair_queue is not None
     admin = operator.admin
     directory = Path(admin.state_dir) if admin and admin.state_dir else None
-    store = tenant_store.opened(
+    store = tenant_store.open_store(
         directory,
         Path(admin.state_file) if admin and admin.state_file else None,
         operator.tenants,
@@ -71,9 +71,8 @@
     )
     if admin and admin.durable_keys:
         _recover_keys(parts, Path(admin.state_dir))
-    tenants = [
-        (tenant, TenantState(state)) for tenant, state in store.tenants(operator.class_names, backends)
-    ]
+    stored = store.checked_tenants(operator.class_names, backends)
+    tenants = [(tenant, TenantState(state)) for tenant, state in stored]
     registry = TenantRegistry(
         tenants, operator.class_names, parts.worker_pool.runner, parts.core, parts.fair_queue, backends
     )
@@ -82,7 +81,8 @@
 
 def _recover_keys(parts: NodeParts, directory: Path) -> None:
     """Remember the keys that earlier incarnations of the node stored, and store new ones from now on."""
-    log = tenant_store.opened_keys(directory)
-    for request_id, entry in enumerate(log.live(), FIRST_RECOVERED_REQUEST_ID):
-        parts.core.keys.restore(entry.name, request_id, entry.until_us, bytes.fromhex(entry.digest))
+    log = tenant_store.open_key_log(directory)
+    for request_id, entry in enumerate(log.unexpired(), FIRST_RECOVERED_REQUEST_ID):
+        digest = bytes.fromhex(entry.body_digest)
+        parts.core.keys.restore(entry.idempotency_key, request_id, entry.expires_us, digest)
     parts.core.deduplication.key_log = parts.key_log = log
--- a/reelusher/assembly/replication.py
+++ b/reelusher/assembly/replication.py
@@ -14,8 +14,9 @@
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
-from reelusher.tenancy.registry import TenantRegistry, reason
+from reelusher.tenancy.cached_registry import CachedTenantRegistry
 from reelusher.tenancy.replicated import ReplicatedTable
+from reelusher.tenancy.tenant_source import unreadable_reason
 
 
 def build(
@@ -28,8 +29,7 @@
     """Build the replica, its replication, and the registry of the tenants in it."""
     assert parts.fair_queue is not None
     store = _open_replica_store(operator, replication, backends)
-    registry = TenantRegistry(
-        (),
+    registry = CachedTenantRegistry(
         operator.class_names,
         parts.worker_pool.runner,
         parts.core,
@@ -41,14 +41,14 @@
     table = ReplicatedTable(service, operator.class_names, backends, parts.counters)
 
     def on_change(names: list[str]) -> None:
-        registry.changed(names)
-        table.noticed(names)
+        registry.rows_changed(names)
+        table.report_overlaps(names)
 
     store.on_change = on_change
-    registry.filling = service.filling
+    registry.is_bootstrapping = service.filling
     api = ReplicatedTenantApi(parts.core, registry, table, parts.fleet, parts.random_for("calls"))
     if parts.fleet:
-        parts.fleet.serve[ChangeRequest] = api.carried
+        parts.fleet.serve[ChangeRequest] = api.handle_forwarded
     parts.replication, parts.replicated_tenants = service, registry
     return TenantParts(registry, table, api)
 
@@ -61,7 +61,7 @@
             Path(replication.copy),
             operator.fleet.name if operator.fleet else "",
             replication.control,
-            lambda name, value: reason(name, value, operator.class_names, backends),
+            lambda name, value: unreadable_reason(name, value, operator.class_names, backends),
         )
     except ReplicaError as error:
         raise ConfigError("replication.copy", str(error)) from None
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -32,7 +32,7 @@
 from reelusher.net.sockets import Address
 from reelusher.net.threads import start_thread
 from reelusher.tenancy.registry import Match, TenantRegistry
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 SEND_TIMEOUT_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
 READ_TIMEOUT_S = 10.0  # a piece of a body that was requested has come within this
@@ -221,7 +221,7 @@
     def _matched(self, forward: ajp13.Forward) -> Iterator[Match]:
         """Resolve the tenant and class of a request, which is to be submitted within the context."""
         path = forward.uri.partition(";")[0]
-        with self._tenants.matched(forward.method, forward.server_name, path) as match:
+        with self._tenants.pinned_match(forward.method, forward.server_name, path) as match:
             if match is None or not match.class_name:
                 raise RequestError(404, f"no tenant's route has {forward.method} {path}")
             yield match
