--- a/reelusher/assembly/descriptors.py
+++ b/reelusher/assembly/descriptors.py
@@ -36,7 +36,7 @@
     if platform.folder:
         reserved += UPGRADE_DESCRIPTORS
     if platform.vault:
-        reserved += downstream_client.MOST_LINES
+        reserved += downstream_client.MAX_CONNECTIONS
     if platform.directory:
         reserved += service_registry.DESCRIPTORS
     if platform.operator:
--- a/reelusher/assembly/fleet.py
+++ b/reelusher/assembly/fleet.py
@@ -38,7 +38,7 @@
         if time.monotonic() - self._parts.started_s < min_uptime_s or self._is_draining():
             return FactsReply(False, [])
         core = self._parts.core
-        observed = {**core.run_on_loop(core.observed_times), **self._parts.worker_pool.seen()}
+        observed = {**core.run_on_loop(core.observed_times), **self._parts.worker_pool.observations()}
         return FactsReply(
             True, [Observation(about, value, seen_s) for about, (value, seen_s) in observed.items()]
         )
@@ -55,4 +55,4 @@
         core.run_on_loop(lambda: core.apply_warm_start(run_times, downstream_latency))
         for about, value in observations.items():
             if about.startswith(WORKER_DOWN) and value > 0.5:
-                worker_pool.doubt(about.removeprefix(WORKER_DOWN))
+                worker_pool.suspect(about.removeprefix(WORKER_DOWN))
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -193,7 +193,7 @@
             self.counters,
             self.random_for("catalog"),
         )
-        self.core.on_health_changed = registry.changed
+        self.core.on_health_changed = registry.health_changed
         return registry
 
     def _build_platform_frontends(self, platform: Platform, callbacks: NodeCallbacks) -> None:
--- /dev/null
+++ b/reelusher/backends/ajp/exchange.py
@@ -0,0 +1,95 @@
+"""One request and its response over a connection to an AJP worker."""
+
+import re
+from typing import NamedTuple
+
+from reelusher.backends.ajp.connection import WorkerConnection
+from reelusher.codecs import ajp13
+from reelusher.codecs.errors import MalformedError
+from reelusher.core.messages import IncomingRequest, Result
+
+HOP_BY_HOP = frozenset({"connection", "keep-alive", "transfer-encoding", "upgrade", "proxy-connection", "te"})
+SESSION_ROUTE = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
+BODY_PIECE_BYTES = ajp13.DEFAULT_PACKET - ajp13.BODY_OVERHEAD
+
+
+class Response(NamedTuple):
+    """A response, and whether its connection may be used again."""
+
+    result: Result
+    reuse: bool
+
+
+def exchange(
+    connection: WorkerConnection, secret: str, forward: ajp13.Forward, body: bytes, max_response_bytes: int
+) -> Response:
+    """Send a request and read its response; raise OSError, ValueError or `MalformedError`."""
+    if secret:
+        forward.attributes["secret"] = secret
+    sent_bytes = min(len(body), BODY_PIECE_BYTES)
+    first_piece = ajp13.write_body(body[:sent_bytes]) if body else b""
+    connection.sock.sendall(ajp13.write_forward(forward) + first_piece)
+    head: ajp13.ResponseHead | None = None
+    response_body = bytearray()
+    while True:
+        match connection.reply():
+            case ajp13.BodyWanted(size):
+                piece = body[sent_bytes : sent_bytes + min(size, BODY_PIECE_BYTES)]
+                sent_bytes += len(piece)
+                connection.sock.sendall(ajp13.write_body(piece))
+            case ajp13.ResponseHead() as received if received.status >= 200:
+                head = received
+            case ajp13.ResponseBody(data):
+                response_body += data
+                if len(response_body) > max_response_bytes:
+                    raise ValueError(f"a response of more than {max_response_bytes} bytes")
+            case ajp13.ResponseEnd(reuse):
+                return Response(_result_of(head, bytes(response_body)), reuse)
+            case _:
+                pass
+
+
+def _result_of(head: ajp13.ResponseHead | None, body: bytes) -> Result:
+    if head is None:
+        raise MalformedError("an end without a head")
+    headers = tuple((name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP)
+    return Result(body, head.status, headers)
+
+
+def forwarded_request(request: IncomingRequest, class_name: str) -> ajp13.Forward:
+    """Return a request as it is forwarded: with the length of its body, which is known by now."""
+    original = request.backend_data
+    if not isinstance(original, ajp13.Forward):
+        headers = [("content-type", "application/octet-stream")]
+        original = ajp13.Forward("POST", f"/{class_name}", headers=headers)
+    headers = [
+        (name, value)
+        for name, value in original.headers
+        if name not in HOP_BY_HOP and name != "content-length"
+    ]
+    if request.body or original.header("content-length") is not None:
+        headers.append(("content-length", str(len(request.body))))
+    attributes = {name: value for name, value in original.attributes.items() if name != "secret"}
+    return ajp13.Forward(
+        original.method,
+        original.uri,
+        original.protocol,
+        original.remote_addr,
+        original.remote_host,
+        original.server_name,
+        original.server_port,
+        original.is_ssl,
+        headers,
+        attributes,
+        list(original.named),
+        original.ssl_key_size,
+    )
+
+
+def session_route(forward: ajp13.Forward) -> str:
+    """Return the route of the session that a request carries, or nothing."""
+    for text in (forward.uri, *(value for name, value in forward.headers if name == "cookie")):
+        found = SESSION_ROUTE.search(text)
+        if found:
+            return found.group(1)
+    return ""
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -1,4 +1,4 @@
-"""The vault: calls to the next tier, each with a connection to itself while it is out."""
+"""Calls to the downstream service, each with a connection to itself while it is in progress."""
 
 import socket
 import threading
@@ -20,13 +20,16 @@
 from reelusher.net.threads import start_thread
 from reelusher.policy.events import Outcome
 
-IDLE_S = 0.05  # one idle for longer is not used again: the vault forgets them, from 0.1 s on as measured, and
-#                resets the next call there; that it never ran can't be told from a reset after it ran
-CONNECT_S = 1.0
-BACKLOG_BYTES = 1 << 20
-MOST_LINES = 24  # connections at once, each with a descriptor
-MOST_SERVED = 500  # calls that one connection remembers, after which it is replaced
-WORDS = {
+# The service drops connections that are idle for longer, and resets the next call there. From a reset it
+# can't be told that the call never ran.
+MAX_IDLE_S = 0.05
+CONNECT_TIMEOUT_S = 1.0
+MAX_BACKLOG_BYTES = 1 << 20
+READ_BYTES = 1 << 14
+MAX_CONNECTIONS = 24  # at once, each with a descriptor
+MAX_CALLS_PER_CONNECTION = 500  # which it remembers, after which it is replaced
+MIN_TIME_LEFT_US = 1000  # a call with less is not sent
+OUTCOMES = {
     "yes": Outcome.OK,
     "notnow": Outcome.REJECTED,
     "failed": Outcome.ERROR,
@@ -46,35 +49,41 @@
 
 
 class DownstreamConnection:
-    """One connection to the vault, which carries one call at a time.
+    """One connection to the service, which carries one call at a time.
 
-    The vault spoils replies, or never sends them, and such a connection is of no further use to any call
-    on it. With a connection to itself, a call that is spoilt costs no other.
+    The service may garble a reply or never send it, and then the connection is of no use to any other call.
+    With a connection to itself, such a call costs no other.
     """
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.send_buffer: SendBuffer | None = None  # once it is connected
-        self.wanted: PendingCall | None = None  # the call that is out
-        self.served: set[str] = set()  # calls made here: a second copy of a reply is not a later call's
-        self.used = time.monotonic()
-        self.over = False  # not to be used again
+        self.current: PendingCall | None = None  # the call in progress
+        self.calls: set[str] = set()  # made here: a duplicate of a reply must not be taken for a later call's
+        self.last_used_s = time.monotonic()
+        self.ended = False
 
-    def usable(self, wanted: PendingCall, address: Address) -> bool:
-        """Tell whether an idle connection may carry this call."""
+    def can_carry(self, pending: PendingCall, address: Address) -> bool:
+        """Return whether this idle connection may carry a call."""
         return (
-            not self.over
+            not self.ended
             and self.address == address
-            and wanted.call not in self.served
-            and len(self.served) < MOST_SERVED
-            and time.monotonic() - self.used < IDLE_S
+            and pending.call not in self.calls
+            and len(self.calls) < MAX_CALLS_PER_CONNECTION
+            and time.monotonic() - self.last_used_s < MAX_IDLE_S
         )
 
+    def end(self) -> None:
+        """Use it for no further call; its thread closes it."""
+        self.ended = True
+        if self.send_buffer is not None:
+            self.send_buffer.close()
+
 
 class DownstreamClient:
-    """Makes calls, over at most so many connections at once; calls past that wait for one.
+    """Makes calls over a bounded number of connections; calls past that wait for one.
 
-    The owner sends; each connection has a thread that opens and reads it.
+    The event loop sends; each connection has a thread that opens and reads it.
     """
 
     def __init__(
@@ -83,182 +92,197 @@
         post: Callable[[Message], None],
         counters: Counters,
         clock: Clock,
-        most_lines: int = MOST_LINES,
+        max_connections: int = MAX_CONNECTIONS,
     ) -> None:
         self._address = address
         self._post = post
         self._counters = counters
         self._clock = clock
-        self._most = most_lines
+        self._max_connections = max_connections
         self._lock = threading.Lock()
         self._idle: list[DownstreamConnection] = []  # the one used last at the end
-        self._busy: dict[str, DownstreamConnection] = {}  # by the call that is out
+        self._busy: dict[str, DownstreamConnection] = {}  # by the call in progress
         self._waiting: deque[PendingCall] = deque()
-        self._lines = 0  # that have a thread
+        self._connection_count = 0  # of those that have a thread
 
     def close(self) -> None:
         """End all connections."""
         with self._lock:
             self._waiting.clear()
-            for line in [*self._idle, *self._busy.values()]:
-                self._end(line)
+            for connection in [*self._idle, *self._busy.values()]:
+                connection.end()
 
     def move(self, address: Address) -> None:
-        """Make new calls at another address; those that are out end where they were made."""
+        """Make new calls at another address; those in progress end where they were made."""
         with self._lock:
             self._address = address
-            self._drop_idle()
+            self._end_unusable()
 
     def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
         """Make a call."""
         with self._lock:
             self._waiting.append(PendingCall(call, ticket, until_us, body))
-            self._serve_waiting()
+            self._start_waiting()
 
     def cancel(self, call: str, ticket: int) -> None:
-        """Give a call up. Its connection goes with it: nothing tells whether a reply is still to come."""
+        """Cancel a call. Its connection ends with it: a reply may still come."""
         with self._lock:
-            line = self._busy.get(call)
-            if line is not None and line.wanted is not None and line.wanted.ticket == ticket:
-                del self._busy[call]
-                line.wanted = None
-                if line.send_buffer is not None:
-                    line.send_buffer.send(lines.vault_unask(call))
-                self._end(line)
-            else:
-                self._waiting = deque(one for one in self._waiting if one.ticket != ticket)
+            connection = self._busy.get(call)
+            if connection is None or connection.current is None or connection.current.ticket != ticket:
+                self._waiting = deque(pending for pending in self._waiting if pending.ticket != ticket)
+                return
+            del self._busy[call]
+            connection.current = None
+            if connection.send_buffer is not None:
+                connection.send_buffer.send(lines.vault_unask(call))
+            connection.end()
 
     # With the lock held
 
-    def _serve_waiting(self) -> None:
-        """Make the calls that wait, as far as there are connections."""
+    def _start_waiting(self) -> None:
+        """Start the calls that wait, as far as there are connections."""
         while self._waiting:
-            wanted = self._waiting[0]
-            if wanted.until_us - self._clock.now() < 1000:
+            pending = self._waiting[0]
+            if pending.until_us - self._clock.now() < MIN_TIME_LEFT_US:
                 self._waiting.popleft()
-                self._post(CallFinished(wanted.call, wanted.ticket, Outcome.REJECTED))  # never sent
+                self._finish_unsent(pending, Outcome.REJECTED)
                 continue
-            line = next((one for one in reversed(self._idle) if one.usable(wanted, self._address)), None)
-            if line is None:
-                self._drop_idle()
-                if self._lines >= self._most:
+            connection = self._take_idle(pending)
+            if connection is None:
+                if self._connection_count >= self._max_connections:
                     return
-                line = DownstreamConnection(self._address)
-                try:  # it reads what it is to carry under the lock, so after this step
-                    start_thread("vault-line", partial(self._carry, line))
-                except RuntimeError as error:
-                    self._counters.warn("vault.no_thread", "vault: no thread for a connection: {}", error)
-                    self._waiting.popleft()
-                    self._post(CallFinished(wanted.call, wanted.ticket, Outcome.UNREACHABLE))  # never sent
-                    continue
-                self._lines += 1
-            else:
-                self._idle.remove(line)
+                connection = self._open_connection()
             self._waiting.popleft()
-            line.wanted = wanted
-            line.served.add(wanted.call)
-            self._busy[wanted.call] = line
-            if line.send_buffer is not None:
-                self._send(line)
-
-    def _send(self, line: DownstreamConnection) -> None:
-        wanted = line.wanted
-        assert wanted is not None
-        assert line.send_buffer is not None
-        left_ms = max((wanted.until_us - self._clock.now()) // 1000, 1)
-        if not line.send_buffer.send(lines.vault_ask(wanted.call, left_ms, wanted.body)):
-            # not a byte was taken, so it never ran: it goes out on the next connection
-            self._end(line)
-            line.wanted = None
-            del self._busy[wanted.call]
-            self._waiting.appendleft(wanted)
-
-    def _drop_idle(self) -> None:
-        """Close idle connections that no call may use."""
-        oldest = time.monotonic() - IDLE_S
-        kept = []
-        for line in self._idle:
-            if line.over or line.address != self._address or line.used < oldest:
-                self._end(line)
-            else:
-                kept.append(line)
-        self._idle = kept
+            if connection is None:
+                self._finish_unsent(pending, Outcome.UNREACHABLE)
+                continue
+            connection.current = pending
+            connection.calls.add(pending.call)
+            self._busy[pending.call] = connection
+            if connection.send_buffer is not None:
+                self._send(connection, connection.send_buffer, pending)
+
+    def _finish_unsent(self, pending: PendingCall, outcome: Outcome) -> None:
+        self._post(CallFinished(pending.call, pending.ticket, outcome))
+
+    def _take_idle(self, pending: PendingCall) -> DownstreamConnection | None:
+        """Return the idle connection that was used last, of those that may carry a call."""
+        for connection in reversed(self._idle):
+            if connection.can_carry(pending, self._address):
+                self._idle.remove(connection)
+                return connection
+        self._end_unusable()
+        return None
 
-    @staticmethod
-    def _end(line: DownstreamConnection) -> None:
-        line.over = True
-        if line.send_buffer is not None:
-            line.send_buffer.close()
+    def _open_connection(self) -> DownstreamConnection | None:
+        """Return a connection that is being opened; its thread takes its call once the lock is free."""
+        connection = DownstreamConnection(self._address)
+        try:
+            start_thread("downstream", partial(self._run, connection))
+        except RuntimeError as error:
+            self._counters.warn("vault.no_thread", "downstream: no thread for a connection: {}", error)
+            return None
+        self._connection_count += 1
+        return connection
+
+    def _send(self, connection: DownstreamConnection, send_buffer: SendBuffer, pending: PendingCall) -> None:
+        remaining_ms = max((pending.until_us - self._clock.now()) // 1000, 1)
+        if not send_buffer.send(lines.vault_ask(pending.call, remaining_ms, pending.body)):
+            # nothing was sent, so it never ran: it goes out on the next connection
+            connection.end()
+            connection.current = None
+            del self._busy[pending.call]
+            self._waiting.appendleft(pending)
+
+    def _end_unusable(self) -> None:
+        """End idle connections that no call may use."""
+        oldest_s = time.monotonic() - MAX_IDLE_S
+        usable = []
+        for connection in self._idle:
+            if connection.ended or connection.address != self._address or connection.last_used_s < oldest_s:
+                connection.end()
+            else:
+                usable.append(connection)
+        self._idle = usable
 
     # The thread of a connection
 
-    def _carry(self, line: DownstreamConnection) -> None:
+    def _run(self, connection: DownstreamConnection) -> None:
+        sock = self._connect(connection)
+        if sock is not None and connection.send_buffer is not None:
+            self._read(connection, sock)
+            connection.send_buffer.release()
+        with self._lock:
+            connection.ended = True
+            if connection in self._idle:
+                self._idle.remove(connection)
+            interrupted, connection.current = connection.current, None
+            if interrupted is not None:
+                del self._busy[interrupted.call]
+            self._connection_count -= 1
+            self._start_waiting()
+        if interrupted is not None:  # it may have run, so it is not made again
+            self._counters.warn(
+                "vault.broken", "downstream: a connection broke during call {}", interrupted.call
+            )
+            self._post(CallFinished(interrupted.call, interrupted.ticket, Outcome.CONNECTION_LOST))
+
+    def _connect(self, connection: DownstreamConnection) -> socket.socket | None:
+        """Open a connection and send its call."""
         sock = None
         try:
-            sock = connect(line.address, CONNECT_S)
+            sock = connect(connection.address, CONNECT_TIMEOUT_S)
         except OSError as error:
-            self._counters.warn("vault.unreachable", "vault: no connection: {}", error)
+            self._counters.warn("vault.unreachable", "downstream: no connection: {}", error)
         with self._lock:
             if sock is None:
-                self._unmade(line)
+                self._on_unreachable(connection)
+                return None
+            self._counters.add("vault.connected")
+            connection.send_buffer = SendBuffer(sock, MAX_BACKLOG_BYTES)
+            if connection.current is None or connection.ended:  # cancelled or closed meanwhile
+                connection.end()
             else:
-                self._counters.add("vault.connected")
-                line.send_buffer = SendBuffer(sock, BACKLOG_BYTES)
-                if line.wanted is None or line.over:  # given up or closed meanwhile
-                    self._end(line)
-                else:
-                    self._send(line)
-        if sock is not None and line.send_buffer is not None:
-            self._read(line, sock)
-            line.send_buffer.release()
-        with self._lock:
-            line.over = True
-            if line in self._idle:
-                self._idle.remove(line)
-            cut, line.wanted = line.wanted, None
-            if cut is not None:
-                del self._busy[cut.call]
-            self._lines -= 1
-            self._serve_waiting()
-        if cut is not None:  # it may have run, so it is not made again
-            self._counters.warn("vault.broken", "vault: a connection broke under call {}", cut.call)
-            self._post(CallFinished(cut.call, cut.ticket, Outcome.CONNECTION_LOST))
-
-    def _unmade(self, line: DownstreamConnection) -> None:
+                self._send(connection, connection.send_buffer, connection.current)
+        return sock
+
+    def _on_unreachable(self, connection: DownstreamConnection) -> None:
         """Take back the call of a connection that was not made: it never ran. The lock is held."""
-        unmade, line.wanted = line.wanted, None
-        if unmade is None:
+        pending, connection.current = connection.current, None
+        if pending is None:
             return
-        del self._busy[unmade.call]
-        if line.address != self._address:
-            self._waiting.appendleft(unmade)  # there is another address by now
+        del self._busy[pending.call]
+        if connection.address != self._address:
+            self._waiting.appendleft(pending)  # the address has changed meanwhile
         else:
-            self._post(CallFinished(unmade.call, unmade.ticket, Outcome.UNREACHABLE))
+            self._finish_unsent(pending, Outcome.UNREACHABLE)
 
-    def _read(self, line: DownstreamConnection, sock: socket.socket) -> None:
+    def _read(self, connection: DownstreamConnection, sock: socket.socket) -> None:
         decoder = lines.VaultReplies()
         try:
-            while data := sock.recv(1 << 14):
+            while data := sock.recv(READ_BYTES):
                 for reply in decoder.feed(data):
-                    self._take(line, reply)
+                    self._on_reply(connection, reply)
         except MalformedError as error:
-            self._counters.warn("vault.malformed", "vault: connection closed for what it sent: {}", error)
+            self._counters.warn(
+                "vault.malformed", "downstream: connection closed for a malformed reply: {}", error
+            )
         except OSError as error:
-            logger.debug("vault: {}", error)
+            logger.debug("downstream: {}", error)
 
-    def _take(self, line: DownstreamConnection, reply: lines.VaultReply) -> None:
-        outcome = WORDS.get(reply.word)
+    def _on_reply(self, connection: DownstreamConnection, reply: lines.VaultReply) -> None:
+        outcome = OUTCOMES.get(reply.word)
         if outcome is None:
             raise MalformedError(f"an unknown reply {reply.word!r}")
         with self._lock:
-            wanted = line.wanted
-            if wanted is None or wanted.call != reply.call:  # a second copy, or one that nobody asked for
+            current = connection.current
+            if current is None or current.call != reply.call:  # a duplicate, or one to no call
                 self._counters.add("vault.stray_reply")
                 return
-            line.wanted = None
-            del self._busy[wanted.call]
-            line.used = time.monotonic()
-            if not line.over:
-                self._idle.append(line)
-            self._serve_waiting()
-        self._post(CallFinished(reply.call, wanted.ticket, outcome, reply.body))
+            connection.current = None
+            del self._busy[current.call]
+            connection.last_used_s = time.monotonic()
+            if not connection.ended:
+                self._idle.append(connection)
+            self._start_waiting()
+        self._post(CallFinished(reply.call, current.ticket, outcome, reply.body))
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -1,4 +1,4 @@
-"""The catalog: reports to it as often as `pacing.Cadence` says, so that callers find this node."""
+"""Health reports to the service registry, so that callers find this node."""
 
 import json
 import socket
@@ -18,34 +18,38 @@
 from reelusher.pacing.report_schedule import Loss, ReportSchedule
 
 DESCRIPTORS = 1
+READ_BYTES = 1 << 12
+NO_CONTENT = "204"
+MAX_RETRY_AFTER_DIGITS = 8
 PATH = "/catalog/register/"
-STALE_MOST, STALE_EARNED = 1.0, 0.5  # second tries at once, for a kept connection that has gone stale
+MAX_STALE_RETRIES = 1.0  # at once on a new connection, where a cached one was stale
+STALE_RETRIES_PER_SUCCESS = 0.5
 
 
 class RegistryUnavailableError(OSError):
-    """The catalog answered, but with an error; `advised_s`: come back no sooner."""
+    """The service registry answered with an error, perhaps with a Retry-After."""
 
-    def __init__(self, status: str, advised_s: float) -> None:
+    def __init__(self, status: str, retry_after_s: float) -> None:
         super().__init__(f"answered {status}")
-        self.advised_s = advised_s
+        self.retry_after_s = retry_after_s
 
 
 class ServiceRegistry:
-    """Reports the state of the node, through outages of the catalog."""
+    """Reports the health of the node, through outages of the service registry."""
 
     def __init__(
-        self, address: Address, name: str, healthy: Callable[[], bool], counters: Counters, random: Random
+        self, address: Address, name: str, is_healthy: Callable[[], bool], counters: Counters, random: Random
     ) -> None:
-        """`healthy` is asked at each report; `random` spreads them, so each node needs a seed of its own."""
+        """`is_healthy` is called for each report; `random` spreads reports, other ones on each node."""
         self._address = address
         self._path = PATH + quote(name, safe="")
-        self._healthy = healthy
+        self._is_healthy = is_healthy
         self._counters = counters
-        self._cadence = ReportSchedule(random)
-        self._stale = RetryBudget(STALE_MOST, STALE_EARNED)
+        self._schedule = ReportSchedule(random)
+        self._stale_retries = RetryBudget(MAX_STALE_RETRIES, STALE_RETRIES_PER_SUCCESS)
         self._sock: socket.socket | None = None
-        self._connected: Address | None = None  # where that leads
-        self._woken = threading.Event()  # a change is to be reported, or there is nothing more to report
+        self._connected_to: Address | None = None
+        self._wakeup = threading.Event()  # a change is to be reported, or reports are to stop
         self._stopped = threading.Event()
         self._failing = False
 
@@ -55,103 +59,100 @@
 
     def start(self) -> None:
         """Start to report."""
-        start_thread("catalog", self._report)
+        start_thread("service-registry", self._run)
 
-    def changed(self) -> None:
-        """Report sooner, since what `healthy` says has changed; from any thread, waits for nothing."""
-        self._woken.set()
+    def health_changed(self) -> None:
+        """Report sooner, since the health has changed; from any thread, without blocking."""
+        self._wakeup.set()
 
     def stop(self) -> None:
-        """Report no more, so that the node comes off the list."""
+        """Report no more, so that the entry of the node expires."""
         self._stopped.set()
-        self._woken.set()
+        self._wakeup.set()
 
-    def _report(self) -> None:
-        due_s = time.monotonic() + self._cadence.first_s()
+    def _run(self) -> None:
+        due_s = time.monotonic() + self._schedule.first_s()
         while not self._stopped.is_set():
-            if self._woken.wait(max(0.0, due_s - time.monotonic())) and not self._failing:
-                now = time.monotonic()  # else: whoever finds nobody, or is told to wait, goes on waiting
-                due_s = min(due_s, now + self._cadence.changed(now))
+            if self._wakeup.wait(max(0.0, due_s - time.monotonic())) and not self._failing:
+                now = time.monotonic()  # after a failure the backoff goes on
+                due_s = min(due_s, now + self._schedule.changed(now))
             if not self._stopped.wait(max(0.0, due_s - time.monotonic())):
-                self._woken.clear()
+                self._wakeup.clear()
                 now = time.monotonic()
-                self._cadence.woke(now - due_s, now)
-                wait_s = self._once()
+                self._schedule.woke(now - due_s, now)
+                wait_s = self._report()
                 due_s = time.monotonic() + wait_s
-        self._drop()
+        self._disconnect()
 
-    def _once(self) -> float:
+    def _report(self) -> float:
         """Make one report; return the seconds until the next."""
         sent_s = time.monotonic()
         try:
             self._put()
         except (OSError, http1.MalformedHttpError) as error:
-            self._drop()
+            self._disconnect()
             self._counters.add("catalog.failed")
             if not self._failing:
-                logger.warning("catalog: no report: {}", error)
+                logger.warning("service registry: report failed: {}", error)
             self._failing = True
             lost = isinstance(error, (TimeoutError, http1.MalformedHttpError))
-            return self._cadence.lost(
+            return self._schedule.lost(
                 Loss.SILENCE if lost else Loss.AWAY,
                 time.monotonic(),
-                error.advised_s if isinstance(error, RegistryUnavailableError) else 0.0,
+                error.retry_after_s if isinstance(error, RegistryUnavailableError) else 0.0,
             )
         self._counters.add("catalog.reports")
         if self._failing:
-            logger.info("catalog: it answers again")
+            logger.info("service registry: reports succeed again")
         self._failing = False
-        self._stale.record_success()
-        return self._cadence.answered(sent_s, time.monotonic())
+        self._stale_retries.record_success()
+        return self._schedule.answered(sent_s, time.monotonic())
 
     def _put(self) -> None:
-        """Send one report; a kept connection that has gone stale is opened anew, once."""
+        """Send one report; where a cached connection is stale, once more on a new one."""
         body = json.dumps(
-            {"status": "passing" if self._healthy() else "critical"}, separators=(",", ":")
+            {"status": "passing" if self._is_healthy() else "critical"}, separators=(",", ":")
         ).encode()
         address = self._address
-        if address != self._connected:
-            self._drop()
+        if address != self._connected_to:
+            self._disconnect()
         host = f"{address[0]}:{address[1]}"
         message = http1.request("PUT", self._path, body, {"Host": host, "Content-Type": "application/json"})
-        kept = self._sock is not None
+        cached = self._sock is not None
         try:
             self._exchange(address, message)
-        except (
-            RegistryUnavailableError,
-            TimeoutError,
-        ):  # the catalog itself: a second report at once would be one too many
+        except (RegistryUnavailableError, TimeoutError):  # of the service registry, not the connection
             raise
         except OSError:
-            if not kept or not self._stale.try_acquire():
+            if not cached or not self._stale_retries.try_acquire():
                 raise
-            self._drop()
+            self._disconnect()
             self._exchange(address, message)
 
     def _exchange(self, address: Address, message: bytes) -> None:
-        timeout_s = self._cadence.timeout_s()
+        timeout_s = self._schedule.timeout_s()
         if self._sock is None:
-            self._sock, self._connected = connect(address, timeout_s), address
+            self._sock, self._connected_to = connect(address, timeout_s), address
         self._sock.settimeout(timeout_s)
         self._sock.sendall(message)
         decoder = http1.Decoder()
-        while data := self._sock.recv(1 << 12):
+        while data := self._sock.recv(READ_BYTES):
             for answer in decoder.feed(data):
-                if answer.start[1] != "204":
+                if answer.start[1] != NO_CONTENT:
                     raise RegistryUnavailableError(
                         answer.start[1], _seconds(answer.headers.get("retry-after", ""))
                     )
                 if not answer.keeps_open:
-                    self._drop()
+                    self._disconnect()
                 return
         raise OSError("closed before the answer")
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._sock is not None:
             self._sock.close()
             self._sock = None
 
 
 def _seconds(text: str) -> float:
-    """Read Retry-After as seconds; a date, or what is neither, counts as no advice."""
-    return float(text) if text.isascii() and text.isdigit() and len(text) < 9 else 0.0
+    """Return a Retry-After in seconds; 0 for a date, or anything else."""
+    return float(text) if text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS else 0.0
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -41,19 +41,20 @@
     finally:
         tracemalloc.stop()
     measured.executor.shutdown()
-    one = [measured.members["worker-0"]]
+    one = [measured.workers["worker-0"]]
 
     def pick() -> None:
-        measured.release(there(measured.pick(one, set(), "", "requests")))
+        balancer = measured.load_balancer
+        balancer.release(there(balancer.acquire(one, set(), "", "requests")))
 
-    for member in measured.members.values():
-        member.seen_s = 1.0
+    for worker in measured.workers.values():
+        worker.observed_s = 1.0
     return {
         "check_s": checked_s,
         "bytes_each": held / size,
-        "gauges_us": each_us(lambda: measured.gauges("")),
+        "gauges_us": each_us(lambda: measured.post_gauges("")),
         "pick_us": each_us(pick),
-        "seen_ms": each_us(measured.seen) / 1000,
+        "seen_ms": each_us(measured.observations) / 1000,
     }
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,4 +8,4 @@
 
 logger.remove()
 logger.add(lambda line: None, level="DEBUG")
-downstream_client.IDLE_S = 5.0  # a test's steps lie further apart than the calls of a node
+downstream_client.MAX_IDLE_S = 5.0  # a test's steps lie further apart than the calls of a node
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -378,7 +378,7 @@
 def test_a_move_back_that_crosses_a_move_wins(world: dict[str, Any]) -> None:
     runtime = world["node"].node.parts.runtime
     moved_twice(runtime, world["runtime2"].address, world["runtime"].address)
-    assert soon(lambda: runtime.up and runtime._linked == world["runtime"].address)
+    assert soon(lambda: runtime.up and runtime._linked_address == world["runtime"].address)
     world["runtime"].at_once, peer = True, Peer(world["node"].node)
     peer.ask(1)
     assert peer.answer()[3][0] == b"r"
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -186,13 +186,13 @@
     fresh = hosted.start("c")
     assert soon(lambda: "learning.believed" in learnt(fresh))
     assert learnt(fresh)["learning.believed"] == 3  # both workers, and how long a run takes
-    members = fresh.parts.worker_pool.members
-    assert members["gone"].doubted
-    assert not members["here"].doubted
+    members = fresh.parts.worker_pool.workers
+    assert members["gone"].suspected
+    assert not members["here"].suspected
     assert fresh.parts.core.run_on_loop(lambda: fresh.parts.core._controller.run_times._expected_us) == [1.0]
     hosted.ask(fresh)
     assert fresh.parts.counters.snapshot().get("workers.unreachable", 0) == 0
-    assert fresh.parts.worker_pool.seen().keys() == {
+    assert fresh.parts.worker_pool.observations().keys() == {
         "away:here"
     }  # what others told is not told on as seen here
 
@@ -224,5 +224,5 @@
     began = time.monotonic()
     hosted.ask(fresh)
     assert time.monotonic() - began < 10  # it waits for nobody
-    assert not fresh.parts.worker_pool.members["here"].doubted
+    assert not fresh.parts.worker_pool.workers["here"].suspected
     assert learnt(fresh).get("learning.believed", 0) == 0
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -13,7 +13,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reelusher.backends.ajp.worker_pool import Member, WorkerPool
+from reelusher.backends.ajp.worker import PooledWorker
+from reelusher.backends.ajp.worker_pool import WorkerPool
 from reelusher.backends.service_registry import RegistryUnavailableError, ServiceRegistry
 from reelusher.config.operator import parse as parse_operator
 from reelusher.core.counters import Counters
@@ -177,9 +178,9 @@
             raise fate
 
     monkeypatch.setattr(ServiceRegistry, "_exchange", exchange)
-    monkeypatch.setattr(ServiceRegistry, "_drop", lambda self: None)
+    monkeypatch.setattr(ServiceRegistry, "_disconnect", lambda self: None)
     catalog = ServiceRegistry(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
-    vars(catalog).update(_sock=socket.socket(), _connected=("127.0.0.1", 1))
+    vars(catalog).update(_sock=socket.socket(), _connected_to=("127.0.0.1", 1))
     return catalog, made
 
 
@@ -210,7 +211,7 @@
             while len(made) < number and time.monotonic() < until:
                 time.sleep(0.005)
             assert len(made) == number
-            catalog.changed()
+            catalog.health_changed()
     finally:
         catalog.stop()
 
@@ -225,16 +226,16 @@
         }
     )
     pool = WorkerPool(own.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1))
-    member: Member = pool.members["w"]
+    member: PooledWorker = pool.workers["w"]
 
-    def pick() -> Member | None:
-        return pool.pick([member], set(), "", "requests")
+    def pick() -> PooledWorker | None:
+        return pool.load_balancer.acquire([member], set(), "", "requests")
 
     assert pick()
     assert pick()
-    member.failed()
+    member.record_unreachable()
     first = member.down_until
-    member.failed()
+    member.record_unreachable()
     assert member.down_until == first
     assert pick() is None
     waits = []
@@ -243,12 +244,12 @@
         assert pick() is member
         assert pick() is None
         began = time.monotonic()
-        member.failed()
+        member.record_unreachable()
         waits.append(member.down_until - began)
     assert max(waits) <= 4.1
     assert sum(waits[3:]) > 1.5 * waits[0]
     member.down_until = 0.0
     assert pick() is member
-    member.reached()
+    member.record_reached()
     assert pick()
     assert pick()
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -507,13 +507,13 @@
     sent.add("c", b"start c")
     sent.mark("t1")
     sent.add("d", b"start d")
-    sent.answered("t1")
-    assert sent.on_new_link() == [b"give a", b"start c", b"start d"]
-    sent.noticed("c")  # its run has told something, so its start was carried out
+    sent.acknowledge_gauges("t1")
+    assert sent.unacknowledged() == [b"give a", b"start c", b"start d"]
+    sent.acknowledge_call("c")  # its run has told something, so its start was carried out
     now = 0.2
     sent.mark("t2")
-    sent.answered("t2")
-    assert sent.on_new_link() == []
+    sent.acknowledge_gauges("t2")
+    assert sent.unacknowledged() == []
     assert len(sent) == 0
 
 
@@ -531,7 +531,7 @@
             lines_open[-1].sendall(f"{call} notnow\r\n".encode())
             assert came.get(timeout=10) == CallFinished(call, number, Outcome.REJECTED)
             if call == "bb":
-                made._idle[-1].used -= downstream_client.IDLE_S
+                made._idle[-1].last_used_s -= downstream_client.MAX_IDLE_S
         made.close()
 
 
