--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -6,10 +6,11 @@
 import time
 from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from loguru import logger
 
+from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
 from reelusher.codecs import lines
 from reelusher.codecs.errors import MalformedError
 from reelusher.core.counters import Counters
@@ -34,8 +35,6 @@
 DESCRIPTORS = 3  # the link, and those of two changes of address at once
 MAX_BACKLOG_BYTES = 8 << 20
 READ_BYTES = 1 << 16
-MAX_MARKS = 64  # requests of gauges that have no answer; there are ten each second
-LOSS_WINDOW_S = 0.06  # a break loses commands that were sent in the last 50 ms; and the latency
 MIN_RESTART_S = 5.0  # a start time later by this is a restart, and no inaccuracy of clocks
 OUTCOMES = {
     "ok": Outcome.OK,
@@ -45,63 +44,11 @@
 }
 
 
-class UnacknowledgedCommands:
-    """Commands that the runtime may not have read yet, in the order in which they went out.
+class OpenedLink(NamedTuple):
+    """A connection that is not in use yet."""
 
-    Each notice and each answer to gauges acknowledges some, so that no search is needed. The newest are
-    kept though they are acknowledged by gauges: a break loses them, read or not.
-    """
-
-    def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        self._clock = clock
-        self._lines: dict[int, tuple[str, bytes, float]] = {}  # by order: run id, command, when it was sent
-        self._orders_by_call: dict[str, list[int]] = {}
-        self._marks: dict[str, int] = {}  # by cookie of requested gauges: the last command before
-        self._last_order = 0
-
-    def __len__(self) -> int:
-        return len(self._lines)
-
-    def add(self, call: str, line: bytes) -> None:
-        """Record a command."""
-        self._last_order += 1
-        self._lines[self._last_order] = call, line, self._clock()
-        self._orders_by_call.setdefault(call, []).append(self._last_order)
-
-    def mark(self, cookie: str) -> None:
-        """Record that gauges are requested, after all commands so far."""
-        self._marks[cookie] = self._last_order
-        if len(self._marks) > MAX_MARKS:  # where the runtime answers none
-            del self._marks[next(iter(self._marks))]
-
-    def acknowledge_gauges(self, cookie: str) -> None:
-        """Drop the commands that were sent before these gauges were requested."""
-        through_order, young = self._marks.pop(cookie, 0), self._clock() - LOSS_WINDOW_S
-        while self._lines and (order := next(iter(self._lines))) <= through_order:
-            call, _, sent = self._lines[order]
-            if sent > young:
-                return
-            del self._lines[order]
-            remaining = self._orders_by_call[call]
-            remaining.remove(order)  # the first of a few
-            if not remaining:
-                del self._orders_by_call[call]
-
-    def acknowledge_call(self, call: str) -> None:
-        """Drop the commands for a run that a notice names."""
-        for order in self._orders_by_call.pop(call, ()):
-            del self._lines[order]
-
-    def unacknowledged(self) -> list[bytes]:
-        """Return the commands to be sent again on a new link; forget the gauges that were requested."""
-        self._marks.clear()
-        return [line for _, line, _ in self._lines.values()]
-
-    def clear(self) -> None:
-        """Drop all commands."""
-        self._lines.clear()
-        self._orders_by_call.clear()
-        self._marks.clear()
+    address: Address
+    sock: socket.socket
 
 
 class RuntimeLink:
@@ -119,9 +66,7 @@
         self._random = random
         self._address = address  # that the link is to have
         self._linked_address: Address | None = None  # that it has
-        self._next: tuple[Address, socket.socket] | None = (
-            None  # opened after a change of address, replaces the link in use
-        )
+        self._next: OpenedLink | None = None  # after a change of address: replaces the link in use
         self._post = post
         self._counters = counters
         self._lock = threading.Lock()
@@ -165,7 +110,8 @@
                 needed = address == self._address != self._linked_address and not self._closed
                 if needed and sock is not None:
                     superseded = self._next  # of an earlier change, not in use yet
-                    self._next, sock, needed = (address, sock), superseded[1] if superseded else None, False
+                    self._next = OpenedLink(address, sock)
+                    sock, needed = superseded.sock if superseded else None, False
                     if self._send_buffer is not None:
                         self._send_buffer.close()  # its reader sees the end and uses the next link
             if sock is not None:
@@ -230,11 +176,11 @@
         with self._lock:
             address = self._address
             next_link, self._next = self._next, None
-            if next_link is not None and next_link[0] == address:
+            if next_link is not None and next_link.address == address:
                 self._linked_address = address
-                return next_link[1]
+                return next_link.sock
         if next_link is not None:  # the address has changed again
-            next_link[1].close()
+            next_link.sock.close()
         try:
             sock = connect(address, CONNECT_TIMEOUT_S)
         except OSError:
@@ -332,13 +278,13 @@
     def _resend(self) -> None:
         """Send again what may have been lost; all missed notices are read."""
         with self._lock:
-            commands = self._sent.unacknowledged()
+            resent = self._sent.lines_to_resend()
             self._ready = True
             if self._send_buffer is not None:
-                for line in commands:
+                for line in resent:
                     self._send_buffer.send(line)
-                if self._link_count > 1 and commands:
-                    self._counters.add("runtime.sent_again", len(commands))
+                if self._link_count > 1 and resent:
+                    self._counters.add("runtime.sent_again", len(resent))
 
     def _on_load(self, message: dict[str, Any]) -> None:
         cookie = str(message["cookie"])
@@ -352,7 +298,7 @@
     def _acknowledge(self, call: str) -> None:
         """Record that the runtime has read the commands for a run."""
         with self._lock:
-            self._sent.acknowledge_call(call)
+            self._sent.acknowledge_run(call)
 
     def _on_end(self, message: dict[str, Any]) -> None:
         call, outcome = str(message["call"]), OUTCOMES[message["how"]]
--- a/reelusher/frontends/rpc/connection.py
+++ b/reelusher/frontends/rpc/connection.py
@@ -3,7 +3,6 @@
 import socket
 import threading
 import time
-from typing import Any
 
 from reelusher.codecs import msgpack
 from reelusher.drain.connection_shutdown import unread_bytes
@@ -61,14 +60,14 @@
             # counted until it is sent: a look between the two must not find everything answered
             self._answers_in_progress += 1
             del self.open_requests[message_id]
-        self.send_reply(message_id, reply.error, reply.result)
+        self.send_reply(message_id, reply)
         with self.lock:
             self._answers_in_progress -= 1
             self.last_used_s = time.monotonic()
 
-    def send_reply(self, message_id: int, error: Any, result: Any) -> None:
+    def send_reply(self, message_id: int, reply: Reply) -> None:
         """Send an answer; for requests that never were open."""
-        self.send_buffer.send(msgpack.pack([ANSWER, message_id, error, result]))
+        self.send_buffer.send(msgpack.pack([ANSWER, message_id, reply.error, reply.result]))
 
     def send_last_call(self, now: float) -> None:
         """Ask the caller to send nothing more on this connection."""
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -14,7 +14,7 @@
 from reelusher.drain.connection_shutdown import ConnectionShutdown, unread_bytes
 from reelusher.drain.schedule import DrainObservation, DrainSchedule
 from reelusher.frontends.rpc.connection import Connection
-from reelusher.frontends.rpc.fields import HEALTH_METHOD, BadRequestError, capacity_fields
+from reelusher.frontends.rpc.fields import HEALTH_METHOD, BadRequestError
 from reelusher.frontends.rpc.half_closed import LINGER_S, HalfClosedConnections
 from reelusher.frontends.rpc.idle_limits import IdleLimits, idle_limits
 from reelusher.frontends.rpc.requests import (
@@ -22,6 +22,7 @@
     bad_request_reply,
     early_rejection,
     failed_reply,
+    health_reply,
     reply_of,
 )
 from reelusher.net.listener import ConnectionResourcesError, Listener
@@ -282,8 +283,8 @@
     def _on_health_check(self, connection: Connection, message_id: int) -> None:
         notices = self._core.notices
         self._core.counters.add("health.asked")
-        fields = capacity_fields(notices.advertised_capacity)
-        connection.send_reply(message_id, None, [notices.reports_healthy, fields])
+        reply = health_reply(notices.advertised_capacity, notices.reports_healthy)
+        connection.send_reply(message_id, reply)
 
     def _reject(self, connection: Connection, message_id: int, method: str) -> None:
         """Reject a request that the core never sees."""
@@ -293,7 +294,7 @@
             core.stats.request_read()
             core.stats.request_answered(method, Verdict.REJECTED)
         reply = early_rejection(core.notices.advertised_capacity, core.settings.max_retry_after_us)
-        connection.send_reply(message_id, reply.error, reply.result)
+        connection.send_reply(message_id, reply)
 
     def _on_request(self, connection: Connection, message_id: int, method: str, params: list[Any]) -> None:
         try:
@@ -313,7 +314,7 @@
     def _on_bad_request(self, connection: Connection, message_id: int, error: BadRequestError) -> None:
         self._core.counters.warn("requests.bad", "platform: bad request: {}", error)
         reply = bad_request_reply(self._core.notices.advertised_capacity, str(error))
-        connection.send_reply(message_id, reply.error, reply.result)
+        connection.send_reply(message_id, reply)
         connection.bad_requests += 1
         if connection.bad_requests >= MAX_BAD_REQUESTS:
             connection.rejecting_since_s = time.monotonic()
--- a/reelusher/frontends/rpc/requests.py
+++ b/reelusher/frontends/rpc/requests.py
@@ -127,6 +127,11 @@
     return Reply([REJECTED_ERROR, fields], None)
 
 
+def health_reply(advertised_capacity: float | None, healthy: bool) -> Reply:
+    """Return the reply to a health check."""
+    return Reply(None, [healthy, capacity_fields(advertised_capacity)])
+
+
 def failed_reply(advertised_capacity: float | None) -> Reply:
     """Return the reply to a request that can't be answered any more, whatever became of it."""
     return Reply([FAILED_ERROR, capacity_fields(advertised_capacity)], None)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,8 @@
 from scenario import platform_config, retuned, standing
 from test_core import Backend
 
-from reelusher.backends.runtime import RuntimeLink, UnacknowledgedCommands
+from reelusher.backends.runtime import RuntimeLink
+from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
 from reelusher.codecs import ajp13, msgpack
 from reelusher.config import Config
 from reelusher.config.load import merge
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,7 +19,7 @@
 from test_core import Backend
 
 from reelusher.backends import downstream_client
-from reelusher.backends.runtime import UnacknowledgedCommands
+from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
 from reelusher.codecs import msgpack
 from reelusher.config import ConfigError, load
 from reelusher.config.load import merge
@@ -508,12 +508,12 @@
     sent.mark("t1")
     sent.add("d", b"start d")
     sent.acknowledge_gauges("t1")
-    assert sent.unacknowledged() == [b"give a", b"start c", b"start d"]
-    sent.acknowledge_call("c")  # its run has told something, so its start was carried out
+    assert sent.lines_to_resend() == [b"give a", b"start c", b"start d"]
+    sent.acknowledge_run("c")  # its run has told something, so its start was carried out
     now = 0.2
     sent.mark("t2")
     sent.acknowledge_gauges("t2")
-    assert sent.unacknowledged() == []
+    assert sent.lines_to_resend() == []
     assert len(sent) == 0
 
 
