--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -5,7 +5,7 @@
 from functools import partial
 from pathlib import Path
 
-from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.core.messages import Result
 from reelusher.fleet.membership.messages import MOST_STATE, FactsReply, MessageAuthenticator, Observation
 from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
 from reelusher.lab.capacity import site
@@ -13,7 +13,7 @@
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.storage.directory import LockedDirectory
 from reelusher.tenancy.tenant_store import TenantStore
-from reelusher.upgrade.key_locks import KeyLockFiles
+from reelusher.upgrade.key_lock_directory import KeyLock, KeyLockDirectory
 
 CHANGES = 50
 
@@ -70,15 +70,13 @@
 def claims(size: int) -> Figures:
     """Measure claims of keys, a file each, and a look for those whose window is over."""
     with tempfile.TemporaryDirectory() as name:
-        made = KeyLockFiles(Path(name), "hosted-1", lambda: 0)
+        directory = KeyLockDirectory(Path(name) / "hosted-1.keys")
         began = time.process_time()
         for number in range(size):
-            made._claim(
-                KeyLockRequest(("tenant-0", 1, f"key-{number}"), 0, 1_000_000, 0, "0" * 32, _kept, _elsewhere)
-            )
+            directory.create(("tenant-0", 1, f"key-{number}"), KeyLock(1_000_000, "0" * 32), 0)
         each = (time.process_time() - began) / size * 1e6
         files = sum(1 for path in next(Path(name).iterdir()).iterdir())
-        swept_ms = each_us(made._sweep) / 1000
+        swept_ms = each_us(lambda: directory.remove_expired(0)) / 1000
     return {"claim_us": each, "files": float(files), "sweep_ms": swept_ms}
 
 
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -151,8 +151,8 @@
                 shared=told.operator is not None,
             )
         self.operator = self._second_address(told.operator) if told and told.operator else None
-        self._lives: ProcessRegistry | None = None
-        self._claims: KeyLockFiles | None = None
+        self._process_registry: ProcessRegistry | None = None
+        self._key_locks: KeyLockFiles | None = None
         if told and told.folder:
             self._share(told.name, Path(told.folder))
         self.admin: AdminApi | None = None
@@ -177,16 +177,17 @@
         )
 
     def _share(self, name: str, folder: Path) -> None:
-        """Take part in upgrades: be known to other processes of this node, and claim keys before they run."""
+        """Take part in upgrades: register this process, and lock idempotency keys before they run."""
         from reelusher.upgrade.key_locks import KeyLockFiles
         from reelusher.upgrade.process_registry import ProcessRegistry
 
         try:
-            self._lives, self._claims = ProcessRegistry(folder, name), KeyLockFiles(folder, name)
+            self._process_registry = ProcessRegistry(folder, name)
+            self._key_locks = KeyLockFiles(folder, name)
         except OSError as error:
             logger.error("upgrade: {} can't be used, so no other process may take over: {}", folder, error)
             return
-        self.core.deduplication.key_locks = self._claims
+        self.core.deduplication.key_locks = self._key_locks
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
@@ -359,8 +360,8 @@
         """Start all threads."""
         if self._key_log:
             self._key_log.start()
-        if self._claims:
-            self._claims.start()
+        if self._key_locks:
+            self._key_locks.start()
         self.core.start()
         if self.runtime:
             self.runtime.connect()
@@ -412,8 +413,8 @@
             and not self.asked_to_leave.is_set()
             and (self.runtime is None or self.runtime.up)
         )
-        if good and self._lives:
-            self._lives.ready()
+        if good and self._process_registry:
+            self._process_registry.mark_ready()
         return good
 
     def _send_away(self, away: bool) -> None:
@@ -541,7 +542,7 @@
         """
         self.ask_to_leave()
         span_s, grace_s = self.config.stop_ms / 1000, self.config.settings.drain_grace_us / 1e6
-        if self._lives and self._lives.successor():
+        if self._process_registry and self._process_registry.has_successor():
             self.core.notices.handing_over = True
             longest_us = max(kind.deadline_us for kind in self.config.settings.classes)
             span_s, grace_s = min(longest_us / 1e6, HANDOVER_MOST_S) + HANDOVER_S, 0.0
@@ -579,7 +580,7 @@
         _close(self._tenants, self.vault, self.runtime)
         self._pool.executor.shutdown(wait=False, cancel_futures=True)
         self.core.stop()
-        _close(self._key_log, self._claims, self._lives)
+        _close(self._key_log, self._key_locks, self._process_registry)
 
     def _close_copy(self) -> None:
         """Let go of the copy of the replicated table, once: with nothing half written."""
--- a/reelusher/upgrade/__init__.py
+++ b/reelusher/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""One process of a node takes over from another while both serve: docs/operation.md."""
+"""Upgrades: one process of a node takes over from another while both serve; see docs/operation.md."""
--- /dev/null
+++ b/reelusher/upgrade/key_lock_directory.py
@@ -0,0 +1,147 @@
+"""The directory of key locks that the processes of one node share: a JSON file for each locked key."""
+
+import base64
+import contextlib
+import fcntl
+import json
+import os
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+from enum import Enum
+from hashlib import blake2b
+from pathlib import Path
+from typing import Any
+
+from reelusher.core.messages import IdempotencyKey, Result
+
+DIRECTORY_LOCK = "lock"  # name of the file that processes lock while they create or remove others
+NAME_BYTES = 16  # of the digest that names the file of a key
+DIRECTORY_MODE, FILE_MODE = 0o700, 0o600
+
+
+class KeyLockError(Exception):
+    """The file of a key lock can't be understood."""
+
+
+class RunState(Enum):
+    """The state of the run of a locked key, as files hold it."""
+
+    RUNNING = "runs"
+    SUCCEEDED = "ok"
+    FAILED = "failed"
+
+
+@dataclass(slots=True, frozen=True)
+class KeyLock:
+    """A locked key and the state of its run."""
+
+    expires_us: int  # Unix time
+    digest: str  # of the body, hexadecimal
+    state: RunState = RunState.RUNNING
+    result: Result | None = None  # of a run that succeeded
+
+
+class KeyLockDirectory:
+    """Reads and writes the files of key locks."""
+
+    def __init__(self, folder: Path) -> None:
+        """Make the directory, if it is not there; raises OSError."""
+        self._folder = folder
+        self._folder.mkdir(mode=DIRECTORY_MODE, exist_ok=True)
+        flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
+        self._lock_file = os.open(self._folder / DIRECTORY_LOCK, flags, FILE_MODE)
+
+    def path(self, key: IdempotencyKey) -> Path:
+        """Return the path of the file of a key."""
+        name = json.dumps(key).encode()
+        return self._folder / blake2b(name, digest_size=NAME_BYTES).hexdigest()
+
+    def read(self, key: IdempotencyKey, at_us: int) -> KeyLock | None:
+        """Return the lock of a key, if there is one that had not expired at that time.
+
+        Raises KeyLockError or OSError if there is a file that can't be read.
+        """
+        return _read(self.path(key), at_us)
+
+    def create(self, key: IdempotencyKey, lock: KeyLock, received_us: int) -> KeyLock | None:
+        """Create the lock of a key, unless there is one that had not expired at `received_us`: return that.
+
+        Raises KeyLockError if there is a file that can't be read, and OSError if none can be written.
+        """
+        with self._exclusive():
+            try:
+                existing = self.read(key, received_us)
+            except OSError as error:
+                raise KeyLockError(str(error)) from None
+            if existing is None:
+                self.write(key, lock)
+            return existing
+
+    def finish(self, key: IdempotencyKey, result: Result | None) -> None:
+        """Record the result of the run of a key, None for one that failed."""
+        lock = self.read(key, 0)
+        if lock is not None and lock.state is RunState.RUNNING:
+            state = RunState.FAILED if result is None else RunState.SUCCEEDED
+            self.write(key, replace(lock, state=state, result=result))
+
+    def write(self, key: IdempotencyKey, lock: KeyLock) -> None:
+        """Replace the file of a key in one step: another process may read it at any moment."""
+        path = self.path(key)
+        temporary = path.with_suffix(f".{os.getpid()}")
+        temporary.write_text(json.dumps(_to_fields(lock), separators=(",", ":")))
+        temporary.rename(path)
+
+    def remove(self, key: IdempotencyKey) -> None:
+        """Remove the lock of a key."""
+        self.path(key).unlink(missing_ok=True)
+
+    def remove_expired(self, at_us: int) -> None:
+        """Remove the locks that had expired at that time."""
+        for path in self._folder.iterdir():
+            if path.name == DIRECTORY_LOCK:
+                continue
+            with contextlib.suppress(OSError, KeyLockError), self._exclusive():
+                if _read(path, at_us) is None:
+                    path.unlink(missing_ok=True)
+
+    @contextlib.contextmanager
+    def _exclusive(self) -> Iterator[None]:
+        """Exclude other processes; held no longer than it takes to handle one file."""
+        fcntl.flock(self._lock_file, fcntl.LOCK_EX)
+        try:
+            yield
+        finally:
+            fcntl.flock(self._lock_file, fcntl.LOCK_UN)
+
+
+def _read(path: Path, at_us: int) -> KeyLock | None:
+    try:
+        fields = json.loads(path.read_bytes())
+    except FileNotFoundError:
+        return None
+    except ValueError as error:
+        raise KeyLockError(f"{path.name}: {error}") from None
+    if not isinstance(fields, dict) or not isinstance(fields.get("until_us"), int):
+        raise KeyLockError(f"{path.name} is no key lock")
+    if fields["until_us"] < at_us:
+        return None
+    try:
+        return _from_fields(fields)
+    except (ValueError, KeyError, TypeError) as error:
+        raise KeyLockError(f"{path.name}: {error!r}") from None
+
+
+def _from_fields(fields: dict[str, Any]) -> KeyLock:
+    result = None
+    if fields.get("body") is not None:
+        headers = tuple((name, value) for name, value in fields["headers"])
+        result = Result(base64.b64decode(fields["body"]), fields["status"], headers)
+    return KeyLock(fields["until_us"], fields["digest"], RunState(fields["state"]), result)
+
+
+def _to_fields(lock: KeyLock) -> dict[str, Any]:
+    fields = {"until_us": lock.expires_us, "digest": lock.digest, "state": lock.state.value}
+    if lock.result is None:
+        return fields
+    body = base64.b64encode(lock.result.body).decode()
+    return {**fields, "body": body, "status": lock.result.status, "headers": list(lock.result.headers)}
--- a/reelusher/upgrade/process_registry.py
+++ b/reelusher/upgrade/process_registry.py
@@ -1,6 +1,6 @@
-"""Which processes of one node are there: each holds a lock on a file of its own for as long as it lives.
+"""The processes of one node: each holds a lock on a file of its own while it lives.
 
-The kernel lets go of a lock when its process ends, however it ends, so no file tells of one that is gone.
+The kernel releases a lock when its process ends, however it ends, so no file can stand for a dead process.
 """
 
 import contextlib
@@ -11,55 +11,68 @@
 
 SUFFIX = ".life"
 READY = b"ready"
+MAX_READ_BYTES = 16
+MAX_NAME_CHARACTERS = 100
+DEFAULT_NAME = "node"
+FILE_MODE = 0o600
 
 
-def safe(name: str) -> str:
-    """Return a name that can be part of a file's."""
-    return "".join(char if char.isalnum() or char in "-_" else "_" for char in name)[:100] or "node"
+def file_name_of(name: str) -> str:
+    """Return a name with all characters replaced that file names should not have."""
+    safe = "".join(char if char.isalnum() or char in "-_" else "_" for char in name)
+    return safe[:MAX_NAME_CHARACTERS] or DEFAULT_NAME
 
 
 class ProcessRegistry:
-    """This process and the others of its node, in a folder that they share."""
+    """This process and the other processes of its node, in a folder that they share."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Take a lock of one's own; raises OSError where the folder does not allow that."""
-        self._folder, self._stem = folder, safe(name)
-        # by the time of its start, which tells who came later; the id keeps two of one instant apart
+        """Register this process; raises OSError if the folder can't be used."""
+        self._folder, self._stem = folder, file_name_of(name)
+        # the start time orders processes; the process id tells apart those started at the same instant
         self._path = folder / f"{self._stem}.{time.time_ns():020d}.{os.getpid()}{SUFFIX}"
-        self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self._file = os.open(self._path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
 
-    def ready(self) -> None:
-        """Say that this process serves, so that one before it may hand over."""
+    def mark_ready(self) -> None:
+        """Record that this process serves, so that an earlier one may hand over to it."""
         os.pwrite(self._file, READY, 0)
 
-    def successor(self) -> bool:
-        """Tell whether a process that was started later lives and serves; files of dead ones are removed."""
-        found, others = False, list[Path]()
-        with contextlib.suppress(OSError):  # the folder can't be read: then this is a drain as any other
-            others = [path for path in self._folder.glob(f"{self._stem}.*{SUFFIX}") if path != self._path]
-        for path in others:
-            with contextlib.suppress(OSError):  # gone meanwhile
-                other = os.open(path, os.O_RDWR | os.O_CLOEXEC)
-                try:
-                    if self._dead(other):
-                        path.unlink()
-                    elif path.name > self._path.name and os.pread(other, 16, 0) == READY:
-                        found = True
-                finally:
-                    os.close(other)
+    def has_successor(self) -> bool:
+        """Return whether a process that was started later is ready; remove the files of dead processes."""
+        found = False
+        for path in self._other_paths():
+            with contextlib.suppress(OSError):  # removed meanwhile
+                found |= self._is_successor(path)
         return found
 
-    @staticmethod
-    def _dead(file: int) -> bool:
-        try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
-            return False
-        return True
-
     def close(self) -> None:
-        """End this process's part."""
+        """Remove this process from the registry."""
         with contextlib.suppress(OSError):
             self._path.unlink()
         os.close(self._file)
+
+    def _other_paths(self) -> list[Path]:
+        try:
+            return [path for path in self._folder.glob(f"{self._stem}.*{SUFFIX}") if path != self._path]
+        except OSError:  # without the folder, no other process can take over
+            return []
+
+    def _is_successor(self, path: Path) -> bool:
+        file = os.open(path, os.O_RDWR | os.O_CLOEXEC)
+        try:
+            if _is_dead(file):
+                path.unlink()
+                return False
+            return path.name > self._path.name and os.pread(file, MAX_READ_BYTES, 0) == READY
+        finally:
+            os.close(file)
+
+
+def _is_dead(file: int) -> bool:
+    """Return whether no process holds the lock of a file; the lock is then held until the file is closed."""
+    try:
+        fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except BlockingIOError:
+        return False
+    return True
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -334,15 +334,15 @@
 
 def test_processes_of_a_node_find_each_other_by_the_recorded_names(tmp_path: Path) -> None:
     """The file name orders processes by their start, and its first bytes say that one serves."""
-    lives = ProcessRegistry(tmp_path, "node 3")
-    lives.ready()
+    registry = ProcessRegistry(tmp_path, "node 3")
+    registry.mark_ready()
     (made,) = tmp_path.iterdir()
     stem, start, process, suffix = made.name.split(".")
     assert (stem, suffix, made.read_bytes()) == ("node_3", "life", b"ready")
     assert len(start) == 20
     assert start.isdigit()
     assert process.isdigit()
-    lives.close()
+    registry.close()
 
 
 def test_a_recorded_replica_is_read_and_changed(recorded: Path) -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: claims of keys that hold between processes, who is there, and two real processes in turn."""
+"""Upgrades: key locks between processes, the registry of processes, and two real processes in turn."""
 
 import json
 import os
@@ -17,7 +17,8 @@
 from test_parts import ROOT, deployed
 
 from reelusher.codecs import http1, msgpack
-from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
+from reelusher.upgrade.key_lock_directory import KeyLock
 from reelusher.upgrade.key_locks import KeyLockFiles
 from reelusher.upgrade.process_registry import ProcessRegistry
 
@@ -25,25 +26,27 @@
 SECOND_US = 1_000_000
 
 
-class Both:
-    """Two processes' claims in one folder, and a clock."""
+class TwoProcesses:
+    """The key locks of two processes in one folder, and a clock."""
 
     def __init__(self, folder: Path) -> None:
         self.now_us = 100 * SECOND_US
-        self.claims = [KeyLockFiles(folder, "n3", lambda: self.now_us) for _ in range(2)]
-        for claims in self.claims:
-            claims.start()
-
-    def ask(self, which: int, body: str = "b", door_s: float = 0.0, due_s: float = 60.0) -> list[Any]:
-        """Claim the key at one of the two; what it is told comes into the list."""
+        self.locks = [KeyLockFiles(folder, "n3", lambda: self.now_us) for _ in range(2)]
+        for locks in self.locks:
+            locks.start()
+
+    def acquire(
+        self, process: int, digest: str = "b", received_s: float = 0.0, due_s: float = 60.0
+    ) -> list[Any]:
+        """Request the lock in one of the two processes; the list receives the outcome."""
         told: list[Any] = []
-        self.claims[which].acquire(
+        self.locks[process].acquire(
             KeyLockRequest(
                 KEY,
-                self.now_us + int(door_s * 1e6),
+                self.now_us + int(received_s * 1e6),
                 self.now_us + 20 * SECOND_US,
                 self.now_us + int(due_s * 1e6),
-                body,
+                digest,
                 told.append,
                 told.append,
             )
@@ -51,96 +54,98 @@
         return told
 
     def close(self) -> None:
-        for claims in self.claims:
-            claims.close()
+        for locks in self.locks:
+            locks.close()
 
 
 @pytest.fixture
 def both(tmp_path: Path) -> Any:
-    made = Both(tmp_path)
-    yield made
-    made.close()
+    two_processes = TwoProcesses(tmp_path)
+    yield two_processes
+    two_processes.close()
 
 
-def test_one_of_two_runs_a_key_and_the_other_hears_what_it_came_to(both: Both) -> None:
-    first = both.ask(0)
-    assert comes(first, True)
-    second = both.ask(1)
-    assert not soon_changes(second)
-    both.claims[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
-    assert comes(second, Result(b"made", 201, (("a", "b"),)))
-    other = both.ask(1, body="c")
-    assert comes(other, None)  # another body under the key is told nothing
+def test_one_process_runs_a_key_and_the_other_receives_its_result(both: TwoProcesses) -> None:
+    first = both.acquire(0)
+    assert receives(first, True)
+    second = both.acquire(1)
+    assert not receives_anything(second)
+    both.locks[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
+    assert receives(second, Result(b"made", 201, (("a", "b"),)))
+    other = both.acquire(1, digest="c")
+    assert receives(other, None)  # another body must not receive the result
 
 
-def comes(told: list[Any], wanted: Any) -> bool:
-    return soon(lambda: told == [wanted])
+def receives(outcomes: list[Any], expected: Any) -> bool:
+    return soon(lambda: outcomes == [expected])
 
 
-def soon_changes(told: list[Any]) -> bool:
+def receives_anything(outcomes: list[Any]) -> bool:
     time.sleep(0.2)
-    return bool(told)
+    return bool(outcomes)
 
 
-def test_a_key_whose_run_failed_or_is_never_heard_of_again_fails_elsewhere(both: Both) -> None:
-    assert comes(both.ask(0), True)
-    waits = both.ask(1, due_s=3)
-    assert not soon_changes(waits)
-    both.now_us += 4 * SECOND_US  # whoever claimed it is gone, and may have run it
-    assert comes(waits, None)
-    both.claims[0].complete(KEY, None)
-    assert comes(both.ask(1), None)
+def test_key_whose_run_failed_or_never_ended_fails_in_the_other_process(both: TwoProcesses) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1, due_s=3)
+    assert not receives_anything(waits)
+    both.now_us += 4 * SECOND_US  # the process that locked it is gone, and may have run it
+    assert receives(waits, None)
+    both.locks[0].complete(KEY, None)
+    assert receives(both.acquire(1), None)
 
 
-def test_a_key_that_never_ran_or_whose_window_is_over_is_claimed_anew(both: Both) -> None:
-    assert comes(both.ask(0), True)
-    waits = both.ask(1)
-    both.claims[0].release(KEY)
-    assert comes(waits, True)
+def test_released_or_expired_lock_is_acquired_again(both: TwoProcesses) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1)
+    both.locks[0].release(KEY)
+    assert receives(waits, True)
     both.now_us += 21 * SECOND_US
-    late = both.ask(0, door_s=-2.0)  # came within the window, was read after it
-    assert not soon_changes(late)
-    assert comes(both.ask(0), True)
+    late = both.acquire(0, received_s=-2.0)  # received within the window, read after it
+    assert not receives_anything(late)
+    assert receives(both.acquire(0), True)
 
 
 @pytest.mark.parametrize("garbage", [b"", b"{", b"[]", b'{"until_us": "x"}'])
-def test_a_claim_that_nobody_of_us_wrote_fails_its_key_and_no_other(both: Both, garbage: bytes) -> None:
-    claims = both.claims[0]
-    claims._path(KEY).write_bytes(garbage)
-    assert comes(both.ask(0), None)  # it may have been run: it is neither run again nor turned away
+def test_malformed_lock_fails_its_key_and_no_other(both: TwoProcesses, garbage: bytes) -> None:
+    locks = both.locks[0]
+    locks.directory.path(KEY).write_bytes(garbage)
+    assert receives(both.acquire(0), None)  # it may have run: it is neither run again nor rejected
     told: list[Any] = []
-    claims.acquire(
+    locks.acquire(
         KeyLockRequest(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append)
     )
-    assert comes(told, True)
+    assert receives(told, True)
 
 
 @pytest.mark.parametrize("garbage", [b"", b'{"until_us": 9000000000000000}'])
-def test_a_claim_that_is_spoilt_while_it_is_waited_for_fails_its_try(both: Both, garbage: bytes) -> None:
-    assert comes(both.ask(0), True)
-    waits = both.ask(1)
-    assert not soon_changes(waits)
-    both.claims[0]._path(KEY).write_bytes(garbage)
-    assert comes(waits, None)
-
-
-def test_a_key_that_can_not_be_claimed_is_turned_away(both: Both, monkeypatch: pytest.MonkeyPatch) -> None:
-    def full(path: Path, value: dict[str, Any]) -> None:
+def test_lock_that_becomes_malformed_while_polled_fails_its_request(
+    both: TwoProcesses, garbage: bytes
+) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1)
+    assert not receives_anything(waits)
+    both.locks[0].directory.path(KEY).write_bytes(garbage)
+    assert receives(waits, None)
+
+
+def test_key_that_can_not_be_locked_is_rejected(both: TwoProcesses, monkeypatch: pytest.MonkeyPatch) -> None:
+    def full_disk(key: IdempotencyKey, lock: KeyLock) -> None:
         raise OSError(28, "no space left")
 
-    monkeypatch.setattr(KeyLockFiles, "_write", staticmethod(full))
-    assert comes(both.ask(0), False)
+    monkeypatch.setattr(both.locks[0].directory, "write", full_disk)
+    assert receives(both.acquire(0), False)
 
 
-def test_a_key_that_many_threads_of_two_processes_claim_at_once_is_run_by_one(tmp_path: Path) -> None:
+def test_key_locked_by_two_processes_at_once_is_run_by_one(tmp_path: Path) -> None:
     for _ in range(20):
-        both = Both(tmp_path)
+        both = TwoProcesses(tmp_path)
         gate = threading.Barrier(2)
         told: list[list[Any]] = []
 
-        def go(which: int, both: Both, gate: threading.Barrier, told: list[list[Any]]) -> None:
+        def go(which: int, both: TwoProcesses, gate: threading.Barrier, told: list[list[Any]]) -> None:
             gate.wait()
-            told.append(both.ask(which, due_s=0.0))
+            told.append(both.acquire(which, due_s=0.0))
 
         threads = [threading.Thread(target=go, args=(which, both, gate, told)) for which in range(2)]
         for thread in threads:
@@ -149,22 +154,22 @@
             thread.join()
         assert soon(partial(all, told))
         assert sum(one == [True] for one in told) == 1
-        both.claims[0].release(KEY)
+        both.locks[0].release(KEY)
         both.close()
         assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
 
 
-def test_a_later_process_that_is_ready_takes_over_and_one_that_has_died_does_not(tmp_path: Path) -> None:
+def test_successor_is_a_later_process_that_is_ready_and_alive(tmp_path: Path) -> None:
     old = ProcessRegistry(tmp_path, "n/3")
-    assert not old.successor()
+    assert not old.has_successor()
     new, other = ProcessRegistry(tmp_path, "n/3"), ProcessRegistry(tmp_path, "n4")
-    other.ready()
-    assert not old.successor()  # it does not serve yet
-    new.ready()
-    assert old.successor()
-    assert not new.successor()
+    other.mark_ready()
+    assert not old.has_successor()  # it does not serve yet
+    new.mark_ready()
+    assert old.has_successor()
+    assert not new.has_successor()
     os.close(new._file)  # as the kernel does when a process ends
-    assert not old.successor()
+    assert not old.has_successor()
     assert not new._path.exists()
 
 
@@ -212,7 +217,7 @@
             return False
 
 
-def test_callers_lose_nothing_while_one_process_takes_over_from_another(tmp_path: Path) -> None:
+def test_callers_lose_nothing_while_one_process_takes_over(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     catalog = parties.CatalogParty({})
