--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -14,8 +14,8 @@
 from reelusher.core.counters import Counters
 from reelusher.net.sockets import Address, connect
 from reelusher.net.threads import start_thread
-from reelusher.pacing.backoff import RetryBudget
-from reelusher.pacing.report_schedule import Loss, ReportSchedule
+from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
+from reelusher.pacing.retry_budget import RetryBudget
 
 DESCRIPTORS = 1
 PATH = "/catalog/register/"
@@ -67,15 +67,15 @@
         self._woken.set()
 
     def _report(self) -> None:
-        due_s = time.monotonic() + self._cadence.first_s()
+        due_s = time.monotonic() + self._cadence.first_delay_s()
         while not self._stopped.is_set():
             if self._woken.wait(max(0.0, due_s - time.monotonic())) and not self._failing:
                 now = time.monotonic()  # else: whoever finds nobody, or is told to wait, goes on waiting
-                due_s = min(due_s, now + self._cadence.changed(now))
+                due_s = min(due_s, now + self._cadence.change_delay_s(now))
             if not self._stopped.wait(max(0.0, due_s - time.monotonic())):
                 self._woken.clear()
                 now = time.monotonic()
-                self._cadence.woke(now - due_s, now)
+                self._cadence.observe_lag(now - due_s, now)
                 wait_s = self._once()
                 due_s = time.monotonic() + wait_s
         self._drop()
@@ -92,8 +92,8 @@
                 logger.warning("catalog: no report: {}", error)
             self._failing = True
             lost = isinstance(error, (TimeoutError, http1.MalformedHttpError))
-            return self._cadence.lost(
-                Loss.SILENCE if lost else Loss.AWAY,
+            return self._cadence.on_failure(
+                ReportFailure.NO_REPLY if lost else ReportFailure.UNAVAILABLE,
                 time.monotonic(),
                 error.advised_s if isinstance(error, RegistryUnavailableError) else 0.0,
             )
@@ -102,7 +102,7 @@
             logger.info("catalog: it answers again")
         self._failing = False
         self._stale.record_success()
-        return self._cadence.answered(sent_s, time.monotonic())
+        return self._cadence.on_success(sent_s, time.monotonic())
 
     def _put(self) -> None:
         """Send one report; a kept connection that has gone stale is opened anew, once."""
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -41,6 +41,7 @@
 from reelusher.net.sockets import connect
 from reelusher.net.threads import start_thread
 from reelusher.pacing.backoff import Backoff
+from reelusher.pacing.token_bucket import TokenBucket
 
 STATE_S = 2.0  # for one exchange
 STATES_PER_S, STATES_AT_ONCE = 10.0, 10.0  # that a member gives; whoever comes beyond is sent to others
@@ -79,22 +80,6 @@
     """A member was told something, and no answer came: it may have heeded it."""
 
 
-class ExchangeAllowance:
-    """So many a second, and so many at once. Not for two threads at once."""
-
-    def __init__(self, per_s: float, at_once: float, now: float) -> None:
-        self._per_s, self._most, self._left, self._at_s = per_s, at_once, at_once, now
-
-    def take(self, now: float) -> bool:
-        """Take one; False where there is none."""
-        self._left = min(self._most, self._left + (now - self._at_s) * self._per_s)
-        self._at_s = now
-        if self._left < 1:
-            return False
-        self._left -= 1
-        return True
-
-
 class Membership:
     """A node's place in its fleet. Lost, or with nobody there, the node serves on as it does alone."""
 
@@ -114,7 +99,7 @@
         )
         self._seal = MessageAuthenticator(read_secret(config.secret_file), config.name, place, life)
         self._lock = threading.Lock()  # of the two above; held for reckoning only, never while waiting
-        self._states = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, now)
+        self._states = TokenBucket(STATES_PER_S, STATES_AT_ONCE, now)
         self._stop = threading.Event()
         self._poke = threading.Event()  # there is someone to exchange states with
         self.joined = not self._seeds
@@ -346,7 +331,7 @@
         now = time.monotonic()
         with self._lock:
             said = self._swim.merge(asked.updates, now)
-            gives = self._states.take(now)
+            gives = self._states.try_take(now)
             reply = (
                 StateReply(known())
                 if gives
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -48,6 +48,7 @@
 )
 from reelusher.fleet.replication.replica_store import PartitionState, ReplicaError, ReplicaStore
 from reelusher.pacing.backoff import Backoff
+from reelusher.pacing.token_bucket import TokenBucket
 
 FORMAT = 1  # of entries and pieces; members of another do not exchange any
 JITTER_S = 0.02, 0.15  # from hearing that someone is ahead to asking
@@ -138,24 +139,6 @@
     return min((base for _, base in (*first[same:], *second[same:])), default=inf)
 
 
-class TokenBucket:
-    """So much a second, and so much at once."""
-
-    def __init__(self, bounds: tuple[float, float], now: float = 0.0) -> None:
-        self._per_s, self._most = bounds
-        self._left, self._at_s = self._most, now
-
-    def left(self, now: float) -> float:
-        """Return how much may be taken."""
-        self._left = min(self._most, self._left + max(0.0, now - self._at_s) * self._per_s)
-        self._at_s = max(now, self._at_s)
-        return self._left
-
-    def take(self, much: float) -> None:
-        """Take so much; it may be more than was left, which is then paid off first."""
-        self._left -= much
-
-
 @dataclass(slots=True)
 class Ahead:
     """A member that was heard to be ahead."""
@@ -217,7 +200,7 @@
         self._level: deque[str] = deque(maxlen=MOST_LEVEL)
         self._shunned: dict[str, tuple[float, Backoff]] = {}  # until when
         self._claims: dict[str, tuple[Position, str, float]] = {}  # highest position heard, by whom, when
-        self._bytes, self._replies = TokenBucket(GIVEN_BYTES, now), TokenBucket(GIVEN_REPLIES, now)
+        self._bytes, self._replies = TokenBucket(*GIVEN_BYTES, now), TokenBucket(*GIVEN_REPLIES, now)
         self._backoff = Backoff(random, *FAIL_S)
         self._pulling: Pull | None = None
         self._due_s = inf
@@ -519,7 +502,7 @@
         if request.control != self._digest or len(request.vector) != len(self._announced):
             return EntriesReply([])
         with self._lock:
-            spent = self._bytes.left(now) <= 0 or self._replies.left(now) < 1
+            spent = self._bytes.available(now) <= 0 or self._replies.available(now) < 1
             if not spent:
                 self._replies.take(1)
         if spent:
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.replica import Position, Replica, TokenBucket
+from reelusher.fleet.replication.replica import Position, Replica
+from reelusher.pacing.token_bucket import TokenBucket
 
 MOST_MEMBERS = 4096
 GRACE_S = 3.0  # after a change, in which nearly all members have it and are heard by themselves
@@ -45,8 +46,8 @@
         }
         self._everywhere: dict[str, Everywhere] = {}
         self._waiting: list[tuple[str, Position, int]] = []
-        self._calls = TokenBucket((CALLS_PER_S, CALLS_PER_S))
-        self._quick = TokenBucket((QUICK_PER_S, QUICK_PER_S))
+        self._calls = TokenBucket(CALLS_PER_S, CALLS_PER_S)
+        self._quick = TokenBucket(QUICK_PER_S, QUICK_PER_S)
         self._quick_until_s = self._looked_s = 0.0
         self._called_s: dict[str, float] = {}
 
@@ -139,7 +140,7 @@
             for place in behind:
                 behind[place] = max(self._heard_s.get(place, 0.0), self._called_s.get(place, 0.0))
         allowed = self._quick if now < self._quick_until_s else self._calls
-        called += sorted(behind, key=lambda place: behind[place])[: max(0, int(allowed.left(now)))]
+        called += sorted(behind, key=lambda place: behind[place])[: max(0, int(allowed.available(now)))]
         called = list(dict.fromkeys(called))
         allowed.take(len(called))
         self._called_s |= dict.fromkeys(called, now)
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -38,13 +38,13 @@
     STATES_PER_S,
     SYNC_LEAST_S,
     SYNC_S,
-    ExchangeAllowance,
 )
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Pull, Replica, stream_of
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.pacing.token_bucket import TokenBucket
 
 ZONES, REGIONS = 17, 7
 CONTROL = tuple(f"control-{number}" for number in range(1, 7))
@@ -123,7 +123,7 @@
         self.due_s = self.pull_due_s = self.sync_due_s = float("inf")
         self.syncing = False
         self.asked = 0  # askers at this instant
-        self.states: ExchangeAllowance
+        self.states: TokenBucket
         self.sent = self.sent_bytes = self.got_bytes = self.exchanges = self.exchange_bytes = 0
         self.position: list[int] = []
 
@@ -239,7 +239,7 @@
     def _begin(self, node: Node, life: int) -> None:
         now, random = self.line.now, Random(self.random.random())
         node.swim = Swim(self._own(node, life), random, now)
-        node.states = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, now)
+        node.states = TokenBucket(STATES_PER_S, STATES_AT_ONCE, now)
         node.due_s = node.pull_due_s = float("inf")
         node.syncing, node.asked = False, 0
         if self.replicate:
@@ -401,11 +401,11 @@
             case BucketsRequest():
                 self._merged(node, request.updates)
                 return StateReply(
-                    node.swim.in_buckets(request.buckets) if node.states.take(now) else [node.swim.own]
+                    node.swim.in_buckets(request.buckets) if node.states.try_take(now) else [node.swim.own]
                 )
             case StateRequest():
                 self._merged(node, request.updates)
-                gives = node.states.take(now)
+                gives = node.states.try_take(now)
                 return StateReply(node.swim.state()) if gives else StateReply([], [node.place])
         began = perf_counter()
         reply = node.replica.asked(request, now)
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -8,7 +8,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.report_schedule import LAPSE_S, Loss, ReportSchedule
+from reelusher.pacing.report_schedule import REGISTRATION_TTL_S, ReportFailure, ReportSchedule
 
 ANSWER_S = 0.002  # of the list, on the virtual clock
 SLOT_S = 0.1
@@ -28,7 +28,7 @@
         for number in range(count):
             cadence = ReportSchedule(Random(f"report {number}"))
             self.line.call_later(
-                self.random.uniform(0, START_S) + cadence.first_s(), self.report, number, cadence
+                self.random.uniform(0, START_S) + cadence.first_delay_s(), self.report, number, cadence
             )
 
     def report(self, number: int, cadence: ReportSchedule) -> None:
@@ -44,14 +44,16 @@
 
     def counted(self, number: int, cadence: ReportSchedule, sent: float) -> None:
         """Take an answer."""
-        if self.last[number] and sent - self.last[number] > LAPSE_S:
+        if self.last[number] and sent - self.last[number] > REGISTRATION_TTL_S:
             self.lapsed += 1
         self.last[number] = sent
-        self.line.call_later(cadence.answered(sent, self.line.now), self.report, number, cadence)
+        self.line.call_later(cadence.on_success(sent, self.line.now), self.report, number, cadence)
 
     def silent(self, number: int, cadence: ReportSchedule) -> None:
         """Get no answer."""
-        self.line.call_later(cadence.lost(Loss.SILENCE, self.line.now), self.report, number, cadence)
+        self.line.call_later(
+            cadence.on_failure(ReportFailure.NO_REPLY, self.line.now), self.report, number, cadence
+        )
 
 
 def cadences(size: int) -> Figures:
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -33,7 +33,7 @@
 from reelusher.lab.fleet.services import Job, Runtime, result_of
 from reelusher.lab.fleet.stage import LAST_S, Stage
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.report_schedule import Loss, ReportSchedule
+from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
 from reelusher.policy.events import Outcome
 
 WAY_S = 0.0005  # from one party to another
@@ -83,7 +83,7 @@
         self.core.begin()
         self._wake(0.0)
         self.cadence = ReportSchedule(Random(f"{seed_of(stage.plan, name)} {life}"))
-        self.line.call_later(self.cadence.first_s(), self._report)
+        self.line.call_later(self.cadence.first_delay_s(), self._report)
 
     # Turns
 
@@ -184,12 +184,13 @@
             return
         began, listed, over = self.line.time(), self.stage.list, False
 
-        def end(why: Loss | None) -> None:
+        def end(why: ReportFailure | None) -> None:
             nonlocal over
             if not over:
                 over, now = True, self.line.time()
                 self.line.call_later(
-                    self.cadence.lost(why, now) if why else self.cadence.answered(began, now), self._report
+                    self.cadence.on_failure(why, now) if why else self.cadence.on_success(began, now),
+                    self._report,
                 )
 
         if self.still:
@@ -198,9 +199,9 @@
         if self.stage.passes(self.name, "list"):
             listed.report(self.name, partial(end, None))
         if listed.away:
-            self.line.call_later(WAY_S, end, Loss.AWAY)
+            self.line.call_later(WAY_S, end, ReportFailure.UNAVAILABLE)
         else:
-            self.line.call_later(self.cadence.timeout_s(), end, Loss.SILENCE)
+            self.line.call_later(self.cadence.timeout_s(), end, ReportFailure.NO_REPLY)
 
     # Callers
 
--- a/reelusher/pacing/__init__.py
+++ b/reelusher/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""When to do again what is repeated in time, so that many nodes don't do it in step: docs/pacing.md."""
+"""When periodic work is done again, so that many nodes do not do it in step; see docs/pacing.md."""
--- a/reelusher/pacing/report_schedule.py
+++ b/reelusher/pacing/report_schedule.py
@@ -1,7 +1,7 @@
-"""When a node reports to the list again, free of I/O; the reasons are in docs/pacing.md.
+"""When a node reports to the service registry again; free of I/O. docs/pacing.md gives the reasons.
 
-An entry lapses when no report has counted for a stated time. A report is made as late as leaves room for the
-tries that the losses seen of late ask for. All times are seconds; `now` is by a clock that only goes on.
+The registry drops a node that has not reported for a stated time. A report is made as late as leaves time for
+the attempts that the recent loss rate asks for. `now_s` is by a clock in seconds that never goes back.
 """
 
 from enum import Enum
@@ -9,110 +9,126 @@
 from random import Random
 
 from reelusher.core.scheduling_lag import SchedulingLag
-from reelusher.pacing.backoff import Backoff, RetryBudget
+from reelusher.pacing.backoff import Backoff
+from reelusher.pacing.reply_time import ReplyTimeEstimator
+from reelusher.pacing.retry_budget import RetryBudget
 
-LAPSE_S = 3.0  # an entry comes off the list so long after its last report: the protocol's figure
-LONGEST_S, SHORTEST_S = 1.9, 0.8  # bounds of the time between two reports
-FIRST_S = 0.25  # the first report comes within this: nodes that start together are spread over it
-SPREAD = 0.1  # part of the time between two reports by which it is drawn shorter
-RISK = 1e-6  # of all tries in the room before a lapse being lost
-PRIOR_LOSS, LEAST_LOSS, MOST_LOSS = 0.1, 0.01, 0.5
-LOSS_WEIGHT = 1 / 16  # of the newest try in the estimate of losses
-TIMEOUT_S, LONGEST_TIMEOUT_S = 0.12, 1.0  # bounds of the wait for an answer
-SLOW_S = 0.25  # a list whose answers are waited for so long has too much to do: tries would add to it
-QUICK_S = 0.05, 0.15  # between a lost report and the next try while the entry can be saved
-AWAY_BASE_S, AWAY_CAP_S = 0.25, 1.8  # between tries at a list that is away, where no entry lapses
-QUICK_MOST, QUICK_EARNED = 16.0, 1.0  # quick tries saved up at most, and earned by each answered report
-ADVICE_MOST_S = 60.0  # advice to come back later than this is taken as this
-CHANGE_S, CHANGE_SPREAD_S = 0.2, 0.1  # a change is reported so long after the last report at the earliest
+REGISTRATION_TTL_S = 3.0  # after the last report, as the protocol states
+MIN_PERIOD_S, MAX_PERIOD_S = 0.8, 1.9  # between two reports
+MAX_FIRST_DELAY_S = 0.25  # of the first report, which spreads nodes that start together
+JITTER = 0.1  # maximum fraction by which a period is shortened
+MIN_FIRST_PERIOD = 0.3  # minimum fraction of the first period, which spreads nodes that return together
 
+EXPIRY_RISK = 1e-6  # accepted probability that all attempts before the expiry are lost
+INITIAL_LOSS_RATE, MIN_LOSS_RATE, MAX_LOSS_RATE = 0.1, 0.01, 0.5
+LOSS_RATE_WEIGHT = 1 / 16  # of the latest attempt
+MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.12, 1.0  # for a reply
+SLOW_TIMEOUT_S = 0.25  # from which the registry counts as overloaded, and retries would add to its load
 
-class Loss(Enum):
-    """Why a report did not count."""
+MIN_RETRY_S, MAX_RETRY_S = 0.05, 0.15  # before an immediate retry
+MEAN_RETRY_S = (MIN_RETRY_S + MAX_RETRY_S) / 2
+MAX_RETRIES, RETRIES_PER_SUCCESS = 16.0, 1.0  # the budget of immediate retries
+BACKOFF_BASE_S, BACKOFF_CAP_S = 0.25, 1.8  # between attempts during an outage, in which no node is dropped
+MAX_RETRY_AFTER_S = 60.0  # a longer Retry-After is taken as this
+MIN_CHANGE_DELAY_S, CHANGE_JITTER_S = 0.2, 0.1  # between a report and the report of a change
 
-    SILENCE = "silence"  # no answer in time, or one that can't be read: lost on the way, or the list hangs
-    AWAY = "away"  # refused or broken at once, or answered with an error: the list is in trouble
+
+class ReportFailure(Enum):
+    """Why a report failed."""
+
+    NO_REPLY = "silence"  # none in time, or one that can't be read: lost on the way, or the registry hangs
+    UNAVAILABLE = "away"  # the connection was refused or broken, or the reply was an error
 
 
 class ReportSchedule:
-    """Says when the next report is due, from how those before it went."""
-
-    def __init__(self, random: Random, lapse_s: float = LAPSE_S) -> None:
-        self._random, self._lapse_s = random, lapse_s
-        self._mean_s = self._off_s = 0.0  # of the time to an answer, and its mean deviation (RFC 6298)
-        self._measured = False
-        self.loss = PRIOR_LOSS  # part of the tries that get no answer
-        self._loss_then = PRIOR_LOSS  # as the last report counted
-        self._counted_s = -inf  # when the last report that counted was sent
-        self._pace = SchedulingLag()  # of whoever makes the reports
-        self._away = Backoff(random, AWAY_BASE_S, AWAY_CAP_S)
-        self._budget = RetryBudget(QUICK_MOST, QUICK_EARNED)
-        self._quick = 2 * self._tries()  # left before the list counts as away; losses come in streaks
-
-    def first_s(self) -> float:
-        """Return the seconds until the first report."""
-        return self._random.uniform(0.0, FIRST_S)
+    """Determines when the next report is due, from the outcomes of earlier ones."""
+
+    def __init__(self, random: Random, ttl_s: float = REGISTRATION_TTL_S) -> None:
+        """`ttl_s` is the time after which the registry drops a node."""
+        self._random = random
+        self._ttl_s = ttl_s
+        self._reply_time = ReplyTimeEstimator(MIN_TIMEOUT_S, MAX_TIMEOUT_S)
+        self.loss_rate = INITIAL_LOSS_RATE
+        self._loss_rate_at_success = INITIAL_LOSS_RATE
+        self._last_success_s = -inf  # when the last successful report was sent
+        self._lag = SchedulingLag()  # of the thread that reports
+        self._backoff = Backoff(random, BACKOFF_BASE_S, BACKOFF_CAP_S)
+        self._retry_budget = RetryBudget(MAX_RETRIES, RETRIES_PER_SUCCESS)
+        self._retries_left = self._max_retries()  # before the registry counts as unavailable
+
+    def first_delay_s(self) -> float:
+        """Return the delay of the first report."""
+        return self._random.uniform(0.0, MAX_FIRST_DELAY_S)
 
     def timeout_s(self) -> float:
-        """Return how long to wait for an answer: the usual time and four deviations (RFC 6298)."""
-        if not self._measured:
-            return LONGEST_TIMEOUT_S
-        return min(LONGEST_TIMEOUT_S, max(TIMEOUT_S, self._mean_s + 4 * self._off_s))
-
-    def slow(self) -> bool:
-        """Tell whether the list takes so long that further tries would only add to its load."""
-        return self._measured and self.timeout_s() >= SLOW_S
-
-    def _tries(self) -> int:
-        """Return the tries that leave a risk of `RISK` at the losses seen of late."""
-        return 1 if self.slow() else ceil(log(RISK) / log(min(MOST_LOSS, max(LEAST_LOSS, self.loss))))
-
-    def woke(self, late_s: float, now: float) -> None:
-        """Note that a report is made so long after it was due: a starved node must report sooner."""
-        self._pace.observe(max(0.0, late_s), now)
-
-    def period_s(self, now: float) -> float:
-        """Return the longest time between two reports that leaves room for the tries it may need."""
-        timeout_s = self.timeout_s() if self._measured else TIMEOUT_S
-        room_s = self._tries() * (timeout_s + sum(QUICK_S) / 2)
-        return min(LONGEST_S, max(SHORTEST_S, self._lapse_s - room_s - 2 * self._pace.lag_s(now)))
-
-    def answered(self, sent_s: float, now: float) -> float:
-        """Note that a report counted; return the seconds until the next."""
-        took_s, first = now - sent_s, self._counted_s == -inf
-        if self._measured:
-            self._off_s += (abs(took_s - self._mean_s) - self._off_s) / 4
-            self._mean_s += (took_s - self._mean_s) / 8
-        else:
-            self._mean_s, self._off_s, self._measured = took_s, took_s / 2, True
-        self.loss -= self.loss * LOSS_WEIGHT
-        self._loss_then = self.loss
-        back = first or now - self._counted_s > self._lapse_s
-        self._counted_s = sent_s
-        self._away.reset()
-        self._budget.record_success()
-        self._quick = 2 * self._tries()
-        # The phases of nodes that began together, or came back together, are drawn anew over a whole period.
-        least = 0.3 if back else 1 - SPREAD
-        return max(0.0, sent_s + self._random.uniform(least, 1.0) * self.period_s(now) - now)
-
-    def lost(self, why: Loss, now: float, advised_s: float = 0.0) -> float:
-        """Note that a report did not count; return the seconds until the next try.
-
-        `advised_s`: the list has said when to come back; it is heeded whatever becomes of the entry.
+        """Return how long to wait for a reply."""
+        return self._reply_time.timeout_s()
+
+    def is_slow(self) -> bool:
+        """Return whether the registry is so slow that retries would only add to its load."""
+        return self._reply_time.has_samples and self.timeout_s() >= SLOW_TIMEOUT_S
+
+    def observe_lag(self, lag_s: float, now_s: float) -> None:
+        """Record how late a report is made: a starved node must report earlier."""
+        self._lag.observe(max(0.0, lag_s), now_s)
+
+    def period_s(self, now_s: float) -> float:
+        """Return the longest period that leaves time for the attempts that may be needed."""
+        timeout_s = self.timeout_s() if self._reply_time.has_samples else MIN_TIMEOUT_S
+        attempts_s = self._attempts_needed() * (timeout_s + MEAN_RETRY_S)
+        spare_s = self._ttl_s - attempts_s - 2 * self._lag.lag_s(now_s)
+        return min(MAX_PERIOD_S, max(MIN_PERIOD_S, spare_s))
+
+    def on_success(self, sent_s: float, now_s: float) -> float:
+        """Record a successful report; return the delay before the next."""
+        self._reply_time.observe(now_s - sent_s)
+        self.loss_rate -= self.loss_rate * LOSS_RATE_WEIGHT
+        self._loss_rate_at_success = self.loss_rate
+        returned = now_s - self._last_success_s > self._ttl_s  # also true of the first report
+        self._last_success_s = sent_s
+        self._backoff.reset()
+        self._retry_budget.record_success()
+        self._retries_left = self._max_retries()
+        min_fraction = MIN_FIRST_PERIOD if returned else 1 - JITTER
+        due_s = sent_s + self._random.uniform(min_fraction, 1.0) * self.period_s(now_s)
+        return max(0.0, due_s - now_s)
+
+    def on_failure(self, failure: ReportFailure, now_s: float, retry_after_s: float = 0.0) -> float:
+        """Record a failed report; return the delay before the next attempt.
+
+        A Retry-After of the registry is followed, even if the registry drops the node meanwhile.
         """
-        if why is Loss.SILENCE:
-            self.loss += (1.0 - self.loss) * LOSS_WEIGHT
-        if advised_s > 0:
-            advised_s = min(advised_s, ADVICE_MOST_S)
-            return advised_s + self._random.uniform(0.0, max(FIRST_S, advised_s / 4))
-        saves = now - self._counted_s < self._lapse_s and not self.slow()
-        if why is Loss.SILENCE and saves and self._quick > 0 and self._budget.try_acquire():
-            self._quick -= 1
-            return self._random.uniform(*QUICK_S)
-        self.loss = self._loss_then  # more than losses explain: an outage, which says nothing of them
-        return self._away.next_s()
-
-    def changed(self, now: float) -> float:
-        """Return the seconds until a change is reported: soon, but no flapping state makes a flood."""
-        return max(0.0, self._counted_s + CHANGE_S - now) + self._random.uniform(0.0, CHANGE_SPREAD_S)
+        if failure is ReportFailure.NO_REPLY:
+            self.loss_rate += (1.0 - self.loss_rate) * LOSS_RATE_WEIGHT
+        if retry_after_s > 0:
+            return self._jittered_retry_after_s(min(retry_after_s, MAX_RETRY_AFTER_S))
+        if failure is ReportFailure.NO_REPLY and self._may_retry(now_s):
+            self._retries_left -= 1
+            return self._random.uniform(MIN_RETRY_S, MAX_RETRY_S)
+        self.loss_rate = self._loss_rate_at_success  # an outage says nothing about losses
+        return self._backoff.next_s()
+
+    def change_delay_s(self, now_s: float) -> float:
+        """Return the delay before a change is reported: short, but not so short that flapping floods."""
+        earliest_s = self._last_success_s + MIN_CHANGE_DELAY_S
+        return max(0.0, earliest_s - now_s) + self._random.uniform(0.0, CHANGE_JITTER_S)
+
+    def _may_retry(self, now_s: float) -> bool:
+        """Return whether to retry at once, and spend one retry of the budget."""
+        registered = now_s - self._last_success_s < self._ttl_s
+        if not registered or self.is_slow() or self._retries_left <= 0:
+            return False
+        return self._retry_budget.try_acquire()
+
+    def _jittered_retry_after_s(self, retry_after_s: float) -> float:
+        return retry_after_s + self._random.uniform(0.0, max(MAX_FIRST_DELAY_S, retry_after_s / 4))
+
+    def _max_retries(self) -> int:
+        return 2 * self._attempts_needed()  # losses come in streaks
+
+    def _attempts_needed(self) -> int:
+        """Return the attempts after which the risk of losing all of them is `EXPIRY_RISK`."""
+        if self.is_slow():
+            return 1
+        loss_rate = min(MAX_LOSS_RATE, max(MIN_LOSS_RATE, self.loss_rate))
+        return ceil(log(EXPIRY_RISK) / log(loss_rate))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,9 +37,10 @@
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.service import ExchangeAllowance, Membership, read_secret
+from reelusher.fleet.membership.service import Membership, read_secret
 from reelusher.fleet.membership.swim import DIRECT_S, PATIENCE, PERIOD_S, RETURN_S, Swim
 from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
+from reelusher.pacing.token_bucket import TokenBucket
 
 SECRET = b"a secret of sixteen or more"
 
@@ -894,7 +895,7 @@
     assert soon(lambda: names(first) == ["a", "b"])
     asker = start("c", [first])
     assert soon(lambda: asker.status()["own"]["joined"])
-    first._states = ExchangeAllowance(0.0, 5.0, time.monotonic())
+    first._states = TokenBucket(0.0, 5.0, time.monotonic())
     replies: list[StateReply | None] = [asker._exchange("{}:{}".format(*first.address)) for _ in range(20)]
     given = [reply for reply in replies if reply and not reply.instead]
     assert len(given) == 5
