--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 import parties
 import pytest
 from scenario import SETTINGS, platform_config, standing
-from test_crossings import asked
+from test_crossings import request_bytes
 from test_parts import ROOT, deployed
 
 from reelusher.codecs import http1
@@ -44,7 +44,7 @@
         sock.settimeout(0.2)
         sock.connect(self.place)
         if self.kind != "silent":
-            data = asked(1, "health") if self.kind == "used once" else asked(1)[:30]
+            data = request_bytes(1, "health") if self.kind == "used once" else request_bytes(1)[:30]
             sock.sendall(data)
         sock.setblocking(False)
         return sock
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -20,7 +20,7 @@
 import parties
 import pytest
 from scenario import SETTINGS
-from test_crossings import asked
+from test_crossings import request_bytes
 from test_parts import ROOT, deployed
 
 from reelusher.codecs import msgpack
@@ -90,7 +90,7 @@
                 self.runtime.write(b'{"msg":"ready","how":"cold","duration":0}\n')
             while time.monotonic() < until:
                 with contextlib.suppress(ConnectionError), socket.create_connection(self.place, 1.0) as sock:
-                    sock.sendall(asked(1, "health"))
+                    sock.sendall(request_bytes(1, "health"))
                     (answer,) = msgpack.Decoder().feed(sock.recv(1 << 12))
                     if answer[3][0] is True:
                         self.ready_s = time.monotonic() - self.began_s
