--- /dev/null
+++ b/tests/core_harness.py
@@ -0,0 +1,74 @@
+"""A core under a controlled clock, and a backend that records its commands, for tests of several packages."""
+
+from typing import Any
+
+from helpers import KEYED, MUST_CALL, SAFE, settings
+
+from reelusher.core.clock import Clock
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import (
+    Answer,
+    IncomingRequest,
+    RequestArrived,
+    Verdict,
+)
+from reelusher.policy.events import Outcome
+
+OK, ERROR = Outcome.OK, Outcome.ERROR
+
+
+CLASSES = (SAFE, MUST_CALL, KEYED)
+
+
+class Backend:
+    """Runner and dependency that record their commands."""
+
+    def __init__(self) -> None:
+        self.said: list[tuple[Any, ...]] = []
+
+    def start(self, request: IncomingRequest, class_name: str) -> None:
+        self.said.append(("start", request.run_id))
+
+    def request_gauges(self, cookie: str) -> bool:
+        return False
+
+    def __getattr__(self, command: str) -> Any:
+        return lambda *arguments: self.said.append((command, *arguments))
+
+
+class CoreHarness:
+    """A core, its backend, and the answers it gave."""
+
+    def __init__(self, **changes: Any) -> None:
+        self.time = 1_000_000_000_000
+        self.backend = Backend()
+        self.answers: dict[str, list[Answer]] = {}
+        self.core = Core(
+            settings(*CLASSES, **changes),
+            [],
+            1,
+            self.backend,
+            self.backend,
+            clock=Clock(*[lambda: self.time * 1000] * 2),
+        )
+        self.core.process_batch([])
+
+    def request(
+        self, run_id: str, class_index: int = 0, key: str = "", age_us: int = 0, tenant: str = "t"
+    ) -> RequestArrived:
+        answers = self.answers.setdefault(run_id, [])
+        return RequestArrived(
+            IncomingRequest(
+                run_id, class_index, b"", self.time - age_us, answers.append, tenant, idempotency_key=key
+            )
+        )
+
+    def process(self, *messages: Any, later_us: int = 0) -> None:
+        self.time += later_us
+        self.core.process_batch(list(messages))
+
+    def verdicts(self, run_id: str) -> list[Verdict]:
+        return [answer.verdict for answer in self.answers[run_id]]
+
+    def count(self, name: str) -> int:
+        return self.core.counters.snapshot().get(name, 0)
--- /dev/null
+++ b/tests/drain/test_node_drain.py
@@ -0,0 +1,115 @@
+"""The graceful shutdown of a whole process, also with little processor time."""
+
+import contextlib
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import time
+from collections.abc import Iterator, Sequence
+from pathlib import Path
+
+import pytest
+import scenario
+import starved
+
+ROOT = Path(__file__).parents[2]
+
+
+# A thread that was there before the program, as one of a preloaded library is, and blocks no signal.
+FOREIGN = """
+import runpy, sys, threading, time
+threading.Thread(target=time.sleep, args=(60,), daemon=True).start()
+runpy.run_module("reelusher", run_name="__main__", alter_sys=True)
+"""
+
+
+@contextlib.contextmanager
+def program(
+    folder: Path, stop_ms: int, words: Sequence[str] = ("-m", "reelusher")
+) -> Iterator["subprocess.Popen[bytes]"]:
+    """Run the program until the end of the block; it serves when that begins."""
+    path = folder / "config.json"
+    with socket.create_server(("127.0.0.1", 0)) as free:
+        address = "{}:{}".format(*free.getsockname())
+    path.write_text(
+        json.dumps(
+            {
+                "name": "n1",
+                "listen": address,
+                "runtime": "127.0.0.1:1",
+                "stop_ms": stop_ms,
+                "settings": scenario.SETTINGS,
+            }
+        )
+    )
+    process = subprocess.Popen(
+        [sys.executable, "-O", *words],
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+    )
+    try:
+        assert process.stderr is not None
+        while b"listens on" not in (line := process.stderr.readline()):
+            assert line, "it has ended"
+        yield process
+    finally:
+        process.kill()
+
+
+def test_signals_are_received_after_the_process_was_stopped_and_continued(tmp_path: Path) -> None:
+    """A platform that limits CPU does so; an interrupted wait once ended the thread for signals."""
+    with program(tmp_path, 1000) as process:
+        for _ in range(20):  # longer than a look, so that each wait is over when it goes on
+            process.send_signal(signal.SIGSTOP)
+            time.sleep(0.06)
+            process.send_signal(signal.SIGCONT)
+            time.sleep(0.01)
+        process.send_signal(signal.SIGTERM)
+        _, errors = process.communicate(timeout=30)
+        assert process.returncode == 0
+        assert b"a thread failed" not in errors
+
+
+def test_signal_delivered_to_a_thread_that_blocks_none_drains_the_node(tmp_path: Path) -> None:
+    """The fleet's bench delivers signals past the mask: SIGTERM ended nodes at once, with all in hand."""
+    with program(tmp_path, 1000, ("-c", FOREIGN)) as process:
+        process.send_signal(signal.SIGHUP)
+        time.sleep(0.3)
+        assert process.poll() is None
+        process.send_signal(signal.SIGTERM)
+        _, errors = process.communicate(timeout=30)
+        assert b"reload: new addresses: none" in errors
+        assert b"left after" in errors
+        assert process.returncode == 0
+
+
+def test_drain_starts_while_a_reload_waits_for_its_file(tmp_path: Path) -> None:
+    """One thread took all signals, so a file that could not be read held SIGTERM up until the kill."""
+    with program(tmp_path, 2000) as process:
+        path = tmp_path / "config.json"
+        path.unlink()
+        os.mkfifo(path)
+        process.send_signal(signal.SIGHUP)
+        time.sleep(0.3)
+        process.send_signal(signal.SIGTERM)
+        assert process.wait(30) == 0
+
+
+@pytest.mark.parametrize(
+    "load",
+    [
+        starved.Load(busy=9, rate=120.0, connects=0.0, seed=1),
+        starved.Load(busy=9, rate=40.0, connects=230.0, seed=2, hup_s=0.2),
+    ],
+    ids=["callers", "connections"],
+)
+def test_drain_on_a_tenth_of_a_core_meets_the_requirements(load: starved.Load) -> None:
+    tally = starved.play(load)
+    broken = tally.broken()
+    broken.pop("late", None)  # how late a starved node answers depends on the machine
+    assert broken == {}, f"{dict(tally)}\n{tally.log}"
+    assert tally["served"] > 0, f"{dict(tally)}\n{tally.log}"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
 """Settings and small steps that the tests share."""
 
 import time
+from collections import Counter
 from collections.abc import Callable, Sequence
 from typing import Any
 
@@ -78,3 +79,8 @@
 ) -> list[Action]:
     """Let one period pass."""
     return controller.handle(now_us, [Tick(0, Gauges(busy, runnable))])
+
+
+def max_count(times: list[float], span_s: float = 0.1) -> int:
+    """Return the largest number of times within one span."""
+    return max(Counter(int(time / span_s) for time in times).values())
--- /dev/null
+++ b/tests/pacing/test_retry_budget.py
@@ -0,0 +1,18 @@
+"""The budget of immediate retries."""
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from reelusher.pacing.retry_budget import RetryBudget
+
+
+@given(st.lists(st.booleans(), max_size=300))
+def test_retry_budget_is_its_maximum_and_what_successes_earn(outcomes: list[bool]) -> None:
+    budget, retries, successes = RetryBudget(3, 0.5), 0, 0
+    for success in outcomes:
+        if success:
+            budget.record_success()
+            successes += 1
+        else:
+            retries += budget.try_acquire()
+    assert retries <= 3 + 0.5 * successes
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -35,8 +35,8 @@
 
 
 def test_the_document_has_every_route_and_no_other() -> None:
+    from core_harness import Backend
     from helpers import settings
-    from test_core import Backend
 
     core = Core(settings(), [], 1, Backend())
     api = AdminApi(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -12,9 +12,9 @@
 
 import parties
 import pytest
+from core_harness import Backend
 from helpers import MUST_CALL, SAFE, settings, soon
 from scenario import platform_config, retuned, standing
-from test_core import Backend
 
 from reelusher.backends.runtime import RuntimeLink, UnacknowledgedCommands
 from reelusher.codecs import ajp13, msgpack
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import pytest
+from core_harness import CoreHarness
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from test_core import CoreHarness
 
 from reelusher.config import ConfigError
 from reelusher.config.operator import parse
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -4,8 +4,8 @@
 from collections import Counter
 
 import pytest
+from core_harness import Backend
 from helpers import KEYED, SAFE, settings
-from test_core import Backend
 
 from reelusher.config.operator import Tenant
 from reelusher.core.clock import Clock
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 import pytest
+from core_harness import Backend
 from helpers import KEYED, SAFE, settings, soon
 from hypothesis import given
 from hypothesis import settings as bounds
 from hypothesis import strategies as st
-from test_core import Backend
 from test_tenant_index import asked, rule, tenant, tenants
 
 from reelusher.codecs import ajp13
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,8 +15,8 @@
 
 import pytest
 import scenario
+from core_harness import Backend
 from helpers import settings
-from test_core import Backend
 
 from reelusher.backends import downstream_client
 from reelusher.backends.runtime import UnacknowledgedCommands
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 import pytest
+from core_harness import Backend
 from helpers import KEYED, SAFE, settings
 from hypothesis import given
 from hypothesis import strategies as st
-from test_core import Backend
 
 from reelusher.config.checked_table import ConfigError
 from reelusher.config.operator import Route, ShareOf, Tenant, over_guaranteed, parse
--- /dev/null
+++ b/tests/upgrade/test_handover.py
@@ -0,0 +1,121 @@
+"""Two real processes, one of which takes over from the other."""
+
+import json
+import os
+import socket
+import subprocess
+import threading
+from pathlib import Path
+from typing import Any
+
+import parties
+from helpers import soon
+from scenario import SETTINGS
+from test_parts import ROOT, deployed
+
+from reelusher.codecs import http1, msgpack
+
+
+class Process:
+    """A process of the node, with a runtime that ends every run at once."""
+
+    def __init__(self, folder: Path, number: int, listen: str, catalog: str) -> None:
+        self.runtime = parties.Runtime({})
+        self.runtime.at_once = True
+        with socket.create_server(("127.0.0.1", 0)) as free:
+            self.operator = free.getsockname()
+        path = folder / f"p{number}.json"
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n3",
+                    "listen": listen,
+                    "seed": f"{number:x}",
+                    "stop_ms": 4000,
+                    "directory": catalog,
+                    "runtime": "{}:{}".format(*self.runtime.address),
+                    "operator": "{}:{}".format(*self.operator),
+                    "limits": {"sockets": 256},
+                    "settings": SETTINGS,
+                }
+            )
+        )
+        self.process = subprocess.Popen(
+            deployed("run"),
+            cwd=ROOT,
+            stderr=subprocess.DEVNULL,
+            env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(folder)},
+        )
+
+    def ready(self) -> bool:
+        try:
+            with socket.create_connection(self.operator, 2) as sock:
+                sock.settimeout(5)
+                sock.sendall(http1.request("GET", "/healthcheck"))
+                return sock.recv(100).startswith(b"HTTP/1.1 200")
+        except OSError:
+            return False
+
+
+def test_callers_lose_nothing_while_one_process_takes_over(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as free:
+        port = free.getsockname()[1]
+    catalog = parties.CatalogParty({})
+    old = Process(tmp_path, 1, f"127.0.0.1:{port}", "{}:{}".format(*catalog.address))
+    new: Process | None = None
+    lost: list[str]
+    answered: list[int]
+    stop, lost, answered = threading.Event(), [], []
+
+    def call(caller: int) -> None:
+        """Ask on new connections and kept ones in turn; a try that can't be sent is made once more."""
+        number, sock, decoder = 0, None, msgpack.Decoder(1 << 14)
+        while not stop.is_set():
+            number += 1
+            try:
+                if sock is None:
+                    sock, decoder = socket.create_connection(("127.0.0.1", port), 5), msgpack.Decoder(1 << 14)
+                    sock.settimeout(10)
+                fields = {"txn": f"{caller:08x}{number:08x}", "lb": str(caller), "ram": "10", "cpu": "1"}
+                sock.sendall(msgpack.pack([0, number, "slot-search", [fields, b"x"]]))
+                got: list[Any] = []
+                while not any(message[0] == 1 for message in got):
+                    data = sock.recv(1 << 12)
+                    if not data:
+                        raise OSError("closed")
+                    got += decoder.feed(data)
+                last = any(message[0] == 2 for message in got)
+                answered.append(caller)
+                if last or number % 3 == 0:
+                    sock.close()
+                    sock = None
+            except OSError as error:
+                lost.append(f"{caller} {number}: {error!r}")
+                sock = None
+
+    threads = [threading.Thread(target=call, args=(caller,), daemon=True) for caller in range(1, 5)]
+    try:
+        assert soon(old.ready)
+        for thread in threads:
+            thread.start()
+        assert soon(lambda: len(answered) > 50)
+        new = Process(tmp_path, 2, f"127.0.0.1:{port}", "{}:{}".format(*catalog.address))
+        assert soon(new.ready)
+        old.process.terminate()
+        assert old.process.wait(10) == 0
+        before = len(answered)
+        assert soon(lambda: len(answered) > before + 50)
+        stop.set()
+        for thread in threads:
+            thread.join(10)
+        assert len(lost) <= 2, lost  # a request that crosses a close, or meets the listener's last instant
+        new.process.terminate()
+        assert new.process.wait(10) == 0
+    finally:
+        stop.set()
+        for one in (old, new):
+            if one is not None:
+                one.process.kill()
+                one.process.wait()
+                one.runtime.close(["listener"])
+        catalog.close(["listener"])
