--- a/tests/core/test_deduplication.py
+++ b/tests/core/test_deduplication.py
@@ -22,4 +22,4 @@
     for _period in range(60):  # the late try has harness the module wary of arrivals for a while
         harness.process(later_us=100_000)
     harness.process(harness.request("c", 2, "k"))
-    assert [said[1] for said in harness.backend.said if said[0] == "start"] == ["a", "c"]
+    assert [command[1] for command in harness.backend.commands if command[0] == "start"] == ["a", "c"]
--- a/tests/core/test_dependency_calls.py
+++ b/tests/core/test_dependency_calls.py
@@ -13,13 +13,13 @@
     harness = CoreHarness()
     harness.process(harness.request("a", 1))
     harness.process(CallRequested("a", 5, b"q"))
-    command, run_id, ticket, until_us, body = harness.backend.said[-1]
+    command, run_id, ticket, until_us, body = harness.backend.commands[-1]
     assert (command, run_id, body) == ("call", "a", b"q")
     harness.process(later_us=until_us - harness.time + 61_000)
-    assert ("cancel", "a", ticket) in harness.backend.said
+    assert ("cancel", "a", ticket) in harness.backend.commands
     harness.process(CallFinished("a", ticket, OK, b"late"))
     assert harness.count("calls.late_reply") == 1
-    assert not any(said[0] == "deliver_reply" for said in harness.backend.said)
+    assert not any(command[0] == "deliver_reply" for command in harness.backend.commands)
 
 
 def test_answered_attempt_cancels_its_call() -> None:
@@ -27,5 +27,5 @@
     harness.process(harness.request("a", 1))
     harness.process(CallRequested("a", 5, b"q"))
     harness.process(CallersDisconnected(("a",)))
-    assert harness.backend.said[-1][0] == "cancel"
+    assert harness.backend.commands[-1][0] == "cancel"
     assert harness.verdicts("a") == []
--- a/tests/core/test_event_loop.py
+++ b/tests/core/test_event_loop.py
@@ -16,7 +16,7 @@
     harness.process(task, harness.request("a"))
     with pytest.raises(ZeroDivisionError):
         task.future.result(0)
-    assert harness.backend.said[-1] == ("start", "a")
+    assert harness.backend.commands[-1] == ("start", "a")
 
 
 def test_fault_in_a_step_is_raised_in_debug_builds_and_ticks_continue() -> None:
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -87,7 +87,7 @@
     harness.process(harness.request("in time"))
     harness.time += 20_000
     harness.process(harness.request("after"))
-    assert ("start", "in time") in harness.backend.said
+    assert ("start", "in time") in harness.backend.commands
     assert harness.verdicts("after") == [Verdict.REJECTED]
     harness.process(DrainRequested(started_us + 3_000_000, started_us - 500_000))
     assert harness.core.requests.stop_us == started_us + 3_000_000
@@ -99,7 +99,7 @@
     harness.process(RunFinished("a", Outcome.NOT_STARTED))
     assert harness.verdicts("a") == [Verdict.REJECTED]
     harness.process(harness.request("b", 2, "k"))
-    assert harness.backend.said[-1] == ("start", "b")
+    assert harness.backend.commands[-1] == ("start", "b")
 
 
 def test_lost_runs_fail_and_are_not_retried() -> None:
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -15,8 +15,6 @@
 from reelusher.policy.events import Outcome
 
 OK, ERROR = Outcome.OK, Outcome.ERROR
-
-
 CLASSES = (SAFE, MUST_CALL, KEYED)
 
 
@@ -24,16 +22,16 @@
     """Runner and dependency that record their commands."""
 
     def __init__(self) -> None:
-        self.said: list[tuple[Any, ...]] = []
+        self.commands: list[tuple[Any, ...]] = []
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        self.said.append(("start", request.run_id))
+        self.commands.append(("start", request.run_id))
 
     def request_gauges(self, cookie: str) -> bool:
         return False
 
     def __getattr__(self, command: str) -> Any:
-        return lambda *arguments: self.said.append((command, *arguments))
+        return lambda *arguments: self.commands.append((command, *arguments))
 
 
 class CoreHarness:
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -380,17 +380,17 @@
     log = KeyLog(disk, lambda: now[0])
     harness = core_with(log)
     harness.process(harness.request("a", 2, "k"), harness.request("b", 2, "other"))
-    assert not [said for said in harness.backend.said if said[0] == "start"]
+    assert not [command for command in harness.backend.commands if command[0] == "start"]
     log.close()
     log.run()  # in place of its thread
     harness.core.process_batch(list(harness.core.next_batch()))  # type: ignore[arg-type]
-    assert {said[1] for said in harness.backend.said if said[0] == "start"} == {"a", "b"}
+    assert {command[1] for command in harness.backend.commands if command[0] == "start"} == {"a", "b"}
     again = core_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # crashed while they run
     again.process(again.request("c", 2, "k"), again.request("d", 2, "new"))
     again.process(later_us=100_000)
     assert again.verdicts("c") == [Verdict.FAILED]
     assert not again.verdicts("d")
-    assert not [said for said in again.backend.said if said[0] == "start"]
+    assert not [command for command in again.backend.commands if command[0] == "start"]
     now[0] += 40_000_000
     assert KeyLog(disk.restart(random.Random(1)), lambda: now[0]).unexpired() == []
 
@@ -404,7 +404,7 @@
     number = next(iter(harness.core.attempts)).id
     harness.process(KeyPersisted(number, succeeded))
     assert len(harness.verdicts("a")) == 1
-    assert not [said for said in harness.backend.said if said[0] == "start"]
+    assert not [command for command in harness.backend.commands if command[0] == "start"]
     assert not succeeded or harness.verdicts("a") == [Verdict.FAILED]
     assert succeeded or harness.verdicts("a") == [Verdict.REJECTED]
     assert len(harness.core.attempts) == 0
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -118,7 +118,9 @@
         return RequestArrived(made)
 
     def end(self) -> RunFinished | None:
-        running = sorted({call for word, call, *_ in self.backend.said if word == "start"} - self.ended)
+        running = sorted(
+            {run_id for command, run_id, *_ in self.backend.commands if command == "start"} - self.ended
+        )
         if not running:
             return None
         call = self.random.choice(running)
@@ -162,7 +164,9 @@
             race.now_us += 100_000
             race.core.process_batch([])
         assert all(len(answers) == 1 for answers in race.answers.values())
-        started = [race.requests[call] for word, call, *_ in race.backend.said if word == "start"]
+        started = [
+            race.requests[run_id] for command, run_id, *_ in race.backend.commands if command == "start"
+        ]
         runs = Counter(
             (request.tenant, request.idempotency_key) for request in started if request.idempotency_key
         )
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -403,7 +403,7 @@
     node.post("c", old)
     node.run_event_loop()
     assert node.verdicts("c") == verdicts
-    assert [name for name, runner in node.runners.items() if ("start", "c") in runner.said] == [
+    assert [name for name, runner in node.runners.items() if ("start", "c") in runner.commands] == [
         runs_on
     ] * bool(runs_on)
 
@@ -421,7 +421,7 @@
     node.finish_run("two")
     assert node.verdicts("two") == node.verdicts("meanwhile") == [Verdict.SERVED]
     started = {
-        name: [call for word, call, *_ in runner.said if word == "start"]
+        name: [run_id for command, run_id, *_ in runner.commands if command == "start"]
         for name, runner in node.runners.items()
     }
     assert started == {"w": ["one", "two"], "v": ["new"]}
@@ -483,7 +483,7 @@
         change(node.source)
         node.post("c", match)
     node.run_event_loop()
-    started = [name for name, runner in node.runners.items() if ("start", "c") in runner.said]
+    started = [name for name, runner in node.runners.items() if ("start", "c") in runner.commands]
     if posted_first:  # it came before the change: it is run as it was read
         assert (node.verdicts("c"), started) == ([], ["w"])
     else:
@@ -522,7 +522,7 @@
     assert node.verdicts("old") == node.verdicts("new") == [Verdict.SERVED]
     assert [record.number for record in node.tenants.lifecycle.records()] == [2]
     assert node.core.requests.runners["a"] is node.runners["v"]
-    assert ("start", "new") in node.runners["v"].said
+    assert ("start", "new") in node.runners["v"].commands
 
 
 def test_idle_tenant_is_evicted_and_found_again_under_its_number(node: SimulatedNode) -> None:
