--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -1,4 +1,4 @@
-"""The replicated table over the administration API of several nodes, each a whole one, on loopback."""
+"""The replicated table over the administration API of several complete nodes on loopback."""
 
 import contextlib
 import http.client
@@ -41,11 +41,11 @@
 CONTROL = ["c1", "c2"]
 C1, C2 = (names_of(stream, 10) for stream in CONTROL)
 ROOT = Path(__file__).parent.parent
-Called = tuple[int, Any, dict[str, str]]  # status, body, headers (names in lower case)
+ApiReply = tuple[int, Any, dict[str, str]]  # status, body, headers (names in lower case)
 
 
 def config(folder: Path, name: str, seeds: list[str], **changes: Any) -> dict[str, Any]:
-    """Return an operator's file of a node that has a copy of the table."""
+    """Return an operator's file of a node with a replica of the table."""
     made = {
         "node": {"name": name},
         "ajp": {"listen": "127.0.0.1:0"},
@@ -58,7 +58,7 @@
     return made | changes
 
 
-def called(place: Address, method: str, path: str, value: Any = None, **headers: str) -> Called:
+def call_api(place: Address, method: str, path: str, value: Any = None, **headers: str) -> ApiReply:
     """Call an administration API."""
     line = http.client.HTTPConnection(*place, timeout=15)
     line.request(
@@ -80,7 +80,7 @@
     )
 
 
-REFUSED = "(refused)"  # no name
+REJECTED = "(rejected)"  # no valid name
 
 
 class Nodes:
@@ -93,9 +93,9 @@
     def start(self, *names: str, without: str = "", **changes: Any) -> None:
         for name in names:
             seeds = ["{}:{}".format(*node.fleet.address) for node in self.all.values() if node.fleet][:1]
-            told = config(self.folder, name, seeds, **changes)
-            told.pop(without, None)
-            node = self.all[name] = Node(merge(None, parse(told)))
+            operator_file = config(self.folder, name, seeds, **changes)
+            operator_file.pop(without, None)
+            node = self.all[name] = Node(merge(None, parse(operator_file)))
             node.start()
         assert soon(
             lambda: all(len(node.fleet.live()) == len(self.all) for node in self.all.values() if node.fleet)
@@ -105,11 +105,11 @@
     def stop(self, name: str) -> None:
         self.all.pop(name).close()
 
-    def call(self, at: str, method: str, path: str, value: Any = None, **headers: str) -> Called:
+    def call(self, at: str, method: str, path: str, value: Any = None, **headers: str) -> ApiReply:
         """Call a node's administration API."""
         admin = self.all[at].admin
         assert admin is not None
-        return called(admin.address, method, path, value, **headers)
+        return call_api(admin.address, method, path, value, **headers)
 
     def table(self, at: str) -> ReplicatedTable:
         admin = self.all[at].admin
@@ -126,41 +126,41 @@
         return self.replication(at).replica
 
     def refusal(self, at: str) -> str:
-        """Return why a control member does not write at present."""
+        """Return why a control member makes no changes at present."""
         own = self.replication(at).writer
         return next(
             (why for stream in own.replica.control if own.holds(stream) and (why := own.refusal(stream))), ""
         )
 
     def positions(self, at: str) -> list[int]:
-        """Return how far a node is in each stream."""
+        """Return the positions of a node in all partitions."""
         return self.replica(at).announce()
 
-    def deaf(self, at: str, deaf: bool = True) -> None:
-        """Have a node pull nothing more, or again."""
+    def stop_pulls(self, at: str, stop: bool = True) -> None:
+        """Stop the pulls of a node, or resume them."""
         replica = self.replica(at)
-        if deaf:
+        if stop:
             replica.next_pull = lambda now: None  # type: ignore[method-assign]
         else:
             del replica.next_pull
 
-    def follows(self, first: str, second: str) -> bool:
-        """Wait until two nodes are equally far."""
+    def catches_up(self, first: str, second: str) -> bool:
+        """Wait until two nodes have the same positions; return whether they do in time."""
         return soon(lambda: self.positions(first) == self.positions(second))
 
-    def owner(self, at: str, host: str) -> str:
-        """Return the name of the tenant that a node serves a host for; empty: none. Or that it refuses."""
+    def tenant_of(self, at: str, host: str) -> str:
+        """Return the name of the tenant that a node serves a host for, an empty string, or `REJECTED`."""
         front = self.all[at].fronts["ajp"]
         assert isinstance(front, AjpFrontend)
         try:
             with front._tenants.pinned_match("GET", host, "/") as found:
                 return found.tenant.name if found is not None and found.admitted else ""
         except TenantUnavailableError:
-            return REFUSED
+            return REJECTED
 
     def serves(self, at: str, name: str) -> bool:
-        """Tell whether a node serves a tenant."""
-        return self.owner(at, f"{name}.example") == name
+        """Return whether a node serves a tenant."""
+        return self.tenant_of(at, f"{name}.example") == name
 
 
 def tenant(name: str, **more: Any) -> dict[str, Any]:
@@ -168,8 +168,8 @@
 
 
 @contextlib.contextmanager
-def standing(folder: Path) -> Iterator[Nodes]:
-    """Have nodes that see early whether they may write, and take them down again."""
+def running_nodes(folder: Path) -> Iterator[Nodes]:
+    """Return nodes that soon know whether they lead, and stop them at the end."""
     made = Nodes(folder)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leadership, "ALONE_S", 0.1)
@@ -181,25 +181,25 @@
 
 @pytest.fixture
 def nodes(tmp_path: Path) -> Iterator[Nodes]:
-    with standing(tmp_path) as made:
+    with running_nodes(tmp_path) as made:
         yield made
 
 
 @pytest.fixture(scope="module")
 def pair(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Nodes]:
     """Two nodes with a tenant of either's that has a guarantee; nothing is to be changed there."""
-    with standing(tmp_path_factory.mktemp("pair")) as made:
+    with running_nodes(tmp_path_factory.mktemp("pair")) as made:
         made.start("c1", "c2")
         for name, part in ((C1[0], 0.1), (C2[1], 0.2)):
             assert made.call("c2", "POST", "/v1/tenants", tenant(name, share={"guarantee": part}))[0] == 201
-        assert made.follows("c2", "c1")
+        assert made.catches_up("c2", "c1")
         yield made
 
 
 # Changes
 
 
-def test_a_change_that_another_node_holds_is_sent_on_and_its_answer_given_back(nodes: Nodes) -> None:
+def test_change_is_forwarded_to_its_leader_and_the_reply_returned(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     status, value, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]))
     assert (status, value["name"], value["state"], headers["etag"]) == (201, C2[0], "active", '"9.1"')
@@ -241,7 +241,7 @@
         (tenant(C2[1]), 409, "name"),
     ],
 )
-def test_a_wrong_row_is_refused_with_its_key_and_numbered_nowhere(
+def test_invalid_tenant_is_rejected_with_its_field_and_gets_no_number(
     pair: Nodes, value: Any, status: int, named: str
 ) -> None:
     before = pair.positions("c1"), pair.positions("c2")
@@ -251,7 +251,7 @@
     assert (pair.positions("c1"), pair.positions("c2")) == before
 
 
-def test_a_dry_run_tells_what_would_change_and_changes_nothing(nodes: Nodes) -> None:
+def test_dry_run_shows_the_change_and_makes_none(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     status, value, _ = nodes.call("c1", "POST", "/v1/tenants?dry_run=true", tenant(C2[0]))
     assert (status, value["before"], value["after"]["name"]) == (200, None, C2[0])
@@ -265,7 +265,7 @@
     assert nodes.call("c2", "GET", path)[2]["etag"] == '"9.1"'
 
 
-def test_a_key_makes_one_tenant_whichever_node_is_called(nodes: Nodes) -> None:
+def test_idempotency_key_creates_one_tenant_through_any_node(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     for at, again in (("c1", None), ("c2", "true"), ("c1", "true")):
         status, value, headers = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
@@ -275,7 +275,7 @@
     for at in ("c1", "c2"):
         answer = nodes.call(at, "POST", "/v1/tenants", tenant(C2[1]), Idempotency_Key="k1")
         assert (answer[0], answer[1]["field"]) == (422, "Idempotency-Key")
-    assert nodes.follows("c2", "c1")  # of another stream: its holder knows once it has a copy
+    assert nodes.catches_up("c2", "c1")  # of another stream: its holder knows once it has a copy
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C1[0]), Idempotency_Key="k1")[0] == 422
     assert nodes.call("c1", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[0] == 200
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")[0] == 201
@@ -284,7 +284,7 @@
 
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
-def test_no_change_is_answered_before_it_is_durable(nodes: Nodes, at: str) -> None:
+def test_change_is_answered_after_it_is_durable(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     replica, durable, asked = nodes.replica("c2"), threading.Event(), threading.Event()
     apply = replica.rows.apply
@@ -296,7 +296,7 @@
         return apply(*arguments, **named)
 
     replica.rows.apply = slow  # type: ignore[method-assign]
-    answers: list[Called] = []
+    answers: list[ApiReply] = []
     caller = threading.Thread(
         target=lambda: answers.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
     )
@@ -311,9 +311,7 @@
 
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
-def test_a_change_that_the_disk_refuses_is_not_made_and_the_next_gets_its_number(
-    nodes: Nodes, at: str
-) -> None:
+def test_change_that_the_disk_rejects_is_not_made_and_the_next_gets_its_number(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     replica = nodes.replica("c2")
     apply, before = replica.rows.apply, nodes.positions("c2")
@@ -331,9 +329,7 @@
 
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
-def test_while_its_copy_can_not_be_read_a_member_answers_so_and_changes_nothing(
-    nodes: Nodes, at: str
-) -> None:
+def test_member_with_an_unreadable_replica_answers_503_and_changes_nothing(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     copy, before = nodes.replication("c2").copy, nodes.positions("c2")
 
@@ -350,7 +346,7 @@
     assert nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))[0] == 201
 
 
-def test_what_is_too_long_to_be_carried_is_refused_at_once(nodes: Nodes) -> None:
+def test_call_too_long_to_forward_is_rejected(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     assert nodes.call("c1", "POST", f"/v1/tenants?x={'y' * 5000}", tenant(C2[0]))[0] == 413
     value = tenant(C2[0], hosts=["\u00e9" * 60_000])
@@ -358,9 +354,7 @@
     assert nodes.positions("c2")[1:] == [8, 0, 9, 0]
 
 
-def test_while_one_change_is_made_another_waits_for_so_long_and_is_then_refused(
-    nodes: Nodes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_change_waits_for_another_up_to_the_time_out(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replicated, "LOCK_TIMEOUT_S", 0.1)
     nodes.start("c1")
     with nodes.table("c1").exclusive():
@@ -373,7 +367,7 @@
 # All nodes
 
 
-def test_a_change_through_any_node_is_in_force_on_all(nodes: Nodes) -> None:
+def test_change_through_any_node_takes_effect_on_all(nodes: Nodes) -> None:
     nodes.start("c1", "c2", "n1")
     for at, name in (("n1", C1[0]), ("c1", C2[0]), ("n1", C2[1])):
         assert nodes.call(at, "POST", "/v1/tenants", tenant(name))[0] == 201
@@ -391,12 +385,12 @@
     usage = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}/usage")[1]
     assert (usage["name"], usage["state"], usage["in_hand"]) == (C2[0], "suspended", 0)
     assert nodes.call("n1", "GET", f"/v1/tenants/{C1[0]}/usage")[0] == 404
-    told = nodes.call("n1", "GET", "/v1/audit?limit=1000")[1]["changes"]
-    assert sorted(one["change"] for one in told) == ["put", "put", "put", "remove", "state"]
+    changes = nodes.call("n1", "GET", "/v1/audit?limit=1000")[1]["changes"]
+    assert sorted(one["change"] for one in changes) == ["put", "put", "put", "remove", "state"]
 
 
 @pytest.mark.parametrize("winner_first", [True, False])
-def test_a_host_that_two_tenants_take_through_two_writers_is_the_same_ones_on_all(
+def test_host_named_by_tenants_of_two_leaders_belongs_to_the_same_one_on_all_nodes(
     nodes: Nodes, winner_first: bool
 ) -> None:
     nodes.start("c1", "c2", "n1")
@@ -404,23 +398,23 @@
     for name in (won, lost) if winner_first else (lost, won):
         status, value, _ = nodes.call("n1", "POST", "/v1/tenants", tenant(name, hosts=["same.example"]))
         assert status == 201
-        assert nodes.follows("c1", "c2")
-        assert nodes.follows("c1", "n1")
+        assert nodes.catches_up("c1", "c2")
+        assert nodes.catches_up("c1", "n1")
     word, other = ("shadowed", won) if winner_first else ("shadows", lost)
     assert value[word] == [{"host": "same.example", "tenant": other}]
     for at in nodes.all:
-        assert soon(lambda: nodes.owner(at, "same.example") == won)  # noqa: B023
+        assert soon(lambda: nodes.tenant_of(at, "same.example") == won)  # noqa: B023
         assert nodes.call(at, "GET", f"/v1/tenants/{lost}")[1]["shadowed"] == [
             {"host": "same.example", "tenant": won}
         ]
     value = nodes.call("n1", "PATCH", f"/v1/tenants/{won}?dry_run=true", {"hosts": ["other.example"]})[1]
     assert "shadows" not in value["after"]
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{won}", {"hosts": ["other.example"]})[0] == 200
-    assert soon(lambda: all(nodes.owner(at, "same.example") == lost for at in nodes.all))
+    assert soon(lambda: all(nodes.tenant_of(at, "same.example") == lost for at in nodes.all))
     assert any(node.counters.snapshot().get("replication.shadowed") for node in nodes.all.values())
 
 
-def test_a_call_may_wait_until_others_have_its_change(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_call_can_wait_for_copies_of_its_change(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (fleet_client, replicated_api):
         monkeypatch.setattr(module, "COPIES_TIMEOUT_S", 0.7)
     nodes.start("c1", "c2", "n1")
@@ -428,7 +422,7 @@
     for at, name in (("c1", C2[0]), ("c2", C2[1])):
         assert nodes.call(at, "POST", "/v1/tenants?copies=2", tenant(name))[0] == 201
         assert len({tuple(nodes.positions(node)) for node in nodes.all}) == 1
-    nodes.deaf("n1")
+    nodes.stop_pulls("n1")
     for at, name in (("c1", C2[2]), ("c2", C2[3])):
         assert nodes.call(at, "POST", "/v1/tenants?copies=1", tenant(name))[0] == 201
         path = f"/v1/tenants/{name}?copies=2"
@@ -438,16 +432,16 @@
     assert nodes.call("c1", "DELETE", f"/v1/tenants/{C2[0]}?copies=1")[0] == 204
 
 
-def test_where_changes_stand_is_told(nodes: Nodes) -> None:
+def test_progress_of_partitions_is_reported(nodes: Nodes) -> None:
     nodes.start("c1", "c2", "n1")
     for name in (C1[0], C2[0], C2[1]):
         value = tenant(name, share={"guarantee": 0.1})
         assert nodes.call("n1", "POST", "/v1/tenants?copies=2", value)[0] == 201
-    told = nodes.call("n1", "GET", "/v1/fleet/changes")[1]
-    assert (told["own"], told["control"], told["tenants"]) == ("n1", CONTROL, 3)
-    assert told["guaranteed"] == pytest.approx(0.3)
-    assert told["orphans"] == []
-    assert [(one["stream"], one["holder"], one["position"]) for one in told["streams"]] == [
+    answer = nodes.call("n1", "GET", "/v1/fleet/changes")[1]
+    assert (answer["own"], answer["control"], answer["tenants"]) == ("n1", CONTROL, 3)
+    assert answer["guaranteed"] == pytest.approx(0.3)
+    assert answer["orphans"] == []
+    assert [(one["stream"], one["holder"], one["position"]) for one in answer["streams"]] == [
         ("c1", "c1", "8.1"),
         ("c2", "c2", "9.2"),
     ]
@@ -462,7 +456,7 @@
         ]
 
     assert soon(lambda: counted() == [(2, 2, "8.1"), (2, 2, "9.2")])
-    nodes.deaf("n1")
+    nodes.stop_pulls("n1")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=1", tenant(C1[1]))[0] == 201
     assert counted()[0] == (1, 2, "8.1")
     slowest = nodes.call("c2", "GET", "/v1/fleet/changes")[1]["streams"][0]["counted"]["slowest"]
@@ -471,32 +465,32 @@
     assert counted()[1] is None  # nobody counts
 
 
-def test_a_row_that_a_node_can_not_serve_is_kept_told_and_served_by_others(nodes: Nodes) -> None:
+def test_unreadable_row_is_stored_reported_and_served_by_other_nodes(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     nodes.start("n1", workers=[{"name": "w1"}])
     assert nodes.call("n1", "POST", "/v1/tenants", tenant(C2[0], backend="w2"))[0] == 201
     assert soon(lambda: nodes.serves("c1", C2[0]))
-    assert nodes.follows("n1", "c2")
-    told = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}")[1]
-    assert "backend" in told["unreadable"]
-    assert nodes.owner("n1", f"{C2[0]}.example") == REFUSED
-    told = nodes.call("n1", "GET", "/v1/fleet/changes")[1]["unreadable"]
-    assert told["count"] == 1
-    assert told["tenants"][0]["name"] == C2[0]
+    assert nodes.catches_up("n1", "c2")
+    answer = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}")[1]
+    assert "backend" in answer["unreadable"]
+    assert nodes.tenant_of("n1", f"{C2[0]}.example") == REJECTED
+    answer = nodes.call("n1", "GET", "/v1/fleet/changes")[1]["unreadable"]
+    assert answer["count"] == 1
+    assert answer["tenants"][0]["name"] == C2[0]
     assert nodes.call("c1", "GET", "/v1/fleet/changes")[1]["unreadable"]["count"] == 0
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{C2[0]}", {"backend": "w1"})[0] == 200
     assert soon(lambda: nodes.serves("n1", C2[0]))
 
 
-# Take-overs
+# Changes of leader
 
 
-def test_a_stream_whose_writer_is_lost_is_taken_over_by_order_and_what_is_lost_told(nodes: Nodes) -> None:
+def test_operator_changes_the_leader_of_a_partition_and_sees_what_is_lost(nodes: Nodes) -> None:
     nodes.start("c1", "c2", "n1")
     for name in C2[:2]:
         assert nodes.call("c2", "POST", "/v1/tenants?copies=2", tenant(name))[0] == 201
     for at in ("c1", "n1"):
-        nodes.deaf(at)
+        nodes.stop_pulls(at)
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # that nobody else has
     path = "/v1/fleet/take-over/c2"
     assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # it asks the holder
@@ -517,24 +511,24 @@
     status, value, _ = nodes.call("c1", "POST", path + "?force=true")
     assert (status, value["begins"], value["lost"]) == (200, "16.2", 1)
     for at in ("c1", "n1"):
-        nodes.deaf(at, False)
+        nodes.stop_pulls(at, False)
     assert soon(lambda: nodes.table("n1").holder("c2") == "c1")
     status, _, headers = nodes.call("n1", "POST", "/v1/tenants?copies=1", tenant(C2[3]))
     assert (status, headers["etag"]) == (201, '"16.3"')
     nodes.start("c2")
-    assert nodes.follows("c2", "c1")
+    assert nodes.catches_up("c2", "c1")
     assert not nodes.serves("c2", C2[2])
     assert soon(lambda: nodes.serves("c2", C2[3]))
-    told = nodes.call("c2", "GET", "/v1/fleet/changes")[1]
-    assert [(one["tenant"], one["version"]) for one in told["orphans"]] == [(C2[2], "9.3")]
+    answer = nodes.call("c2", "GET", "/v1/fleet/changes")[1]
+    assert [(one["tenant"], one["version"]) for one in answer["orphans"]] == [(C2[2], "9.3")]
     assert nodes.call("c2", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[2]["etag"] == '"16.4"'
-    assert nodes.follows("c2", "c1")
-    nodes.deaf("c2")  # back to where it was, and not without what its holder has just made
+    assert nodes.catches_up("c2", "c1")
+    nodes.stop_pulls("c2")  # back to where it was, and not without what its holder has just made
     nodes.call("c1", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 8})
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["heard_of"], value["lost"]) == (503, "16.5", 1)
-    nodes.deaf("c2", False)
-    assert nodes.follows("c2", "c1")
+    nodes.stop_pulls("c2", False)
+    assert nodes.catches_up("c2", "c1")
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["holder"], value["holder_lives"], value["begins"]) == (200, "c1", True, "25.5")
     assert soon(lambda: nodes.table("c1").holder("c2") == "c2")
@@ -543,16 +537,16 @@
 # Nodes of another kind
 
 
-def test_a_control_member_needs_no_administration_api_of_its_own(nodes: Nodes) -> None:
+def test_control_member_works_without_an_administration_api(nodes: Nodes) -> None:
     nodes.start("c1")
     nodes.start("c2", without="admin")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=1", tenant(C2[0]))[0] == 201
     assert soon(lambda: nodes.serves("c1", C2[0]) and nodes.serves("c2", C2[0]))
 
 
-def test_without_a_fleet_a_node_is_the_one_that_writes(nodes: Nodes) -> None:
-    told = {"replication": {"copy": str(nodes.folder / "c1.db"), "control": ["c1"]}}
-    nodes.start("c1", without="fleet", **told)
+def test_node_without_a_fleet_leads_its_partition(nodes: Nodes) -> None:
+    operator_file = {"replication": {"copy": str(nodes.folder / "c1.db"), "control": ["c1"]}}
+    nodes.start("c1", without="fleet", **operator_file)
     for name in (C1[0], C2[0]):
         assert nodes.call("c1", "POST", "/v1/tenants", tenant(name))[0] == 201
         assert soon(lambda: nodes.serves("c1", name))  # noqa: B023
@@ -560,17 +554,17 @@
     changes = nodes.call("c1", "GET", "/v1/fleet/changes")[1]
     assert [(one["stream"], one["position"]) for one in changes["streams"]] == [("c1", "8.2")]
     nodes.stop("c1")
-    nodes.start("c1", without="fleet", **told)
+    nodes.start("c1", without="fleet", **operator_file)
     assert nodes.serves("c1", C2[0])
     assert nodes.call("c1", "DELETE", f"/v1/tenants/{C2[0]}")[0] == 204
 
 
-def test_while_a_copy_is_filled_a_host_that_is_not_found_is_no_404(nodes: Nodes) -> None:
+def test_unknown_host_is_unavailable_while_the_replica_is_bootstrapped(nodes: Nodes) -> None:
     nodes.start("c1")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))[0] == 201
     front = nodes.all["c1"].fronts["ajp"]
     assert isinstance(front, AjpFrontend)
-    assert nodes.owner("c1", "nobody.example") == ""
+    assert nodes.tenant_of("c1", "nobody.example") == ""
     assert isinstance(front._tenants, CachedTenantRegistry)
     front._tenants.is_bootstrapping = lambda: True
     assert nodes.serves("c1", C1[0])
@@ -578,7 +572,7 @@
         pass
 
 
-def test_a_copy_of_another_fleet_is_not_opened(nodes: Nodes) -> None:
+def test_replica_of_another_fleet_is_not_opened(nodes: Nodes) -> None:
     nodes.start("c1")
     nodes.stop("c1")
     with pytest.raises(ConfigError, match=r"^replication\.copy: .*fleet"):
@@ -604,7 +598,7 @@
 # Members that are away
 
 
-def test_while_its_holder_is_away_a_change_is_refused_and_all_else_answered(nodes: Nodes) -> None:
+def test_changes_are_rejected_while_their_leader_is_away_and_reads_answered(nodes: Nodes) -> None:
     nodes.start("c1")
     status, value, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]))
     assert status == 503
@@ -622,7 +616,7 @@
     assert "retry-after" in headers
 
 
-def test_a_change_whose_answer_is_lost_may_have_been_made_and_that_is_told(
+def test_change_whose_reply_is_lost_is_answered_504_and_can_be_retried(
     nodes: Nodes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     nodes.start("c1", "c2")
@@ -643,7 +637,7 @@
     assert (status, headers["idempotent-replayed"]) == (201, "true")
 
 
-def test_a_member_that_does_not_hold_a_stream_makes_no_change_that_is_carried_to_it(nodes: Nodes) -> None:
+def test_member_rejects_forwarded_changes_of_partitions_it_does_not_lead(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
     fleet = nodes.all["c1"].fleet
     assert fleet is not None
@@ -659,10 +653,10 @@
 
 
 @contextlib.contextmanager
-def process(folder: Path, told: dict[str, Any]) -> Iterator["subprocess.Popen[bytes]"]:
+def process(folder: Path, operator_file: dict[str, Any]) -> Iterator["subprocess.Popen[bytes]"]:
     """Run the program with an operator's file only."""
     path = folder / "operator.toml"
-    path.write_text(tomli_w.dumps(told))
+    path.write_text(tomli_w.dumps(operator_file))
     with (folder / "log").open("wb") as out:
         made = subprocess.Popen(
             [sys.executable, "-O", "-m", "reelusher"],
@@ -677,14 +671,14 @@
         made.wait()
 
 
-def free_places(count: int) -> list[tuple[str, int]]:
+def free_addresses(count: int) -> list[tuple[str, int]]:
     with contextlib.ExitStack() as held:
         return [
             held.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(count)
         ]
 
 
-def test_alone_with_all_others_and_all_writers_away_a_node_starts_and_serves_from_its_copy(
+def test_node_starts_and_serves_from_its_replica_while_all_others_are_away(
     tmp_path: Path,
 ) -> None:
     copy = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
@@ -695,11 +689,11 @@
             stream_of(name, CONTROL), stream_of(name, CONTROL), LogEntry(0, name, number, "x", "active", data)
         )
     copy.close()
-    ajp, admin, away = ("{}:{}".format(*place) for place in free_places(3))
+    ajp, admin, away = ("{}:{}".format(*place) for place in free_addresses(3))
     (tmp_path / "secret").write_text("a secret of sixteen or more")
     world: dict[str, Any] = {"names": {}}
     worker = parties.Container(world)
-    told = config(
+    operator_file = config(
         tmp_path,
         "n1",
         [away],
@@ -707,7 +701,7 @@
         admin={"listen": admin, "token": TOKEN},
         workers=[{"name": "w1", "port": worker.address[1]}],
     )
-    with process(tmp_path, told) as made:
+    with process(tmp_path, operator_file) as made:
         world["places"] = {"ajp": address_of(ajp, "ajp")}
         web = parties.Web(world)
 
@@ -726,7 +720,7 @@
             web.expect(["200", "monday"])
         web.send(["GET", "/days", "host=nobody.example"])
         web.expect(["404"])
-        status, value, headers = called(address_of(admin, "admin"), "DELETE", f"/v1/tenants/{C1[0]}")
+        status, value, headers = call_api(address_of(admin, "admin"), "DELETE", f"/v1/tenants/{C1[0]}")
         assert status == 503
         assert "c1" in value["error"]
         assert "retry-after" in headers
@@ -739,19 +733,19 @@
     kept.close()
 
 
-def test_a_writer_that_is_killed_has_lost_nothing_that_it_acknowledged(tmp_path: Path) -> None:
-    (admin,) = free_places(1)
-    told = config(
+def test_acknowledged_changes_survive_a_killed_leader(tmp_path: Path) -> None:
+    (admin,) = free_addresses(1)
+    operator_file = config(
         tmp_path,
         "c1",
         [],
         admin={"listen": "{}:{}".format(*admin), "token": TOKEN},
         replication={"copy": str(tmp_path / "c1.db"), "control": ["c1"]},
     )
-    del told["fleet"]
+    del operator_file["fleet"]
     tags: dict[str, str] = {}
     for round_ in range(2):
-        with process(tmp_path, told) as made, contextlib.ExitStack() as stack:
+        with process(tmp_path, operator_file) as made, contextlib.ExitStack() as stack:
             assert soon(lambda: reachable(admin)), (tmp_path / "log").read_text()
             killer = threading.Timer(0.3 + 0.2 * round_, made.kill)
             killer.start()
@@ -759,7 +753,7 @@
             with contextlib.suppress(OSError, http.client.HTTPException):
                 while True:
                     name = f"r{round_}-{len(tags)}"
-                    status, _, headers = called(admin, "POST", "/v1/tenants", tenant(name))
+                    status, _, headers = call_api(admin, "POST", "/v1/tenants", tenant(name))
                     assert status == 201
                     tags[name] = headers["etag"]
         copy = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
@@ -778,7 +772,7 @@
     return False
 
 
-def test_a_copy_takes_no_more_descriptors_than_are_counted_for_it(tmp_path: Path) -> None:
+def test_replica_uses_no_more_descriptors_than_are_budgeted(tmp_path: Path) -> None:
     def held() -> int:
         return sum(str(tmp_path) in os.path.realpath(path) for path in Path("/proc/self/fd").iterdir())
 
@@ -809,14 +803,14 @@
 
 
 @pytest.mark.parametrize("where", ["on the platform", "without [replication]", "with [replication]"])
-def test_nothing_of_the_table_is_loaded_where_it_is_not_asked_for(tmp_path: Path, where: str) -> None:
-    own, told = tmp_path / "operator.toml", tmp_path / "config.json"
+def test_modules_of_the_replicated_table_are_loaded_only_where_configured(tmp_path: Path, where: str) -> None:
+    own, platform_file = tmp_path / "operator.toml", tmp_path / "config.json"
     (tmp_path / "secret").write_text("a secret of sixteen or more")
     value = config(tmp_path, "c1", [])
     if where == "without [replication]":
         del value["replication"]
     own.write_text(tomli_w.dumps(value))
-    told.write_text(
+    platform_file.write_text(
         json.dumps(
             {
                 "name": "n1",
@@ -827,7 +821,11 @@
             }
         )
     )
-    names = {"PROXY_CONFIG": str(told)} if where == "on the platform" else {"REELUSHER_OPERATOR": str(own)}
+    names = (
+        {"PROXY_CONFIG": str(platform_file)}
+        if where == "on the platform"
+        else {"REELUSHER_OPERATOR": str(own)}
+    )
     done = subprocess.run(
         [sys.executable, "-c", LOADS],
         cwd=ROOT,
