--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -174,16 +174,19 @@
             raise ConfigError(tenant.name, f"at most {MOST_TENANT} bytes of JSON are wanted, not {size}")
         return tenant
 
-    def with_overlaps(self, kept: ReplicatedTenant) -> ReplicatedTenant:
+    def with_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
         """Return a tenant with its overlaps with others."""
-        lost: list[Overlap] = []
-        won: list[Overlap] = []
-        own, prefix = str(kept.tenant["name"]), str(kept.tenant.get("prefix", "/"))
-        for host in kept.tenant.get("hosts") or [""]:
+        shadowed_by: list[Overlap] = []
+        shadows: list[Overlap] = []
+        own, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
+        for host in version.tenant.get("hosts") or [""]:
             for other in self.copy.sharing(str(host), prefix)[:MAX_OVERLAPS]:
                 if other != own:
-                    (lost if other < own else won).append(Overlap(str(host) or "*", other))
-        return replace(kept, shadowed_by=tuple(lost[:MAX_OVERLAPS]), shadows=tuple(won[:MAX_OVERLAPS]))
+                    overlaps = shadowed_by if other < own else shadows
+                    overlaps.append(Overlap(str(host) or "*", other))
+        return replace(
+            version, shadowed_by=tuple(shadowed_by[:MAX_OVERLAPS]), shadows=tuple(shadows[:MAX_OVERLAPS])
+        )
 
     # Changes, by the leader only
 
@@ -215,7 +218,7 @@
         elif before is not None:
             tenant = before.tenant
         data = b"" if tenant is None else msgspec.json.encode(tenant)
-        made = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
+        after = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
         wanted = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
         try:
             entry = self.replication.writer.accept(self.stream_of(name), wanted)
@@ -223,10 +226,10 @@
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
             raise JournalError(str(error)) from None
-        if made is None:
+        if after is None:
             return None
-        self._log_overlaps(made)
-        return replace(made, version=f"{entry.epoch}.{entry.number}")
+        self._log_overlaps(after)
+        return replace(after, version=f"{entry.epoch}.{entry.number}")
 
     def report_overlaps(self, names: Sequence[str]) -> None:
         """Log overlaps of changed rows of other leaders with rows of partitions that this node leads.
@@ -239,27 +242,31 @@
             if self.holder(self.stream_of(name)) == self.own_name:
                 continue  # logged when the change was made
             with suppress(ReplicaError):
-                kept = self.get(name)
-                made = self.with_overlaps(kept) if kept is not None else None
-                if made is not None:
-                    self._log_overlaps(
-                        replace(
-                            made, shadowed_by=self._own(made.shadowed_by), shadows=self._own(made.shadows)
-                        )
-                    )
+                version = self.get(name)
+                if version is not None:
+                    self._log_overlaps(self._with_own_overlaps(version))
+
+    def _with_own_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
+        """Return a tenant with its overlaps with those of partitions that this node leads."""
+        version = self.with_overlaps(version)
+        return replace(
+            version, shadowed_by=self._own(version.shadowed_by), shadows=self._own(version.shadows)
+        )
 
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
         return tuple(one for one in overlaps if self.holder(self.stream_of(one.tenant)) == self.own_name)
 
-    def _log_overlaps(self, made: ReplicatedTenant) -> None:
-        name = str(made.tenant["name"])
-        for winner, loser, host in (
-            *((one.tenant, name, one.host) for one in made.shadowed_by),
-            *((name, one.tenant, one.host) for one in made.shadows),
-        ):
-            self._counters.warn(
-                "replication.shadowed", "replication: {} gets what {} names too: {}", winner, loser, host
-            )
+    def _log_overlaps(self, version: ReplicatedTenant) -> None:
+        name = str(version.tenant["name"])
+        for overlap in version.shadowed_by:
+            self._log_overlap(overlap.tenant, name, overlap.host)
+        for overlap in version.shadows:
+            self._log_overlap(name, overlap.tenant, overlap.host)
+
+    def _log_overlap(self, winner: str, loser: str, host: str) -> None:
+        self._counters.warn(
+            "replication.shadowed", "replication: {} gets requests that {} names too: {}", winner, loser, host
+        )
 
     def take_over(self, stream: str, force: bool) -> Position:
         """Start a term of a partition with this member as its leader.
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -56,11 +56,11 @@
     lifecycle = Lifecycle()
     assert lifecycle.set_state("a", TenantState.ACTIVE) is None
     assert lifecycle.remove("a", 0) is None
-    entry, _ = lifecycle.put(tenant("a"))
+    record, _ = lifecycle.put(tenant("a"))
     suspended = lifecycle.set_state("a", TenantState.SUSPENDED)
     assert suspended
-    assert suspended.number == entry.number
-    assert not lifecycle.admits(entry.number)
+    assert suspended.number == record.number
+    assert not lifecycle.admits(record.number)
     assert lifecycle.put(tenant("a"))[0].state is TenantState.SUSPENDED  # replacing it does not resume it
     lifecycle.remove("a", 0)
     for order in (lambda: lifecycle.put(tenant("a")), lambda: lifecycle.set_state("a", TenantState.ACTIVE)):
@@ -102,20 +102,20 @@
         name, number = (
             (match.tenant.name, match.number) if match else ("a", 1)
         )  # one read before the tenant was removed
-        call, kind = f"c{len(self.requests)}", self.random.randrange(2)
+        call, class_index = f"c{len(self.requests)}", self.random.randrange(2)
         self.answers[call] = []
-        made = self.requests[call] = IncomingRequest(
+        request = self.requests[call] = IncomingRequest(
             call,
-            kind,
+            class_index,
             b"x",
             self.now_us,
             self.answers[call].append,
             name,
             number,
             held_kb=20.0,
-            idempotency_key=f"k{self.random.randrange(6)}" if kind else "",
+            idempotency_key=f"k{self.random.randrange(6)}" if class_index else "",
         )
-        return RequestArrived(made)
+        return RequestArrived(request)
 
     def end(self) -> RunFinished | None:
         running = sorted({call for word, call, *_ in self.backend.said if word == "start"} - self.ended)
@@ -153,7 +153,7 @@
             race.step()
             for call, answers in race.answers.items():
                 assert len(answers) <= 1
-                alive = {entry.number for entry in race.tenants.records()}
+                alive = {record.number for record in race.tenants.records()}
                 if race.requests[call].tenant_number not in alive:
                     assert answers, "a tenant was removed, and a request of it has no answer"
         while (over := race.end()) is not None:
@@ -181,7 +181,7 @@
                 race.requests[call].class_index,
                 race.requests[call].idempotency_key,
             )
-        live = {entry.number for entry in race.tenants.records()} | {0}
+        live = {record.number for record in race.tenants.records()} | {0}
         race.now_us += 2 * WINDOW_US  # past the window of every key
         for _ in range(2):
             race.now_us += 100_000
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -188,13 +188,13 @@
             self.run_event_loop()  # nobody waits until the event loop has learnt of a tenant that was put
         return found
 
-    def post(self, call: str, match: Match, kind: int = 0, key: str = "") -> None:
+    def post(self, call: str, match: Match, class_index: int = 0, key: str = "") -> None:
         self.answers[call] = []
         self.core.post(
             RequestArrived(
                 IncomingRequest(
                     call,
-                    kind,
+                    class_index,
                     b"x",
                     self.now_us,
                     self.answers[call].append,
@@ -206,13 +206,13 @@
             )
         )
 
-    def send_request(self, call: str, host: str = "h", kind: int = 0, key: str = "") -> None:
+    def send_request(self, call: str, host: str = "h", class_index: int = 0, key: str = "") -> None:
         """Post a request as a front end does."""
 
         def hand_over() -> None:
             with self.tenants.pinned_match("GET", host, "/x") as match:
                 assert match
-                self.post(call, match, kind, key)
+                self.post(call, match, class_index, key)
 
         self.wait_for(self.run_in_thread(hand_over))
         self.run_event_loop()
@@ -230,11 +230,11 @@
 
 @pytest.fixture
 def node() -> Any:
-    made = SimulatedNode()
-    yield made
-    made.source.held.set()
-    made.tenants.close()
-    made.pool.shutdown()
+    simulated = SimulatedNode()
+    yield simulated
+    simulated.source.held.set()
+    simulated.tenants.close()
+    simulated.pool.shutdown()
 
 
 def read_and_held(node: SimulatedNode) -> "tuple[Future[Any], Callable[[], None]]":
@@ -410,13 +410,13 @@
 
 def test_tenant_changing_backend_keeps_its_runs_and_retries_find_their_results(node: SimulatedNode) -> None:
     node.source.put(make_tenant("a"))
-    node.send_request("one", kind=1, key="k")
-    node.send_request("two", kind=1, key="l")
+    node.send_request("one", class_index=1, key="k")
+    node.send_request("two", class_index=1, key="l")
     node.finish_run("one")
     node.source.put(make_tenant("a", backend="v"))
     node.send_request("new")
-    node.send_request("again", kind=1, key="k")  # of one that is over
-    node.send_request("meanwhile", kind=1, key="l")  # of one that runs
+    node.send_request("again", class_index=1, key="k")  # of one that is over
+    node.send_request("meanwhile", class_index=1, key="l")  # of one that runs
     assert node.verdicts("one") == node.verdicts("again") == [Verdict.SERVED]
     node.finish_run("two")
     assert node.verdicts("two") == node.verdicts("meanwhile") == [Verdict.SERVED]
@@ -514,7 +514,7 @@
     node.source.remove("a", notify=False)
     node.source.put(make_tenant("a", backend="v"))
     node.send_request("new")
-    numbers = {entry.number: entry.state for entry in node.tenants.lifecycle.records()}
+    numbers = {record.number: record.state for record in node.tenants.lifecycle.records()}
     assert numbers == {1: TenantState.DRAINING, 2: TenantState.ACTIVE}
     node.finish_run("old")
     node.finish_run("new")
@@ -762,13 +762,13 @@
     node.tenants.check(make_tenant("b", "b", share=ShareOf(guarantee=0.4)))
     with pytest.raises(Exception, match=r"share.guarantee"):
         node.tenants.check(make_tenant("c", "c", share=ShareOf(guarantee=0.2)))
-    assert [entry.tenant.name for entry in node.tenants.page("", 1)[0]] == ["a"]
+    assert [record.tenant.name for record in node.tenants.page("", 1)[0]] == ["a"]
     assert node.tenants.page("", 1)[1] == "a"
     assert node.tenants.page("a", 1)[1] == ""
-    entry = node.tenants.record("a")
-    assert entry
+    record = node.tenants.record("a")
+    assert record
     assert len(node.cache) == 0
-    used = node.tenants.usage(entry)
+    used = node.tenants.usage(record)
     assert (used["name"], used["in_hand"], used["state"]) == ("a", 0, "active")
     assert not node.fair_queue.flows
     known = ("safe",), frozenset({"w"})
@@ -812,8 +812,8 @@
     assert fair_queue.evict(1, quiet_us)
 
 
-def replace_id(made: Request, number: int) -> Request:
-    return request(number, made.tenant)
+def replace_id(template: Request, number: int) -> Request:
+    return request(number, template.tenant)
 
 
 def test_virtual_time_advances_while_nothing_is_held() -> None:
@@ -866,9 +866,9 @@
     node_settings, rows, runner = settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
-    made = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
+    registry = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
     listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
-    front = AjpFrontend(core, listens, made)
+    front = AjpFrontend(core, listens, registry)
     rows.put(make_tenant("a"))
     rows.put(make_tenant("b", "i"))
     core.start()
@@ -894,7 +894,7 @@
             rows.held.set()
             assert status("i") == 200
         assert not front._in_hand
-        assert all(not cached.pins for cached in made.cache._tenants.values())
+        assert all(not cached.pins for cached in registry.cache._tenants.values())
         counted = core.counters.snapshot()
         assert [counted[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
             1,
@@ -905,4 +905,4 @@
         rows.held.set()
         front.close()
         core.stop()
-        made.close()
+        registry.close()
--- a/tests/test_tenant_index.py
+++ b/tests/test_tenant_index.py
@@ -46,14 +46,14 @@
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
-def expected_match(entries: list[TenantRecord], method: str, host: str, path: str) -> Match | None:
+def expected_match(records: list[TenantRecord], method: str, host: str, path: str) -> Match | None:
     host = host.lower()
-    for entry in sorted(
-        entries, key=lambda entry: (not entry.tenant.hosts, -len(entry.tenant.prefix), entry.tenant.name)
+    for record in sorted(
+        records, key=lambda record: (not record.tenant.hosts, -len(record.tenant.prefix), record.tenant.name)
     ):
-        one = entry.tenant
+        one = record.tenant
         if (not one.hosts or host in one.hosts) and lies_under(path, one.prefix):
-            kind = next(
+            class_name = next(
                 (
                     route.class_name
                     for route in one.routes
@@ -61,20 +61,20 @@
                 ),
                 one.default_class,
             )
-            return Match(one, entry.number, kind, entry.state is TenantState.ACTIVE)
+            return Match(one, record.number, class_name, record.state is TenantState.ACTIVE)
     return None
 
 
-def index_match(made: TenantIndex, method: str, host: str, path: str) -> Match | None:
-    leaf = made.find(host.lower(), path)
+def index_match(tenant_index: TenantIndex, method: str, host: str, path: str) -> Match | None:
+    indexed = tenant_index.find(host.lower(), path)
     return (
         None
-        if leaf is None
+        if indexed is None
         else Match(
-            leaf.record.tenant,
-            leaf.record.number,
-            leaf.class_of(method, path),
-            leaf.record.state is TenantState.ACTIVE,
+            indexed.record.tenant,
+            indexed.record.number,
+            indexed.class_of(method, path),
+            indexed.record.state is TenantState.ACTIVE,
         )
     )
 
@@ -105,37 +105,37 @@
 def test_index_resolves_as_a_linear_scan_after_any_changes(
     steps: list[tuple[str, Tenant]], requests: list[tuple[str, str, str]]
 ) -> None:
-    made, lifecycle = TenantIndex(), Lifecycle()
+    tenant_index, lifecycle = TenantIndex(), Lifecycle()
     for what, one in steps:
         known = lifecycle.get(one.name)
         if what == "put" and (known is None or known.state is not TenantState.DRAINING):
-            made.put(lifecycle.put(one)[0])
+            tenant_index.put(lifecycle.put(one)[0])
         elif known is not None and what == "remove":
             lifecycle.remove(one.name, 0, 0)
             for gone in lifecycle.remove_drained(0, lambda number: 0):
-                made.remove(gone.record.tenant.name)
+                tenant_index.remove(gone.record.tenant.name)
         elif known is not None and what == "drain":
-            entry = lifecycle.remove(one.name, 0)
-            assert entry
-            made.put(entry)
+            record = lifecycle.remove(one.name, 0)
+            assert record
+            tenant_index.put(record)
         elif known is not None and what != "put" and known.state is not TenantState.DRAINING:
-            entry = lifecycle.set_state(
+            record = lifecycle.set_state(
                 one.name, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
             )
-            assert entry
-            made.put(entry)
+            assert record
+            tenant_index.put(record)
         for request in requests:
-            assert index_match(made, *request) == expected_match(list(lifecycle), *request)
-    entries = sorted(lifecycle, key=lambda entry: entry.tenant.name)
-    assert sorted(made.records(), key=lambda entry: entry.tenant.name) == entries
-    assert len(made) == len(entries)
-    page, last = made.page("t1", 3)
-    later = [entry for entry in entries if entry.tenant.name > "t1"]
+            assert index_match(tenant_index, *request) == expected_match(list(lifecycle), *request)
+    records = sorted(lifecycle, key=lambda record: record.tenant.name)
+    assert sorted(tenant_index.records(), key=lambda record: record.tenant.name) == records
+    assert len(tenant_index) == len(records)
+    page, last = tenant_index.page("t1", 3)
+    later = [record for record in records if record.tenant.name > "t1"]
     assert page == later[:3]
     assert last == (later[2].tenant.name if len(later) > 3 else "")
     for _, one in steps:
-        others = [entry.tenant for entry in entries if entry.tenant.name != one.name]
-        assert made.guarantee_fits(one) is not over_guaranteed([*others, one])
+        others = [record.tenant for record in records if record.tenant.name != one.name]
+        assert tenant_index.guarantee_fits(one) is not over_guaranteed([*others, one])
 
 
 @given(routes, st.lists(requests_strategy, min_size=1))
@@ -143,9 +143,9 @@
     first_routes: tuple[Route, ...], requests: list[tuple[str, str, str]]
 ) -> None:
     never = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.MAX_SCANNED_ROUTES))
-    made = Routes(first_routes * 3 + never)
+    routes_of_tenant = Routes(first_routes * 3 + never)
     for method, _, path in requests:
-        assert made.class_of(method, path) == next(
+        assert routes_of_tenant.class_of(method, path) == next(
             (
                 route.class_name
                 for route in first_routes
@@ -157,36 +157,36 @@
 
 @pytest.mark.parametrize("hosts", [(), ("a",)])
 def test_host_with_thousands_of_prefixes_is_split_into_parts(hosts: tuple[str, ...]) -> None:
-    made = TenantIndex()
+    tenant_index = TenantIndex()
     for number in range(5000):
-        made.put(TenantRecord(tenant(f"t{number}", hosts, f"/p{number:04d}"), number + 1))
-    host = made._hosts[hosts[0] if hosts else ""]
+        tenant_index.put(TenantRecord(tenant(f"t{number}", hosts, f"/p{number:04d}"), number + 1))
+    host = tenant_index._hosts[hosts[0] if hosts else ""]
     assert max(len(part) for part in host._parts) < 4 * index.PREFIXES_PER_PART
     assert len(host._lengths) == 1
     for number in (0, 1, 4999):
-        match = made.find("a", f"/p{number:04d}/x")
+        match = tenant_index.find("a", f"/p{number:04d}/x")
         assert match
         assert match.record.number == number + 1
-    assert made.find("a", "/p" + "/" * 100_000) is None
+    assert tenant_index.find("a", "/p" + "/" * 100_000) is None
     for number in range(5000):
-        made.remove(f"t{number}")
-    assert not made._hosts
-    assert not made._sharing
-    assert not len(made)
-    assert made.find("a", "/p0000") is None
+        tenant_index.remove(f"t{number}")
+    assert not tenant_index._hosts
+    assert not tenant_index._sharing
+    assert not len(tenant_index)
+    assert tenant_index.find("a", "/p0000") is None
 
 
 def test_next_tenant_by_name_takes_a_shared_prefix_when_the_first_is_removed() -> None:
-    made = TenantIndex()
+    tenant_index = TenantIndex()
     for number, name in enumerate("cab", 1):
-        made.put(TenantRecord(tenant(name, ("h",), "/x"), number))
+        tenant_index.put(TenantRecord(tenant(name, ("h",), "/x"), number))
     for name in "abc":
-        match = made.find("h", "/x/y")
+        match = tenant_index.find("h", "/x/y")
         assert match
         assert match.record.tenant.name == name
-        made.remove(name)
-    assert made.find("h", "/x/y") is None
-    assert not made._sharing
+        tenant_index.remove(name)
+    assert tenant_index.find("h", "/x/y") is None
+    assert not tenant_index._sharing
 
 
 MOVES = [
@@ -199,13 +199,13 @@
 
 @pytest.mark.parametrize(("one", "other"), MOVES)
 def test_reader_never_misses_a_tenant_whose_hosts_or_prefix_change(one: Tenant, other: Tenant) -> None:
-    made, stop, missed = TenantIndex(), threading.Event(), list[int]()
-    made.put(TenantRecord(tenant("zz", (), "/"), 1))
-    made.put(TenantRecord(one, 2))
+    tenant_index, stop, missed = TenantIndex(), threading.Event(), list[int]()
+    tenant_index.put(TenantRecord(tenant("zz", (), "/"), 1))
+    tenant_index.put(TenantRecord(one, 2))
 
     def look() -> None:
         while not stop.is_set():
-            match = made.find("h", "/x/y/z")
+            match = tenant_index.find("h", "/x/y/z")
             if match is None or match.record.tenant not in (one, other):
                 missed.append(1)
 
@@ -213,8 +213,8 @@
     for thread in threads:
         thread.start()
     for _ in range(1500):
-        made.put(TenantRecord(other, 2))
-        made.put(TenantRecord(one, 2))
+        tenant_index.put(TenantRecord(other, 2))
+        tenant_index.put(TenantRecord(one, 2))
     stop.set()
     for thread in threads:
         thread.join()
@@ -248,24 +248,24 @@
 
 
 def test_tenant_that_gets_hosts_between_two_lookups_is_found() -> None:
-    made = InterleavedIndex()
-    made.put(TenantRecord(tenant("t"), 1))
-    made.steps = [TenantRecord(tenant("t", ("h",)), 1)]
-    match = made.find("h", "/")
+    tenant_index = InterleavedIndex()
+    tenant_index.put(TenantRecord(tenant("t"), 1))
+    tenant_index.steps = [TenantRecord(tenant("t", ("h",)), 1)]
+    match = tenant_index.find("h", "/")
     assert match
     assert match.record.tenant.hosts == ("h",)
-    assert not made.steps
+    assert not tenant_index.steps
 
 
 def test_pages_are_complete_while_names_are_added_and_removed() -> None:
-    made, stop, wrong = TenantIndex(), threading.Event(), list[object]()
+    tenant_index, stop, wrong = TenantIndex(), threading.Event(), list[object]()
     for number in range(300):
-        made.put(TenantRecord(tenant(f"n{number:04d}"), number + 1))
+        tenant_index.put(TenantRecord(tenant(f"n{number:04d}"), number + 1))
 
     def look() -> None:
         while not stop.is_set():
-            page, _ = made.page("n0099", 100)
-            names = [entry.tenant.name for entry in page if "x" not in entry.tenant.name]
+            page, _ = tenant_index.page("n0099", 100)
+            names = [record.tenant.name for record in page if "x" not in record.tenant.name]
             if any(one >= other for one, other in pairwise(names)) or names != [
                 f"n{number:04d}" for number in range(100, 100 + len(names))
             ]:
@@ -275,14 +275,14 @@
     for thread in threads:
         thread.start()
     for round_ in range(2000):
-        made.put(TenantRecord(tenant(f"n{round_ % 100:04d}x"), 1000))
-        made.remove(f"n{round_ % 100:04d}x")
+        tenant_index.put(TenantRecord(tenant(f"n{round_ % 100:04d}x"), 1000))
+        tenant_index.remove(f"n{round_ % 100:04d}x")
     stop.set()
     for thread in threads:
         thread.join()
     assert not wrong
-    assert made.page("n0298", 1)[1] == ""
-    assert made.page("n0297", 1)[1] == "n0298"
+    assert tenant_index.page("n0298", 1)[1] == ""
+    assert tenant_index.page("n0297", 1)[1] == "n0298"
 
 
 class ConcurrentlyChangedNames(list[str]):
@@ -311,13 +311,13 @@
 def test_page_is_read_again_when_names_change_meanwhile(
     move: Callable[[ConcurrentlyChangedNames], None],
 ) -> None:
-    made = TenantIndex()
+    tenant_index = TenantIndex()
     for number in range(6):
-        made.put(TenantRecord(tenant(f"n{number}"), number + 1))
-    made._names = ConcurrentlyChangedNames(made._names, move)
-    page, last = made.page("n1", 2)
-    assert [entry.tenant.name for entry in page] == ["n2", "n3"] or "n1x" in made._names
-    assert last == ("n3" if "n1x" not in made._names else "n2")
+        tenant_index.put(TenantRecord(tenant(f"n{number}"), number + 1))
+    tenant_index._names = ConcurrentlyChangedNames(tenant_index._names, move)
+    page, last = tenant_index.page("n1", 2)
+    assert [record.tenant.name for record in page] == ["n2", "n3"] or "n1x" in tenant_index._names
+    assert last == ("n3" if "n1x" not in tenant_index._names else "n2")
 
 
 def registry() -> tuple[TenantRegistry, Core]:
@@ -331,19 +331,19 @@
 
 
 def test_sum_of_guarantees_follows_changes() -> None:
-    made, _ = registry()
+    tenants_in_memory, _ = registry()
     for number in range(10):
-        made.put(tenant(f"t{number}", guarantee=0.1))  # in floats this is a little less than 1
-    made.check(tenant("t3", guarantee=0.1))
-    made.check(tenant("u", guarantee=1e-10))  # decimal fractions leave a little room
+        tenants_in_memory.put(tenant(f"t{number}", guarantee=0.1))  # in floats this is a little less than 1
+    tenants_in_memory.check(tenant("t3", guarantee=0.1))
+    tenants_in_memory.check(tenant("u", guarantee=1e-10))  # decimal fractions leave a little room
     with pytest.raises(ConfigError, match=r"share.guarantee"):
-        made.check(tenant("u", guarantee=1e-8))
-    made.put(tenant("t3", guarantee=0.05))
-    made.check(tenant("u", guarantee=0.05))
-    made.remove("t4")
-    made.check(tenant("u", guarantee=0.15))
+        tenants_in_memory.check(tenant("u", guarantee=1e-8))
+    tenants_in_memory.put(tenant("t3", guarantee=0.05))
+    tenants_in_memory.check(tenant("u", guarantee=0.05))
+    tenants_in_memory.remove("t4")
+    tenants_in_memory.check(tenant("u", guarantee=0.15))
     with pytest.raises(ConfigError):
-        made.check(tenant("u", guarantee=0.16))
+        tenants_in_memory.check(tenant("u", guarantee=0.16))
 
 
 def test_removal_can_be_limited_to_one_tenant() -> None:
@@ -369,20 +369,20 @@
 
 def test_counters_of_excess_tenants_are_summed_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counters, "MAX_TENANTS", 2)
-    made = Counters()
-    made.add("requests.read", 4)
+    tenant_counters = Counters()
+    tenant_counters.add("requests.read", 4)
     for name, what in (("a", "served"), ("b", "served"), ("a", "refused"), ("c", "served"), ("d", "failed")):
-        made.add_for(name, what)
-    assert made.snapshot() == {
+        tenant_counters.add_for(name, what)
+    assert tenant_counters.snapshot() == {
         "requests.read": 4,
         "tenant.c.served": 1,
         "tenant.d.failed": 1,
         "tenants.others.refused": 1,
         "tenants.others.served": 2,
     }
-    assert made.of_tenant("c") == {"served": 1}
-    assert made.of_tenant("a") == {}
-    assert made.summary() == {
+    assert tenant_counters.of_tenant("c") == {"served": 1}
+    assert tenant_counters.of_tenant("a") == {}
+    assert tenant_counters.summary() == {
         "requests.read": 4,
         "tenants.all.failed": 1,
         "tenants.all.refused": 1,
@@ -391,9 +391,9 @@
 
 
 def test_usage_contains_the_answers_of_a_tenant() -> None:
-    made, core = registry()
-    made.put(replace(tenant("t"), max_open=1))
+    tenants_in_memory, core = registry()
+    tenants_in_memory.put(replace(tenant("t"), max_open=1))
     core.counters.add_for("t", "served")
-    entry = made.record("t")
-    assert entry
-    assert made.usage(entry)["answers"] == {"served": 1}
+    record = tenants_in_memory.record("t")
+    assert record
+    assert tenants_in_memory.usage(record)["answers"] == {"served": 1}
