--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -14,8 +14,8 @@
 from reelusher.core.counters import Counters
 from reelusher.net.sockets import Address, connect
 from reelusher.net.threads import start_thread
-from reelusher.pacing.backoff import RetryBudget
-from reelusher.pacing.report_schedule import Loss, ReportSchedule
+from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
+from reelusher.pacing.retry_budget import RetryBudget
 
 DESCRIPTORS = 1
 READ_BYTES = 1 << 12
@@ -71,15 +71,15 @@
         self._wakeup.set()
 
     def _run(self) -> None:
-        due_s = time.monotonic() + self._schedule.first_s()
+        due_s = time.monotonic() + self._schedule.first_delay_s()
         while not self._stopped.is_set():
             if self._wakeup.wait(max(0.0, due_s - time.monotonic())) and not self._failing:
                 now = time.monotonic()  # after a failure the backoff goes on
-                due_s = min(due_s, now + self._schedule.changed(now))
+                due_s = min(due_s, now + self._schedule.change_delay_s(now))
             if not self._stopped.wait(max(0.0, due_s - time.monotonic())):
                 self._wakeup.clear()
                 now = time.monotonic()
-                self._schedule.woke(now - due_s, now)
+                self._schedule.observe_lag(now - due_s, now)
                 wait_s = self._report()
                 due_s = time.monotonic() + wait_s
         self._disconnect()
@@ -96,8 +96,8 @@
                 logger.warning("service registry: report failed: {}", error)
             self._failing = True
             lost = isinstance(error, (TimeoutError, http1.MalformedHttpError))
-            return self._schedule.lost(
-                Loss.SILENCE if lost else Loss.AWAY,
+            return self._schedule.on_failure(
+                ReportFailure.NO_REPLY if lost else ReportFailure.UNAVAILABLE,
                 time.monotonic(),
                 error.retry_after_s if isinstance(error, RegistryUnavailableError) else 0.0,
             )
@@ -106,7 +106,7 @@
             logger.info("service registry: reports succeed again")
         self._failing = False
         self._stale_retries.record_success()
-        return self._schedule.answered(sent_s, time.monotonic())
+        return self._schedule.on_success(sent_s, time.monotonic())
 
     def _put(self) -> None:
         """Send one report; where a cached connection is stale, once more on a new one."""
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -94,7 +94,7 @@
             and (parts.runtime is None or parts.runtime.up)
         )
         if ready and parts.process_registry:
-            parts.process_registry.ready()
+            parts.process_registry.mark_ready()
         return ready
 
     def status(self) -> dict[str, Any]:
@@ -167,7 +167,7 @@
 
     def _drain_times(self) -> DrainTimes:
         registry, settings = self.parts.process_registry, self.config.settings
-        if registry is None or not registry.successor():
+        if registry is None or not registry.has_successor():
             return DrainTimes(self.config.stop_ms / 1000, settings.drain_grace_us / 1e6)
         self.parts.core.notices.handing_over = True
         logger.info("drain: handing over to a process that was started later")
