--- a/reelusher/core/deduplication.py
+++ b/reelusher/core/deduplication.py
@@ -194,7 +194,7 @@
     def _table_key(self, request: IncomingRequest) -> IdempotencyKey:
         # a class that a reload has changed has another index, and its keys stay those of the first one
         class_index = self._context.first_index(request.class_index)
-        return request.tenant, class_index, request.idempotency_key
+        return IdempotencyKey(request.tenant, class_index, request.idempotency_key)
 
 
 def _digest(request: IncomingRequest) -> bytes:
--- a/reelusher/core/idempotency_table.py
+++ b/reelusher/core/idempotency_table.py
@@ -83,7 +83,7 @@
         """
         entry.finished, entry.result = True, result
         if result is not None:
-            tenant = entry.key[0]
+            tenant = entry.key.tenant
             self._results.setdefault(tenant, {})[entry.original_id] = entry
             self._add_bytes(tenant, len(result.body))
         dropped = 0
@@ -107,7 +107,7 @@
     def _drop_result(self, entry: IdempotencyEntry) -> None:
         if entry.result is None:
             return
-        tenant, size = entry.key[0], len(entry.result.body)
+        tenant, size = entry.key.tenant, len(entry.result.body)
         entry.result = None
         del self._results[tenant][entry.original_id]
         self._add_bytes(tenant, -size)
--- a/reelusher/core/messages.py
+++ b/reelusher/core/messages.py
@@ -4,11 +4,17 @@
 from concurrent.futures import Future
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from reelusher.policy.events import Outcome
 
-IdempotencyKey = tuple[str, int, str]  # tenant, class index, key
+
+class IdempotencyKey(NamedTuple):
+    """The key of a request with its scope: each class of a tenant has keys of its own."""
+
+    tenant: str
+    class_index: int
+    key: str
 
 
 class Verdict(Enum):
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -8,7 +8,7 @@
 
 from reelusher.core.counters import Counters
 from reelusher.core.idempotency_table import IdempotencyTable
-from reelusher.core.messages import Result
+from reelusher.core.messages import IdempotencyKey, Result
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.policy.events import Request
@@ -38,7 +38,7 @@
         table = IdempotencyTable(TAIL_US, 1 << 40)
         for number in range(size):
             table.put(
-                (f"tenant-{number % 100}", 1, f"key-{number:016x}"),
+                IdempotencyKey(f"tenant-{number % 100}", 1, f"key-{number:016x}"),
                 number,
                 WINDOW_US + number,
                 b"%016d" % number,
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -5,7 +5,7 @@
 from functools import partial
 from pathlib import Path
 
-from reelusher.core.messages import Result
+from reelusher.core.messages import IdempotencyKey, Result
 from reelusher.fleet.membership.messages import MOST_STATE, FactsReply, MessageAuthenticator, Observation
 from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
 from reelusher.lab.capacity import site
@@ -74,7 +74,7 @@
         directory = KeyLockDirectory(Path(name) / "hosted-1.keys")
         began = time.process_time()
         for number in range(size):
-            directory.create(("tenant-0", 1, f"key-{number}"), KeyLock(1_000_000, "0" * 32), 0)
+            directory.create(IdempotencyKey("tenant-0", 1, f"key-{number}"), KeyLock(1_000_000, "0" * 32), 0)
         each = (time.process_time() - began) / size * 1e6
         files = sum(1 for path in next(Path(name).iterdir()).iterdir())
         swept_ms = each_us(lambda: directory.remove_expired(0)) / 1000
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -36,7 +36,7 @@
     @property
     def idempotency_key(self) -> IdempotencyKey:
         """Return the key of the idempotency table."""
-        return self.tenant, self.class_index, self.key
+        return IdempotencyKey(self.tenant, self.class_index, self.key)
 
 
 class KeyBatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -18,7 +18,7 @@
 from helpers import soon
 
 from golden.recordings import as_json, load, path_of
-from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
 from reelusher.fleet.replication.messages import LogEntry
 from reelusher.fleet.replication.replica import first_epoch
 from reelusher.fleet.replication.replica_store import PartitionState
@@ -38,7 +38,9 @@
 CONTROL = ("c1", "c2")
 START_MS, START_US = 1_700_000_000_000, 1_700_000_000_000_000
 WINDOW_US = 20_000_000
-RUNNING, ENDED, FAILED = ("platform", 2, "running"), ("clinic", 0, "ended"), ("", 1, "failed")
+RUNNING = IdempotencyKey("platform", 2, "running")
+ENDED = IdempotencyKey("clinic", 0, "ended")
+FAILED = IdempotencyKey("", 1, "failed")
 
 
 def tenant(name: str, **more: Any) -> dict[str, Any]:
@@ -91,7 +93,7 @@
         log.persist(key, START_US + (number + 1) * WINDOW_US, bytes([number] * 8), done.append)
         assert soon(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # one frame each
     log.forget(FAILED)
-    log.persist(("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
+    log.persist(IdempotencyKey("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
     assert soon(lambda: len(done) == 4)
     assert all(done)
     log.close()
@@ -118,7 +120,7 @@
         )
     claims.complete(ENDED, Result(b"body \xff", 201, (("content-type", "text/plain"),)))
     claims.complete(FAILED, None)
-    claims.release(("never", 0, "there"))
+    claims.release(IdempotencyKey("never", 0, "there"))
     kept = folder / "node_3.keys"
     assert soon(lambda: sorted(state for state, _ in claims_in(kept)) == ["failed", "ok", "runs"])
     claims.close()
--- a/tests/upgrade/test_key_locks.py
+++ b/tests/upgrade/test_key_locks.py
@@ -13,7 +13,7 @@
 from reelusher.upgrade.key_lock_directory import KeyLock
 from reelusher.upgrade.key_locks import KeyLockFiles
 
-KEY = "platform", 2, "k1"
+KEY = IdempotencyKey("platform", 2, "k1")
 
 
 SECOND_US = 1_000_000
@@ -106,7 +106,9 @@
     assert receives(both.acquire(0), None)  # it may have run: it is neither run again nor rejected
     told: list[Any] = []
     locks.acquire(
-        KeyLockRequest(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append)
+        KeyLockRequest(
+            IdempotencyKey("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append
+        )
     )
     assert receives(told, True)
 
