--- a/tests/upgrade/test_key_locks.py
+++ b/tests/upgrade/test_key_locks.py
@@ -32,7 +32,7 @@
         self, process: int, digest: str = "b", received_s: float = 0.0, due_s: float = 60.0
     ) -> list[Any]:
         """Request the lock in one of the two processes; the list receives the outcome."""
-        told: list[Any] = []
+        outcomes: list[Any] = []
         self.locks[process].acquire(
             KeyLockRequest(
                 KEY,
@@ -40,11 +40,11 @@
                 self.now_us + 20 * SECOND_US,
                 self.now_us + int(due_s * 1e6),
                 digest,
-                told.append,
-                told.append,
+                outcomes.append,
+                outcomes.append,
             )
         )
-        return told
+        return outcomes
 
     def close(self) -> None:
         for locks in self.locks:
@@ -80,48 +80,54 @@
 
 def test_key_whose_run_failed_or_never_ended_fails_in_the_other_process(both: TwoProcesses) -> None:
     assert receives(both.acquire(0), True)
-    waits = both.acquire(1, due_s=3)
-    assert not receives_anything(waits)
+    waiting = both.acquire(1, due_s=3)
+    assert not receives_anything(waiting)
     both.now_us += 4 * SECOND_US  # the process that locked it is gone, and may have run it
-    assert receives(waits, None)
+    assert receives(waiting, None)
     both.locks[0].complete(KEY, None)
     assert receives(both.acquire(1), None)
 
 
 def test_released_or_expired_lock_is_acquired_again(both: TwoProcesses) -> None:
     assert receives(both.acquire(0), True)
-    waits = both.acquire(1)
+    waiting = both.acquire(1)
     both.locks[0].release(KEY)
-    assert receives(waits, True)
+    assert receives(waiting, True)
     both.now_us += 21 * SECOND_US
-    late = both.acquire(0, received_s=-2.0)  # received within the window, read after it
-    assert not receives_anything(late)
+    read_later = both.acquire(0, received_s=-2.0)  # received within the window, read after it
+    assert not receives_anything(read_later)
     assert receives(both.acquire(0), True)
 
 
-@pytest.mark.parametrize("garbage", [b"", b"{", b"[]", b'{"until_us": "x"}'])
-def test_malformed_lock_fails_its_key_and_no_other(both: TwoProcesses, garbage: bytes) -> None:
+@pytest.mark.parametrize("malformed", [b"", b"{", b"[]", b'{"until_us": "x"}'])
+def test_malformed_lock_fails_its_key_and_no_other(both: TwoProcesses, malformed: bytes) -> None:
     locks = both.locks[0]
-    locks.directory.path(KEY).write_bytes(garbage)
+    locks.directory.path(KEY).write_bytes(malformed)
     assert receives(both.acquire(0), None)  # it may have run: it is neither run again nor rejected
-    told: list[Any] = []
+    outcomes: list[Any] = []
     locks.acquire(
         KeyLockRequest(
-            IdempotencyKey("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append
+            IdempotencyKey("platform", 2, "k2"),
+            0,
+            both.now_us,
+            both.now_us,
+            "b",
+            outcomes.append,
+            outcomes.append,
         )
     )
-    assert receives(told, True)
+    assert receives(outcomes, True)
 
 
-@pytest.mark.parametrize("garbage", [b"", b'{"until_us": 9000000000000000}'])
+@pytest.mark.parametrize("malformed", [b"", b'{"until_us": 9000000000000000}'])
 def test_lock_that_becomes_malformed_while_polled_fails_its_request(
-    both: TwoProcesses, garbage: bytes
+    both: TwoProcesses, malformed: bytes
 ) -> None:
     assert receives(both.acquire(0), True)
-    waits = both.acquire(1)
-    assert not receives_anything(waits)
-    both.locks[0].directory.path(KEY).write_bytes(garbage)
-    assert receives(waits, None)
+    waiting = both.acquire(1)
+    assert not receives_anything(waiting)
+    both.locks[0].directory.path(KEY).write_bytes(malformed)
+    assert receives(waiting, None)
 
 
 def test_key_that_can_not_be_locked_is_rejected(both: TwoProcesses, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -136,19 +142,19 @@
     for _ in range(20):
         both = TwoProcesses(tmp_path)
         gate = threading.Barrier(2)
-        told: list[list[Any]] = []
+        outcomes: list[list[Any]] = []
 
-        def go(which: int, both: TwoProcesses, gate: threading.Barrier, told: list[list[Any]]) -> None:
+        def go(which: int, both: TwoProcesses, gate: threading.Barrier, outcomes: list[list[Any]]) -> None:
             gate.wait()
-            told.append(both.acquire(which, due_s=0.0))
+            outcomes.append(both.acquire(which, due_s=0.0))
 
-        threads = [threading.Thread(target=go, args=(which, both, gate, told)) for which in range(2)]
+        threads = [threading.Thread(target=go, args=(which, both, gate, outcomes)) for which in range(2)]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert soon(partial(all, told))
-        assert sum(one == [True] for one in told) == 1
+        assert soon(partial(all, outcomes))
+        assert sum(received == [True] for received in outcomes) == 1
         both.locks[0].release(KEY)
         both.close()
         assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
