--- a/Makefile
+++ b/Makefile
@@ -12,9 +12,9 @@
 # Tests of many processes, and those that play long on a clock of their own, run beside all others; those that
 # start 24 or thirty at once take all cores, and run behind them. Every verdict counts.
 RIG = tests/test_fleet_rig.py tests/test_live_changes.py
-LONG = tests/test_membership.py tests/test_shares.py
-TABLE = tests/test_replication.py tests/test_local_copy.py tests/test_paging.py tests/test_tenant_index.py \
-	tests/test_replicated_api.py tests/test_replication_service.py tests/test_capacity.py tests/test_capacity_model.py
+LONG = tests/test_membership.py tests/tenancy/test_fair_queue.py
+TABLE = tests/test_replication.py tests/test_local_copy.py tests/tenancy/test_tenant_cache.py tests/tenancy/test_index.py \
+	tests/admin/test_replicated_api.py tests/test_replication_service.py tests/test_capacity.py tests/test_capacity_model.py
 ALONE = tests/test_fleet_ramp.py tests/test_ready.py
 LANES = RIG LONG TABLE
 PYTEST = .venv/bin/python -m pytest -q
--- a/tests/test_admin.py
+++ b/tests/admin/test_api.py
@@ -17,7 +17,7 @@
 from reelusher.storage.directory import LockedDirectory
 from reelusher.tenancy.tenant_store import TenantStore
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WRITER = """
 import sys
 from pathlib import Path
--- a/tests/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -40,7 +40,7 @@
 
 CONTROL = ["c1", "c2"]
 C1, C2 = (names_of(stream, 10) for stream in CONTROL)
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 ApiReply = tuple[int, Any, dict[str, str]]  # status, body, headers (names in lower case)
 
 
--- /dev/null
+++ b/tests/storage/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of stored state."""
--- /dev/null
+++ b/tests/storage/test_journal.py
@@ -0,0 +1,108 @@
+"""The journal: crashes and disk faults at any step."""
+
+import json
+import random
+
+import pytest
+
+from reelusher.storage.errors import JournalError
+from reelusher.storage.frames import MAGIC
+from reelusher.storage.journal import Journal
+from storage.faulty_directory import FaultyDirectory, SimulatedCrashError
+
+
+class JournaledList:
+    """A state that is the list of its changes."""
+
+    def __init__(self, disk: FaultyDirectory, compact_after: int = 4) -> None:
+        self.items: list[str] = []
+        self.journal = Journal(disk, lambda: json.dumps(self.items).encode(), compact_after)
+        state, changes = self.journal.recover()
+        self.items = json.loads(state) if state else []
+        self.items += [change.payload.decode() for change in changes]
+
+    def add(self, text: str) -> None:
+        self.journal.append(text.encode())
+        self.items.append(text)
+        self.journal.compact_if_due()
+
+
+@pytest.mark.parametrize("compact_after", [1, 3, 100])
+def test_acknowledged_changes_survive_a_crash_at_any_step(compact_after: int) -> None:
+    """Every crash point of a process that makes 12 changes, and a second crash in the next process."""
+    whole = FaultyDirectory()
+    journaled = JournaledList(whole, compact_after)
+    for number in range(12):
+        journaled.add(f"change {number}")
+    for crash_at in range(2 * whole.steps):
+        for remains in range(3):
+            rng = random.Random(1000 * crash_at + remains)
+            disk, acknowledged, tried = FaultyDirectory(crash_at), list[str](), list[str]()
+            for second in (-1, rng.randint(0, 40)):
+                try:
+                    journaled = JournaledList(disk, compact_after)
+                    assert journaled.items[: len(acknowledged)] == acknowledged
+                    assert journaled.items in (acknowledged, tried), "a change is there in part"
+                    acknowledged = list(journaled.items)  # what was read stays, acknowledged or not
+                    for number in range(12):
+                        tried = [*journaled.items, f"{second} {number}"]
+                        journaled.add(tried[-1])
+                        acknowledged = list(journaled.items)
+                except SimulatedCrashError:
+                    pass
+                disk = disk.restart(rng)
+                disk.crash_at = second if second >= 0 else rng.randint(0, 40)
+            disk.crash_at = -1
+            made = JournaledList(disk, compact_after).items
+            assert made in (acknowledged, tried)
+
+
+@pytest.mark.parametrize("fail_at", range(60))
+def test_full_disk_rejects_a_change_and_keeps_acknowledged_ones(fail_at: int) -> None:
+    disk = FaultyDirectory(fail_at=fail_at)
+    acknowledged: list[str] = []
+    try:
+        journaled = JournaledList(disk)
+    except OSError:
+        journaled = JournaledList(disk)  # the first journal could not be created: the next start does it
+    refused = 0
+    for number in range(12):
+        try:
+            journaled.add(f"change {number}")
+            acknowledged.append(f"change {number}")
+        except JournalError:
+            refused += 1
+    again = JournaledList(disk.restart(random.Random(fail_at))).items
+    assert [text for text in again if text in acknowledged] == acknowledged
+    assert refused <= 1 or journaled.journal.failure  # after a failed sync it stays closed until a restart
+
+
+def directory_with(disk: FaultyDirectory, changes: int) -> FaultyDirectory:
+    journaled = JournaledList(disk, 4)
+    for number in range(changes):
+        journaled.add(f"change {number}")
+    return disk
+
+
+@pytest.mark.parametrize(
+    ("lost", "message"),
+    [
+        ("snapshot-8", "journal-8: snapshot-8, which it goes on from, is missing"),
+        ("journal-8", "journal-8: it is missing"),
+    ],
+)
+def test_lost_file_raises_and_is_never_replaced_by_an_older_state(lost: str, message: str) -> None:
+    disk = directory_with(FaultyDirectory(), 10)
+    assert disk.file_names() == ["journal-4", "journal-8", "snapshot-4", "snapshot-8"]
+    del disk.files[lost]
+    with pytest.raises(JournalError, match=message):
+        JournaledList(disk)
+
+
+def test_damaged_snapshot_raises_with_its_position() -> None:
+    disk = directory_with(FaultyDirectory(), 9)
+    disk.files["snapshot-8"].data[len(MAGIC) + 25] ^= 4
+    with pytest.raises(
+        JournalError, match=f"snapshot-8: at byte {len(MAGIC) + 20}: the checksum of a payload"
+    ):
+        JournaledList(disk)
--- /dev/null
+++ b/tests/storage/test_key_log.py
@@ -0,0 +1,58 @@
+"""Durable idempotency keys: runs start after their keys are on the disk."""
+
+import random
+
+import pytest
+from core_harness import CoreHarness
+
+from reelusher.core.messages import KeyPersisted, Verdict
+from reelusher.storage.key_log import KeyLog
+from storage.faulty_directory import FaultyDirectory
+
+
+def core_with(log: KeyLog) -> CoreHarness:
+    """Return a core with durable keys, restored from a log."""
+    harness = CoreHarness()
+    for number, record in enumerate(log.unexpired()):
+        harness.core.keys.restore(
+            record.idempotency_key, (1 << 40) + number, record.expires_us, bytes.fromhex(record.body_digest)
+        )
+    harness.core.deduplication.key_log = log
+    return harness
+
+
+def test_keyed_run_starts_after_its_key_is_durable_and_not_again_after_a_restart() -> None:
+    now = [CoreHarness().time]
+    disk = FaultyDirectory()
+    log = KeyLog(disk, lambda: now[0])
+    harness = core_with(log)
+    harness.process(harness.request("a", 2, "k"), harness.request("b", 2, "other"))
+    assert not [command for command in harness.backend.commands if command[0] == "start"]
+    log.close()
+    log.run()  # in place of its thread
+    harness.core.process_batch(list(harness.core.next_batch()))  # type: ignore[arg-type]
+    assert {command[1] for command in harness.backend.commands if command[0] == "start"} == {"a", "b"}
+    again = core_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # crashed while they run
+    again.process(again.request("c", 2, "k"), again.request("d", 2, "new"))
+    again.process(later_us=100_000)
+    assert again.verdicts("c") == [Verdict.FAILED]
+    assert not again.verdicts("d")
+    assert not [command for command in again.backend.commands if command[0] == "start"]
+    now[0] += 40_000_000
+    assert KeyLog(disk.restart(random.Random(1)), lambda: now[0]).unexpired() == []
+
+
+@pytest.mark.parametrize("succeeded", [True, False])
+def test_keyed_request_answered_before_its_key_is_durable_never_ran(succeeded: bool) -> None:
+    harness = core_with(KeyLog(FaultyDirectory(), lambda: 0))
+    harness.process(harness.request("a", 2, "k"))
+    if succeeded:
+        harness.process(later_us=9_000_000)  # past its due time
+    number = next(iter(harness.core.attempts)).id
+    harness.process(KeyPersisted(number, succeeded))
+    assert len(harness.verdicts("a")) == 1
+    assert not [command for command in harness.backend.commands if command[0] == "start"]
+    assert not succeeded or harness.verdicts("a") == [Verdict.FAILED]
+    assert succeeded or harness.verdicts("a") == [Verdict.REJECTED]
+    assert len(harness.core.attempts) == 0
+    assert len(harness.core.keys) == 0
--- a/tests/test_paging.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -15,7 +15,6 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from test_tenant_index import expected_match, requests_strategy, tenant, tenants
 
 from reelusher.codecs import ajp13
 from reelusher.config.operator import Ajp, ShareOf, Tenant
@@ -37,6 +36,7 @@
 from reelusher.tenancy.reader_pool import ReaderPool
 from reelusher.tenancy.registry import Match
 from reelusher.tenancy.tenant_source import TenantUnavailableError, unreadable_reason
+from tenancy.test_index import expected_match, requests_strategy, tenant, tenants
 
 WAIT_S = 10.0  # for what must happen eventually
 IDLE_TIMEOUT_US = 10_000_000  # of the node under test
