--- a/reelusher/admin/__init__.py
+++ b/reelusher/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants, and the API that administers them."""
+"""The administration API of a node."""
--- a/reelusher/tenancy/__init__.py
+++ b/reelusher/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants that share one node: what each may take, who they are, and how that survives a restart."""
+"""Tenants that share one node: quotas and fair queue, lifecycle, index, cache and tables."""
