--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -18,7 +18,7 @@
 from reelusher.config.operator import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
+from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
 from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
 from reelusher.fleet.replication.replica import Position
 from reelusher.fleet.replication.replica_store import ReplicaError
@@ -47,8 +47,10 @@
     def live(self) -> list[Update]:
         """Return the live members, this one first."""
 
-    def ask_once(self, place: str, request: Any, kind: type[ChangeReply], within_s: float) -> ChangeReply:
-        """Ask a member. Raises `MemberUnreachableError` where it was told nothing, and `NoReplyError`."""
+    def request_once(
+        self, address: str, request: Any, reply_type: type[ChangeReply], timeout_s: float
+    ) -> ChangeReply:
+        """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`."""
 
 
 class ReplicatedTenantApi(TenantApi):
@@ -92,7 +94,7 @@
         table = self._replicated
         places: dict[str, list[str]] = {}
         for member in self._live():
-            places.setdefault(member.name, []).append(member.place)
+            places.setdefault(member.name, []).append(member.address)
         counted = {one["stream"]: one for one in self._counted()}
         streams = []
         for stream in table.replica.control:
@@ -274,9 +276,9 @@
     def _asked(self, name: str, target: str, otherwise: Any) -> Any:
         """Ask a member of this fleet's what only it knows."""
         assert self._fleet is not None
-        request = ChangeRequest(self._live()[0].place, "GET", target, {})
+        request = ChangeRequest(self._live()[0].address, "GET", target, {})
         try:
-            reply = self._fleet.ask_once(self._sole(name), request, ChangeReply, ASK_S)
+            reply = self._fleet.request_once(self._sole(name), request, ChangeReply, ASK_S)
         except (MemberUnreachableError, NoReplyError):
             return otherwise
         return json.loads(reply.value) if reply.status == 200 else otherwise
@@ -291,7 +293,7 @@
 
     def _sole(self, name: str) -> str:
         """Return the place of the one live member of a name. Raises `ApiError`."""
-        places = [member.place for member in self._live() if member.name == name]
+        places = [member.address for member in self._live() if member.name == name]
         if len(places) > 1:  # two that number the same stream would never be one table again
             raise self._later(f"{len(places)} live members are named {name!r}: nothing was changed")
         return places[0] if places else ""
@@ -333,7 +335,7 @@
         if len(target) > MOST_TARGET or len(body) > MOST_CHANGE:
             raise ApiError(413, "it is too long to be carried to the member that makes the change")
         request = ChangeRequest(
-            self._live()[0].place,
+            self._live()[0].address,
             method,
             target,
             {name: asked.headers[name] for name in HEADERS if name in asked.headers},
@@ -344,7 +346,7 @@
             raise self._later("too many calls are on their way to other members: nothing was changed")
         try:
             within_s = CARRIED_S + (COPIES_S if "copies" in asked.query else 0.0)
-            reply = self._fleet.ask_once(place, request, ChangeReply, within_s)
+            reply = self._fleet.request_once(place, request, ChangeReply, within_s)
         except MemberUnreachableError:
             self._counters.add("replication.holder_away")
             raise self._later(
--- /dev/null
+++ b/reelusher/fleet/membership/failure_detector.py
@@ -0,0 +1,265 @@
+"""SWIM's failure detector with Lifeguard's local health: direct and indirect probes. Free of I/O."""
+
+from collections import OrderedDict
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from math import inf
+from random import Random
+
+from msgspec.structs import replace
+
+from reelusher.fleet.membership.gossip import Gossip
+from reelusher.fleet.membership.member_table import MemberTable
+from reelusher.fleet.membership.messages import Datagram, DatagramKind, MemberState, Update
+
+PROBE_PERIOD_S = 0.4  # between probes of one node
+MIN_ACK_TIMEOUT_S = 0.15  # after which other members are asked to probe too
+UNKNOWN_REGION_ACK_TIMEOUT_S = 0.3  # the same in another region whose round-trip time is not known
+ACK_TIMEOUT_RTT_MULTIPLE = 1.25
+MAX_ACK_TIMEOUT_S = 0.5
+RTT_DECAY = 0.125  # fraction by which a known round-trip time approaches a shorter one
+MAX_REGIONS = 64  # whose round-trip times are remembered
+INDIRECT_PROBES = 3
+NACK_TIMEOUT_FRACTION = 0.8  # of the ack timeout, after which a helper sends a NACK
+MAX_LOCAL_HEALTH = 2  # a higher limit delays the smaller side of a partition in detecting who is left
+MISS_TTL_S = 2 * PROBE_PERIOD_S  # for which a helper whose probe failed joins a suspicion
+RECONNECTS_PER_PERIOD = 3.0  # pings to dead members, by all live members together
+
+
+class LocalHealth:
+    """Lifeguard's local health: a node that misses answers probes more slowly."""
+
+    def __init__(self) -> None:
+        self.score = 0  # 0 is healthy
+
+    def multiplier(self) -> int:
+        """Return the factor by which time-outs and periods are longer."""
+        return 1 + self.score
+
+    def degrade(self, by: int = 1) -> None:
+        """Count failures that may be this node's own."""
+        self.score = min(MAX_LOCAL_HEALTH, self.score + by)
+
+    def improve(self) -> None:
+        """Count a probe that succeeded."""
+        self.score = max(0, self.score - 1)
+
+
+class RoundTripTimes:
+    """The round-trip time to each region, from which the time-outs of answers follow."""
+
+    def __init__(self, own_region: str, table: MemberTable) -> None:
+        self._own_region, self._table = own_region, table
+        self._by_region: dict[str, float] = {}
+
+    def longest_s(self) -> float:
+        """Return the longest known round-trip time."""
+        return max(self._by_region.values(), default=0.0)
+
+    def ack_timeout_s(self, address: str) -> float:
+        """Return how long the answer of a member may take."""
+        member = self._table.members.get(address)
+        region = member.update.region if member is not None else self._own_region
+        rtt_s = self._by_region.get(region)
+        if rtt_s is None:
+            return MIN_ACK_TIMEOUT_S if region == self._own_region else UNKNOWN_REGION_ACK_TIMEOUT_S
+        return max(MIN_ACK_TIMEOUT_S, rtt_s * ACK_TIMEOUT_RTT_MULTIPLE)
+
+    def observe(self, address: str, rtt_s: float) -> None:
+        """Record how long an answer took: a longer time counts at once, a shorter one gradually."""
+        member = self._table.members.get(address)
+        if member is None:
+            return
+        region, rtt_s = member.update.region, min(rtt_s, MAX_ACK_TIMEOUT_S / ACK_TIMEOUT_RTT_MULTIPLE)
+        known_s = self._by_region.get(region, 0.0)
+        if region not in self._by_region and len(self._by_region) >= MAX_REGIONS:
+            del self._by_region[next(iter(self._by_region))]
+        self._by_region[region] = max(rtt_s, known_s + (rtt_s - known_s) * RTT_DECAY)
+
+
+@dataclass(slots=True)
+class Probe:
+    """A probe in progress."""
+
+    target: str
+    seq: int
+    indirect_s: float  # when helpers are asked
+    end_s: float
+    sent_s: float
+    retry_seq: int | None = None  # of the second direct ping
+    silent_helpers: set[str] = field(default_factory=set)  # helpers that have not sent a NACK
+    indirect: bool = False  # whether there were helpers to ask
+
+
+@dataclass(slots=True)
+class IndirectProbe:
+    """A probe on behalf of another member."""
+
+    requester: str
+    target: str
+    requester_seq: int
+    nack_s: float
+    end_s: float
+
+
+class FailureDetector:
+    """Probes one member after another and reports suspects."""
+
+    def __init__(
+        self,
+        own: Update,
+        table: MemberTable,
+        gossip: Gossip,
+        random: Random,
+        now: float,
+        learn: Callable[[Update, float], None],
+    ) -> None:
+        """`learn` takes each suspicion and the time."""
+        self._own_address, self._table, self._gossip, self._random = own.address, table, gossip, random
+        self._learn = learn
+        self.local_health = LocalHealth()
+        self.round_trip_times = RoundTripTimes(own.region, table)
+        self._probe: Probe | None = None
+        self._previous_probe: Probe | None = None  # its late answer still tells the round-trip time
+        self._indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of the ping
+        self._probe_first: OrderedDict[str, None] = OrderedDict()  # helpers that were silent
+        self._missed_s: dict[str, float] = {}  # targets of failed indirect probes, and when they failed
+        self._next_probe_s = now + random.uniform(0.0, PROBE_PERIOD_S)
+
+    def next_s(self) -> float:
+        """Return when the detector has something to do."""
+        times = [self._next_probe_s, *(probe.nack_s for probe in self._indirect_probes.values())]
+        if self._probe:
+            times += self._probe.end_s, self._probe.indirect_s
+        return min(times)
+
+    def postpone(self, now: float) -> None:
+        """Start no probe for one period."""
+        self._next_probe_s = now + PROBE_PERIOD_S
+
+    def reset(self) -> None:
+        """Abandon the probes in progress, without blame."""
+        self._probe = None
+        self._indirect_probes.clear()
+
+    def advance(self, now: float) -> None:
+        """Continue the probes in progress."""
+        self._advance_probe(now)
+        self._advance_indirect_probes(now)
+
+    def start_probe_if_due(self, now: float) -> None:
+        """Start the next probe, once it is time."""
+        if now < self._next_probe_s:
+            return
+        self._missed_s = {
+            address: missed_s for address, missed_s in self._missed_s.items() if now - missed_s < MISS_TTL_S
+        }
+        period_s = PROBE_PERIOD_S * self.local_health.multiplier()
+        self._next_probe_s = now + period_s * self._random.uniform(0.9, 1.1)
+        self._reconnect()
+        target = self._next_target() if self._probe is None else None
+        if target is not None:
+            self._start_probe(target, now)
+
+    def _next_target(self) -> str | None:
+        while self._probe_first:
+            address = self._probe_first.popitem(last=False)[0]
+            member = self._table.members.get(address)
+            if member is not None and member.is_live:
+                return address
+        return self._table.next_target()
+
+    def _start_probe(self, target: str, now: float) -> None:
+        slowdown = self.local_health.multiplier()
+        direct_s = self.round_trip_times.ack_timeout_s(target) * slowdown
+        # a helper may be as far away as any region, and the target as far from the helper
+        indirect_s = self.round_trip_times.longest_s()
+        if direct_s > MIN_ACK_TIMEOUT_S * slowdown:
+            indirect_s = max(indirect_s, direct_s)
+        end_s = max(PROBE_PERIOD_S * 0.9 * slowdown, direct_s + 2 * indirect_s)
+        seq = self._gossip.ping(target)
+        self._probe = Probe(target, seq, now + direct_s, now + end_s, now)
+
+    def _advance_probe(self, now: float) -> None:
+        probe = self._probe
+        if probe is None:
+            return
+        if now >= probe.end_s:
+            self._fail_probe(probe, now)
+        elif now >= probe.indirect_s:
+            self._probe_indirectly(probe)
+
+    def _fail_probe(self, probe: Probe, now: float) -> None:
+        self._probe, self._previous_probe = None, probe
+        # Helpers without a NACK: this node may not receive, or they are beyond the same partition. They are
+        # probed next, or the smaller side of a partition would detect late who is left.
+        self.local_health.degrade(len(probe.silent_helpers) if probe.indirect else 1)
+        for address in sorted(probe.silent_helpers):
+            self._probe_first.setdefault(address)
+        member = self._table.members.get(probe.target)
+        if member is not None and member.is_live:
+            suspicion = replace(member.update, state=MemberState.SUSPECT, accuser=self._own_address)
+            self._learn(suspicion, now)
+
+    def _probe_indirectly(self, probe: Probe) -> None:
+        helpers = self._table.sample(INDIRECT_PROBES, probe.target)
+        probe.silent_helpers, probe.indirect, probe.indirect_s = set(helpers), bool(helpers), inf
+        for helper in helpers:
+            self._gossip.send(helper, DatagramKind.PING_REQUEST, probe.seq, probe.target)
+        # in a large fleet with loss, too many probes would lose the ping and all the indirect ones
+        probe.retry_seq = self._gossip.ping(probe.target)
+
+    def _advance_indirect_probes(self, now: float) -> None:
+        for seq, probe in list(self._indirect_probes.items()):
+            if now >= probe.end_s:
+                del self._indirect_probes[seq]
+                self._missed_s[probe.target] = now
+                self.confirm_suspicion(probe.target, now)
+            elif now >= probe.nack_s:
+                probe.nack_s = probe.end_s
+                self._gossip.send(probe.requester, DatagramKind.NACK, probe.requester_seq)
+
+    def confirm_suspicion(self, address: str, now: float) -> None:
+        """Join the suspicion of a member that has not answered this node either; never begin one."""
+        member = self._table.members.get(address)
+        if member is None or member.update.state is not MemberState.SUSPECT:
+            return
+        missed = now - self._missed_s.get(address, -inf) < MISS_TTL_S
+        if missed and self._own_address not in member.accusers:
+            self._learn(replace(member.update, accuser=self._own_address), now)
+
+    def forget_miss(self, address: str) -> None:
+        """Forget that an indirect probe of a member failed."""
+        self._missed_s.pop(address, None)
+
+    def _reconnect(self) -> None:
+        """Ping a dead member now and then: a partition may have healed."""
+        dead = self._table.dead
+        if dead and self._random.random() < RECONNECTS_PER_PERIOD / self._table.fleet_size():
+            self._gossip.ping(self._random.choice(dead))
+
+    # Received datagrams
+
+    def on_ping_request(self, request: Datagram, now: float) -> None:
+        """Probe a member on behalf of another."""
+        seq = self._gossip.ping(request.target)
+        nack_s = now + MIN_ACK_TIMEOUT_S * NACK_TIMEOUT_FRACTION
+        end_s = now + PROBE_PERIOD_S * self.local_health.multiplier()
+        self._indirect_probes[seq] = IndirectProbe(request.sender, request.target, request.seq, nack_s, end_s)
+
+    def on_ack(self, ack: Datagram, now: float) -> None:
+        """End the probe that an answer belongs to, or forward the answer to who asked for the probe."""
+        for probe in (self._probe, self._previous_probe):
+            if probe is not None and probe.seq == ack.seq and probe.target == ack.sender:
+                self.round_trip_times.observe(probe.target, now - probe.sent_s)
+        indirect = self._indirect_probes.pop(ack.seq, None)
+        if indirect is not None:
+            self._gossip.send(indirect.requester, DatagramKind.ACK, indirect.requester_seq)
+        elif self._probe is not None and ack.seq in (self._probe.seq, self._probe.retry_seq):
+            self._probe, self._previous_probe = None, self._probe
+            self.local_health.improve()
+
+    def on_nack(self, nack: Datagram) -> None:
+        """Record that a helper is reachable, though the target is not for it either."""
+        if self._probe and self._probe.seq == nack.seq:
+            self._probe.silent_helpers.discard(nack.sender)
--- a/reelusher/fleet/membership/member_table.py
+++ b/reelusher/fleet/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that a node knows of, free of I/O. Bounded; what is known merges in any order."""
+"""The members that a node knows. Free of I/O; bounded; updates may be applied in any order."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,167 +8,183 @@
 
 import msgspec
 
-from reelusher.fleet.membership.messages import BUCKETS, MemberState, Update
+from reelusher.fleet.membership.messages import BUCKET_COUNT, MemberState, Update
 
-MOST_MEMBERS = 6144  # 3,600 that live, 1,024 that are gone, and half as many again that come before those go
-KEPT_S = 3600.0  # one that is dead or has left is remembered so long: older news of it must not revive it
-DEAD_MOST = 1024  # of them; the one gone longest is dropped first
+MAX_MEMBERS = 6144  # of all states; where the table is full, a live member replaces the oldest dead one
+DEAD_TTL_S = 3600.0  # for which one that is dead or has left is remembered: old updates must not revive it
+MAX_DEAD = 1024  # members dead or left; the oldest is dropped first
 
 
 class Member(msgspec.Struct, frozen=True, gc=False):
-    """One member and how it stands. Frozen: many tables of a model share one."""
+    """One member and its state. Frozen: many simulated tables share one."""
 
-    said: Update
+    update: Update
     since_s: float  # of its state
     accusers: tuple[str, ...] = ()
 
     @property
-    def here(self) -> bool:
-        """Tell whether it counts as live: a suspect does."""
-        return self.said.state < MemberState.DEAD
+    def is_live(self) -> bool:
+        """Return whether it counts as live: a suspect does."""
+        return self.update.state < MemberState.DEAD
 
 
 @dataclass(slots=True, frozen=True)
 class MemberChange:
-    """A state that has changed; `before` is None for one that is new."""
+    """A state that has changed; `previous` is None for a new member."""
 
-    said: Update
-    before: MemberState | None
+    update: Update
+    previous: MemberState | None
 
 
-def bucket_of(place: str) -> int:
+def bucket_of(address: str) -> int:
     """Return the bucket that a member is in, the same on every node."""
-    return crc32(place.encode()) % BUCKETS
+    return crc32(address.encode()) % BUCKET_COUNT
 
 
-def mark_of(said: Update) -> int:
-    """Return 63 bits for a live member's place and incarnation; a digest is their exclusive or."""
-    data = f"{said.place} {said.incarnation}".encode()
+def digest_of(update: Update) -> int:
+    """Return 63 bits for a live member's address and incarnation; a bucket's digest is their exclusive or."""
+    data = f"{update.address} {update.incarnation}".encode()
     return int.from_bytes(blake2b(data, digest_size=8).digest()) >> 1
 
 
 class MemberTable:
-    """All members but the node itself. What is asked for each datagram costs the same at any size."""
+    """All members but the node itself. What each datagram needs costs the same at any fleet size."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self.members: dict[str, Member] = {}
-        self._order: list[str] = []  # the live ones, to be probed in turn
-        self._at = 0
-        self.dead: list[str] = []  # held for dead, not those that left
-        self.digests = [0] * BUCKETS  # over the live ones
-        self.refused = 0  # for want of room
-
-    def fill(self, other: "MemberTable", besides: str) -> None:
-        """Begin with what another table knows, without one member."""
+        self._probe_order: list[str] = []  # the live ones
+        self._probe_index = 0
+        self.dead: list[str] = []  # without those that left
+        self.digests = [0] * BUCKET_COUNT  # over the live ones
+        self.rejected = 0  # for lack of capacity
+
+    def copy_from(self, other: "MemberTable", excluded: str) -> None:
+        """Start with the members of another table, except one."""
         self.members = dict(other.members)
-        self._order, self.dead, self.digests = other.here(), list(other.dead), list(other.digests)
-        self._set(self.members[besides], None)
-        self._random.shuffle(self._order)
-
-    def count(self) -> int:
-        """Return how many count as live."""
-        return len(self._order)
-
-    def here(self) -> list[str]:
-        """Return the places of those that count as live."""
-        return list(self._order)
-
-    def _set(self, before: Member | None, after: Member | None) -> None:
-        """Put one state of a member in place of another, and keep what is reckoned from all in step."""
-        was, will = before is not None and before.here, after is not None and after.here
-        one = after or before
-        assert one is not None
-        place = one.said.place
-        if after is None:
-            del self.members[place]
-        else:
-            self.members[place] = after
-        if was and not will:
-            at = self._order.index(place)
-            del self._order[at]
-            self._at -= at < self._at
-        elif will and not was:
-            # at a random place of the round, so that joins spread over it
-            self._order.insert(self._random.randint(0, len(self._order)), place)
-        if before is not None and before.said.state is MemberState.DEAD:
-            self.dead.remove(place)
-        if after is not None and after.said.state is MemberState.DEAD:
-            self.dead.append(place)
-        marked = {one.said.incarnation: one.said for one in (before, after) if one is not None and one.here}
-        if not (was and will and len(marked) == 1):
-            for said in marked.values():
-                self.digests[bucket_of(place)] ^= mark_of(said)
-
-    def take(self, said: Update, now: float) -> MemberChange | None:
-        """Take what someone says; None where it is nothing new."""
-        member = self.members.get(said.place)
-        accusers = (said.accuser,) if said.accuser else ()
+        self._probe_order, self.dead, self.digests = other.live(), list(other.dead), list(other.digests)
+        self._replace(self.members[excluded], None)
+        self._random.shuffle(self._probe_order)
+
+    def live_count(self) -> int:
+        """Return how many members count as live."""
+        return len(self._probe_order)
+
+    def fleet_size(self) -> int:
+        """Return how many members are live, the node itself among them."""
+        return 1 + len(self._probe_order)
+
+    def live(self) -> list[str]:
+        """Return the addresses of the members that count as live."""
+        return list(self._probe_order)
+
+    def apply(self, update: Update, now: float) -> MemberChange | None:
+        """Apply an update; return None where no state changes."""
+        member = self.members.get(update.address)
+        accusers = (update.accuser,) if update.accuser else ()
         if member is None:
-            if len(self.members) >= MOST_MEMBERS and not (
-                said.state < MemberState.DEAD and self._drop_oldest(1)
-            ):
-                self.refused += 1
-                return None
-            self._set(None, Member(said, now, accusers))
-            return MemberChange(said, None)
-        if not said.beats(member.said):
+            return self._add(Member(update, now, accusers))
+        if not update.supersedes(member.update):
             return None
-        before = member.said.state
-        self._set(member, Member(said, member.since_s if before is said.state else now, accusers))
-        if before is said.state:  # a newer life, or a suspicion of it
-            return MemberChange(said, before) if said.state is not MemberState.ALIVE else None
-        return MemberChange(said, before)
-
-    def accuse(self, place: str, accuser: str) -> None:
-        """Note one more who does not hear from a suspect."""
-        member = self.members[place]
-        self.members[place] = msgspec.structs.replace(member, accusers=(*member.accusers, accuser))
-
-    def clear(self, place: str, now: float) -> None:
-        """Take a suspect for alive again."""
-        member = self.members.get(place)
-        if member is not None and member.said.state is MemberState.SUSPECT:
-            said = msgspec.structs.replace(member.said, state=MemberState.ALIVE, accuser="")
-            self.members[place] = Member(said, now)
+        previous = member.update.state
+        unchanged = previous is update.state  # a newer incarnation, or a suspicion of it
+        self._replace(member, Member(update, member.since_s if unchanged else now, accusers))
+        if unchanged and update.state is MemberState.ALIVE:
+            return None
+        return MemberChange(update, previous)
+
+    def _add(self, member: Member) -> MemberChange | None:
+        if len(self.members) >= MAX_MEMBERS and not (member.is_live and self._drop_oldest(1)):
+            self.rejected += 1
+            return None
+        self._replace(None, member)
+        return MemberChange(member.update, None)
+
+    def _replace(self, before: Member | None, after: Member | None) -> None:
+        """Replace the entry of a member, and keep what is derived from all entries up to date."""
+        member = after or before
+        assert member is not None
+        address = member.update.address
+        if after is None:
+            del self.members[address]
+        else:
+            self.members[address] = after
+        self._update_probe_order(address, before, after)
+        if before is not None and before.update.state is MemberState.DEAD:
+            self.dead.remove(address)
+        if after is not None and after.update.state is MemberState.DEAD:
+            self.dead.append(address)
+        self._update_digest(address, before, after)
+
+    def _update_probe_order(self, address: str, before: Member | None, after: Member | None) -> None:
+        was_live = before is not None and before.is_live
+        is_live = after is not None and after.is_live
+        if was_live and not is_live:
+            index = self._probe_order.index(address)
+            del self._probe_order[index]
+            self._probe_index -= index < self._probe_index
+        elif is_live and not was_live:
+            # at a random position, so that joins are spread over the round
+            self._probe_order.insert(self._random.randint(0, len(self._probe_order)), address)
+
+    def _update_digest(self, address: str, before: Member | None, after: Member | None) -> None:
+        live = [member.update for member in (before, after) if member is not None and member.is_live]
+        if len(live) == 2 and live[0].incarnation == live[1].incarnation:
+            return
+        for update in live:
+            self.digests[bucket_of(address)] ^= digest_of(update)
+
+    def add_accuser(self, address: str, accuser: str) -> None:
+        """Record one more member whose probe of a suspect failed."""
+        member = self.members[address]
+        self.members[address] = msgspec.structs.replace(member, accusers=(*member.accusers, accuser))
+
+    def clear_suspicion(self, address: str, now: float) -> None:
+        """Set a suspect back to alive."""
+        member = self.members.get(address)
+        if member is not None and member.update.state is MemberState.SUSPECT:
+            update = msgspec.structs.replace(member.update, state=MemberState.ALIVE, accuser="")
+            self.members[address] = Member(update, now)
 
     def next_target(self) -> str | None:
-        """Return whom to probe next: each once a round, in an order drawn anew for each."""
-        if not self._order:
+        """Return the member to probe next: each once a round, in a new random order each round."""
+        if not self._probe_order:
             return None
-        if self._at >= len(self._order):
-            self._random.shuffle(self._order)
-            self._at = 0
-        self._at += 1
-        return self._order[self._at - 1]
+        if self._probe_index >= len(self._probe_order):
+            self._random.shuffle(self._probe_order)
+            self._probe_index = 0
+        self._probe_index += 1
+        return self._probe_order[self._probe_index - 1]
 
-    def some(self, count: int, *besides: str) -> list[str]:
-        """Return so many live members by chance, without those named."""
-        drawn = self._random.sample(self._order, min(count + len(besides), len(self._order)))
-        return [place for place in drawn if place not in besides][:count]
+    def sample(self, count: int, *excluded: str) -> list[str]:
+        """Return random live members, without those excluded."""
+        drawn = self._random.sample(self._probe_order, min(count + len(excluded), len(self._probe_order)))
+        return [address for address in drawn if address not in excluded][:count]
 
     def in_buckets(self, buckets: Iterable[int]) -> list[Update]:
-        """Return all that is known of the members in these buckets, the gone among them."""
+        """Return the updates of all members in some buckets, those dead or left among them."""
         wanted = set(buckets)
-        return [member.said for place, member in self.members.items() if bucket_of(place) in wanted]
+        return [member.update for address, member in self.members.items() if bucket_of(address) in wanted]
 
     def _drop_oldest(self, count: int) -> bool:
-        """Forget so many of those gone longest; tell whether there were any."""
-        gone = sorted((member.since_s, place) for place, member in self.members.items() if not member.here)
-        for _, place in gone[:count]:
-            self._set(self.members[place], None)
-        return bool(gone)
-
-    def drop_old(self, now: float) -> None:
-        """Forget those that have been gone for long, and the oldest of too many."""
-        gone = [member.since_s for member in self.members.values() if not member.here]
-        late = sum(now - since_s > KEPT_S for since_s in gone)
-        if spare := max(late, len(gone) - DEAD_MOST):
-            self._drop_oldest(spare)
-
-    def namesakes(self) -> dict[str, list[str]]:
-        """Return the names that two or more live members have, with their places."""
-        places: dict[str, list[str]] = {}
-        for place in self._order:
-            places.setdefault(self.members[place].said.name, []).append(place)
-        return {name: sorted(found) for name, found in places.items() if len(found) > 1}
+        """Forget members that are dead or left for longest; return whether there were any."""
+        dead = sorted(
+            (member.since_s, address) for address, member in self.members.items() if not member.is_live
+        )
+        for _, address in dead[:count]:
+            self._replace(self.members[address], None)
+        return bool(dead)
+
+    def drop_expired(self, now: float) -> None:
+        """Forget members that have been dead or left for long, and the oldest of too many."""
+        since = [member.since_s for member in self.members.values() if not member.is_live]
+        expired = sum(now - since_s > DEAD_TTL_S for since_s in since)
+        if excess := max(expired, len(since) - MAX_DEAD):
+            self._drop_oldest(excess)
+
+    def duplicate_names(self) -> dict[str, list[str]]:
+        """Return the names that two or more live members have, with their addresses."""
+        by_name: dict[str, list[str]] = {}
+        for address in self._probe_order:
+            by_name.setdefault(self.members[address].update.name, []).append(address)
+        return {name: sorted(addresses) for name, addresses in by_name.items() if len(addresses) > 1}
--- /dev/null
+++ b/reelusher/fleet/membership/state_sync.py
@@ -0,0 +1,199 @@
+"""Anti-entropy over TCP: joining through a seed, and comparing states with random members."""
+
+import threading
+import time
+from collections.abc import Callable
+from random import Random
+
+from loguru import logger
+
+from reelusher.core.counters import Counters
+from reelusher.fleet.membership.messages import (
+    BUCKET_COUNT,
+    BucketsRequest,
+    DigestReply,
+    DigestRequest,
+    StateReply,
+    StateRequest,
+    Update,
+)
+from reelusher.fleet.membership.requests import RequestChannel
+from reelusher.fleet.membership.swim import StepResult, Swim
+from reelusher.pacing.backoff import Backoff
+
+STATES_PER_S, STATES_AT_ONCE = (
+    10.0,
+    10.0,
+)  # full states sent; further requesters are redirected
+ALTERNATIVES = 5  # members that one is redirected to
+JOIN_BACKOFF_BASE_S, JOIN_BACKOFF_CAP_S = 0.2, 3.0
+MIN_REDIRECT_PAUSE_S = 0.05
+FULL_STATE_FRACTION = 0.25  # of comparisons without digests are followed by an exchange of full states
+SYNC_INTERVAL_S = 15.0, 30.0  # between comparisons with a random member, which repair what gossip has lost
+FIRST_SYNC_DELAY_S = 0.5, 3.0  # after joining: of many members that join at once, each knows some others only
+SYNC_PAUSE_S = 0.5, 1.5  # after each exchange
+LOST_SEED_WEIGHT = 3  # how likely a seed that is not live is chosen, beside each live member
+
+
+class ExchangeAllowance:
+    """A token bucket: a rate, and a burst. Not thread-safe."""
+
+    def __init__(self, per_s: float, at_once: float, now: float) -> None:
+        self._per_s, self._most, self._left, self._at_s = per_s, at_once, at_once, now
+
+    def take(self, now: float) -> bool:
+        """Take one token; return False where there is none."""
+        self._left = min(self._most, self._left + (now - self._at_s) * self._per_s)
+        self._at_s = now
+        if self._left < 1:
+            return False
+        self._left -= 1
+        return True
+
+
+class StateSync:
+    """Exchanges states with other members, in a thread of its own."""
+
+    def __init__(
+        self,
+        swim: Swim,
+        lock: threading.Lock,
+        channel: RequestChannel,
+        seeds: list[str],
+        random: Random,
+        counters: Counters,
+        deliver: Callable[[StepResult], None],
+    ) -> None:
+        """`lock` guards `swim`; `deliver` sends what a merge results in."""
+        self._swim, self._lock, self._channel, self._seeds = swim, lock, channel, seeds
+        self._random, self._counters, self._deliver = random, counters, deliver
+        self.state_allowance = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
+        self.joined = not seeds
+        self._stop = threading.Event()
+        self._wake = threading.Event()
+        channel.handlers[StateRequest] = self._on_state_request
+        channel.handlers[DigestRequest] = self._on_digest_request
+        channel.handlers[BucketsRequest] = self._on_buckets_request
+
+    def close(self) -> None:
+        """End the thread."""
+        self._stop.set()
+        self._wake.set()
+
+    def wake(self) -> None:
+        """Look at once for members to exchange states with."""
+        self._wake.set()
+
+    def run(self) -> None:
+        """Join, then compare states periodically, and with members that turned out to be alive."""
+        self._join()
+        due_s = time.monotonic() + self._random.uniform(*FIRST_SYNC_DELAY_S)
+        while not self._stop.is_set():
+            self._wake.wait(max(0.0, due_s - time.monotonic()))
+            self._wake.clear()
+            if self._stop.is_set():
+                return
+            with self._lock:
+                partners = [self._swim.sync_with.pop()] if self._swim.sync_with else []
+                self._swim.sync_with.clear()
+                if not partners and time.monotonic() >= due_s:
+                    partners = self._random_partner()
+                    due_s = time.monotonic() + self._random.uniform(*SYNC_INTERVAL_S)
+            for address in partners:
+                self.compare(address)
+                self._stop.wait(self._random.uniform(*SYNC_PAUSE_S))
+
+    def _join(self) -> None:
+        backoff = Backoff(self._random, JOIN_BACKOFF_BASE_S, JOIN_BACKOFF_CAP_S)
+        alternatives: list[str] = []
+        while not self.joined and not self._stop.is_set():
+            address = self._random.choice(alternatives or self._seeds)
+            reply = self.exchange(address)
+            alternatives = reply.alternatives if reply else []
+            if reply and not alternatives:
+                self.joined = True
+                with self._lock:
+                    fleet_size = self._swim.table.fleet_size()
+                logger.info("fleet: joined through {}, {} live", address, fleet_size)
+            elif reply:
+                self._stop.wait(self._random.uniform(MIN_REDIRECT_PAUSE_S, JOIN_BACKOFF_BASE_S))
+            else:
+                self._counters.warn(
+                    "fleet.unjoined", "fleet: joining through {} failed, serving alone", address
+                )
+                self._stop.wait(backoff.next_s())
+
+    def _random_partner(self) -> list[str]:
+        """Return a member to compare states with, now and then a seed that is not live."""
+        live = set(self._swim.table.live())
+        lost_seeds = [seed for seed in self._seeds if seed not in live]
+        if lost_seeds and self._random.random() < LOST_SEED_WEIGHT / (1 + len(live)):
+            return [self._random.choice(lost_seeds)]
+        return self._swim.table.sample(1)
+
+    def compare(self, address: str) -> None:
+        """Compare digests with a member, and exchange the buckets that differ."""
+        with self._lock:
+            request = DigestRequest(self._swim.own.address, self._swim.digest())
+        reply = self._channel.request(address, request, DigestReply)
+        if reply is None or len(reply.digests) not in (0, BUCKET_COUNT):
+            # It is down or busy, or its version has no digests, or other ones. Its full state is asked for by
+            # some members only, not by all at once.
+            if self._random.random() < FULL_STATE_FRACTION:
+                self.exchange(address)
+            return
+        if not reply.digests:
+            return
+        with self._lock:
+            buckets = self._swim.differing_buckets(reply.digests)
+            updates = self._swim.in_buckets(buckets)
+        if buckets:
+            buckets_request = BucketsRequest(request.sender, buckets, updates)
+            self._merge(self._channel.request(address, buckets_request, StateReply))
+
+    def exchange(self, address: str) -> StateReply | None:
+        """Exchange full states with a member; return None where it does not reply."""
+        with self._lock:
+            # before it has joined, a member knows others only from its seeds, as they themselves do
+            updates = self._swim.full_state() if self.joined else [self._swim.own]
+            request = StateRequest(self._swim.own.address, updates)
+        return self._merge(self._channel.request(address, request, StateReply))
+
+    def _merge(self, reply: StateReply | None) -> StateReply | None:
+        if reply is not None:
+            with self._lock:
+                merge = self._swim.merge if self.joined else self._swim.join
+                result = merge(reply.updates, time.monotonic())
+            self._deliver(result)
+        return reply
+
+    # Requests of other members
+
+    def _on_state_request(self, request: StateRequest) -> StateReply:
+        return self._reply_with(request, self._swim.full_state)
+
+    def _on_buckets_request(self, request: BucketsRequest) -> StateReply:
+        return self._reply_with(request, lambda: self._swim.in_buckets(request.buckets))
+
+    def _reply_with(
+        self, request: StateRequest | BucketsRequest, known: Callable[[], list[Update]]
+    ) -> StateReply:
+        """Merge the state of the requester, and reply with what is known, or with other members to ask."""
+        now = time.monotonic()
+        with self._lock:
+            result = self._swim.merge(request.updates, now)
+            allowed = self.state_allowance.take(now)
+            if allowed:
+                reply = StateReply(known())
+            else:
+                alternatives = self._swim.table.sample(ALTERNATIVES, request.sender)
+                reply = StateReply([self._swim.own], alternatives)
+        self._counters.add("fleet.states_given" if allowed else "fleet.states_denied")
+        self._deliver(result)
+        return reply
+
+    def _on_digest_request(self, request: DigestRequest) -> DigestReply:
+        with self._lock:
+            reply = DigestReply(self._swim.compare_digest(request.digest))
+        self._counters.add("fleet.states_differ" if reply.digests else "fleet.states_equal")
+        return reply
--- a/reelusher/fleet/replication/messages.py
+++ b/reelusher/fleet/replication/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from reelusher.fleet.membership.messages import Name, Number, Place
+from reelusher.fleet.membership.messages import Address, Name, Number
 
 MOST_PIECE = 1 << 16  # bytes of the entries of a piece; one entry is given in any case
 MOST_TENANT = 48 << 10  # bytes of one tenant's JSON
@@ -55,7 +55,7 @@
 class EntriesRequest(msgspec.Struct, array_like=True, frozen=True, tag="entries"):
     """Asks for what lies past the asker's positions."""
 
-    sender: Place
+    sender: Address
     control: Number  # digest of the list of control members
     vector: Vector
     covered: Annotated[
@@ -67,13 +67,13 @@
     """Pieces, or, where the giver has given enough of late, whom to ask instead."""
 
     pieces: Annotated[list[LogSegment], msgspec.Meta(max_length=MOST_CONTROL)]
-    instead: Annotated[list[Place], msgspec.Meta(max_length=MOST_INSTEAD)] = []
+    instead: Annotated[list[Address], msgspec.Meta(max_length=MOST_INSTEAD)] = []
 
 
 class ChangeRequest(msgspec.Struct, array_like=True, frozen=True, tag="change"):
     """A call of the administration API, carried to the member that writes what it changes."""
 
-    sender: Place
+    sender: Address
     method: Annotated[str, msgspec.Meta(max_length=16)]
     target: Annotated[str, msgspec.Meta(max_length=4096)]  # path and query
     headers: Annotated[dict[str, str], msgspec.Meta(max_length=64)]
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -118,7 +118,7 @@
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
         """Return the places of members to call now; `live` are all live ones."""
         self._looked_s = now
-        places = [said.place for said in live if said.place != self._replica.own_place]
+        places = [said.address for said in live if said.address != self._replica.own_place]
         behind: dict[str, float] = {}  # when each was last heard or called
         with self._changed:
             for gone in self._vectors.keys() - set(places):
@@ -154,12 +154,12 @@
     def told(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
         """Return, for each stream that this member holds, who has its newest change."""
         self.attend(now)
-        others = [said for said in live if said.place != self._replica.own_place]
+        others = [said for said in live if said.address != self._replica.own_place]
         made = []
         with self._changed:
             for stream, position in self._held():
-                lack = [said for said in others if not self._has(said.place, stream, position)]
-                lack.sort(key=lambda said: self._heard_s.get(said.place, 0.0))
+                lack = [said for said in others if not self._has(said.address, stream, position)]
+                lack.sort(key=lambda said: self._heard_s.get(said.address, 0.0))
                 newest = dict(self._made[stream]).get(position)
                 everywhere = self._everywhere.get(stream)
                 made.append(
@@ -182,11 +182,11 @@
         return made
 
     def _slow(self, said: Update, stream: str, now: float) -> dict[str, object]:
-        vector, at = self._vectors.get(said.place), self._at[stream]
-        heard_s = self._heard_s.get(said.place)
+        vector, at = self._vectors.get(said.address), self._at[stream]
+        heard_s = self._heard_s.get(said.address)
         return {
             "name": said.name,
-            "address": said.place,
+            "address": said.address,
             "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
             "heard_s": None if heard_s is None else round(now - heard_s, 1),
         }
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -35,19 +35,21 @@
 class Fleet(Protocol):
     """What is needed of membership."""
 
-    serve: dict[type, Callable[[Any], Any]]
+    handlers: dict[type, Callable[[Any], Any]]
 
     def live(self) -> list[Update]:
         """Return the live members, this one first."""
 
-    def ride(self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]) -> None:
+    def piggyback(
+        self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]
+    ) -> None:
         """Have each datagram carry a vector, and tell of those that come."""
 
-    def call(self, places: Sequence[str]) -> None:
-        """Ping members, which are heard by their answers."""
+    def ping(self, addresses: Sequence[str]) -> None:
+        """Ping members, whose answers carry their vectors."""
 
-    def ask(self, place: str, request: Any, kind: type[T]) -> T | None:
-        """Ask a member; None where it does not answer."""
+    def request(self, address: str, request: Any, reply_type: type[T]) -> T | None:
+        """Return the reply of a member; None where it does not reply."""
 
 
 class Replication:
@@ -80,7 +82,7 @@
         self._check_s = now + random.uniform(0.01, 1.0) * CHECK_S[0]
         self._renew_s = self._recheck_s = 0.0
         if fleet is not None:
-            fleet.serve[EntriesRequest] = self._asked
+            fleet.handlers[EntriesRequest] = self._asked
 
     # From any thread
 
@@ -89,7 +91,7 @@
         if self.copy.damaged_at_start:
             self._tell_damaged(self.copy.damaged_at_start)
         if self._fleet is not None:
-            self._fleet.ride(self.replica.announce, self._heard)
+            self._fleet.piggyback(self.replica.announce, self._heard)
             spawn("replication", self._pulls)
         spawn("replication-upkeep", self._keep_up)
 
@@ -165,7 +167,7 @@
                 self._pull.wait(min(max(left_s, 0.005), LOOK_S))
                 continue
             assert self._fleet is not None
-            reply = self._fleet.ask(pull.place, pull.request, EntriesReply)
+            reply = self._fleet.request(pull.place, pull.request, EntriesReply)
             now = time.monotonic()
             if reply is None:
                 self._counters.add("replication.pulls_failed")
@@ -230,13 +232,13 @@
             return
         if now - self._zones_s >= ZONES_S:
             self._zones_s = now
-            self._zones = {said.place: said.zone for said in self._live()}
+            self._zones = {said.address: said.zone for said in self._live()}
         if self.census is not None:
             live = self._live()
             own = self.replica.own_name
             self.writer.tick(max(0, len(live) - 1), sum(said.name == own for said in live) > 1)
             if self._fleet is not None and self.census.wants(now):
-                self._fleet.call(self.census.tick(live, now))
+                self._fleet.ping(self.census.tick(live, now))
         if now >= self._recheck_s and not self.filling():
             more = self.copy.recheck(self._checked_by, RECHECKED)
             self._recheck_s = now if more else now + RECHECK_S
--- a/reelusher/fleet/warm_start/client.py
+++ b/reelusher/fleet/warm_start/client.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.fleet.membership.messages import FactsReply, FactsRequest, Observation
+from reelusher.fleet.membership.messages import Observation, ObservationsReply, ObservationsRequest
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.warm_start.facts import DONORS, donors, weighed
 from reelusher.net.threads import start_thread
@@ -47,14 +47,14 @@
                 return
         own, *others = self._members.live()
         told: list[list[Observation]] = []
-        for place in donors(own.place, [member.place for member in others], MOST_ASKED):
+        for place in donors(own.address, [member.address for member in others], MOST_ASKED):
             if self._stop.is_set() or len(told) == DONORS:
                 break
-            reply = self._members.ask(place, FactsRequest(own.place), FactsReply)
+            reply = self._members.request(place, ObservationsRequest(own.address), ObservationsReply)
             if reply is None or not reply.warm:
                 self._counters.add("learning.nothing_told")
                 continue
-            told.append(reply.facts)
+            told.append(reply.observations)
         known = weighed(told, time.time())
         if known:
             self._take(known)
--- a/reelusher/fleet/warm_start/facts.py
+++ b/reelusher/fleet/warm_start/facts.py
@@ -26,12 +26,12 @@
 
 def trust(fact: Observation, now_s: float) -> float:
     """Return what a fact counts, from 0 to 1; the kind is the part of its name before the colon."""
-    kind, _, _ = fact.about.partition(":")
+    kind, _, _ = fact.subject.partition(":")
     half_s = HALF_S.get(kind)
     if half_s is None or not isfinite(fact.value):
         return 0.0
     low, high = BOUNDS[kind]
-    age_s = now_s - fact.seen_s
+    age_s = now_s - fact.observed_s
     if not low <= fact.value <= high or age_s < -AHEAD_S or age_s > OLDEST * half_s:
         return 0.0
     made: float = 0.5 ** (max(0.0, age_s) / half_s)
@@ -52,7 +52,7 @@
     """Return what several donors together are believed, by what it is about."""
     found: dict[str, list[tuple[float, float]]] = {}
     for facts in told:
-        newest = {fact.about: fact for fact in sorted(facts[:MOST_FACTS], key=lambda fact: fact.seen_s)}
+        newest = {fact.subject: fact for fact in sorted(facts[:MOST_FACTS], key=lambda fact: fact.observed_s)}
         for about, fact in newest.items():
             weight = trust(fact, now_s)
             if weight > 0:
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -31,25 +31,24 @@
 from msgspec.structs import replace
 
 from reelusher.config.checked_table import Address, ConfigError, address_of
+from reelusher.fleet.membership.authentication import MessageAuthenticator, RejectedMessageError
 from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import (
-    BUCKETS,
-    MOST_DATAGRAM,
-    MOST_STATE,
+    BUCKET_COUNT,
+    MAX_DATAGRAM_BYTES,
+    MAX_STATE_BYTES,
     BucketsRequest,
     Datagram,
     DigestReply,
     DigestRequest,
-    FactsReply,
-    FactsRequest,
     MemberState,
-    MessageAuthenticator,
-    RejectedMessageError,
+    ObservationsReply,
+    ObservationsRequest,
     StateReply,
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.swim import Said, Swim
+from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, LogEntry
 from reelusher.fleet.replication.replica import Pull, Replica, stream_of
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
@@ -62,7 +61,7 @@
 STEP_S = 0.02
 LOOK_S = 0.05  # between looks whether a change is everywhere
 READS = 4  # datagrams taken from one socket before the next
-REQUESTS = StateRequest | DigestRequest | BucketsRequest | FactsRequest | EntriesRequest
+REQUESTS = StateRequest | DigestRequest | BucketsRequest | ObservationsRequest | EntriesRequest
 FIRST_NET = 100  # hollow members are at 127.100.0.1 and on
 
 
@@ -83,10 +82,10 @@
 
     def __init__(self, own: Update, control: list[str], secret: bytes, fleet: str, random: Random) -> None:
         self.swim, self.rows, self.zone = Swim(own, random, 0.0), MemoryReplicaStore(), own.zone
-        self.place = own.place
-        self.replica = Replica(own.place, control, self.rows, random, own.zone)
-        self.seal = MessageAuthenticator(secret, fleet, own.place, own.incarnation)
-        self.swim.vector, self.swim.heard = self.replica.announce, self._heard
+        self.place = own.address
+        self.replica = Replica(own.address, control, self.rows, random, own.zone)
+        self.seal = MessageAuthenticator(secret, fleet, own.address, own.incarnation)
+        self.swim.gossip.vector, self.swim.on_vector = self.replica.announce, self._heard
         self.sock: socket.socket | None = None
         self.due_s = 0.0  # for which it is in the heap
         self.sync_s = random.uniform(0.0, SYNC_S[1])
@@ -98,11 +97,11 @@
     def zone_of(self, place: str) -> str:
         """Return the zone of a member that it knows."""
         found = self.swim.table.members.get(place)
-        return found.said.zone if found else ""
+        return found.update.zone if found else ""
 
     def next_s(self) -> float:
         """Return when it has something to do."""
-        return min(self.swim.next_s(), self.replica.due_s(), self.sync_s)
+        return min(self.swim.next_tick_s(), self.replica.due_s(), self.sync_s)
 
 
 def hosts_of(count: int) -> list[str]:
@@ -154,14 +153,14 @@
         ]
         whole = MemberTable(Random(seed))
         for own in everyone:
-            whole.take(own, 0.0)
+            whole.apply(own, 0.0)
         for number, own in enumerate(everyone):
             if number % parts != part:
                 continue
             member = Member(own, control, secret, fleet, Random(f"{seed} {number}"))
-            member.swim.table.fill(whole, own.place)  # they know each other from the start
-            member.swim.quiet()
-            self.members[own.place] = member
+            member.swim.table.copy_from(whole, own.address)  # they know each other from the start
+            member.swim.gossip.broadcasts.clear()
+            self.members[own.address] = member
             self._listen(member, (hosts[number], port))
             self._wake(member)
 
@@ -182,7 +181,7 @@
         everyone = [member.swim.own for member in self.members.values()]
         known: dict[str, Update] = {}
         for place, member in zip(places, asked, strict=False):
-            data = member.seal.close(StateRequest(member.place, everyone))
+            data = member.seal.seal(StateRequest(member.place, everyone))
             source = member.place.split(":")[0], 0
             with socket.create_connection(address_of(place, "place"), 10.0, source) as sock:
                 sock.sendall(len(data).to_bytes(4) + data)
@@ -192,12 +191,12 @@
                     if not data:
                         raise OSError(f"{place} closed within an exchange")
                     came += data
-            _, reply = member.seal.open(bytes(came[4:]), StateReply, MOST_STATE)
+            _, reply = member.seal.open(bytes(came[4:]), StateReply, MAX_STATE_BYTES)
             known |= {said.place: said for said in reply.updates}
         for member in self.members.values():
             for said in known.values():
-                if said.place != member.place:
-                    member.swim.table.take(said, self.now)
+                if said.address != member.place:
+                    member.swim.table.apply(said, self.now)
         self.looked_s = time.monotonic()
 
     # The loop
@@ -241,7 +240,7 @@
             self._carry_out(member, member.swim.tick(now))
             if now >= member.sync_s:
                 member.sync_s = now + self.random.uniform(*SYNC_S)
-                for place in member.swim.table.some(1):
+                for place in member.swim.table.sample(1):
                     self._compare(member, place)
             if (pull := member.replica.next_pull(now)) is not None:
                 self._pull(member, pull)
@@ -263,8 +262,8 @@
 
     # Datagrams
 
-    def _carry_out(self, member: Member, said: Said) -> None:
-        for place, message in said.out:
+    def _carry_out(self, member: Member, said: StepResult) -> None:
+        for place, message in said.datagrams:
             if self._apart(member, place):
                 continue
             if place in self.members and not self.sealed:
@@ -275,7 +274,7 @@
             self.counts["sent"] += 1
             assert member.sock is not None
             with contextlib.suppress(OSError, ConfigError):
-                member.sock.sendto(member.seal.close(message), address_of(place, "place"))
+                member.sock.sendto(member.seal.seal(message), address_of(place, "place"))
         if member.swim.sync_with:
             found = member.swim.sync_with.pop()
             member.swim.sync_with.clear()
@@ -290,7 +289,7 @@
                 break
             self.counts["received"] += 1
             try:
-                _, message = member.seal.open(data, Datagram, MOST_DATAGRAM)
+                _, message = member.seal.open(data, Datagram, MAX_DATAGRAM_BYTES)
             except RejectedMessageError as error:
                 self.counts[f"refused_{error}"] += 1
                 continue
@@ -307,15 +306,17 @@
         self.counts["compared"] += 1
         request, other = DigestRequest(member.place, member.swim.digest()), self.members.get(place)
         if other is not None:
-            digests = other.swim.compared(request.whole)
-            if digests and (buckets := member.swim.differing(digests)):
+            digests = other.swim.compare_digest(request.digest)
+            if digests and (buckets := member.swim.differing_buckets(digests)):
                 mine = BucketsRequest(member.place, buckets, _copies(member.swim.in_buckets(buckets)))
                 self._merge(member, self._answer(other, mine))
                 self._wake(other)
             return
 
         def compare(reply: DigestReply) -> None:
-            buckets = member.swim.differing(reply.digests) if len(reply.digests) == BUCKETS else []
+            buckets = (
+                member.swim.differing_buckets(reply.digests) if len(reply.digests) == BUCKET_COUNT else []
+            )
             if buckets:
                 mine = BucketsRequest(member.place, buckets, member.swim.in_buckets(buckets))
                 self._ask(member, place, mine, StateReply, partial(self._merge, member))
@@ -351,15 +352,15 @@
             case StateRequest() | BucketsRequest():
                 self._carry_out(member, member.swim.merge(asked.updates, self.now))
                 return StateReply(
-                    member.swim.state()
+                    member.swim.full_state()
                     if isinstance(asked, StateRequest)
                     else member.swim.in_buckets(asked.buckets)
                 )
             case DigestRequest():
-                return DigestReply(member.swim.compared(asked.whole))
+                return DigestReply(member.swim.compare_digest(asked.digest))
             case EntriesRequest():
                 return member.replica.asked(asked, self.now)
-        return FactsReply(False, [])
+        return ObservationsReply(False, [])
 
     # Exchanges with real nodes
 
@@ -373,10 +374,10 @@
         failed: Callable[[], None] = lambda: None,
     ) -> None:
         def open_frame(frame: bytes) -> bytes:
-            take(member.seal.open(frame, kind, MOST_STATE)[1])
+            take(member.seal.open(frame, kind, MAX_STATE_BYTES)[1])
             return b""
 
-        data = member.seal.close(request)
+        data = member.seal.seal(request)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.bind((member.place.split(":")[0], 0))
@@ -395,11 +396,11 @@
         sock.setblocking(False)
 
         def take(frame: bytes) -> bytes:
-            asked = member.seal.open(frame, REQUESTS, MOST_STATE)[1]
+            asked = member.seal.open(frame, REQUESTS, MAX_STATE_BYTES)[1]
             self.counts[f"asked_{type(asked).__name__}"] += 1
             if self._apart(member, asked.sender):
                 return b""
-            data = member.seal.close(self._answer(member, asked))
+            data = member.seal.seal(self._answer(member, asked))
             self._wake(member)
             return len(data).to_bytes(4) + data
 
@@ -470,8 +471,8 @@
             "clock_s": round(self.now, 3),
             "lost_s": round(self.lost_s, 3),
             "stalls": sum(member.swim.stalls for member in self.members.values()),
-            "live_least": min(member.swim.size() for member in self.members.values()),
-            "live_most": max(member.swim.size() for member in self.members.values()),
+            "live_least": min(member.swim.table.fleet_size() for member in self.members.values()),
+            "live_most": max(member.swim.table.fleet_size() for member in self.members.values()),
             **self.counts,
         }
         if wanted is not None:
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -18,6 +18,7 @@
 
 import msgspec
 
+from reelusher.fleet.membership.authentication import MessageAuthenticator
 from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import (
     BucketsRequest,
@@ -25,22 +26,20 @@
     DigestReply,
     DigestRequest,
     MemberState,
-    MessageAuthenticator,
     StateReply,
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.service import (
-    DROP_S,
-    MOST_ASKERS,
-    STATE_S,
+from reelusher.fleet.membership.requests import REQUEST_TIMEOUT_S
+from reelusher.fleet.membership.service import EXPIRY_INTERVAL_S, MAX_CONNECTIONS
+from reelusher.fleet.membership.state_sync import (
     STATES_AT_ONCE,
     STATES_PER_S,
-    SYNC_LEAST_S,
-    SYNC_S,
+    SYNC_INTERVAL_S,
+    SYNC_PAUSE_S,
     ExchangeAllowance,
 )
-from reelusher.fleet.membership.swim import Said, Swim
+from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Pull, Replica, stream_of
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
@@ -177,18 +176,18 @@
         seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", self.nodes[-1].place, LIFE_MS)
         seal._number = 1 << 20
         ping = Datagram(0, "x")  # type: ignore[arg-type]
-        self._envelope = len(seal.close(ping)) - len(self._encoder.encode(ping))
+        self._envelope = len(seal.seal(ping)) - len(self._encoder.encode(ping))
         everyone = MemberTable(Random(seed))
         for node in self.nodes:
-            everyone.take(self._own(node, LIFE_MS), 0.0)
+            everyone.apply(self._own(node, LIFE_MS), 0.0)
         for node in self.mine:
             self._begin(node, LIFE_MS)
-            node.swim.table.fill(everyone, node.place)
-            node.swim.quiet()
-            node.sync_due_s = self.random.uniform(0.0, SYNC_S[1])
+            node.swim.table.copy_from(everyone, node.place)
+            node.swim.gossip.broadcasts.clear()
+            node.sync_due_s = self.random.uniform(0.0, SYNC_INTERVAL_S[1])
             self._wake(node)
             self._wake_sync(node)
-            self.line.call_later(self.random.uniform(0.0, DROP_S), self._drop, node)
+            self.line.call_later(self.random.uniform(0.0, EXPIRY_INTERVAL_S), self._drop, node)
 
     # The parts
 
@@ -245,8 +244,8 @@
         if self.replicate:
             node.replica = Replica(node.place, CONTROL, node.rows, random, str(node.zone), now)
             node.position = node.replica.announce()
-            node.swim.vector = node.replica.announce
-            node.swim.heard = lambda sender, vector, at: self._heard(node, sender, vector, at)
+            node.swim.gossip.vector = node.replica.announce
+            node.swim.on_vector = lambda sender, vector, at: self._heard(node, sender, vector, at)
 
     def _heard(self, node: Node, sender: str, vector: list[int], now: float) -> None:
         if vector != node.position or node.replica._due_s != node.pull_due_s:
@@ -259,12 +258,12 @@
 
     def _drop(self, node: Node) -> None:
         if node.up:
-            node.swim.table.drop_old(self.line.now)
-        self.line.call_later(DROP_S, self._drop, node)
+            node.swim.table.drop_expired(self.line.now)
+        self.line.call_later(EXPIRY_INTERVAL_S, self._drop, node)
 
     def _wake(self, node: Node) -> None:
         now = self.line.now
-        at = max(now, node.swim.next_s())
+        at = max(now, node.swim.next_tick_s())
         if now < node.due_s <= at or not node.up:
             return  # an earlier look is set
         node.due_s = at
@@ -279,13 +278,13 @@
             self._carry_out(node, said)
             self._wake(node)
 
-    def _carry_out(self, node: Node, said: Said) -> None:
+    def _carry_out(self, node: Node, said: StepResult) -> None:
         random = self.random
         for change in said.changes:
-            if change.said.state is MemberState.DEAD:
-                other = self.by_place[change.said.place]
+            if change.update.state is MemberState.DEAD:
+                other = self.by_place[change.update.address]
                 self.false_deaths += other.up and not self.cut(node.index, other.index)
-        for place, message in said.out:
+        for place, message in said.datagrams:
             node.sent += 1
             data = self._encoder.encode(message)
             size = len(data) + self._envelope
@@ -356,9 +355,9 @@
         """Have a node hear that another connects to it with a request."""
         node, other = self.nodes[asker], self.nodes[index]
         if not other.up or self.cut(asker, index):
-            self._post(node, STATE_S, "answered", asker, number, None, 0)
+            self._post(node, REQUEST_TIMEOUT_S, "answered", asker, number, None, 0)
             return
-        if other.asked >= MOST_ASKERS:
+        if other.asked >= MAX_CONNECTIONS:
             self.turned_away += 1
             self._post(node, self._way_s(other, node), "answered", asker, number, None, 0)
             return
@@ -397,7 +396,7 @@
         now = self.line.now
         match request:
             case DigestRequest():
-                return DigestReply(node.swim.compared(request.whole))
+                return DigestReply(node.swim.compare_digest(request.digest))
             case BucketsRequest():
                 self._merged(node, request.updates)
                 return StateReply(
@@ -406,7 +405,7 @@
             case StateRequest():
                 self._merged(node, request.updates)
                 gives = node.states.take(now)
-                return StateReply(node.swim.state()) if gives else StateReply([], [node.place])
+                return StateReply(node.swim.full_state()) if gives else StateReply([], [node.place])
         began = perf_counter()
         reply = node.replica.asked(request, now)
         self.replica_s += perf_counter() - began
@@ -418,19 +417,19 @@
     def _sync(self, node: Node, swim: Swim) -> None:
         if not node.up or node.swim is not swim:
             return
-        node.sync_due_s = self.line.now + self.random.uniform(*SYNC_S)
+        node.sync_due_s = self.line.now + self.random.uniform(*SYNC_INTERVAL_S)
         self._wake_sync(node)
-        live = swim.table.count()
+        live = swim.table.live_count()
         lost = [
             seed
             for seed in self.nodes[: len(CONTROL)]
             if seed is not node
-            and not (seed.place in swim.table.members and swim.table.members[seed.place].here)
+            and not (seed.place in swim.table.members and swim.table.members[seed.place].is_live)
         ]
         if lost and self.random.random() < 3 / (1 + live):
             self._compare(node, self.random.choice(lost))
         elif live:
-            self._compare(node, self.by_place[swim.table.some(1)[0]])
+            self._compare(node, self.by_place[swim.table.sample(1)[0]])
 
     def _merged(self, node: Node, updates: Iterable[Update]) -> None:
         if self.parts > 1:
@@ -449,10 +448,10 @@
             node.syncing = False
 
         def digests(reply: DigestReply | None) -> None:
-            self.line.call_later(self.random.uniform(*SYNC_LEAST_S), free)
+            self.line.call_later(self.random.uniform(*SYNC_PAUSE_S), free)
             if reply is None or not reply.digests:
                 return
-            buckets = node.swim.differing(reply.digests)
+            buckets = node.swim.differing_buckets(reply.digests)
             if buckets:
                 self._ask(
                     node, other, BucketsRequest(node.place, buckets, node.swim.in_buckets(buckets)), merged
@@ -573,14 +572,14 @@
         seed = self.random.choice([one for one in self.nodes[: len(CONTROL)] if one is not node])
 
         def joined(reply: StateReply | None) -> None:
-            if reply is None or reply.instead:
+            if reply is None or reply.alternatives:
                 self.line.call_later(self.random.uniform(0.2, 0.6), self._join, node)
                 return
             began = perf_counter()
             said = node.swim.join(reply.updates, self.line.now)
             self.swim_s += perf_counter() - began
             self._carry_out(node, said)
-            node.sync_due_s = self.line.now + self.random.uniform(0.0, SYNC_S[1])
+            node.sync_due_s = self.line.now + self.random.uniform(0.0, SYNC_INTERVAL_S[1])
             self._wake(node)
             self._wake_sync(node)
 
@@ -623,8 +622,8 @@
         """Tell whether each live node counts just the live ones."""
         live = [node for node in self.nodes if node.up]
         mine = [node for node in self.mine if node.up]
-        return all(1 + node.swim.table.count() == len(live) for node in mine) and all(
-            other.swim.table.members[node.place].here
+        return all(1 + node.swim.table.live_count() == len(live) for node in mine) and all(
+            other.swim.table.members[node.place].is_live
             for node in live[:3]
             for other in mine
             if other is not node
@@ -643,7 +642,7 @@
         return sum(
             one.up
             and one is not node
-            and not (node.place in one.swim.table.members and one.swim.table.members[node.place].here)
+            and not (node.place in one.swim.table.members and one.swim.table.members[node.place].is_live)
             for one in self.mine
         )
 
@@ -768,7 +767,7 @@
     message = Datagram(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
     began = process_time()
     for _ in range(count):
-        other.open(seal.close(message), Datagram)
+        other.open(seal.seal(message), Datagram)
     return (process_time() - began) / count / 2
 
 
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -6,17 +6,17 @@
 
 from msgspec.structs import replace
 
+from reelusher.fleet.membership.authentication import MessageAuthenticator
 from reelusher.fleet.membership.messages import (
     BucketsRequest,
     DigestReply,
     DigestRequest,
     MemberState,
-    MessageAuthenticator,
     StateReply,
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.service import SYNC_S
+from reelusher.fleet.membership.state_sync import SYNC_INTERVAL_S
 from reelusher.fleet.membership.swim import Swim
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
@@ -53,22 +53,22 @@
 
 def _exchanged(one: Swim, other: Swim, seal: MessageAuthenticator) -> float:
     """Return the bytes, sealed, of all messages by which two members compare what they know."""
-    asked, digests = DigestRequest(one.own.place, one.digest()), other.compared(one.digest())
+    asked, digests = DigestRequest(one.own.address, one.digest()), other.compare_digest(one.digest())
     said: list[object] = [asked, DigestReply(digests)]
     if digests:
-        buckets = one.differing(digests)
+        buckets = one.differing_buckets(digests)
         said += [
-            BucketsRequest(one.own.place, buckets, one.in_buckets(buckets)),
+            BucketsRequest(one.own.address, buckets, one.in_buckets(buckets)),
             StateReply(other.in_buckets(buckets)),
         ]
-    return float(sum(len(seal.close(message)) for message in said))
+    return float(sum(len(seal.seal(message)) for message in said))
 
 
 def states(size: int) -> Figures:
     """Measure a full state of so many members, the table that it makes, and an exchange by digests."""
     updates = _updates(size)
-    seal = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].place, 1)
-    data = seal.close(StateRequest(updates[0].place, updates))
+    seal = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].address, 1)
+    data = seal.seal(StateRequest(updates[0].address, updates))
     restarted = [*updates[:-1], replace(updates[-1], incarnation=updates[-1].incarnation + 1)]
     peers = [Swim(updates[1], Random(number), 0.0) for number in range(2)]
     for peer, known in zip(peers, (updates, restarted), strict=True):
@@ -77,18 +77,18 @@
     def take() -> Swim:
         swim = Swim(updates[0], Random(1), 0.0)
         swim.merge(updates, 0.0)
-        swim.quiet()
+        swim.gossip.broadcasts.clear()
         return swim
 
     def given() -> None:
-        seal.close(StateReply(swim.state()))
+        seal.seal(StateReply(swim.full_state()))
 
     held, swim = bytes_of(take)
     return {
         "state_kb": len(data) / 1000,
         "table_kb": held / 1000,
-        "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_S) / 2),
-        "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_S) / 2),
+        "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_INTERVAL_S) / 2),
+        "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_INTERVAL_S) / 2),
         "give_ms": each_us(given) / 1000,
         "merge_ms": each_us(lambda: swim.merge(updates, 0.0)) / 1000,
         "tick_us": each_us(lambda: swim.tick(0.0)),
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from reelusher.fleet.membership.member_table import MOST_MEMBERS
+from reelusher.fleet.membership.member_table import MAX_MEMBERS
 from reelusher.fleet.warm_start.facts import MOST_FACTS
 from reelusher.lab.capacity.budgets import (
     CONTAINER_MOST,
@@ -627,8 +627,8 @@
         ),
         SettingsError(
             "room for more members",
-            lambda: MOST_MEMBERS * expected("nodes") / derived("members_remembered"),
-            f"[[derived.members_remembered]] are remembered at 3,600, against {MOST_MEMBERS:,}",
+            lambda: MAX_MEMBERS * expected("nodes") / derived("members_remembered"),
+            f"[[derived.members_remembered]] are remembered at 3,600, against {MAX_MEMBERS:,}",
             "shorter memory of those that left; a larger table",
         ),
     ]
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -6,7 +6,8 @@
 from pathlib import Path
 
 from reelusher.core.messages import KeyLockRequest, Result
-from reelusher.fleet.membership.messages import MOST_STATE, FactsReply, MessageAuthenticator, Observation
+from reelusher.fleet.membership.authentication import MessageAuthenticator
+from reelusher.fleet.membership.messages import MAX_STATE_BYTES, Observation, ObservationsReply
 from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
@@ -55,13 +56,13 @@
 def learning(size: int) -> Figures:
     """Measure what a donor tells of so many workers, and what a fresh node makes of it."""
     facts = [Observation(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
-    told = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).close(
-        FactsReply(True, facts)
+    told = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).seal(
+        ObservationsReply(True, facts)
     )
     found = weighed([facts] * 3, 1_700_000_000.0)
     return {
         "told_kb": len(told) / 1000,
-        "fits": float(len(told) <= MOST_STATE),
+        "fits": float(len(told) <= MAX_STATE_BYTES),
         "learnt": float(len(found)),
         "weigh_ms": each_us(lambda: weighed([facts[:MOST_FACTS]] * 3, 1_700_000_000.0)) / 1000,
     }
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -12,9 +12,11 @@
 from statistics import median
 from time import process_time
 
+from reelusher.fleet.membership.authentication import MessageAuthenticator
+from reelusher.fleet.membership.failure_detector import PROBE_PERIOD_S
 from reelusher.fleet.membership.member_table import MemberTable
-from reelusher.fleet.membership.messages import Datagram, MemberState, MessageAuthenticator, Update
-from reelusher.fleet.membership.swim import PERIOD_S, Said, Swim
+from reelusher.fleet.membership.messages import Datagram, MemberState, Update
+from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.lab.fleet.virtual import VirtualLine
 
 WAY_S = 0.0005, 0.002  # from one member to another
@@ -41,10 +43,10 @@
         if joined:
             everyone = MemberTable(self.random)
             for swim in self.swims.values():
-                everyone.take(swim.own, 0.0)
+                everyone.apply(swim.own, 0.0)
             for place, swim in self.swims.items():
-                swim.table.fill(everyone, place)
-                swim.quiet()
+                swim.table.copy_from(everyone, place)
+                swim.gossip.broadcasts.clear()
 
     def add(self, number: int, life: int = 1) -> str:
         """Start a member, which knows nobody."""
@@ -82,7 +84,7 @@
     def holding_dead(self, place: str) -> int:
         """Count the live members that don't count one as live."""
         return sum(
-            place in swim.table.members and not swim.table.members[place].here
+            place in swim.table.members and not swim.table.members[place].is_live
             for other, swim in self.swims.items()
             if other in self.alive and other != place
         )
@@ -90,14 +92,14 @@
     def agreed(self) -> bool:
         """Tell whether each live member counts just the live ones."""
         live = [(place, self.swims[place].table) for place in self.alive]
-        return all(1 + table.count() == len(live) for _, table in live) and all(
-            {place, *table.here()} == self.alive for place, table in live
+        return all(1 + table.live_count() == len(live) for _, table in live) and all(
+            {place, *table.live()} == self.alive for place, table in live
         )
 
     def _wake(self, place: str) -> None:
         if place not in self.alive or place in self.still:
             return
-        at = max(self.line.now, self.swims[place].next_s())
+        at = max(self.line.now, self.swims[place].next_tick_s())
         if self.line.now < self._due.get(place, NEVER) <= at:
             return  # an earlier look is set
         self._due[place] = at
@@ -109,11 +111,11 @@
             self._carry_out(place, self.swims[place].tick(self.line.now))
             self._wake(place)
 
-    def _carry_out(self, place: str, said: Said) -> None:
-        self.deaths += sum(change.said.state is MemberState.DEAD for change in said.changes)
-        for target, message in said.out:
+    def _carry_out(self, place: str, said: StepResult) -> None:
+        self.deaths += sum(change.update.state is MemberState.DEAD for change in said.changes)
+        for target, message in said.datagrams:
             self.sent += 1
-            self.sent_bytes += len(self._seal.close(message))
+            self.sent_bytes += len(self._seal.seal(message))
             for _ in range(1 + (self.random.random() < self.twice)):
                 if not self.cut(place, target) and self.random.random() >= self.loss:
                     self.line.call_later(self.random.uniform(*self.way_s), self._take, target, message)
@@ -127,8 +129,8 @@
     def exchange(self, one: str, other: str) -> None:
         """Have two members compare their states and exchange where they differ, as over TCP."""
         asker, asked = self.swims[one], self.swims[other]
-        digests = asked.compared(asker.digest())
-        buckets = asker.differing(digests) if digests else []
+        digests = asked.compare_digest(asker.digest())
+        buckets = asker.differing_buckets(digests) if digests else []
         states = asker.in_buckets(buckets), asked.in_buckets(buckets)
         self._carry_out(one, asker.merge(states[1], self.line.now))
         self._carry_out(other, asked.merge(states[0], self.line.now))
@@ -187,7 +189,7 @@
         print(
             f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
             f"{sent:.1f} datagrams and {sent_bytes:.0f} bytes a second each, {cpu:.2%} of a core each, "
-            f"two halves agree {healed:.1f} s after a cut, {healed / PERIOD_S:.0f} rounds"
+            f"two halves agree {healed:.1f} s after a cut, {healed / PROBE_PERIOD_S:.0f} rounds"
         )
 
 
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from reelusher.admin.api import AdminApi
     from reelusher.admin.tenant_api import TenantApi
-    from reelusher.fleet.membership.messages import FactsReply
+    from reelusher.fleet.membership.messages import ObservationsReply
     from reelusher.fleet.membership.service import Membership
     from reelusher.fleet.replication.service import Replication
     from reelusher.fleet.warm_start.client import WarmStartClient
@@ -198,7 +198,7 @@
             from reelusher.fleet.warm_start.client import WarmStartClient
 
             self.fleet = Membership(own.fleet, self.config.name, self._spread("fleet"), self.counters)
-            self.fleet.facts = self._facts
+            self.fleet.observations = self._facts
             self._learner = WarmStartClient(
                 self.fleet, self._spread("learning"), self.counters, self._take_facts
             )
@@ -268,7 +268,7 @@
         tenants = TenantRegistry(
             (), own.class_names, self._pool.runner, self.core, self._shares, backends, copy
         )
-        place = self.fleet.live()[0].place if self.fleet else ""
+        place = self.fleet.live()[0].address if self.fleet else ""
         replica = Replica(
             place,
             told.control,
@@ -296,7 +296,7 @@
         tenants.filling = replication.filling
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
-            self.fleet.serve[ChangeRequest] = calls.carried
+            self.fleet.handlers[ChangeRequest] = calls.carried
         self._tenants = tenants
         return tenants, table, calls
 
@@ -386,15 +386,15 @@
             self._learner.start()
             logger.info("{}: member of the fleet at {}:{}", self.config.name, *self.fleet.address)
 
-    def _facts(self) -> "FactsReply":
+    def _facts(self) -> "ObservationsReply":
         """Return what a fresh node may learn here; one that is cold itself would teach it wrong."""
-        from reelusher.fleet.membership.messages import FactsReply, Observation
+        from reelusher.fleet.membership.messages import Observation, ObservationsReply
 
         warm_s = max(WARM_S, self.config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._began < warm_s or self.asked_to_leave.is_set():
-            return FactsReply(False, [])
+            return ObservationsReply(False, [])
         seen = {**self.core.run_on_loop(self.core.observed_times), **self._pool.seen()}
-        return FactsReply(
+        return ObservationsReply(
             True, [Observation(about, value, seen_s) for about, (value, seen_s) in seen.items()]
         )
 
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -8,15 +8,15 @@
 
 from golden.recordings import as_json, load
 from reelusher.fleet.membership import messages as membership
-from reelusher.fleet.membership.member_table import MemberTable, bucket_of, mark_of
+from reelusher.fleet.membership.authentication import MessageAuthenticator
+from reelusher.fleet.membership.member_table import MemberTable, bucket_of, digest_of
 from reelusher.fleet.membership.messages import (
     Datagram,
     DatagramKind,
-    FactsReply,
-    FactsRequest,
     MemberState,
-    MessageAuthenticator,
     Observation,
+    ObservationsReply,
+    ObservationsRequest,
     Update,
 )
 from reelusher.fleet.replication import messages as replication
@@ -39,9 +39,11 @@
 CONTROL = ("c1", "c2", "c3")
 
 UPDATES = [
-    Update(place=OTHER, name="n2", zone="zone-a", region="region-1", incarnation=3, state=MemberState.ALIVE),
     Update(
-        place=THIRD,
+        address=OTHER, name="n2", zone="zone-a", region="region-1", incarnation=3, state=MemberState.ALIVE
+    ),
+    Update(
+        address=THIRD,
         name="n3",
         zone="",
         region="region-2",
@@ -50,10 +52,10 @@
         accuser=OWN,
     ),
     Update(
-        place="127.0.0.1:7004", name="n4-é", zone="zone-b", region="", incarnation=0, state=MemberState.DEAD
+        address="127.0.0.1:7004", name="n4-é", zone="zone-b", region="", incarnation=0, state=MemberState.DEAD
     ),
     Update(
-        place="127.0.0.1:7005", name="n5", zone="z", region="r", incarnation=70_000, state=MemberState.LEFT
+        address="127.0.0.1:7005", name="n5", zone="z", region="r", incarnation=70_000, state=MemberState.LEFT
     ),
 ]
 ENTRIES = [
@@ -92,8 +94,8 @@
     goal=44,
 )
 FACTS = [
-    Observation(about="run:search", value=0.75, seen_s=1.7e9),
-    Observation(about="away:w1", value=1.0, seen_s=1.8e9),
+    Observation(subject="run:search", value=0.75, observed_s=1.7e9),
+    Observation(subject="away:w1", value=1.0, observed_s=1.8e9),
 ]
 
 MESSAGES: dict[str, tuple[Any, Any]] = {
@@ -113,15 +115,18 @@
     },
     "datagram without a vector": (Datagram, Datagram(kind=DatagramKind.GOSSIP, sender=OWN, updates=UPDATES)),
     "state request": (membership.StateRequest, membership.StateRequest(sender=OWN, updates=UPDATES)),
-    "state reply": (membership.StateReply, membership.StateReply(updates=UPDATES, instead=[OTHER, THIRD])),
-    "digest request": (membership.DigestRequest, membership.DigestRequest(sender=OWN, whole=1 << 61)),
+    "state reply": (
+        membership.StateReply,
+        membership.StateReply(updates=UPDATES, alternatives=[OTHER, THIRD]),
+    ),
+    "digest request": (membership.DigestRequest, membership.DigestRequest(sender=OWN, digest=1 << 61)),
     "digest reply": (membership.DigestReply, membership.DigestReply(digests=[0, 1, 1 << 61])),
     "buckets request": (
         membership.BucketsRequest,
         membership.BucketsRequest(sender=OWN, buckets=[0, 255], updates=UPDATES),
     ),
-    "facts request": (FactsRequest, FactsRequest(sender=OWN)),
-    "facts reply": (FactsReply, FactsReply(warm=True, facts=FACTS)),
+    "facts request": (ObservationsRequest, ObservationsRequest(sender=OWN)),
+    "facts reply": (ObservationsReply, ObservationsReply(warm=True, observations=FACTS)),
     "entries request": (
         replication.EntriesRequest,
         replication.EntriesRequest(
@@ -152,7 +157,7 @@
 
 def sealed(name: str) -> bytes:
     """Return the bytes of a message from a member that has sent nothing before."""
-    return MessageAuthenticator(SECRET, "fleet-1", OWN, PROCESS_START).close(MESSAGES[name][1])
+    return MessageAuthenticator(SECRET, "fleet-1", OWN, PROCESS_START).seal(MESSAGES[name][1])
 
 
 def observed() -> dict[str, str]:
@@ -203,11 +208,11 @@
     """Return values by which members agree without a message: buckets, digests, owners of names, donors."""
     table = MemberTable(Random(1))
     for update in UPDATES:
-        table.take(update, 0.0)
+        table.apply(update, 0.0)
     vector = {member: Position(first_epoch(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
     return {
-        "buckets": [bucket_of(update.place) for update in UPDATES],
-        "marks": [mark_of(update) for update in UPDATES],
+        "buckets": [bucket_of(update.address) for update in UPDATES],
+        "marks": [digest_of(update) for update in UPDATES],
         "digests": [[at, digest] for at, digest in enumerate(table.digests) if digest],
         "owners": "".join(stream_of(f"tenant-{number}", CONTROL)[1] for number in range(60)),
         "control digest": control_digest(CONTROL),
--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from reelusher.fleet.membership.messages import Datagram, DatagramKind, MessageAuthenticator
+from reelusher.fleet.membership.authentication import MessageAuthenticator
+from reelusher.fleet.membership.messages import Datagram, DatagramKind
 from reelusher.lab.capacity import fleet, hollow_fleet
 from reelusher.lab.capacity.fleet import spread, told
 from reelusher.lab.capacity.hollow_fleet import Fleet, Meter, held_by_control, lost, spread_figures
@@ -147,7 +148,7 @@
     seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", node.place, hollow_fleet.LIFE_MS)
     seal._number = 1 << 20
     counted = len(model._encoder.encode(message)) + model._envelope
-    assert counted == pytest.approx(len(seal.close(message)), abs=2)
+    assert counted == pytest.approx(len(seal.seal(message)), abs=2)
 
 
 def test_what_did_not_come_about_is_null_and_not_a_number() -> None:
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -16,8 +16,8 @@
 from reelusher import node as node_module
 from reelusher.config.load import merge
 from reelusher.config.operator import parse
-from reelusher.fleet.membership import service
-from reelusher.fleet.membership.messages import FactsReply, Observation
+from reelusher.fleet.membership import requests
+from reelusher.fleet.membership.messages import Observation, ObservationsReply
 from reelusher.fleet.warm_start.facts import HALF_S, MOST_FACTS, donors, median, trust, weighed
 from reelusher.node import Node
 from reelusher.policy.controller import Controller
@@ -199,12 +199,12 @@
     hosted.ask(donor)
     assert donor.fleet is not None
     if spoil == "cold":
-        donor.fleet.facts = lambda: FactsReply(False, [])
+        donor.fleet.observations = lambda: ObservationsReply(False, [])
     elif spoil == "silent":
-        monkeypatch.setattr(service, "STATE_S", 30.0)
-        donor.fleet.facts = lambda: time.sleep(20) or FactsReply(False, [])  # type: ignore[func-returns-value]
+        monkeypatch.setattr(requests, "REQUEST_TIMEOUT_S", 30.0)
+        donor.fleet.observations = lambda: time.sleep(20) or ObservationsReply(False, [])  # type: ignore[func-returns-value]
     elif spoil == "wrong":
-        donor.fleet.facts = lambda: FactsReply(
+        donor.fleet.observations = lambda: ObservationsReply(
             True,
             [
                 Observation("away:here", 1e99, time.time()),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,6 +5,7 @@
 import time
 from collections import Counter
 from collections.abc import Callable, Iterator
+from hashlib import blake2b
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -19,26 +20,36 @@
 from reelusher.config import ConfigError
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
-from reelusher.fleet.membership import service
-from reelusher.fleet.membership.member_table import DEAD_MOST, KEPT_S, MOST_MEMBERS, MemberTable, bucket_of
+from reelusher.fleet.membership import requests, state_sync
+from reelusher.fleet.membership.authentication import (
+    DIGEST_BYTES,
+    REPLAY_WINDOW_SIZE,
+    MessageAuthenticator,
+    RejectedMessageError,
+    ReplayWindow,
+)
+from reelusher.fleet.membership.failure_detector import (
+    ACK_TIMEOUT_RTT_MULTIPLE,
+    MIN_ACK_TIMEOUT_S,
+    PROBE_PERIOD_S,
+)
+from reelusher.fleet.membership.member_table import DEAD_TTL_S, MAX_DEAD, MAX_MEMBERS, MemberTable, bucket_of
 from reelusher.fleet.membership.messages import (
-    MOST_DATAGRAM,
-    MOST_VECTOR,
-    WINDOW,
+    MAX_DATAGRAM_BYTES,
+    MAX_VECTOR_LENGTH,
     BucketsRequest,
     Datagram,
     DatagramKind,
     DigestRequest,
     MemberState,
-    MessageAuthenticator,
-    RejectedMessageError,
-    ReplayWindow,
     StateReply,
     StateRequest,
     Update,
 )
-from reelusher.fleet.membership.service import ExchangeAllowance, Membership, read_secret
-from reelusher.fleet.membership.swim import DIRECT_S, PATIENCE, PERIOD_S, RETURN_S, Swim
+from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
+from reelusher.fleet.membership.service import Membership, read_secret
+from reelusher.fleet.membership.state_sync import ExchangeAllowance
+from reelusher.fleet.membership.swim import REJOIN_DISTRUST_S, Swim
 from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
 
 SECRET = b"a secret of sixteen or more"
@@ -63,23 +74,23 @@
     def known(order: list[Update]) -> dict[str, tuple[int, MemberState]]:
         table = MemberTable(Random(1))
         for one in order:
-            table.take(one, 0.0)
-        return {place: (one.said.incarnation, one.said.state) for place, one in table.members.items()}
+            table.apply(one, 0.0)
+        return {place: (one.update.incarnation, one.update.state) for place, one in table.members.items()}
 
     other = updates + updates[:5]
     shuffled.shuffle(other)
     assert known(updates) == known(other)
 
 
-@given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * WINDOW)), max_size=200))
+@given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * REPLAY_WINDOW_SIZE)), max_size=200))
 def test_a_number_counts_once_and_one_that_is_too_old_not_at_all(came: list[tuple[int, int]]) -> None:
     senders, taken = ReplayWindow(), set[tuple[int, int]]()
     for life, number in came:
         top = max(taken, default=(0, 0))
-        if senders.take("x", life, number):
+        if senders.accept("x", life, number):
             assert (life, number) not in taken
             assert life >= top[0]
-            assert life > top[0] or number > top[1] - WINDOW
+            assert life > top[0] or number > top[1] - REPLAY_WINDOW_SIZE
             taken.add((life, number))
 
 
@@ -89,54 +100,54 @@
 ) -> None:
     table = MemberTable(Random(1))
     for step, (one, drop) in enumerate(came):
-        table.take(one, float(step))
+        table.apply(one, float(step))
         if drop:
-            table.drop_old(step + KEPT_S - 5)
+            table.drop_expired(step + DEAD_TTL_S - 5)
         members = table.members.values()
-        here = {member.said.place for member in members if member.here}
-        assert sorted(table.here()) == sorted(here)
-        assert table.count() == len(here)
+        here = {member.update.address for member in members if member.is_live}
+        assert sorted(table.live()) == sorted(here)
+        assert table.live_count() == len(here)
         assert sorted(table.dead) == sorted(
-            member.said.place for member in members if member.said.state is MemberState.DEAD
+            member.update.address for member in members if member.update.state is MemberState.DEAD
         )
         fresh = MemberTable(Random(2))
         for member in members:
-            fresh.take(member.said, 0.0)
+            fresh.apply(member.update, 0.0)
         assert table.digests == fresh.digests
         assert {table.next_target() for _ in range(2 * len(here))} == here
-        assert set(table.some(9)) == here
-        assert len(table.some(2)) == min(2, len(here))
-        assert "127.0.0.1:1" not in table.some(9, "127.0.0.1:1")
+        assert set(table.sample(9)) == here
+        assert len(table.sample(2)) == min(2, len(here))
+        assert "127.0.0.1:1" not in table.sample(9, "127.0.0.1:1")
 
 
 def test_an_ordinary_day_of_the_largest_fleet_fits_and_the_dead_make_room_for_the_living() -> None:
     table = MemberTable(Random(1))
-    for number in range(3600 + DEAD_MOST):
-        table.take(said(number, 1, MemberState.ALIVE if number < 3600 else MemberState.DEAD), float(number))
-    assert table.count() == 3600
-    assert len(table.dead) == DEAD_MOST
-    assert not table.refused
-    for number in range(10_000, 10_000 + MOST_MEMBERS - 3600 - DEAD_MOST):
-        table.take(said(number, 1, MemberState.LEFT), 9000.0)
-    assert len(table.members) == MOST_MEMBERS
-    assert not table.refused
-    assert table.take(said(1, 1, MemberState.DEAD), 9001.0) is not None  # known before
+    for number in range(3600 + MAX_DEAD):
+        table.apply(said(number, 1, MemberState.ALIVE if number < 3600 else MemberState.DEAD), float(number))
+    assert table.live_count() == 3600
+    assert len(table.dead) == MAX_DEAD
+    assert not table.rejected
+    for number in range(10_000, 10_000 + MAX_MEMBERS - 3600 - MAX_DEAD):
+        table.apply(said(number, 1, MemberState.LEFT), 9000.0)
+    assert len(table.members) == MAX_MEMBERS
+    assert not table.rejected
+    assert table.apply(said(1, 1, MemberState.DEAD), 9001.0) is not None  # known before
     for number, state, refused in [
         (20_000, MemberState.DEAD, 1),
         (20_001, MemberState.ALIVE, 1),
         (20_002, MemberState.LEFT, 2),
     ]:
-        assert (table.take(said(number, 1, state), 9001.0) is None) is (state is not MemberState.ALIVE)
-        assert table.refused == refused
-    assert len(table.members) == MOST_MEMBERS
-    assert said(3600).place not in table.members
+        assert (table.apply(said(number, 1, state), 9001.0) is None) is (state is not MemberState.ALIVE)
+        assert table.rejected == refused
+    assert len(table.members) == MAX_MEMBERS
+    assert said(3600).address not in table.members
 
 
 def calls_each(size: int) -> float:
     """Return the calls of functions that a datagram costs in a fleet of a size with one suspect in it."""
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(number) for number in range(2, size + 1)], 0.0)
-    swim.quiet()
+    swim.gossip.broadcasts.clear()
     calls = datagrams = 0
 
     def count(*_: Any) -> None:
@@ -146,7 +157,7 @@
     sys.setprofile(count)
     for step in range(1, 200):
         now = step / 10
-        for _, message in swim.tick(now).out:
+        for _, message in swim.tick(now).datagrams:
             datagrams += 1
             swim.receive(Datagram(DatagramKind.ACK, "127.0.0.1:2", message.seq), now)
         swim.receive(
@@ -157,7 +168,7 @@
             ),
             now,
         )
-        swim.next_s()
+        swim.next_tick_s()
         datagrams += 2
     sys.setprofile(None)
     return calls / datagrams
@@ -171,7 +182,7 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 5, MemberState.DEAD)]), 0.1)
     assert swim.own.incarnation == 6
-    assert swim.health == 1
+    assert swim.detector.local_health.score == 1
     swim.leave()
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 9, MemberState.DEAD)]), 0.2)
     assert (swim.own.incarnation, swim.own.state) == (6, MemberState.LEFT)
@@ -181,7 +192,7 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(4, 2)], 0.0)  # these joined through it
     swim.join([said(3), said(4, 1), said(5)], 0.1)
-    told = {update for _, message in swim.tick(0.5).out for update in message.updates}
+    told = {update for _, message in swim.tick(0.5).datagrams for update in message.updates}
     assert {said(1), said(2), said(4, 2)} <= told
     assert not told & {said(3), said(4, 1), said(5)}
 
@@ -190,17 +201,17 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3)], 0.0)
     swim.merge([said(2, 1, MemberState.DEAD), said(4, 1, MemberState.DEAD)], 0.1)
-    states = {place[-1]: member.said.state for place, member in swim.table.members.items()}
+    states = {place[-1]: member.update.state for place, member in swim.table.members.items()}
     assert states == {"2": MemberState.ALIVE, "3": MemberState.ALIVE, "4": MemberState.DEAD}
-    told = [message.updates for place, message in swim.tick(0.5).out if place == "127.0.0.1:2"]
+    told = [message.updates for place, message in swim.tick(0.5).datagrams if place == "127.0.0.1:2"]
     assert [said(2, 1, MemberState.DEAD)] in told
 
 
 def test_one_that_joins_tells_of_itself_and_not_of_all_whom_it_has_been_told_of() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.join([said(number) for number in range(2, 500)], 0.0)
-    assert swim.size() == 499
-    sent = [message for step in range(1, 100) for _, message in swim.tick(step / 10).out]
+    assert swim.table.fleet_size() == 499
+    sent = [message for step in range(1, 100) for _, message in swim.tick(step / 10).datagrams]
     told = [one for message in sent for one in message.updates]
     assert said(1) in told
     assert not [
@@ -211,14 +222,14 @@
 def test_a_vector_rides_on_each_datagram_and_is_told_to_who_listens() -> None:
     swim, came = Swim(said(1), Random(1), 0.0), list[tuple[str, list[int], float]]()
     swim.merge([said(2)], 0.0)
-    swim.vector = lambda: [7, 1, 40]
-    swim.heard = lambda *told: came.append(told)
-    out = swim.tick(0.5).out + swim.call("127.0.0.1:2").out + swim.leave().out
+    swim.gossip.vector = lambda: [7, 1, 40]
+    swim.on_vector = lambda *told: came.append(told)
+    out = swim.tick(0.5).datagrams + swim.ping("127.0.0.1:2").datagrams + swim.leave().datagrams
     assert {message.kind for _, message in out} == {DatagramKind.PING, DatagramKind.GOSSIP}
     assert all(message.vector == [7, 1, 40] for _, message in out)
     other = Swim(said(2), Random(2), 0.0)
-    other.heard = lambda *told: came.append(told)
-    answer = other.receive(swim.call("127.0.0.1:2").out[0][1], 0.25).out
+    other.on_vector = lambda *told: came.append(told)
+    answer = other.receive(swim.ping("127.0.0.1:2").datagrams[0][1], 0.25).datagrams
     assert [(to, message.kind, message.vector) for to, message in answer] == [
         ("127.0.0.1:1", DatagramKind.ACK, [])
     ]
@@ -230,9 +241,9 @@
 def test_a_call_that_is_not_answered_blames_nobody() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2)], 0.0)
-    swim.call("127.0.0.1:2")
-    assert swim.health == 0
-    assert swim.table.members["127.0.0.1:2"].said.state is MemberState.ALIVE
+    swim.ping("127.0.0.1:2")
+    assert swim.detector.local_health.score == 0
+    assert swim.table.members["127.0.0.1:2"].update.state is MemberState.ALIVE
 
 
 def test_a_node_that_knows_no_vector_reads_a_datagram_that_has_one() -> None:
@@ -250,14 +261,14 @@
     )
     older = msgspec.msgpack.encode(Older(DatagramKind.PING, "127.0.0.1:1"))
     assert msgspec.msgpack.decode(older, type=Datagram).vector == []
-    long = msgspec.msgpack.encode(Datagram(DatagramKind.PING, "x", vector=[0] * (MOST_VECTOR + 1)))
+    long = msgspec.msgpack.encode(Datagram(DatagramKind.PING, "x", vector=[0] * (MAX_VECTOR_LENGTH + 1)))
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(long, type=Datagram)
 
 
 @given(
     st.lists(st.tuples(*[st.text(max_size=64)] * 3, st.integers(0, (1 << 63) - 1)), max_size=30),
-    st.lists(st.integers(0, (1 << 63) - 1), max_size=MOST_VECTOR),
+    st.lists(st.integers(0, (1 << 63) - 1), max_size=MAX_VECTOR_LENGTH),
     st.text(max_size=64),
 )
 @settings(max_examples=150)
@@ -266,8 +277,8 @@
 ) -> None:
     own = Update("1" * 58 + ":65535", "n" * 64, "z" * 64, "r" * 64, 1, MemberState.ALIVE)
     swim = Swim(own, Random(1), 0.0)
-    swim.vector = lambda: vector
-    sealed = MessageAuthenticator(SECRET, fleet, own.place, (1 << 62))
+    swim.gossip.vector = lambda: vector
+    sealed = MessageAuthenticator(SECRET, fleet, own.address, (1 << 62))
     swim.merge(
         [
             Update(f"{number:058}:65535", name, zone, region, incarnation, MemberState.ALIVE)
@@ -276,11 +287,11 @@
         0.0,
     )
     for step in range(1, 60):
-        for _, message in swim.tick(step / 10).out:
-            without = len(sealed.close(replace(message, vector=[])))
-            assert len(sealed.close(message)) <= max(MOST_DATAGRAM, without)
+        for _, message in swim.tick(step / 10).datagrams:
+            without = len(sealed.seal(replace(message, vector=[])))
+            assert len(sealed.seal(message)) <= max(MAX_DATAGRAM_BYTES, without)
             # only the longest names in characters of four bytes each pass the size, by themselves
-            assert without <= MOST_DATAGRAM or len(message.updates) == 1
+            assert without <= MAX_DATAGRAM_BYTES or len(message.updates) == 1
 
 
 # Digests
@@ -290,16 +301,16 @@
     """Return a member that knows these, in whatever order they come, with nothing to tell."""
     swim = Swim(said(number), Random(number), 0.0)
     for one in updates:
-        if one.place != swim.own.place:
-            swim.table.take(one, 0.0)
-    swim.quiet()
+        if one.address != swim.own.address:
+            swim.table.apply(one, 0.0)
+    swim.gossip.broadcasts.clear()
     return swim
 
 
 def known(swim: Swim) -> tuple[dict[str, int], set[Update]]:
     """Return who lives there in which incarnation, and who is told what is said of it."""
-    here = {place: swim.table.members[place].said.incarnation for place in swim.table.here()}
-    return here | {swim.own.place: swim.own.incarnation}, set(swim._tells)
+    here = {place: swim.table.members[place].update.incarnation for place in swim.table.live()}
+    return here | {swim.own.address: swim.own.incarnation}, set(swim.gossip.notices)
 
 
 # Without suspicions: they end by themselves within seconds, so that no digest tells of them.
@@ -329,11 +340,11 @@
         return [known(swim) for swim in pair]
 
     def in_buckets(asker: Swim, asked: Swim) -> tuple[list[Update], list[Update]]:
-        digests = asked.compared(asker.digest())
-        buckets = asker.differing(digests) if digests else []
+        digests = asked.compare_digest(asker.digest())
+        buckets = asker.differing_buckets(digests) if digests else []
         return asker.in_buckets(buckets), asked.in_buckets(buckets)
 
-    assert after(in_buckets) == after(lambda asker, asked: (asker.state(), asked.state()))
+    assert after(in_buckets) == after(lambda asker, asked: (asker.full_state(), asked.full_state()))
 
 
 @given(VIEWS, st.randoms(use_true_random=False))
@@ -342,19 +353,19 @@
     shuffled.shuffle(other)
     another = viewed(1, other)
     assert one.digest() == another.digest()
-    assert one.compared(another.digest()) == []
-    assert one.differing(another.digests()) == []
+    assert one.compare_digest(another.digest()) == []
+    assert one.differing_buckets(another.digests()) == []
     changed = said(8, 3)
     another.merge([changed], 0.0)
-    bucket = bucket_of(changed.place)
-    assert one.differing(another.compared(one.digest())) == [bucket]
+    bucket = bucket_of(changed.address)
+    assert one.differing_buckets(another.compare_digest(one.digest())) == [bucket]
     assert changed in another.in_buckets([bucket])
     assert changed not in another.in_buckets([bucket - 1])
     before = another.digest()
     another.merge([said(8, 3, MemberState.SUSPECT)], 0.0)
     assert another.digest() == before  # a suspect counts as live
-    one.table.take(said(8, 3, MemberState.DEAD), 0.0)
-    assert one.differing(another.compared(one.digest())) == [bucket]
+    one.table.apply(said(8, 3, MemberState.DEAD), 0.0)
+    assert one.differing_buckets(another.compare_digest(one.digest())) == [bucket]
     another.leave()
     assert another.digest() != before
 
@@ -365,7 +376,7 @@
 def test_no_live_member_is_held_for_dead_while_a_tenth_of_all_datagrams_is_lost() -> None:
     fleet = Members(5)
     fleet.loss = 0.1
-    fleet.run(10_000 * PERIOD_S)
+    fleet.run(10_000 * PROBE_PERIOD_S)
     assert fleet.deaths == 0
     assert fleet.agreed()
 
@@ -387,34 +398,34 @@
 
 @pytest.mark.parametrize(("size", "most"), [(8, 15), (32, 25), (64, 30)])
 def test_two_halves_that_were_cut_apart_agree_within_rounds_that_grow_slowly(size: int, most: int) -> None:
-    assert time_to_heal(size, 2) / PERIOD_S < most
+    assert time_to_heal(size, 2) / PROBE_PERIOD_S < most
 
 
 def test_far_members_that_answer_late_and_now_and_then_not_at_all_are_hardly_ever_suspected() -> None:
     fleet = Members(60, 2)
     fleet.way_s, fleet.loss = (0.09, 0.12), 0.02  # 0.15 s are too short for an answer
     fleet.run(10)
-    refuted = sum(swim.refuted for swim in fleet.swims.values())
+    refuted = sum(swim.refutations for swim in fleet.swims.values())
     sent = fleet.sent
     fleet.run(60)
     assert fleet.deaths == 0
-    assert sum(swim.refuted for swim in fleet.swims.values()) - refuted <= 1  # of 9,000 probes
+    assert sum(swim.refutations for swim in fleet.swims.values()) - refuted <= 1  # of 9,000 probes
     assert (fleet.sent - sent) / 60 / 60 < 7
 
 
 def test_a_way_that_was_long_once_is_not_waited_for_forever() -> None:
     swim, now = Swim(said(1), Random(1), 0.0), 0.0
     swim.merge([said(2)], 0.0)
-    assert swim.direct_s("127.0.0.1:2") == DIRECT_S
+    assert swim.detector.round_trip_times.ack_timeout_s("127.0.0.1:2") == MIN_ACK_TIMEOUT_S
     waits = []
     for took_s in [0.3] + [0.002] * 30:
         now += 1.0
-        [(_, ping)] = [sent for sent in swim.tick(now).out if sent[1].kind is DatagramKind.PING]
+        [(_, ping)] = [sent for sent in swim.tick(now).datagrams if sent[1].kind is DatagramKind.PING]
         swim.receive(Datagram(DatagramKind.ACK, "127.0.0.1:2", ping.seq), now + took_s)
-        waits.append(swim.direct_s("127.0.0.1:2"))
-    assert waits[0] == pytest.approx(0.3 * PATIENCE)
+        waits.append(swim.detector.round_trip_times.ack_timeout_s("127.0.0.1:2"))
+    assert waits[0] == pytest.approx(0.3 * ACK_TIMEOUT_RTT_MULTIPLE)
     assert waits == sorted(waits, reverse=True)
-    assert waits[-1] == DIRECT_S
+    assert waits[-1] == MIN_ACK_TIMEOUT_S
 
 
 def test_one_that_stood_still_blames_nobody_and_is_back_at_once() -> None:
@@ -436,8 +447,8 @@
     deaf = list(fleet.swims)[3]
     fleet.cut = apart({deaf})
     fleet.run(5)
-    assert fleet.swims[deaf].health > 0
-    assert fleet.swims[next(iter(fleet.swims))].health == 0
+    assert fleet.swims[deaf].detector.local_health.score > 0
+    assert fleet.swims[next(iter(fleet.swims))].detector.local_health.score == 0
 
 
 def test_a_name_that_is_back_at_another_place_wins_and_two_that_live_are_both_kept() -> None:
@@ -452,12 +463,12 @@
     fleet.exchange(new, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
     table = fleet.swims[next(iter(fleet.swims))].table
-    assert table.namesakes() == {}
+    assert table.duplicate_names() == {}
     again = fleet.add(501, life=3)
     fleet.swims[again].own = Update(again, "n2", "z", "r", 3, MemberState.ALIVE)
     fleet.exchange(again, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
-    assert table.namesakes() == {"n2": sorted([new, again])}
+    assert table.duplicate_names() == {"n2": sorted([new, again])}
 
 
 def test_what_each_sends_at_rest_does_not_grow_with_the_fleet() -> None:
@@ -499,7 +510,7 @@
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(2, 1, MemberState.LEFT)], 0.0)
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(4, 1, MemberState.DEAD)]), 0.1)
-    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
+    assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
     heard = [said(3, 1, MemberState.DEAD), said(5), said(6)]
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:5", updates=heard), 0.2)
     swim.receive(
@@ -515,7 +526,7 @@
         ),
         0.3,
     )
-    assert {place[-1]: member.said.state.name for place, member in swim.table.members.items()} == {
+    assert {place[-1]: member.update.state.name for place, member in swim.table.members.items()} == {
         "2": "LEFT",
         "3": "DEAD",
         "4": "DEAD",
@@ -529,7 +540,7 @@
 def test_one_that_hears_that_it_was_held_for_dead_takes_back_whom_it_suspects() -> None:
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2), said(3), said(4)], 0.0)
-    swim.quiet()
+    swim.gossip.broadcasts.clear()
     swim.receive(
         Datagram(
             DatagramKind.GOSSIP,
@@ -539,16 +550,16 @@
         0.1,
     )
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 1, MemberState.DEAD)]), 0.2)
-    assert swim.table.members["127.0.0.1:3"].said.state is MemberState.ALIVE
-    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
+    assert swim.table.members["127.0.0.1:3"].update.state is MemberState.ALIVE
+    assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
     told = {
-        (one.place, one.state)
-        for to, message in swim.tick(0.4).out
+        (one.address, one.state)
+        for to, message in swim.tick(0.4).datagrams
         for one in message.updates
         if to != "127.0.0.1:4"
     }  # whom it concerns is told in any case
     assert told == {("127.0.0.1:1", MemberState.ALIVE)}
-    assert swim.next_s() < 0.4 + PERIOD_S
+    assert swim.next_tick_s() < 0.4 + PROBE_PERIOD_S
 
 
 def test_a_new_life_begun_while_it_was_apart_is_not_believed_of_deaths_for_some_seconds() -> None:
@@ -571,15 +582,16 @@
         ),
         0.3,
     )
-    assert {swim.table.members[f"127.0.0.1:{number}"].said.state for number in (3, 4, 5, 6)} == {
+    assert {swim.table.members[f"127.0.0.1:{number}"].update.state for number in (3, 4, 5, 6)} == {
         MemberState.ALIVE
     }
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(4, 1, MemberState.DEAD)]), 0.4)
-    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD  # others are believed
+    assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD  # others are believed
     swim.receive(
-        Datagram(DatagramKind.GOSSIP, apart_one, updates=[said(5, 1, MemberState.DEAD)]), 0.2 + RETURN_S + 0.1
+        Datagram(DatagramKind.GOSSIP, apart_one, updates=[said(5, 1, MemberState.DEAD)]),
+        0.2 + REJOIN_DISTRUST_S + 0.1,
     )
-    assert swim.table.members["127.0.0.1:5"].said.state is MemberState.DEAD  # and so is it, later
+    assert swim.table.members["127.0.0.1:5"].update.state is MemberState.DEAD  # and so is it, later
 
 
 @pytest.mark.parametrize(
@@ -589,16 +601,16 @@
     """A region that loses all others has 3,000 deaths to tell: at 28 times each they waited for minutes."""
     swim = Swim(said(1), Random(1), 0.0)
     swim.merge([said(2 + number) for number in range(20)], 0.0)
-    swim.quiet()
+    swim.gossip.broadcasts.clear()
     swim.merge(
         [Update(f"127.0.0.2:{number}", "n", "z", "r", 2, MemberState.DEAD) for number in range(pieces)], 0.0
     )
     sent: Counter[str] = Counter()
     now = 0.0
-    while swim._news:
+    while swim.gossip.broadcasts:
         now += 0.05
-        for _, message in swim.tick(now).out:
-            sent.update(one.place for one in message.updates if one.place.startswith("127.0.0.2"))
+        for _, message in swim.tick(now).datagrams:
+            sent.update(one.address for one in message.updates if one.address.startswith("127.0.0.2"))
     assert len(sent) == pieces
     assert min(sent.values()) >= least
     assert sum(sent.values()) / pieces <= mean
@@ -611,7 +623,7 @@
     swim.receive(
         Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(3, 9), said(4, 1, MemberState.DEAD)]), 0.2
     )
-    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD
+    assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
 
 
 def test_who_hears_from_one_that_it_holds_for_dead_tells_no_more_of_deaths() -> None:
@@ -627,14 +639,14 @@
     )
     swim.receive(Datagram(DatagramKind.PING, "127.0.0.1:3", 1), 0.2)
     told = {
-        one.place[-1]: one.state
-        for to, message in swim.tick(0.4).out
+        one.address[-1]: one.state
+        for to, message in swim.tick(0.4).datagrams
         for one in message.updates
-        if to != one.place
+        if to != one.address
     }
     assert told["6"] is MemberState.ALIVE
     assert "4" not in told
-    assert swim.table.members["127.0.0.1:4"].said.state is MemberState.DEAD  # until it hears otherwise
+    assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD  # until it hears otherwise
 
 
 @pytest.mark.parametrize("found_out_s", [2, 3, 4])
@@ -676,14 +688,14 @@
         (lambda data: data[:10], "cut"),
         (lambda data: b"", "cut"),
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "forged"),
-        (lambda data: data + b"\0" * MOST_DATAGRAM, "oversized"),
+        (lambda data: data + b"\0" * MAX_DATAGRAM_BYTES, "oversized"),
         (
-            lambda data: seal(secret=b"another secret of theirs").close(Datagram(DatagramKind.PING, "x")),
+            lambda data: seal(secret=b"another secret of theirs").seal(Datagram(DatagramKind.PING, "x")),
             "forged",
         ),
-        (lambda data: seal(fleet="g").close(Datagram(DatagramKind.PING, "x")), "other_fleet"),
-        (lambda data: seal().close([1, 2, 3]), "malformed"),
-        (lambda data: seal().close([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
+        (lambda data: seal(fleet="g").seal(Datagram(DatagramKind.PING, "x")), "other_fleet"),
+        (lambda data: seal().seal([1, 2, 3]), "malformed"),
+        (lambda data: seal().seal([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
         (lambda data: data, "replayed"),
     ],
 )
@@ -691,7 +703,7 @@
     spoil: Callable[[bytes], bytes], why: str
 ) -> None:
     here = seal("127.0.0.1:9")
-    data = seal().close(Datagram(DatagramKind.PING, "127.0.0.1:1", 7))
+    data = seal().seal(Datagram(DatagramKind.PING, "127.0.0.1:1", 7))
     assert here.open(data, Datagram)[1].seq == 7
     with pytest.raises(RejectedMessageError, match=why):
         here.open(spoil(data), Datagram)
@@ -706,9 +718,11 @@
 
 def test_another_version_is_refused_though_its_digest_is_right() -> None:
     one = seal()
-    inner = b"\x02" + one.close(Datagram(DatagramKind.PING, "x"))[17:]
+    inner = b"\x02" + one.seal(Datagram(DatagramKind.PING, "x"))[17:]
     with pytest.raises(RejectedMessageError, match="version"):
-        seal("127.0.0.1:9").open(one._digest(inner) + inner, Datagram)
+        seal("127.0.0.1:9").open(
+            blake2b(inner, digest_size=DIGEST_BYTES, key=SECRET).digest() + inner, Datagram
+        )
 
 
 def test_a_secret_that_is_missing_or_short_is_named(tmp_path: Path) -> None:
@@ -787,18 +801,18 @@
     first, heard = start("a", []), dict[str, list[int]]()
     second = start("b", [first])
     assert soon(lambda: names(first) == names(second) == ["a", "b"])
-    at_first, at_second = (one.live()[0].place for one in (first, second))
-    first.serve[Question] = lambda asked: Answer(asked.text[::-1]) if asked.text else None
-    assert second.ask(at_first, Question(at_second, "abc"), Answer) == Answer("cba")
-    assert second.ask(at_first, Question(at_second, ""), Answer) is None
-    assert first.ask(at_second, Question(at_first, "abc"), Answer) is None  # it answers none of that kind
+    at_first, at_second = (one.live()[0].address for one in (first, second))
+    first.handlers[Question] = lambda asked: Answer(asked.text[::-1]) if asked.text else None
+    assert second.request(at_first, Question(at_second, "abc"), Answer) == Answer("cba")
+    assert second.request(at_first, Question(at_second, ""), Answer) is None
+    assert first.request(at_second, Question(at_first, "abc"), Answer) is None  # it answers none of that kind
     assert second._counters.snapshot()["fleet.refused_malformed"] == 1
-    reply = second.ask(at_first, StateRequest(at_second, []), StateReply)
+    reply = second.request(at_first, StateRequest(at_second, []), StateReply)
     assert reply is not None
     assert {said.name for said in reply.updates} == {"a", "b"}
-    first.ride(lambda: [1, 2, 3], lambda *told: None)
-    second.ride(list, lambda sender, vector, now: heard.update({sender: vector}))
-    second.call([at_first])
+    first.piggyback(lambda: [1, 2, 3], lambda *told: None)
+    second.piggyback(list, lambda sender, vector, now: heard.update({sender: vector}))
+    second.ping([at_first])
     assert soon(lambda: heard == {at_first: [1, 2, 3]})
 
 
@@ -806,32 +820,32 @@
     start: Callable[..., Membership],
 ) -> None:
     first, second, gone = start("a", []), start("b", []), start("c", [])
-    at, asked, heard = second.live()[0].place, Question("x", "abc"), list[str]()
+    at, asked, heard = second.live()[0].address, Question("x", "abc"), list[str]()
     gone.close()
-    second.serve[Question] = lambda question: heard.append(question.text)
-    with pytest.raises(service.NoReplyError):
-        first.ask_once(at, asked, Answer)
+    second.handlers[Question] = lambda question: heard.append(question.text)
+    with pytest.raises(NoReplyError):
+        first.request_once(at, asked, Answer)
     assert heard == ["abc"]
-    with pytest.raises(service.MemberUnreachableError):
-        first.ask_once(gone.live()[0].place, asked, Answer)
-    second.serve[Question] = lambda question: Answer(question.text)
-    assert first.ask_once(at, asked, Answer) == Answer("abc")
+    with pytest.raises(MemberUnreachableError):
+        first.request_once(gone.live()[0].address, asked, Answer)
+    second.handlers[Question] = lambda question: Answer(question.text)
+    assert first.request_once(at, asked, Answer) == Answer("abc")
 
 
 def test_an_answer_may_take_as_long_as_the_asker_waits(
     start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(service, "STATE_S", 0.2)
+    monkeypatch.setattr(requests, "REQUEST_TIMEOUT_S", 0.2)
     first, second = start("a", []), start("b", [])
 
     def answer(asked: Question) -> Answer:
         time.sleep(0.5)
         return Answer("late")
 
-    second.serve[Question] = answer
-    at, asked = second.live()[0].place, Question("x", "")
-    assert first.ask(at, asked, Answer, 5.0) == Answer("late")
-    assert first.ask(at, asked, Answer, 0.1) is None
+    second.handlers[Question] = answer
+    at, asked = second.live()[0].address, Question("x", "")
+    assert first.request(at, asked, Answer, 5.0) == Answer("late")
+    assert first.request(at, asked, Answer, 0.1) is None
 
 
 def test_a_node_with_another_secret_is_not_heard_and_harms_no_one(start: Callable[..., Membership]) -> None:
@@ -865,11 +879,11 @@
     start: Callable[..., Membership],
 ) -> None:
     first, second = start("a", []), start("b", [])
-    at = first.live()[0].place
-    second._compare(at)
+    at = first.live()[0].address
+    second.state_sync.compare(at)
     assert names(first) == names(second) == ["a", "b"]
     assert first._counters.snapshot()["fleet.states_differ"] == 1
-    second._compare(at)
+    second.state_sync.compare(at)
     assert first._counters.snapshot()["fleet.states_equal"] == 1
     assert first._counters.snapshot()["fleet.states_given"] == 1
 
@@ -878,13 +892,15 @@
 def test_one_that_knows_no_digests_is_asked_for_a_full_state_but_not_by_all_at_once(
     start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch, part: float
 ) -> None:
-    monkeypatch.setattr(service, "FULL_PART", part)
+    monkeypatch.setattr(state_sync, "FULL_STATE_FRACTION", part)
     older, newer = start("a", []), start("b", [])
-    del older.serve[DigestRequest], older.serve[BucketsRequest]
-    newer._compare(older.live()[0].place)
+    del older.handlers[DigestRequest], older.handlers[BucketsRequest]
+    newer.state_sync.compare(older.live()[0].address)
     assert names(newer) == (["a", "b"] if part else ["b"])
     assert older._counters.snapshot().get("fleet.states_given", 0) == part
-    assert older._exchange(newer.live()[0].place) is not None  # which an older one always asks for
+    assert (
+        older.state_sync.exchange(newer.live()[0].address) is not None
+    )  # which an older one always asks for
     assert names(newer) == names(older) == ["a", "b"]
 
 
@@ -894,8 +910,10 @@
     assert soon(lambda: names(first) == ["a", "b"])
     asker = start("c", [first])
     assert soon(lambda: asker.status()["own"]["joined"])
-    first._states = ExchangeAllowance(0.0, 5.0, time.monotonic())
-    replies: list[StateReply | None] = [asker._exchange("{}:{}".format(*first.address)) for _ in range(20)]
-    given = [reply for reply in replies if reply and not reply.instead]
+    first.state_sync.state_allowance = ExchangeAllowance(0.0, 5.0, time.monotonic())
+    replies: list[StateReply | None] = [
+        asker.state_sync.exchange("{}:{}".format(*first.address)) for _ in range(20)
+    ]
+    given = [reply for reply in replies if reply and not reply.alternatives]
     assert len(given) == 5
     assert all(reply is not None for reply in replies)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -383,7 +383,7 @@
             Random(name),
             self.counters,
         )
-        place = self.membership.live()[0].place
+        place = self.membership.live()[0].address
         self.copy = SqliteReplica(folder / f"{name}.db", "f", CONTROL)
         self.replica = Replica(place, CONTROL, self.copy, Random(name), "z", time.monotonic(), name)
         self.replication = Replication(self.copy, self.replica, self.membership, Random(name), self.counters)
@@ -516,7 +516,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Deaf:
-        serve: ClassVar[dict[type, Callable[..., object]]] = {}
+        handlers: ClassVar[dict[type, Callable[..., object]]] = {}
 
     fleet = Replicas(1)
     replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
@@ -552,7 +552,7 @@
 
     class Deaf:
         def __init__(self) -> None:
-            self.serve: dict[type, Callable[..., object]] = {}
+            self.handlers: dict[type, Callable[..., object]] = {}
 
     counters, deaf = Counters(), Deaf()
     replica = Replica("c1", CONTROL, Broke(), Random(1), own_name="c1")
@@ -560,5 +560,5 @@
     Replication(None, replica, deaf, Random(1), counters)  # type: ignore[arg-type]
     told = replica.announce()
     asked = EntriesRequest("n1", told[0], [told[0], 8, 0, 9, 0])
-    assert deaf.serve[EntriesRequest](asked) == EntriesReply([])
+    assert deaf.handlers[EntriesRequest](asked) == EntriesReply([])
     assert counters.snapshot()["replication.copy_failed"] == 1
