--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -25,8 +25,8 @@
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import DrainRequested, Message, Runner
 from reelusher.core.scheduling_lag import SchedulingLag
-from reelusher.drain.graceful_shutdown import DrainableFrontend, lead
-from reelusher.drain.signals import LOOK_S, SignalWatch
+from reelusher.drain.graceful_shutdown import DrainableFrontend, GracefulShutdown
+from reelusher.drain.signals import POLL_INTERVAL_S, SignalWatch
 from reelusher.frontends.rpc import frontend as rpc_frontend
 from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.net.sockets import Address
@@ -139,7 +139,7 @@
             else None
         )
         if self.catalog:
-            self.core.on_health = self.catalog.changed
+            self.core.on_health_changed = self.catalog.changed
         if told:
             self.fronts["platform"] = RpcFrontend(
                 self.core,
@@ -186,11 +186,11 @@
         except OSError as error:
             logger.error("upgrade: {} can't be used, so no other process may take over: {}", folder, error)
             return
-        self.core.key_locks = self._claims
+        self.core.deduplication.key_locks = self._claims
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
-        from reelusher.admin.api import AdminApi, Parts
+        from reelusher.admin.api import AdminApi, AdminContext
         from reelusher.frontends.ajp.frontend import AjpFrontend
 
         if own.fleet:
@@ -210,7 +210,7 @@
         if own.admin:
             self.admin = AdminApi(
                 own.admin,
-                Parts(
+                AdminContext(
                     self.core, tenants, table, self._pool, self.status, self.ask_to_leave, self.fleet, calls
                 ),
             )
@@ -224,7 +224,7 @@
         backends = self._backends(own)
         assert self._shares is not None
         folder, old = (own.admin.state_dir, own.admin.state_file) if own.admin else ("", "")
-        kept = tenant_store.opened(
+        kept = tenant_store.open_store(
             Path(folder) if folder else None,
             Path(old) if old else None,
             own.tenants,
@@ -232,13 +232,15 @@
             backends,
         )
         if own.admin and own.admin.durable_keys:
-            log = tenant_store.opened_keys(Path(folder))
-            for number, line in enumerate(log.live()):
-                self.core.keys.remember(
-                    line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
+            log = tenant_store.open_key_log(Path(folder))
+            for number, line in enumerate(log.unexpired()):
+                self.core.keys.restore(
+                    line.idempotency_key, EARLIER + number, line.expires_us, bytes.fromhex(line.body_digest)
                 )
-            self.core.key_log, self._key_log = log, log
-        found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
+            self.core.deduplication.key_log, self._key_log = log, log
+        found = [
+            (tenant, TenantState(state)) for tenant, state in kept.checked_tenants(own.class_names, backends)
+        ]
         tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
 
@@ -250,8 +252,9 @@
         from reelusher.fleet.replication.replica_store import ReplicaError
         from reelusher.fleet.replication.service import Replication
         from reelusher.fleet.replication.sqlite_replica import SqliteReplica
-        from reelusher.tenancy.registry import TenantRegistry, reason
+        from reelusher.tenancy.cached_registry import CachedTenantRegistry
         from reelusher.tenancy.replicated import ReplicatedTable
+        from reelusher.tenancy.tenant_source import unreadable_reason
 
         told, backends = own.replication, self._backends(own)
         assert told is not None
@@ -261,12 +264,12 @@
                 Path(told.copy),
                 own.fleet.name if own.fleet else "",
                 told.control,
-                lambda name, value: reason(name, value, own.class_names, backends),
+                lambda name, value: unreadable_reason(name, value, own.class_names, backends),
             )
         except ReplicaError as error:
             raise ConfigError("replication.copy", str(error)) from None
-        tenants = TenantRegistry(
-            (), own.class_names, self._pool.runner, self.core, self._shares, backends, copy
+        tenants = CachedTenantRegistry(
+            own.class_names, self._pool.runner, self.core, self._shares, backends, copy
         )
         place = self.fleet.live()[0].address if self.fleet else ""
         replica = Replica(
@@ -289,14 +292,14 @@
         table = ReplicatedTable(replication, own.class_names, backends, self.counters)
 
         def changed(names: list[str]) -> None:
-            tenants.changed(names)
-            table.noticed(names)
+            tenants.rows_changed(names)
+            table.report_overlaps(names)
 
         copy.on_change = changed
-        tenants.filling = replication.filling
+        tenants.is_bootstrapping = replication.filling
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
-            self.fleet.handlers[ChangeRequest] = calls.carried
+            self.fleet.handlers[ChangeRequest] = calls.handle_forwarded
         self._tenants = tenants
         return tenants, table, calls
 
@@ -339,9 +342,9 @@
 
                 kept += service.DESCRIPTORS
             if own.replication:
-                from reelusher.admin import replicated_api
+                from reelusher.admin import fleet_client
 
-                kept += COPY_FILES + replicated_api.MOST_SENT + 1  # and the one that pulls
+                kept += COPY_FILES + fleet_client.MAX_FORWARDED_CALLS + 1  # and the one that pulls
         return max(self.config.sockets - kept, LEAST_CONNECTIONS)
 
     def _most_ajp(self) -> int:
@@ -423,7 +426,7 @@
         if self.core.notices.diverting_callers is not away:
             self.core.notices.diverting_callers = away
             logger.info("operator: callers are sent away" if away else "operator: callers are wanted again")
-            self.core.on_health()
+            self.core.on_health_changed()
 
     def status(self) -> dict[str, Any]:
         """Return how the node stands; called by the owner."""
@@ -553,7 +556,8 @@
             self.catalog.stop()
         if self.fleet:
             self.fleet.leave()
-        lead(self.fronts.values(), self._order, self._late_s, self._asked_s, span_s, grace_s)
+        shutdown = GracefulShutdown(self.fronts.values(), self._order, self._late_s)
+        shutdown.run(self._asked_s, span_s, grace_s)
         self._close_copy()
         left = self.core.attempts.unanswered
         logger.info("left after {:.0f} ms, {} unanswered", (time.monotonic() - self._asked_s) * 1000, left)
@@ -619,14 +623,14 @@
     """
     leaving: threading.Thread | None = None
     while leaving is None or leaving.is_alive():
-        found = watch.look()
-        if found is not None and found[0] is signal.SIGHUP:
+        received = watch.poll()
+        if received is not None and received.signal is signal.SIGHUP:
             start_thread("reload", node.reload)
-        elif found is not None:
-            node.ask_to_leave(found[1])
+        elif received is not None:
+            node.ask_to_leave(received.earliest_s)
         elif leaving is not None:
-            leaving.join(LOOK_S)
-        elif node.asked_to_leave.wait(LOOK_S):
+            leaving.join(POLL_INTERVAL_S)
+        elif node.asked_to_leave.wait(POLL_INTERVAL_S):
             leaving = start_thread("leave", node.leave)
 
 
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -20,7 +20,7 @@
 from replicas import names_of
 from scenario import SETTINGS, TOKEN
 
-from reelusher.admin import replicated_api
+from reelusher.admin import fleet_client, replicated_api
 from reelusher.codecs import ajp13
 from reelusher.config.checked_table import ConfigError, address_of
 from reelusher.config.load import merge
@@ -34,8 +34,9 @@
 from reelusher.net.sockets import Address
 from reelusher.node import COPY_FILES, Node
 from reelusher.tenancy import replicated
+from reelusher.tenancy.cached_registry import CachedTenantRegistry
 from reelusher.tenancy.replicated import ReplicatedTable
-from reelusher.tenancy.tenant_cache import TenantUnavailableError
+from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 CONTROL = ["c1", "c2"]
 C1, C2 = (names_of(stream, 10) for stream in CONTROL)
@@ -113,8 +114,8 @@
     def table(self, at: str) -> ReplicatedTable:
         admin = self.all[at].admin
         assert admin is not None
-        assert isinstance(admin._parts.table, ReplicatedTable)
-        return admin._parts.table
+        assert isinstance(admin._context.table, ReplicatedTable)
+        return admin._context.table
 
     def replication(self, at: str) -> service.Replication:
         found = self.all[at]._replication
@@ -152,7 +153,7 @@
         front = self.all[at].fronts["ajp"]
         assert isinstance(front, AjpFrontend)
         try:
-            with front._tenants.matched("GET", host, "/") as found:
+            with front._tenants.pinned_match("GET", host, "/") as found:
                 return found.tenant.name if found is not None and found.admitted else ""
         except TenantUnavailableError:
             return REFUSED
@@ -360,9 +361,9 @@
 def test_while_one_change_is_made_another_waits_for_so_long_and_is_then_refused(
     nodes: Nodes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(replicated, "CHANGING_S", 0.1)
+    monkeypatch.setattr(replicated, "LOCK_TIMEOUT_S", 0.1)
     nodes.start("c1")
-    with nodes.table("c1").changing():
+    with nodes.table("c1").exclusive():
         status, _, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))
     assert status == 503
     assert "retry-after" in headers
@@ -420,7 +421,8 @@
 
 
 def test_a_call_may_wait_until_others_have_its_change(nodes: Nodes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replicated_api, "COPIES_S", 0.7)
+    for module in (fleet_client, replicated_api):
+        monkeypatch.setattr(module, "COPIES_TIMEOUT_S", 0.7)
     nodes.start("c1", "c2", "n1")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=3", tenant(C2[0]))[1]["field"] == "copies"
     for at, name in (("c1", C2[0]), ("c2", C2[1])):
@@ -498,7 +500,7 @@
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # that nobody else has
     path = "/v1/fleet/take-over/c2"
     assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # it asks the holder
-    assert soon(lambda: nodes.table("c1").lacks("c2"))  # and has heard by now
+    assert soon(lambda: nodes.table("c1").position_ahead("c2"))  # and has heard by now
     nodes.stop("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[3]))[0] == 503
     for at, where, status, named in (
@@ -569,9 +571,10 @@
     front = nodes.all["c1"].fronts["ajp"]
     assert isinstance(front, AjpFrontend)
     assert nodes.owner("c1", "nobody.example") == ""
-    front._tenants.filling = lambda: True
+    assert isinstance(front._tenants, CachedTenantRegistry)
+    front._tenants.is_bootstrapping = lambda: True
     assert nodes.serves("c1", C1[0])
-    with pytest.raises(TenantUnavailableError), front._tenants.matched("GET", "nobody.example", "/"):
+    with pytest.raises(TenantUnavailableError), front._tenants.pinned_match("GET", "nobody.example", "/"):
         pass
 
 
