--- a/reelusher/fleet/warm_start/__init__.py
+++ b/reelusher/fleet/warm_start/__init__.py
@@ -1,1 +1,1 @@
-"""What a node that has just started learns from warm ones: docs/learning.md."""
+"""What a node that has just started takes over from warm members: docs/learning.md."""
--- a/reelusher/fleet/warm_start/client.py
+++ b/reelusher/fleet/warm_start/client.py
@@ -1,4 +1,4 @@
-"""Asks warm members once a node has joined. Nothing waits for it: who learns nothing starts blind."""
+"""Asks warm members for their observations once the node has joined. Requests are served meanwhile."""
 
 import threading
 import time
@@ -10,53 +10,65 @@
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import Observation, ObservationsReply, ObservationsRequest
 from reelusher.fleet.membership.service import Membership
-from reelusher.fleet.warm_start.facts import DONORS, donors, weighed
+from reelusher.fleet.warm_start.observations import DONOR_COUNT, combine, select_donors
 from reelusher.net.threads import start_thread
 
-JOINED_S = 10.0  # beyond which there is nobody to learn from
-LOOK_S = 0.05
-MOST_ASKED = 6  # members, cold ones and those that don't answer among them
+JOIN_TIMEOUT_S = 10.0  # after which the node starts without observations
+JOIN_POLL_S = 0.05
+MAX_MEMBERS_ASKED = 6  # cold ones and those that don't reply among them
 
 
 class WarmStartClient:
-    """What one node learns at its start."""
+    """Collects the observations of warm members for one node at its start."""
 
     def __init__(
         self,
         members: Membership,
         random: Random,
         counters: Counters,
-        take: Callable[[dict[str, float]], None],
+        apply: Callable[[dict[str, float]], None],
     ) -> None:
-        """`take` is told what is believed, by what it is about, in a thread of this one's."""
-        self._members, self._random, self._counters, self._take = members, random, counters, take
+        """`apply` takes the values by subject, in a thread of this client."""
+        self._members, self._random, self._counters, self._apply = members, random, counters, apply
         self._stop = threading.Event()
 
     def start(self) -> None:
-        """Begin to ask."""
-        start_thread("learning", self._learn)
+        """Start to ask."""
+        start_thread("warm-start", self._run)
 
     def close(self) -> None:
-        """Ask no more."""
+        """Ask no further members."""
         self._stop.set()
 
-    def _learn(self) -> None:
-        until = time.monotonic() + JOINED_S
-        while not self._members.joined and time.monotonic() < until:
-            if self._stop.wait(LOOK_S):
-                return
+    def _run(self) -> None:
+        if not self._wait_until_joined():
+            return
         own, *others = self._members.live()
-        told: list[list[Observation]] = []
-        for place in donors(own.address, [member.address for member in others], MOST_ASKED):
-            if self._stop.is_set() or len(told) == DONORS:
+        reports = self._collect(own.address, [member.address for member in others])
+        values = combine(reports, time.time())
+        if values:
+            self._apply(values)
+        self._counters.add("learning.believed", len(values))  # last: then all values are applied
+        logger.info(
+            "warm start: {} of {} members reported, {} values used", len(reports), len(others), len(values)
+        )
+
+    def _wait_until_joined(self) -> bool:
+        """Wait for the node to join, or for the time-out; return False if the node is closed meanwhile."""
+        until = time.monotonic() + JOIN_TIMEOUT_S
+        while not self._members.joined and time.monotonic() < until:
+            if self._stop.wait(JOIN_POLL_S):
+                return False
+        return True
+
+    def _collect(self, own_address: str, others: list[str]) -> list[list[Observation]]:
+        reports: list[list[Observation]] = []
+        for address in select_donors(own_address, others, MAX_MEMBERS_ASKED):
+            if self._stop.is_set() or len(reports) == DONOR_COUNT:
                 break
-            reply = self._members.request(place, ObservationsRequest(own.address), ObservationsReply)
+            reply = self._members.request(address, ObservationsRequest(own_address), ObservationsReply)
             if reply is None or not reply.warm:
                 self._counters.add("learning.nothing_told")
                 continue
-            told.append(reply.observations)
-        known = weighed(told, time.time())
-        if known:
-            self._take(known)
-        self._counters.add("learning.believed", len(known))  # last: whoever counts on it finds all taken
-        logger.info("learning: {} of {} members told, {} facts believed", len(told), len(others), len(known))
+            reports.append(reply.observations)
+        return reports
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from reelusher.fleet.membership.member_table import MAX_MEMBERS
-from reelusher.fleet.warm_start.facts import MOST_FACTS
+from reelusher.fleet.warm_start.observations import MAX_OBSERVATIONS
 from reelusher.lab.capacity.budgets import (
     CONTAINER_MOST,
     LINK_BYTES,
@@ -602,7 +602,7 @@
         ),
         SettingsError(
             "facts of workers by need",
-            lambda: MOST_FACTS / workers,
+            lambda: MAX_OBSERVATIONS / workers,
             "a fresh node heeds the first 512 facts; an answer past 512 KB is not taken at all",
             "only what is away, and only of workers in use",
         ),
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -8,7 +8,7 @@
 from reelusher.core.messages import KeyLockRequest, Result
 from reelusher.fleet.membership.authentication import MessageAuthenticator
 from reelusher.fleet.membership.messages import MAX_STATE_BYTES, Observation, ObservationsReply
-from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
+from reelusher.fleet.warm_start.observations import MAX_OBSERVATIONS, combine
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
@@ -60,12 +60,12 @@
     told = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).seal(
         ObservationsReply(True, facts)
     )
-    found = weighed([facts] * 3, 1_700_000_000.0)
+    found = combine([facts] * 3, 1_700_000_000.0)
     return {
         "told_kb": len(told) / 1000,
         "fits": float(len(told) <= MAX_STATE_BYTES),
         "learnt": float(len(found)),
-        "weigh_ms": each_us(lambda: weighed([facts[:MOST_FACTS]] * 3, 1_700_000_000.0)) / 1000,
+        "weigh_ms": each_us(lambda: combine([facts[:MAX_OBSERVATIONS]] * 3, 1_700_000_000.0)) / 1000,
     }
 
 
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -1,4 +1,4 @@
-"""Many members on a virtual clock and a network that loses, cuts and doubles: the real `Swim`, no sockets.
+"""Many members on a virtual clock and a network with loss, partitions and duplicates: `Swim` without sockets.
 
     python -m reelusher.lab.fleet.members 50 200 1000
 
@@ -37,25 +37,25 @@
         self.sent = self.deaths = 0
         self.sent_bytes = 0
         self._due: dict[str, float] = {}
-        self._seal = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1)
+        self._authenticator = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1)
         for number in range(count):
             self.add(number)
         if joined:
             everyone = MemberTable(self.random)
             for swim in self.swims.values():
                 everyone.apply(swim.own, 0.0)
-            for place, swim in self.swims.items():
-                swim.table.copy_from(everyone, place)
+            for address, swim in self.swims.items():
+                swim.table.copy_from(everyone, address)
                 swim.gossip.broadcasts.clear()
 
-    def add(self, number: int, life: int = 1) -> str:
-        """Start a member, which knows nobody."""
-        place = f"127.1.{number // 250}.{number % 250 + 1}:7000"
-        own = Update(place, f"n{number}", f"z{number % 3}", "r", life, MemberState.ALIVE)
-        self.swims[place] = Swim(own, Random(f"{number} {self.random.random()}"), self.line.now)
-        self.alive.add(place)
-        self._wake(place)
-        return place
+    def add(self, number: int, incarnation: int = 1) -> str:
+        """Start a member that knows no other."""
+        address = f"127.1.{number // 250}.{number % 250 + 1}:7000"
+        own = Update(address, f"n{number}", f"z{number % 3}", "r", incarnation, MemberState.ALIVE)
+        self.swims[address] = Swim(own, Random(f"{number} {self.random.random()}"), self.line.now)
+        self.alive.add(address)
+        self._wake(address)
+        return address
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
@@ -70,61 +70,61 @@
             self.run(0.05)
         return self.line.now - began
 
-    def kill(self, place: str) -> None:
-        """End a member without a word."""
-        self.alive.discard(place)
+    def kill(self, address: str) -> None:
+        """Stop a member without notice."""
+        self.alive.discard(address)
 
-    def stand_still(self, place: str, still: bool) -> None:
+    def stand_still(self, address: str, still: bool) -> None:
         """Have a member stand still, or go on."""
-        (self.still.add if still else self.still.discard)(place)
+        (self.still.add if still else self.still.discard)(address)
         if not still:
-            self._due.pop(place, None)
-            self._wake(place)
+            self._due.pop(address, None)
+            self._wake(address)
 
-    def holding_dead(self, place: str) -> int:
-        """Count the live members that don't count one as live."""
+    def holding_dead(self, address: str) -> int:
+        """Return how many live members hold a member for dead."""
         return sum(
-            place in swim.table.members and not swim.table.members[place].is_live
+            address in swim.table.members and not swim.table.members[address].is_live
             for other, swim in self.swims.items()
-            if other in self.alive and other != place
+            if other in self.alive and other != address
         )
 
     def agreed(self) -> bool:
-        """Tell whether each live member counts just the live ones."""
-        live = [(place, self.swims[place].table) for place in self.alive]
+        """Return whether each live member knows exactly the live ones."""
+        live = [(address, self.swims[address].table) for address in self.alive]
         return all(1 + table.live_count() == len(live) for _, table in live) and all(
-            {place, *table.live()} == self.alive for place, table in live
+            {address, *table.live()} == self.alive for address, table in live
         )
 
-    def _wake(self, place: str) -> None:
-        if place not in self.alive or place in self.still:
+    def _wake(self, address: str) -> None:
+        if address not in self.alive or address in self.still:
             return
-        at = max(self.line.now, self.swims[place].next_tick_s())
-        if self.line.now < self._due.get(place, NEVER) <= at:
+        at = max(self.line.now, self.swims[address].next_tick_s())
+        if self.line.now < self._due.get(address, NEVER) <= at:
             return  # an earlier look is set
-        self._due[place] = at
-        self.line.call_later(at - self.line.now, self._tick, place, at)
-
-    def _tick(self, place: str, at: float) -> None:
-        if self._due.get(place) == at and place in self.alive and place not in self.still:
-            self._due.pop(place)
-            self._carry_out(place, self.swims[place].tick(self.line.now))
-            self._wake(place)
-
-    def _carry_out(self, place: str, said: StepResult) -> None:
-        self.deaths += sum(change.update.state is MemberState.DEAD for change in said.changes)
-        for target, message in said.datagrams:
+        self._due[address] = at
+        self.line.call_later(at - self.line.now, self._tick, address, at)
+
+    def _tick(self, address: str, at: float) -> None:
+        if self._due.get(address) == at and address in self.alive and address not in self.still:
+            self._due.pop(address)
+            self._deliver(address, self.swims[address].tick(self.line.now))
+            self._wake(address)
+
+    def _deliver(self, address: str, result: StepResult) -> None:
+        self.deaths += sum(change.update.state is MemberState.DEAD for change in result.changes)
+        for target, message in result.datagrams:
             self.sent += 1
-            self.sent_bytes += len(self._seal.seal(message))
+            self.sent_bytes += len(self._authenticator.seal(message))
             for _ in range(1 + (self.random.random() < self.twice)):
-                if not self.cut(place, target) and self.random.random() >= self.loss:
-                    self.line.call_later(self.random.uniform(*self.way_s), self._take, target, message)
-        swim = self.swims[place]
+                if not self.cut(address, target) and self.random.random() >= self.loss:
+                    self.line.call_later(self.random.uniform(*self.way_s), self._receive, target, message)
+        swim = self.swims[address]
         if swim.sync_with:
             other = swim.sync_with.pop()
             swim.sync_with.clear()
-            if other in self.alive and other not in self.still and not self.cut(place, other):
-                self.exchange(place, other)
+            if other in self.alive and other not in self.still and not self.cut(address, other):
+                self.exchange(address, other)
 
     def exchange(self, one: str, other: str) -> None:
         """Have two members compare their states and exchange where they differ, as over TCP."""
@@ -132,15 +132,15 @@
         digests = asked.compare_digest(asker.digest())
         buckets = asker.differing_buckets(digests) if digests else []
         states = asker.in_buckets(buckets), asked.in_buckets(buckets)
-        self._carry_out(one, asker.merge(states[1], self.line.now))
-        self._carry_out(other, asked.merge(states[0], self.line.now))
+        self._deliver(one, asker.merge(states[1], self.line.now))
+        self._deliver(other, asked.merge(states[0], self.line.now))
         self._wake(one)
         self._wake(other)
 
-    def _take(self, place: str, message: Datagram) -> None:
-        if place in self.alive and place not in self.still:
-            self._carry_out(place, self.swims[place].receive(message, self.line.now))
-            self._wake(place)
+    def _receive(self, address: str, message: Datagram) -> None:
+        if address in self.alive and address not in self.still:
+            self._deliver(address, self.swims[address].receive(message, self.line.now))
+            self._wake(address)
 
 
 def apart(half: set[str]) -> Callable[[str, str], bool]:
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -198,9 +198,9 @@
             from reelusher.fleet.warm_start.client import WarmStartClient
 
             self.fleet = Membership(own.fleet, self.config.name, self._spread("fleet"), self.counters)
-            self.fleet.observations = self._facts
+            self.fleet.observations = self._observations
             self._learner = WarmStartClient(
-                self.fleet, self._spread("learning"), self.counters, self._take_facts
+                self.fleet, self._spread("learning"), self.counters, self._apply_observations
             )
         tenants, table, calls = self._replicated(own) if own.replication else self._own_tenants(own)
         if own.ajp:
@@ -389,20 +389,20 @@
             self._learner.start()
             logger.info("{}: member of the fleet at {}:{}", self.config.name, *self.fleet.address)
 
-    def _facts(self) -> "ObservationsReply":
-        """Return what a fresh node may learn here; one that is cold itself would teach it wrong."""
+    def _observations(self) -> "ObservationsReply":
+        """Return the observations for a node that has just started; none while this one is cold itself."""
         from reelusher.fleet.membership.messages import Observation, ObservationsReply
 
         warm_s = max(WARM_S, self.config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._began < warm_s or self.asked_to_leave.is_set():
             return ObservationsReply(False, [])
-        seen = {**self.core.run_on_loop(self.core.observed_times), **self._pool.seen()}
+        observed = {**self.core.run_on_loop(self.core.observed_times), **self._pool.seen()}
         return ObservationsReply(
-            True, [Observation(about, value, seen_s) for about, (value, seen_s) in seen.items()]
+            True, [Observation(subject, value, at_s) for subject, (value, at_s) in observed.items()]
         )
 
-    def _take_facts(self, known: dict[str, float]) -> None:
-        """Start with what warm nodes know."""
+    def _apply_observations(self, known: dict[str, float]) -> None:
+        """Start with what warm nodes have observed."""
         pace = {about.removeprefix("run:"): value for about, value in known.items() if about[:4] == "run:"}
         self.core.run_on_loop(lambda: self.core.apply_warm_start(pace, known.get("call:below", 0.0)))
         for about, value in known.items():
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -30,7 +30,7 @@
     pack,
     stream_of,
 )
-from reelusher.fleet.warm_start.facts import donors
+from reelusher.fleet.warm_start.observations import select_donors
 
 GOLDEN, AGREEMENTS = "messages.json", "agreements.json"
 SECRET = b"a secret of sixteen or more"
@@ -218,7 +218,7 @@
         "control digest": control_digest(CONTROL),
         "vector": pack(vector, CONTROL),
         "epochs": [first_epoch("c2", CONTROL), next_epoch(9, "c3", CONTROL), holder_of(18, CONTROL)],
-        "donors": donors(OWN, [f"127.0.0.1:{port}" for port in range(7001, 7020)]),
+        "donors": select_donors(OWN, [f"127.0.0.1:{port}" for port in range(7001, 7020)]),
     }
 
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -577,7 +577,7 @@
     assert len(last) == 12
     for name in C:  # those that came back learnt from three that were warm
         log = (tmp_path / f"{name}.log").read_text()
-        assert re.search(r"learning: 3 of \d+ members told, [1-9]", log), log
+        assert re.search(r"warm start: 3 of \d+ members reported, [1-9]", log), log
     # one that stood still blames nobody for it
     assert all(live >= A | B for at_s, name, live in census.looks if name == "n5" and at_s > 20)
 
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""Learning from warm members: what is believed, whom a fresh node asks, and hosted nodes that do it."""
+"""Warm start: how observations are combined, which members are asked, and hosted nodes that do it."""
 
 import itertools
 import socket
@@ -18,7 +18,14 @@
 from reelusher.config.operator import parse
 from reelusher.fleet.membership import requests
 from reelusher.fleet.membership.messages import Observation, ObservationsReply
-from reelusher.fleet.warm_start.facts import HALF_S, MOST_FACTS, donors, median, trust, weighed
+from reelusher.fleet.warm_start.observations import (
+    HALF_LIFE_S,
+    MAX_OBSERVATIONS,
+    combine,
+    select_donors,
+    weight,
+    weighted_median,
+)
 from reelusher.node import Node
 from reelusher.policy.controller import Controller
 from reelusher.policy.events import Outcome, Request, RunEnded, WarmStartData
@@ -27,68 +34,77 @@
 NOW = 1_700_000_000.0
 
 
-def fact(value: float, age_s: float = 0.0, about: str = "run:slot-search") -> Observation:
-    return Observation(about, value, NOW - age_s)
+def observation(value: float, age_s: float = 0.0, subject: str = "run:slot-search") -> Observation:
+    return Observation(subject, value, NOW - age_s)
 
 
 @pytest.mark.parametrize(
-    ("told", "believed"),
+    ("reports", "combined"),
     [
-        ([[fact(1.0)], [fact(1.2)], [fact(900.0)]], 1.2),  # a wrong donor is outvoted by two
-        ([[fact(1.0)], [fact(1.2)], [fact(9.0, 230.0)]], 1.2),  # a stale one counts for little
-        ([[fact(2.0, 500.0)]], None),
-        ([[fact(2.0, 479.0)]], None),  # too old, or too little all together
-        ([[fact(float("nan"))], [fact(0.0)], [fact(1e10)]], None),  # no such value
-        ([[fact(1.0, -60.0)]], None),  # from the future
-        ([[fact(1.0, about="odd:thing")]], None),
-        ([[fact(3.0, 9.0), fact(2.0, 1.0)]], 2.0),  # the newest of one donor
+        (
+            [[observation(1.0)], [observation(1.2)], [observation(900.0)]],
+            1.2,
+        ),  # a wrong donor is outvoted by two
+        (
+            [[observation(1.0)], [observation(1.2)], [observation(9.0, 230.0)]],
+            1.2,
+        ),  # a stale one counts for little
+        ([[observation(2.0, 500.0)]], None),
+        ([[observation(2.0, 479.0)]], None),  # too old, or too little all together
+        ([[observation(float("nan"))], [observation(0.0)], [observation(1e10)]], None),  # no such value
+        ([[observation(1.0, -60.0)]], None),  # from the future
+        ([[observation(1.0, subject="odd:thing")]], None),
+        ([[observation(3.0, 9.0), observation(2.0, 1.0)]], 2.0),  # the newest of one donor
         ([], None),
     ],
 )
-def test_what_donors_say_is_weighed_by_age_and_by_median(
-    told: list[list[Observation]], believed: float | None
+def test_reports_are_combined_by_age_and_weighted_median(
+    reports: list[list[Observation]], combined: float | None
 ) -> None:
-    known = weighed(told, NOW)
-    assert list(known.values()) == ([] if believed is None else [believed])
+    values = combine(reports, NOW)
+    assert list(values.values()) == ([] if combined is None else [combined])
 
 
-def test_a_worker_is_away_only_if_most_of_the_trust_says_so() -> None:
-    away, here = fact(1.0, about="away:w"), fact(0.0, about="away:w")
-    assert weighed([[away], [here]], NOW) == {"away:w": 0.0}
-    assert weighed([[away], [away], [here]], NOW) == {"away:w": 1.0}
-    assert weighed([[away], [away], [fact(0.0, 30.0, "away:w")]], NOW) == {"away:w": 1.0}
+def test_worker_is_unreachable_only_by_the_majority_of_the_weight() -> None:
+    away, here = observation(1.0, subject="away:w"), observation(0.0, subject="away:w")
+    assert combine([[away], [here]], NOW) == {"away:w": 0.0}
+    assert combine([[away], [away], [here]], NOW) == {"away:w": 1.0}
+    assert combine([[away], [away], [observation(0.0, 30.0, "away:w")]], NOW) == {"away:w": 1.0}
 
 
 @given(st.floats(0, 2000), st.floats(0, 2000))
-def test_trust_falls_with_age_and_stays_between_0_and_1(one: float, other: float) -> None:
+def test_weight_falls_with_age_and_stays_between_0_and_1(one: float, other: float) -> None:
     young, old = sorted((one, other))
-    assert 0 <= trust(fact(1.0, old), NOW) <= trust(fact(1.0, young), NOW) <= 1
-    assert trust(fact(1.0, HALF_S["run"]), NOW) == pytest.approx(0.5)
+    assert 0 <= weight(observation(1.0, old), NOW) <= weight(observation(1.0, young), NOW) <= 1
+    assert weight(observation(1.0, HALF_LIFE_S["run"]), NOW) == pytest.approx(0.5)
 
 
 @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0.01, 1)), min_size=1, max_size=9))
-def test_a_median_is_a_value_that_half_of_the_weight_is_not_above(values: list[tuple[float, float]]) -> None:
-    made, whole = median(values), sum(weight for _, weight in values)
+def test_half_of_the_weight_is_not_above_the_weighted_median(values: list[tuple[float, float]]) -> None:
+    made, whole = weighted_median(values), sum(weight for _, weight in values)
     assert made in [value for value, _ in values]
     assert sum(weight for value, weight in values if value > made) <= whole / 2 + 1e-9
     assert sum(weight for value, weight in values if value < made) <= whole / 2 + 1e-9
 
 
-def test_no_donor_is_asked_by_all_and_each_fresh_node_asks_the_same_ones_again() -> None:
+def test_new_nodes_ask_different_donors_and_each_the_same_ones_again() -> None:
     members = [f"127.0.0.1:{number}" for number in range(20)]
-    asked = Counter(donor for number in range(200) for donor in donors(f"fresh-{number}", members))
+    asked = Counter(donor for number in range(200) for donor in select_donors(f"fresh-{number}", members))
     assert len(asked) == 20
     assert max(asked.values()) < 3 * 200 * 3 / 20
-    assert donors("x", members) == donors("x", list(reversed(members)))
-    assert len(donors("x", members[:2])) == 2
-    assert donors("x", []) == []
+    assert select_donors("x", members) == select_donors("x", list(reversed(members)))
+    assert len(select_donors("x", members[:2])) == 2
+    assert select_donors("x", []) == []
 
 
-def test_a_donor_that_tells_too_much_is_heard_to_a_bound() -> None:
-    assert len(weighed([[fact(1.0, about=f"run:{number}") for number in range(2000)]], NOW)) == MOST_FACTS
+def test_observations_of_one_donor_are_limited() -> None:
+    assert (
+        len(combine([[observation(1.0, subject=f"run:{number}") for number in range(2000)]], NOW))
+        == MAX_OBSERVATIONS
+    )
 
 
-def test_the_module_reckons_with_what_was_learnt_until_it_sees_for_itself() -> None:
+def test_controller_uses_warm_start_data_until_it_observes_for_itself() -> None:
     kinds = [RequestClass(5_000_000, latency_objective_us=1_000_000)]
     module = Controller(Settings(kinds, 2, 1e6, 4, 6, 2_000_000, 1.0, 0, 2_500_000), 1)
     module.handle(0, [WarmStartData({0: 30.0}, 7000.0)])
@@ -170,18 +186,18 @@
     made.close()
 
 
-def learnt(node: Node) -> dict[str, int]:
+def warm_start_counters(node: Node) -> dict[str, int]:
     return {name: count for name, count in node.counters.snapshot().items() if name.startswith("learning.")}
 
 
-def test_a_fresh_node_passes_a_worker_by_that_warm_ones_found_gone(hosted: Hosted) -> None:
+def test_new_node_skips_a_worker_that_warm_nodes_found_unreachable(hosted: Hosted) -> None:
     for name in "ab":
         hosted.ask(hosted.start(name))
     assert soon(lambda: all(len(node.fleet.live()) == 2 for node in hosted.nodes if node.fleet))
     assert hosted.nodes[0].counters.snapshot()["workers.unreachable"] == 1  # found by failing
     fresh = hosted.start("c")
-    assert soon(lambda: "learning.believed" in learnt(fresh))
-    assert learnt(fresh)["learning.believed"] == 3  # both workers, and how long a run takes
+    assert soon(lambda: "learning.believed" in warm_start_counters(fresh))
+    assert warm_start_counters(fresh)["learning.believed"] == 3  # both workers, and how long a run takes
     members = fresh._pool.members
     assert members["gone"].doubted
     assert not members["here"].doubted
@@ -192,7 +208,7 @@
 
 
 @pytest.mark.parametrize("spoil", ["cold", "silent", "gone", "wrong"])
-def test_with_donors_that_are_of_no_use_a_node_starts_as_if_blind(
+def test_node_starts_without_observations_if_donors_are_useless(
     hosted: Hosted, spoil: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     donor = hosted.start("a")
@@ -219,4 +235,4 @@
     hosted.ask(fresh)
     assert time.monotonic() - began < 10  # it waits for nobody
     assert not fresh._pool.members["here"].doubted
-    assert learnt(fresh).get("learning.believed", 0) == 0
+    assert warm_start_counters(fresh).get("learning.believed", 0) == 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: what merges, who is found dead and who is not, what is refused, and real sockets."""
+"""Membership: merging updates, failure detection, rejected messages, and nodes on real sockets."""
 
 import json
 import sys
@@ -55,20 +55,20 @@
 SECRET = b"a secret of sixteen or more"
 
 
-def said(
+def update(
     number: int, incarnation: int = 1, state: MemberState = MemberState.ALIVE, accuser: str = ""
 ) -> Update:
     return Update(f"127.0.0.1:{number}", f"n{number}", "z", "r", incarnation, state, accuser)
 
 
-UPDATES = st.builds(said, st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState))
+UPDATES = st.builds(update, st.integers(1, 3), st.integers(0, 3), st.sampled_from(MemberState))
 
 
 # What merges
 
 
 @given(st.lists(UPDATES, max_size=30), st.randoms(use_true_random=False))
-def test_what_is_known_is_the_same_in_whatever_order_and_however_often_it_is_heard(
+def test_table_is_the_same_for_any_order_and_repetition_of_updates(
     updates: list[Update], shuffled: Any
 ) -> None:
     def known(order: list[Update]) -> dict[str, tuple[int, MemberState]]:
@@ -83,7 +83,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3 * REPLAY_WINDOW_SIZE)), max_size=200))
-def test_a_number_counts_once_and_one_that_is_too_old_not_at_all(came: list[tuple[int, int]]) -> None:
+def test_replay_window_accepts_a_number_once_and_none_that_is_too_old(came: list[tuple[int, int]]) -> None:
     senders, taken = ReplayWindow(), set[tuple[int, int]]()
     for life, number in came:
         top = max(taken, default=(0, 0))
@@ -95,7 +95,7 @@
 
 
 @given(st.lists(st.tuples(UPDATES, st.booleans()), max_size=60))
-def test_what_a_table_keeps_up_with_each_change_is_what_a_count_of_all_would_say(
+def test_derived_data_of_the_table_match_its_entries_after_each_change(
     came: list[tuple[Update, bool]],
 ) -> None:
     table = MemberTable(Random(1))
@@ -120,33 +120,35 @@
         assert "127.0.0.1:1" not in table.sample(9, "127.0.0.1:1")
 
 
-def test_an_ordinary_day_of_the_largest_fleet_fits_and_the_dead_make_room_for_the_living() -> None:
+def test_largest_fleet_fits_and_live_members_replace_dead_ones_in_a_full_table() -> None:
     table = MemberTable(Random(1))
     for number in range(3600 + MAX_DEAD):
-        table.apply(said(number, 1, MemberState.ALIVE if number < 3600 else MemberState.DEAD), float(number))
+        table.apply(
+            update(number, 1, MemberState.ALIVE if number < 3600 else MemberState.DEAD), float(number)
+        )
     assert table.live_count() == 3600
     assert len(table.dead) == MAX_DEAD
     assert not table.rejected
     for number in range(10_000, 10_000 + MAX_MEMBERS - 3600 - MAX_DEAD):
-        table.apply(said(number, 1, MemberState.LEFT), 9000.0)
+        table.apply(update(number, 1, MemberState.LEFT), 9000.0)
     assert len(table.members) == MAX_MEMBERS
     assert not table.rejected
-    assert table.apply(said(1, 1, MemberState.DEAD), 9001.0) is not None  # known before
+    assert table.apply(update(1, 1, MemberState.DEAD), 9001.0) is not None  # known before
     for number, state, refused in [
         (20_000, MemberState.DEAD, 1),
         (20_001, MemberState.ALIVE, 1),
         (20_002, MemberState.LEFT, 2),
     ]:
-        assert (table.apply(said(number, 1, state), 9001.0) is None) is (state is not MemberState.ALIVE)
+        assert (table.apply(update(number, 1, state), 9001.0) is None) is (state is not MemberState.ALIVE)
         assert table.rejected == refused
     assert len(table.members) == MAX_MEMBERS
-    assert said(3600).address not in table.members
+    assert update(3600).address not in table.members
 
 
-def calls_each(size: int) -> float:
-    """Return the calls of functions that a datagram costs in a fleet of a size with one suspect in it."""
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(number) for number in range(2, size + 1)], 0.0)
+def calls_per_datagram(size: int) -> float:
+    """Return the function calls for each datagram in a fleet of a size with one suspect."""
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(number) for number in range(2, size + 1)], 0.0)
     swim.gossip.broadcasts.clear()
     calls = datagrams = 0
 
@@ -164,7 +166,7 @@
             Datagram(
                 DatagramKind.PING,
                 "127.0.0.1:3",
-                updates=[said(4, step, MemberState.SUSPECT, "127.0.0.1:5")] if not step % 10 else [],
+                updates=[update(4, step, MemberState.SUSPECT, "127.0.0.1:5")] if not step % 10 else [],
             ),
             now,
         )
@@ -174,60 +176,60 @@
     return calls / datagrams
 
 
-def test_a_datagram_costs_the_same_in_a_fleet_of_3600_as_in_one_of_16() -> None:
-    assert calls_each(3600) < 3 * calls_each(16)  # the news of one change is told 49 times in place of 17
+def test_cost_of_a_datagram_does_not_grow_with_the_fleet() -> None:
+    assert calls_per_datagram(3600) < 3 * calls_per_datagram(16)  # an update is sent 28 times, not 13
 
 
-def test_a_member_that_hears_that_it_is_dead_says_otherwise_and_one_that_left_does_not() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 5, MemberState.DEAD)]), 0.1)
+def test_member_refutes_its_death_unless_it_has_left() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(1, 5, MemberState.DEAD)]), 0.1)
     assert swim.own.incarnation == 6
     assert swim.detector.local_health.score == 1
     swim.leave()
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 9, MemberState.DEAD)]), 0.2)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(1, 9, MemberState.DEAD)]), 0.2)
     assert (swim.own.incarnation, swim.own.state) == (6, MemberState.LEFT)
 
 
-def test_one_that_joins_tells_on_who_had_joined_through_it_and_not_what_it_is_told() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(4, 2)], 0.0)  # these joined through it
-    swim.join([said(3), said(4, 1), said(5)], 0.1)
+def test_joining_member_broadcasts_only_what_the_received_state_lacks() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(4, 2)], 0.0)  # these joined through it
+    swim.join([update(3), update(4, 1), update(5)], 0.1)
     told = {update for _, message in swim.tick(0.5).datagrams for update in message.updates}
-    assert {said(1), said(2), said(4, 2)} <= told
-    assert not told & {said(3), said(4, 1), said(5)}
+    assert {update(1), update(2), update(4, 2)} <= told
+    assert not told & {update(3), update(4, 1), update(5)}
 
 
-def test_a_full_state_makes_nobody_dead_who_lives_here_but_tells_whom_it_concerns() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3)], 0.0)
-    swim.merge([said(2, 1, MemberState.DEAD), said(4, 1, MemberState.DEAD)], 0.1)
+def test_merge_notifies_a_live_member_of_its_death_instead_of_applying_it() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(3)], 0.0)
+    swim.merge([update(2, 1, MemberState.DEAD), update(4, 1, MemberState.DEAD)], 0.1)
     states = {place[-1]: member.update.state for place, member in swim.table.members.items()}
     assert states == {"2": MemberState.ALIVE, "3": MemberState.ALIVE, "4": MemberState.DEAD}
     told = [message.updates for place, message in swim.tick(0.5).datagrams if place == "127.0.0.1:2"]
-    assert [said(2, 1, MemberState.DEAD)] in told
+    assert [update(2, 1, MemberState.DEAD)] in told
 
 
-def test_one_that_joins_tells_of_itself_and_not_of_all_whom_it_has_been_told_of() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.join([said(number) for number in range(2, 500)], 0.0)
+def test_joining_member_broadcasts_itself_and_not_the_received_members() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.join([update(number) for number in range(2, 500)], 0.0)
     assert swim.table.fleet_size() == 499
     sent = [message for step in range(1, 100) for _, message in swim.tick(step / 10).datagrams]
     told = [one for message in sent for one in message.updates]
-    assert said(1) in told
+    assert update(1) in told
     assert not [
-        one for one in told if one != said(1) and one.state is MemberState.ALIVE
+        one for one in told if one != update(1) and one.state is MemberState.ALIVE
     ]  # some are suspected
 
 
-def test_a_vector_rides_on_each_datagram_and_is_told_to_who_listens() -> None:
-    swim, came = Swim(said(1), Random(1), 0.0), list[tuple[str, list[int], float]]()
-    swim.merge([said(2)], 0.0)
+def test_each_datagram_carries_the_vector_and_received_ones_are_passed_on() -> None:
+    swim, came = Swim(update(1), Random(1), 0.0), list[tuple[str, list[int], float]]()
+    swim.merge([update(2)], 0.0)
     swim.gossip.vector = lambda: [7, 1, 40]
     swim.on_vector = lambda *told: came.append(told)
     out = swim.tick(0.5).datagrams + swim.ping("127.0.0.1:2").datagrams + swim.leave().datagrams
     assert {message.kind for _, message in out} == {DatagramKind.PING, DatagramKind.GOSSIP}
     assert all(message.vector == [7, 1, 40] for _, message in out)
-    other = Swim(said(2), Random(2), 0.0)
+    other = Swim(update(2), Random(2), 0.0)
     other.on_vector = lambda *told: came.append(told)
     answer = other.receive(swim.ping("127.0.0.1:2").datagrams[0][1], 0.25).datagrams
     assert [(to, message.kind, message.vector) for to, message in answer] == [
@@ -238,15 +240,15 @@
     assert len(came) == 1  # one without a vector is not told of
 
 
-def test_a_call_that_is_not_answered_blames_nobody() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2)], 0.0)
+def test_unanswered_ping_beside_the_probes_accuses_nobody() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2)], 0.0)
     swim.ping("127.0.0.1:2")
     assert swim.detector.local_health.score == 0
     assert swim.table.members["127.0.0.1:2"].update.state is MemberState.ALIVE
 
 
-def test_a_node_that_knows_no_vector_reads_a_datagram_that_has_one() -> None:
+def test_older_node_reads_a_datagram_with_a_vector() -> None:
     class Older(msgspec.Struct, array_like=True, frozen=True):
         kind: DatagramKind
         sender: str
@@ -254,10 +256,10 @@
         target: str = ""
         updates: list[Update] = []
 
-    message = Datagram(DatagramKind.PING, "127.0.0.1:1", 3, updates=[said(2)], vector=[1, 2])
+    message = Datagram(DatagramKind.PING, "127.0.0.1:1", 3, updates=[update(2)], vector=[1, 2])
     data = msgspec.msgpack.encode(message)
     assert msgspec.msgpack.decode(data, type=Older) == Older(
-        DatagramKind.PING, "127.0.0.1:1", 3, "", [said(2)]
+        DatagramKind.PING, "127.0.0.1:1", 3, "", [update(2)]
     )
     older = msgspec.msgpack.encode(Older(DatagramKind.PING, "127.0.0.1:1"))
     assert msgspec.msgpack.decode(older, type=Datagram).vector == []
@@ -272,7 +274,7 @@
     st.text(max_size=64),
 )
 @settings(max_examples=150)
-def test_no_vector_pushes_a_datagram_over_its_size(
+def test_vector_never_makes_a_datagram_too_large(
     members: list[tuple[str, str, str, int]], vector: list[int], fleet: str
 ) -> None:
     own = Update("1" * 58 + ":65535", "n" * 64, "z" * 64, "r" * 64, 1, MemberState.ALIVE)
@@ -297,9 +299,9 @@
 # Digests
 
 
-def viewed(number: int, updates: list[Update]) -> Swim:
-    """Return a member that knows these, in whatever order they come, with nothing to tell."""
-    swim = Swim(said(number), Random(number), 0.0)
+def swim_knowing(number: int, updates: list[Update]) -> Swim:
+    """Return a member that has applied these updates and has nothing to broadcast."""
+    swim = Swim(update(number), Random(number), 0.0)
     for one in updates:
         if one.address != swim.own.address:
             swim.table.apply(one, 0.0)
@@ -308,7 +310,7 @@
 
 
 def known(swim: Swim) -> tuple[dict[str, int], set[Update]]:
-    """Return who lives there in which incarnation, and who is told what is said of it."""
+    """Return the incarnations of the live members, and the notices to be sent."""
     here = {place: swim.table.members[place].update.incarnation for place in swim.table.live()}
     return here | {swim.own.address: swim.own.incarnation}, set(swim.gossip.notices)
 
@@ -316,7 +318,7 @@
 # Without suspicions: they end by themselves within seconds, so that no digest tells of them.
 VIEWS = st.lists(
     st.builds(
-        said,
+        update,
         st.integers(1, 9),
         st.integers(0, 2),
         st.sampled_from([MemberState.ALIVE, MemberState.DEAD, MemberState.LEFT]),
@@ -326,13 +328,13 @@
 
 
 @given(VIEWS, VIEWS, st.integers(1, 2))
-def test_buckets_that_differ_mend_who_lives_as_full_states_do(
+def test_exchanging_differing_buckets_repairs_as_much_as_full_states(
     one: list[Update], other: list[Update], times: int
 ) -> None:
     def after(
         exchanged: Callable[[Swim, Swim], tuple[list[Update], list[Update]]],
     ) -> list[tuple[dict[str, int], set[Update]]]:
-        pair = viewed(1, one), viewed(2, other)
+        pair = swim_knowing(1, one), swim_knowing(2, other)
         for _ in range(times):
             told = exchanged(*pair)
             pair[1].merge(told[0], 1.0)
@@ -348,23 +350,23 @@
 
 
 @given(VIEWS, st.randoms(use_true_random=False))
-def test_digests_are_the_same_just_where_who_lives_is_the_same(updates: list[Update], shuffled: Any) -> None:
-    one, other = viewed(1, updates), list(updates)
+def test_digests_are_equal_exactly_if_the_live_members_are(updates: list[Update], shuffled: Any) -> None:
+    one, other = swim_knowing(1, updates), list(updates)
     shuffled.shuffle(other)
-    another = viewed(1, other)
+    another = swim_knowing(1, other)
     assert one.digest() == another.digest()
     assert one.compare_digest(another.digest()) == []
     assert one.differing_buckets(another.digests()) == []
-    changed = said(8, 3)
+    changed = update(8, 3)
     another.merge([changed], 0.0)
     bucket = bucket_of(changed.address)
     assert one.differing_buckets(another.compare_digest(one.digest())) == [bucket]
     assert changed in another.in_buckets([bucket])
     assert changed not in another.in_buckets([bucket - 1])
     before = another.digest()
-    another.merge([said(8, 3, MemberState.SUSPECT)], 0.0)
+    another.merge([update(8, 3, MemberState.SUSPECT)], 0.0)
     assert another.digest() == before  # a suspect counts as live
-    one.table.apply(said(8, 3, MemberState.DEAD), 0.0)
+    one.table.apply(update(8, 3, MemberState.DEAD), 0.0)
     assert one.differing_buckets(another.compare_digest(one.digest())) == [bucket]
     another.leave()
     assert another.digest() != before
@@ -373,7 +375,7 @@
 # On a virtual clock
 
 
-def test_no_live_member_is_held_for_dead_while_a_tenth_of_all_datagrams_is_lost() -> None:
+def test_no_live_member_is_declared_dead_with_a_tenth_of_datagrams_lost() -> None:
     fleet = Members(5)
     fleet.loss = 0.1
     fleet.run(10_000 * PROBE_PERIOD_S)
@@ -381,7 +383,7 @@
     assert fleet.agreed()
 
 
-def test_duplicates_and_loss_change_nothing_about_who_is_known_dead() -> None:
+def test_death_is_detected_despite_loss_and_duplicates() -> None:
     fleet = Members(16, 3)
     fleet.loss, fleet.twice = 0.2, 0.3
     fleet.run(5)
@@ -392,16 +394,16 @@
 
 
 @pytest.mark.parametrize(("size", "most"), [(2, 6.0), (3, 5.0), (16, 4.0), (60, 4.0)])
-def test_a_death_is_known_to_all_but_one_in_a_hundred_soon(size: int, most: float) -> None:
+def test_death_is_known_to_99_percent_soon(size: int, most: float) -> None:
     assert max(time_to_know(size, seed) for seed in range(3)) < most
 
 
 @pytest.mark.parametrize(("size", "most"), [(8, 15), (32, 25), (64, 30)])
-def test_two_halves_that_were_cut_apart_agree_within_rounds_that_grow_slowly(size: int, most: int) -> None:
+def test_halves_of_a_partition_agree_after_few_rounds(size: int, most: int) -> None:
     assert time_to_heal(size, 2) / PROBE_PERIOD_S < most
 
 
-def test_far_members_that_answer_late_and_now_and_then_not_at_all_are_hardly_ever_suspected() -> None:
+def test_distant_members_with_loss_are_hardly_ever_suspected() -> None:
     fleet = Members(60, 2)
     fleet.way_s, fleet.loss = (0.09, 0.12), 0.02  # 0.15 s are too short for an answer
     fleet.run(10)
@@ -413,9 +415,9 @@
     assert (fleet.sent - sent) / 60 / 60 < 7
 
 
-def test_a_way_that_was_long_once_is_not_waited_for_forever() -> None:
-    swim, now = Swim(said(1), Random(1), 0.0), 0.0
-    swim.merge([said(2)], 0.0)
+def test_ack_timeout_decays_after_one_long_round_trip() -> None:
+    swim, now = Swim(update(1), Random(1), 0.0), 0.0
+    swim.merge([update(2)], 0.0)
     assert swim.detector.round_trip_times.ack_timeout_s("127.0.0.1:2") == MIN_ACK_TIMEOUT_S
     waits = []
     for took_s in [0.3] + [0.002] * 30:
@@ -428,7 +430,7 @@
     assert waits[-1] == MIN_ACK_TIMEOUT_S
 
 
-def test_one_that_stood_still_blames_nobody_and_is_back_at_once() -> None:
+def test_stalled_member_accuses_nobody_and_is_back_at_once() -> None:
     fleet = Members(30, 4)
     fleet.run(3)
     still = list(fleet.swims)[7]
@@ -442,7 +444,7 @@
     assert fleet.swims[still].stalls == 1
 
 
-def test_a_node_that_hears_nobody_suspects_its_own_health_and_probes_more_rarely() -> None:
+def test_isolated_node_degrades_its_local_health() -> None:
     fleet = Members(16, 6)
     deaf = list(fleet.swims)[3]
     fleet.cut = apart({deaf})
@@ -451,27 +453,27 @@
     assert fleet.swims[next(iter(fleet.swims))].detector.local_health.score == 0
 
 
-def test_a_name_that_is_back_at_another_place_wins_and_two_that_live_are_both_kept() -> None:
+def test_name_may_move_to_another_address_and_live_duplicates_are_both_kept() -> None:
     fleet = Members(8, 2)
     fleet.run(2)
     old = list(fleet.swims)[2]
     fleet.kill(old)
     fleet.run(8)
     fleet.swims.pop(old)
-    new = fleet.add(500, life=2)
+    new = fleet.add(500, incarnation=2)
     fleet.swims[new].own = Update(new, "n2", "z", "r", 2, MemberState.ALIVE)
     fleet.exchange(new, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
     table = fleet.swims[next(iter(fleet.swims))].table
     assert table.duplicate_names() == {}
-    again = fleet.add(501, life=3)
+    again = fleet.add(501, incarnation=3)
     fleet.swims[again].own = Update(again, "n2", "z", "r", 3, MemberState.ALIVE)
     fleet.exchange(again, next(iter(fleet.swims)))
     assert fleet.until(fleet.agreed, 10) < 5
     assert table.duplicate_names() == {"n2": sorted([new, again])}
 
 
-def test_what_each_sends_at_rest_does_not_grow_with_the_fleet() -> None:
+def test_datagrams_per_member_at_rest_do_not_grow_with_the_fleet() -> None:
     each = []
     for size in (10, 80):
         fleet = Members(size, 1)
@@ -482,7 +484,7 @@
     assert each[1] < 1.2 * each[0] < 8
 
 
-def test_hundreds_that_know_one_seed_each_are_all_known_without_a_step_that_all_take_together() -> None:
+def test_members_that_know_one_seed_each_all_learn_of_each_other() -> None:
     fleet = Members(60, 1, joined=False)
     seeds = list(fleet.swims)[:3]
     for number, place in enumerate(fleet.swims):
@@ -493,7 +495,7 @@
     assert fleet.until(fleet.agreed, 20) < 5
 
 
-def test_a_few_that_were_apart_for_a_moment_do_not_have_all_others_taken_for_dead() -> None:
+def test_short_partition_of_a_few_does_not_have_all_others_declared_dead() -> None:
     fleet = Members(60, 4)
     few = set(list(fleet.swims)[:6])
     fleet.run(3)
@@ -506,22 +508,22 @@
     assert fleet.deaths - deaths < 60  # 279 where what they tell of deaths is believed
 
 
-def test_what_one_that_is_held_for_dead_says_of_others_is_not_taken_but_for_who_lives() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3), said(2, 1, MemberState.LEFT)], 0.0)
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(4, 1, MemberState.DEAD)]), 0.1)
+def test_accusations_by_a_dead_member_are_ignored() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(3), update(2, 1, MemberState.LEFT)], 0.0)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[update(4, 1, MemberState.DEAD)]), 0.1)
     assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
-    heard = [said(3, 1, MemberState.DEAD), said(5), said(6)]
+    heard = [update(3, 1, MemberState.DEAD), update(5), update(6)]
     swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:5", updates=heard), 0.2)
     swim.receive(
         Datagram(
             DatagramKind.GOSSIP,
             "127.0.0.1:3",
             updates=[
-                said(5, 1, MemberState.DEAD),
-                said(6, 1, MemberState.SUSPECT),
-                said(7),
-                said(1, 1, MemberState.SUSPECT),
+                update(5, 1, MemberState.DEAD),
+                update(6, 1, MemberState.SUSPECT),
+                update(7),
+                update(1, 1, MemberState.SUSPECT),
             ],
         ),
         0.3,
@@ -537,19 +539,19 @@
     assert swim.own.incarnation == 2  # what concerns itself it refutes
 
 
-def test_one_that_hears_that_it_was_held_for_dead_takes_back_whom_it_suspects() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3), said(4)], 0.0)
+def test_member_that_was_held_for_dead_withdraws_its_suspicions() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(3), update(4)], 0.0)
     swim.gossip.broadcasts.clear()
     swim.receive(
         Datagram(
             DatagramKind.GOSSIP,
             "127.0.0.1:2",
-            updates=[said(3, 1, MemberState.SUSPECT, "127.0.0.1:2"), said(4, 1, MemberState.DEAD)],
+            updates=[update(3, 1, MemberState.SUSPECT, "127.0.0.1:2"), update(4, 1, MemberState.DEAD)],
         ),
         0.1,
     )
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(1, 1, MemberState.DEAD)]), 0.2)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(1, 1, MemberState.DEAD)]), 0.2)
     assert swim.table.members["127.0.0.1:3"].update.state is MemberState.ALIVE
     assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
     told = {
@@ -562,22 +564,22 @@
     assert swim.next_tick_s() < 0.4 + PROBE_PERIOD_S
 
 
-def test_a_new_life_begun_while_it_was_apart_is_not_believed_of_deaths_for_some_seconds() -> None:
+def test_accusations_by_a_rejoined_member_are_ignored_for_some_seconds() -> None:
     """It never hears that it was held for dead: its earlier life was. 480 false deaths came of that."""
-    swim, apart_one = Swim(said(1), Random(1), 0.0), "127.0.0.1:3"
-    swim.merge([said(2), said(3), said(4), said(5)], 0.0)
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, MemberState.DEAD)]), 0.1)
+    swim, partitioned = Swim(update(1), Random(1), 0.0), "127.0.0.1:3"
+    swim.merge([update(2), update(3), update(4), update(5)], 0.0)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(3, 1, MemberState.DEAD)]), 0.1)
     swim.receive(
-        Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 9)]), 0.2
+        Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(3, 9)]), 0.2
     )  # heard by way of another
     swim.receive(
         Datagram(
             DatagramKind.GOSSIP,
-            apart_one,
+            partitioned,
             updates=[
-                said(4, 1, MemberState.DEAD, apart_one),
-                said(5, 1, MemberState.SUSPECT, apart_one),
-                said(6),
+                update(4, 1, MemberState.DEAD, partitioned),
+                update(5, 1, MemberState.SUSPECT, partitioned),
+                update(6),
             ],
         ),
         0.3,
@@ -585,10 +587,10 @@
     assert {swim.table.members[f"127.0.0.1:{number}"].update.state for number in (3, 4, 5, 6)} == {
         MemberState.ALIVE
     }
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(4, 1, MemberState.DEAD)]), 0.4)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(4, 1, MemberState.DEAD)]), 0.4)
     assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD  # others are believed
     swim.receive(
-        Datagram(DatagramKind.GOSSIP, apart_one, updates=[said(5, 1, MemberState.DEAD)]),
+        Datagram(DatagramKind.GOSSIP, partitioned, updates=[update(5, 1, MemberState.DEAD)]),
         0.2 + REJOIN_DISTRUST_S + 0.1,
     )
     assert swim.table.members["127.0.0.1:5"].update.state is MemberState.DEAD  # and so is it, later
@@ -597,10 +599,10 @@
 @pytest.mark.parametrize(
     ("pieces", "least", "mean"), [(10, 13, 13.5), (200, 13, 13.5), (1000, 5, 8), (3000, 5, 7)]
 )
-def test_a_piece_is_sent_on_the_more_rarely_the_more_there_are(pieces: int, least: int, mean: float) -> None:
+def test_updates_are_sent_less_often_when_many_are_pending(pieces: int, least: int, mean: float) -> None:
     """A region that loses all others has 3,000 deaths to tell: at 28 times each they waited for minutes."""
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2 + number) for number in range(20)], 0.0)
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2 + number) for number in range(20)], 0.0)
     swim.gossip.broadcasts.clear()
     swim.merge(
         [Update(f"127.0.0.2:{number}", "n", "z", "r", 2, MemberState.DEAD) for number in range(pieces)], 0.0
@@ -616,24 +618,25 @@
     assert sum(sent.values()) / pieces <= mean
 
 
-def test_one_that_left_and_is_back_is_believed_at_once() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3), said(4)], 0.0)
-    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[said(3, 1, MemberState.LEFT)]), 0.1)
+def test_accusations_by_a_member_that_had_left_are_believed_at_once() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(3), update(4)], 0.0)
+    swim.receive(Datagram(DatagramKind.GOSSIP, "127.0.0.1:2", updates=[update(3, 1, MemberState.LEFT)]), 0.1)
     swim.receive(
-        Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[said(3, 9), said(4, 1, MemberState.DEAD)]), 0.2
+        Datagram(DatagramKind.GOSSIP, "127.0.0.1:3", updates=[update(3, 9), update(4, 1, MemberState.DEAD)]),
+        0.2,
     )
     assert swim.table.members["127.0.0.1:4"].update.state is MemberState.DEAD
 
 
-def test_who_hears_from_one_that_it_holds_for_dead_tells_no_more_of_deaths() -> None:
-    swim = Swim(said(1), Random(1), 0.0)
-    swim.merge([said(2), said(3), said(4), said(5)], 0.0)
+def test_datagram_from_a_dead_member_stops_the_broadcast_of_deaths() -> None:
+    swim = Swim(update(1), Random(1), 0.0)
+    swim.merge([update(2), update(3), update(4), update(5)], 0.0)
     swim.receive(
         Datagram(
             DatagramKind.GOSSIP,
             "127.0.0.1:2",
-            updates=[said(3, 1, MemberState.DEAD), said(4, 1, MemberState.DEAD), said(6)],
+            updates=[update(3, 1, MemberState.DEAD), update(4, 1, MemberState.DEAD), update(6)],
         ),
         0.1,
     )
@@ -651,9 +654,7 @@
 
 @pytest.mark.parametrize("found_out_s", [2, 3, 4])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_new_lives_among_those_that_were_apart_cause_hardly_any_false_death(
-    seed: int, found_out_s: float
-) -> None:
+def test_restarts_during_a_partition_cause_hardly_any_false_deaths(seed: int, found_out_s: float) -> None:
     """They heard of the others' deaths while these were told; believed, they caused 66 to 359 false ones."""
     fleet = Members(100, seed)
     fleet.run(3)
@@ -663,7 +664,7 @@
     for number in (3, 7):
         fleet.kill(few[number])
         fleet.swims.pop(few[number])
-        assert fleet.add(number, life=2) == few[number]
+        assert fleet.add(number, incarnation=2) == few[number]
         fleet.exchange(few[number], few[0])
     fleet.run(6)
     fleet.cut = lambda source, target: False
@@ -675,10 +676,10 @@
 # What is refused
 
 
-def seal(
-    place: str = "127.0.0.1:1", secret: bytes = SECRET, fleet: str = "f", life: int = 1
+def authenticator(
+    address: str = "127.0.0.1:1", secret: bytes = SECRET, fleet: str = "f", incarnation: int = 1
 ) -> MessageAuthenticator:
-    return MessageAuthenticator(secret, fleet, place, life)
+    return MessageAuthenticator(secret, fleet, address, incarnation)
 
 
 @pytest.mark.parametrize(
@@ -690,20 +691,20 @@
         (lambda data: data[:-1] + bytes([data[-1] ^ 1]), "forged"),
         (lambda data: data + b"\0" * MAX_DATAGRAM_BYTES, "oversized"),
         (
-            lambda data: seal(secret=b"another secret of theirs").seal(Datagram(DatagramKind.PING, "x")),
+            lambda data: authenticator(secret=b"another secret of theirs").seal(
+                Datagram(DatagramKind.PING, "x")
+            ),
             "forged",
         ),
-        (lambda data: seal(fleet="g").seal(Datagram(DatagramKind.PING, "x")), "other_fleet"),
-        (lambda data: seal().seal([1, 2, 3]), "malformed"),
-        (lambda data: seal().seal([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
+        (lambda data: authenticator(fleet="g").seal(Datagram(DatagramKind.PING, "x")), "other_fleet"),
+        (lambda data: authenticator().seal([1, 2, 3]), "malformed"),
+        (lambda data: authenticator().seal([0, "x", 0, "", [["place", "n", "z", "r", 1, 9]]]), "malformed"),
         (lambda data: data, "replayed"),
     ],
 )
-def test_what_is_not_of_this_fleet_or_comes_twice_is_refused(
-    spoil: Callable[[bytes], bytes], why: str
-) -> None:
-    here = seal("127.0.0.1:9")
-    data = seal().seal(Datagram(DatagramKind.PING, "127.0.0.1:1", 7))
+def test_forged_foreign_and_replayed_messages_are_rejected(spoil: Callable[[bytes], bytes], why: str) -> None:
+    here = authenticator("127.0.0.1:9")
+    data = authenticator().seal(Datagram(DatagramKind.PING, "127.0.0.1:1", 7))
     assert here.open(data, Datagram)[1].seq == 7
     with pytest.raises(RejectedMessageError, match=why):
         here.open(spoil(data), Datagram)
@@ -711,21 +712,21 @@
 
 @given(st.binary(max_size=2000))
 @settings(max_examples=200)
-def test_no_bytes_do_more_than_be_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(RejectedMessageError):
-        seal().open(data, Datagram)
+        authenticator().open(data, Datagram)
 
 
-def test_another_version_is_refused_though_its_digest_is_right() -> None:
-    one = seal()
+def test_another_protocol_version_is_rejected_with_a_valid_digest() -> None:
+    one = authenticator()
     inner = b"\x02" + one.seal(Datagram(DatagramKind.PING, "x"))[17:]
     with pytest.raises(RejectedMessageError, match="version"):
-        seal("127.0.0.1:9").open(
+        authenticator("127.0.0.1:9").open(
             blake2b(inner, digest_size=DIGEST_BYTES, key=SECRET).digest() + inner, Datagram
         )
 
 
-def test_a_secret_that_is_missing_or_short_is_named(tmp_path: Path) -> None:
+def test_missing_or_short_secret_is_a_config_error(tmp_path: Path) -> None:
     (tmp_path / "short").write_text("short\n")
     for name in ("none", "short"):
         with pytest.raises(ConfigError) as caught:
@@ -763,7 +764,7 @@
     return sorted(member.name for member in one.live())
 
 
-def test_nodes_join_through_a_seed_leave_and_are_found_dead(start: Callable[..., Membership]) -> None:
+def test_nodes_join_through_a_seed_leave_and_are_detected_dead(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     others = [start(name, [first]) for name in "bcde"]
     fleet = [first, *others]
@@ -795,7 +796,7 @@
     text: str
 
 
-def test_other_modules_ride_on_datagrams_call_members_and_answer_requests_of_their_own(
+def test_other_modules_piggyback_vectors_ping_members_and_handle_requests(
     start: Callable[..., Membership],
 ) -> None:
     first, heard = start("a", []), dict[str, list[int]]()
@@ -809,14 +810,14 @@
     assert second._counters.snapshot()["fleet.refused_malformed"] == 1
     reply = second.request(at_first, StateRequest(at_second, []), StateReply)
     assert reply is not None
-    assert {said.name for said in reply.updates} == {"a", "b"}
+    assert {member.name for member in reply.updates} == {"a", "b"}
     first.piggyback(lambda: [1, 2, 3], lambda *told: None)
     second.piggyback(list, lambda sender, vector, now: heard.update({sender: vector}))
     second.ping([at_first])
     assert soon(lambda: heard == {at_first: [1, 2, 3]})
 
 
-def test_who_asks_once_can_tell_one_that_was_told_nothing_from_one_that_did_not_answer(
+def test_unreachable_member_and_missing_reply_are_different_errors(
     start: Callable[..., Membership],
 ) -> None:
     first, second, gone = start("a", []), start("b", []), start("c", [])
@@ -832,7 +833,7 @@
     assert first.request_once(at, asked, Answer) == Answer("abc")
 
 
-def test_an_answer_may_take_as_long_as_the_asker_waits(
+def test_reply_may_take_as_long_as_the_requester_waits(
     start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(requests, "REQUEST_TIMEOUT_S", 0.2)
@@ -848,7 +849,7 @@
     assert first.request(at, asked, Answer, 0.1) is None
 
 
-def test_a_node_with_another_secret_is_not_heard_and_harms_no_one(start: Callable[..., Membership]) -> None:
+def test_node_with_another_secret_is_ignored(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     stranger, friend = start("x", [first], "other"), start("b", [first])
     assert soon(lambda: names(friend) == ["a", "b"])
@@ -857,7 +858,7 @@
     assert first._counters.snapshot()["fleet.refused_forged"] > 0
 
 
-def test_two_live_nodes_of_one_name_are_reported_and_both_kept(start: Callable[..., Membership]) -> None:
+def test_live_nodes_with_one_name_are_reported_and_both_kept(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     start("b", [first])
     start("b", [first])
@@ -866,7 +867,7 @@
     assert soon(lambda: "fleet.namesakes" in first._counters.snapshot())
 
 
-def test_seeds_that_are_dead_leave_a_node_alone_until_one_is_there(start: Callable[..., Membership]) -> None:
+def test_node_whose_seeds_are_dead_serves_alone(start: Callable[..., Membership]) -> None:
     gone = start("s", [])
     gone.close()
     alone = start("a", [gone])
@@ -875,7 +876,7 @@
     assert not alone.status()["own"]["joined"]
 
 
-def test_members_that_know_the_same_exchange_a_digest_and_others_only_what_differs(
+def test_members_exchange_digests_and_only_the_buckets_that_differ(
     start: Callable[..., Membership],
 ) -> None:
     first, second = start("a", []), start("b", [])
@@ -889,7 +890,7 @@
 
 
 @pytest.mark.parametrize("part", [0.0, 1.0])
-def test_one_that_knows_no_digests_is_asked_for_a_full_state_but_not_by_all_at_once(
+def test_member_without_digests_is_asked_for_its_full_state_by_some_only(
     start: Callable[..., Membership], monkeypatch: pytest.MonkeyPatch, part: float
 ) -> None:
     monkeypatch.setattr(state_sync, "FULL_STATE_FRACTION", part)
@@ -904,7 +905,7 @@
     assert names(newer) == names(older) == ["a", "b"]
 
 
-def test_a_member_gives_so_many_full_states_and_sends_others_on(start: Callable[..., Membership]) -> None:
+def test_member_limits_full_states_and_redirects_further_requesters(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     start("b", [first])
     assert soon(lambda: names(first) == ["a", "b"])
