--- a/reelusher/fleet/membership/state_sync.py
+++ b/reelusher/fleet/membership/state_sync.py
@@ -20,6 +20,7 @@
 from reelusher.fleet.membership.requests import RequestChannel
 from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.pacing.backoff import Backoff
+from reelusher.pacing.token_bucket import TokenBucket
 
 STATES_PER_S, STATES_AT_ONCE = (
     10.0,
@@ -35,22 +36,6 @@
 LOST_SEED_WEIGHT = 3  # how likely a seed that is not live is chosen, beside each live member
 
 
-class ExchangeAllowance:
-    """A token bucket: a rate, and a burst. Not thread-safe."""
-
-    def __init__(self, per_s: float, at_once: float, now: float) -> None:
-        self._per_s, self._most, self._left, self._at_s = per_s, at_once, at_once, now
-
-    def take(self, now: float) -> bool:
-        """Take one token; return False where there is none."""
-        self._left = min(self._most, self._left + (now - self._at_s) * self._per_s)
-        self._at_s = now
-        if self._left < 1:
-            return False
-        self._left -= 1
-        return True
-
-
 class StateSync:
     """Exchanges states with other members, in a thread of its own."""
 
@@ -67,7 +52,7 @@
         """`lock` guards `swim`; `deliver` sends what a merge results in."""
         self._swim, self._lock, self._channel, self._seeds = swim, lock, channel, seeds
         self._random, self._counters, self._deliver = random, counters, deliver
-        self.state_allowance = ExchangeAllowance(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
+        self.state_allowance = TokenBucket(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
         self.joined = not seeds
         self._stop = threading.Event()
         self._wake = threading.Event()
@@ -182,7 +167,7 @@
         now = time.monotonic()
         with self._lock:
             result = self._swim.merge(request.updates, now)
-            allowed = self.state_allowance.take(now)
+            allowed = self.state_allowance.try_take(now)
             if allowed:
                 reply = StateReply(known())
             else:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -48,9 +48,9 @@
 )
 from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
 from reelusher.fleet.membership.service import Membership, read_secret
-from reelusher.fleet.membership.state_sync import ExchangeAllowance
 from reelusher.fleet.membership.swim import REJOIN_DISTRUST_S, Swim
 from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
+from reelusher.pacing.token_bucket import TokenBucket
 
 SECRET = b"a secret of sixteen or more"
 
@@ -911,7 +911,7 @@
     assert soon(lambda: names(first) == ["a", "b"])
     asker = start("c", [first])
     assert soon(lambda: asker.status()["own"]["joined"])
-    first.state_sync.state_allowance = ExchangeAllowance(0.0, 5.0, time.monotonic())
+    first.state_sync.state_allowance = TokenBucket(0.0, 5.0, time.monotonic())
     replies: list[StateReply | None] = [
         asker.state_sync.exchange("{}:{}".format(*first.address)) for _ in range(20)
     ]
--- /dev/null
+++ b/tests/upgrade/test_key_locks.py
@@ -0,0 +1,152 @@
+"""Key locks between two processes."""
+
+import threading
+import time
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+import pytest
+from helpers import soon
+
+from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
+from reelusher.upgrade.key_lock_directory import KeyLock
+from reelusher.upgrade.key_locks import KeyLockFiles
+
+KEY = "platform", 2, "k1"
+
+
+SECOND_US = 1_000_000
+
+
+class TwoProcesses:
+    """The key locks of two processes in one folder, and a clock."""
+
+    def __init__(self, folder: Path) -> None:
+        self.now_us = 100 * SECOND_US
+        self.locks = [KeyLockFiles(folder, "n3", lambda: self.now_us) for _ in range(2)]
+        for locks in self.locks:
+            locks.start()
+
+    def acquire(
+        self, process: int, digest: str = "b", received_s: float = 0.0, due_s: float = 60.0
+    ) -> list[Any]:
+        """Request the lock in one of the two processes; the list receives the outcome."""
+        told: list[Any] = []
+        self.locks[process].acquire(
+            KeyLockRequest(
+                KEY,
+                self.now_us + int(received_s * 1e6),
+                self.now_us + 20 * SECOND_US,
+                self.now_us + int(due_s * 1e6),
+                digest,
+                told.append,
+                told.append,
+            )
+        )
+        return told
+
+    def close(self) -> None:
+        for locks in self.locks:
+            locks.close()
+
+
+@pytest.fixture
+def both(tmp_path: Path) -> Any:
+    two_processes = TwoProcesses(tmp_path)
+    yield two_processes
+    two_processes.close()
+
+
+def test_one_process_runs_a_key_and_the_other_receives_its_result(both: TwoProcesses) -> None:
+    first = both.acquire(0)
+    assert receives(first, True)
+    second = both.acquire(1)
+    assert not receives_anything(second)
+    both.locks[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
+    assert receives(second, Result(b"made", 201, (("a", "b"),)))
+    other = both.acquire(1, digest="c")
+    assert receives(other, None)  # another body must not receive the result
+
+
+def receives(outcomes: list[Any], expected: Any) -> bool:
+    return soon(lambda: outcomes == [expected])
+
+
+def receives_anything(outcomes: list[Any]) -> bool:
+    time.sleep(0.2)
+    return bool(outcomes)
+
+
+def test_key_whose_run_failed_or_never_ended_fails_in_the_other_process(both: TwoProcesses) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1, due_s=3)
+    assert not receives_anything(waits)
+    both.now_us += 4 * SECOND_US  # the process that locked it is gone, and may have run it
+    assert receives(waits, None)
+    both.locks[0].complete(KEY, None)
+    assert receives(both.acquire(1), None)
+
+
+def test_released_or_expired_lock_is_acquired_again(both: TwoProcesses) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1)
+    both.locks[0].release(KEY)
+    assert receives(waits, True)
+    both.now_us += 21 * SECOND_US
+    late = both.acquire(0, received_s=-2.0)  # received within the window, read after it
+    assert not receives_anything(late)
+    assert receives(both.acquire(0), True)
+
+
+@pytest.mark.parametrize("garbage", [b"", b"{", b"[]", b'{"until_us": "x"}'])
+def test_malformed_lock_fails_its_key_and_no_other(both: TwoProcesses, garbage: bytes) -> None:
+    locks = both.locks[0]
+    locks.directory.path(KEY).write_bytes(garbage)
+    assert receives(both.acquire(0), None)  # it may have run: it is neither run again nor rejected
+    told: list[Any] = []
+    locks.acquire(
+        KeyLockRequest(("platform", 2, "k2"), 0, both.now_us, both.now_us, "b", told.append, told.append)
+    )
+    assert receives(told, True)
+
+
+@pytest.mark.parametrize("garbage", [b"", b'{"until_us": 9000000000000000}'])
+def test_lock_that_becomes_malformed_while_polled_fails_its_request(
+    both: TwoProcesses, garbage: bytes
+) -> None:
+    assert receives(both.acquire(0), True)
+    waits = both.acquire(1)
+    assert not receives_anything(waits)
+    both.locks[0].directory.path(KEY).write_bytes(garbage)
+    assert receives(waits, None)
+
+
+def test_key_that_can_not_be_locked_is_rejected(both: TwoProcesses, monkeypatch: pytest.MonkeyPatch) -> None:
+    def full_disk(key: IdempotencyKey, lock: KeyLock) -> None:
+        raise OSError(28, "no space left")
+
+    monkeypatch.setattr(both.locks[0].directory, "write", full_disk)
+    assert receives(both.acquire(0), False)
+
+
+def test_key_locked_by_two_processes_at_once_is_run_by_one(tmp_path: Path) -> None:
+    for _ in range(20):
+        both = TwoProcesses(tmp_path)
+        gate = threading.Barrier(2)
+        told: list[list[Any]] = []
+
+        def go(which: int, both: TwoProcesses, gate: threading.Barrier, told: list[list[Any]]) -> None:
+            gate.wait()
+            told.append(both.acquire(which, due_s=0.0))
+
+        threads = [threading.Thread(target=go, args=(which, both, gate, told)) for which in range(2)]
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
+        assert soon(partial(all, told))
+        assert sum(one == [True] for one in told) == 1
+        both.locks[0].release(KEY)
+        both.close()
+        assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
