--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -622,17 +622,17 @@
     nodes.start("c1", "c2")
     holder = nodes.all["c2"].fleet
     assert holder is not None
-    carried = holder.serve[ChangeRequest]
+    carried = holder.handlers[ChangeRequest]
 
     def lost(request: ChangeRequest) -> None:
         carried(request)
 
-    holder.serve[ChangeRequest] = lost
+    holder.handlers[ChangeRequest] = lost
     status, value, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
     assert status == 504
     assert "may have been made" in value["error"]
     assert "retry-after" not in headers
-    holder.serve[ChangeRequest] = carried
+    holder.handlers[ChangeRequest] = carried
     status, _, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
     assert (status, headers["idempotent-replayed"]) == (201, "true")
 
@@ -641,12 +641,12 @@
     nodes.start("c1", "c2")
     fleet = nodes.all["c1"].fleet
     assert fleet is not None
-    place = next(member.place for member in fleet.live() if member.name == "c2")
+    place = next(member.address for member in fleet.live() if member.name == "c2")
     for target, status in (("/v1/tenants", 503), ("/v1/drain", 404), ("/v1/tenants/x/y/z", 404)):
         request = ChangeRequest("x", "POST", target, {}, json.dumps(tenant(C1[0])).encode(), "x")
-        assert fleet.ask_once(place, request, ChangeReply).status == status
+        assert fleet.request_once(place, request, ChangeReply).status == status
     request = ChangeRequest("x", "POST", "/v1/tenants", {}, b"{", "x")
-    assert fleet.ask_once(place, request, ChangeReply).status == 400
+    assert fleet.request_once(place, request, ChangeReply).status == 400
 
 
 # Whole processes
