--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -46,7 +46,7 @@
     def _partitions(self) -> list[dict[str, Any]]:
         addresses: dict[str, list[str]] = {}
         for member in self._fleet.live():
-            addresses.setdefault(member.name, []).append(member.place)
+            addresses.setdefault(member.name, []).append(member.address)
         counted = {one["stream"]: one for one in self._counted()}
         return [
             self._partition(partition, addresses, counted.get(partition))
--- a/reelusher/assembly/fleet.py
+++ b/reelusher/assembly/fleet.py
@@ -6,7 +6,7 @@
 from reelusher.assembly.parts import NodeParts
 from reelusher.config import Config
 from reelusher.config.operator import Fleet
-from reelusher.fleet.membership.messages import FactsReply, Observation
+from reelusher.fleet.membership.messages import Observation, ObservationsReply
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.warm_start.client import WarmStartClient
 
@@ -20,7 +20,7 @@
     """Add the membership of the fleet and the client of the warm start."""
     observations = ObservationExchange(parts, config, is_draining)
     parts.fleet = Membership(fleet, config.name, parts.random_for("fleet"), parts.counters)
-    parts.fleet.facts = observations.reply
+    parts.fleet.observations = observations.reply
     parts.warm_start = WarmStartClient(
         parts.fleet, parts.random_for("learning"), parts.counters, observations.apply
     )
@@ -32,14 +32,14 @@
     def __init__(self, parts: NodeParts, config: Config, is_draining: Callable[[], bool]) -> None:
         self._parts, self._config, self._is_draining = parts, config, is_draining
 
-    def reply(self) -> FactsReply:
+    def reply(self) -> ObservationsReply:
         """Return this node's observations; none while it is cold itself, or draining."""
         min_uptime_s = max(MIN_SHARING_UPTIME_S, self._config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._parts.started_s < min_uptime_s or self._is_draining():
-            return FactsReply(False, [])
+            return ObservationsReply(False, [])
         core = self._parts.core
         observed = {**core.run_on_loop(core.observed_times), **self._parts.worker_pool.observations()}
-        return FactsReply(
+        return ObservationsReply(
             True, [Observation(about, value, seen_s) for about, (value, seen_s) in observed.items()]
         )
 
--- a/reelusher/assembly/replication.py
+++ b/reelusher/assembly/replication.py
@@ -48,7 +48,7 @@
     registry.is_bootstrapping = service.filling
     api = ReplicatedTenantApi(parts.core, registry, table, parts.fleet, parts.random_for("calls"))
     if parts.fleet:
-        parts.fleet.serve[ChangeRequest] = api.handle_forwarded
+        parts.fleet.handlers[ChangeRequest] = api.handle_forwarded
     parts.replication, parts.replicated_tenants = service, registry
     return TenantParts(registry, table, api)
 
@@ -76,7 +76,7 @@
     backends: frozenset[str],
 ) -> Replication:
     replica = Replica(
-        parts.fleet.live()[0].place if parts.fleet else "",
+        parts.fleet.live()[0].address if parts.fleet else "",
         replication.control,
         store,
         parts.random_for("replica"),
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from reelusher.fleet.membership.member_table import MOST_MEMBERS
-from reelusher.fleet.warm_start.facts import MOST_FACTS
+from reelusher.fleet.membership.member_table import MAX_MEMBERS
+from reelusher.fleet.warm_start.observations import MAX_OBSERVATIONS
 from reelusher.lab.capacity.budgets import (
     CONTAINER_MOST,
     LINK_BYTES,
@@ -602,7 +602,7 @@
         ),
         SettingsError(
             "facts of workers by need",
-            lambda: MOST_FACTS / workers,
+            lambda: MAX_OBSERVATIONS / workers,
             "a fresh node heeds the first 512 facts; an answer past 512 KB is not taken at all",
             "only what is away, and only of workers in use",
         ),
@@ -627,8 +627,8 @@
         ),
         SettingsError(
             "room for more members",
-            lambda: MOST_MEMBERS * expected("nodes") / derived("members_remembered"),
-            f"[[derived.members_remembered]] are remembered at 3,600, against {MOST_MEMBERS:,}",
+            lambda: MAX_MEMBERS * expected("nodes") / derived("members_remembered"),
+            f"[[derived.members_remembered]] are remembered at 3,600, against {MAX_MEMBERS:,}",
             "shorter memory of those that left; a larger table",
         ),
     ]
