--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -17,7 +17,8 @@
 from reelusher.backends.ajp.worker_pool import WorkerPool
 from reelusher.codecs import http1
 from reelusher.config.checked_table import CheckedTable
-from reelusher.config.operator import ACTIVATIONS, Admin, Token
+from reelusher.config.operator.admin import Admin, Token
+from reelusher.config.operator.workers import ACTIVATIONS
 from reelusher.core.event_loop import Core
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
--- a/reelusher/admin/openapi.py
+++ b/reelusher/admin/openapi.py
@@ -2,7 +2,7 @@
 
 from typing import Any, NamedTuple
 
-from reelusher.config.operator import ACTIVATIONS
+from reelusher.config.operator.workers import ACTIVATIONS
 
 NON_NEGATIVE_NUMBER: dict[str, Any] = {"type": "number", "minimum": 0}
 NON_NEGATIVE_INTEGER: dict[str, Any] = {"type": "integer", "minimum": 0}
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -18,7 +18,7 @@
 from reelusher.admin.fleet_client import COPIES_TIMEOUT_S, Fleet, FleetClient
 from reelusher.admin.partition_api import COUNTED_TARGET, POSITIONS_TARGET, PartitionApi
 from reelusher.admin.tenant_api import MAX_PAGE, TenantApi, etag
-from reelusher.config.operator import Tenant
+from reelusher.config.operator.tenants import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest
 from reelusher.fleet.replication.replica_store import ReplicaError
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -9,7 +9,7 @@
 
 from reelusher.admin.calls import ApiCall, ApiError, Handler, Reply, Route
 from reelusher.admin.merge_patch import merge_patch
-from reelusher.config.operator import Tenant
+from reelusher.config.operator.tenants import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.storage.tenant_state import AuditEntry, ChangeKind, StoredTenant, TenantVersion, to_json
 from reelusher.tenancy.lifecycle import DEFAULT_DRAIN_TIMEOUT_US, TenantState, TenantStateError
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -18,7 +18,7 @@
 
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Balancer, Worker
+from reelusher.config.operator.workers import Balancer, Worker
 from reelusher.core.counters import Counters
 from reelusher.core.messages import GaugesReceived, IncomingRequest, Message, Result, RunFinished, Runner
 from reelusher.net.sockets import connect
--- a/reelusher/config/load.py
+++ b/reelusher/config/load.py
@@ -3,18 +3,22 @@
 import os
 from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from reelusher.config import operator, platform_config
+from reelusher.config import platform_config
 from reelusher.config.checked_table import ConfigError
 from reelusher.policy.settings import Settings
 
+if TYPE_CHECKING:
+    from reelusher.config.operator.file import Operator
+
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a node is told: by the platform, by an operator, or by both."""
+    """The configuration of a node: by the platform, by an operator, or by both."""
 
     platform: platform_config.Platform | None
-    operator: operator.Operator | None
+    operator: "Operator | None"
     name: str
     seed: int
     stop_ms: int
@@ -25,46 +29,65 @@
     class_names: list[str]
 
 
-def merge(told: platform_config.Platform | None, own: operator.Operator | None) -> Config:
-    """Let the platform's word stand where both say something."""
-    name = told.name if told else own.name if own else ""
-    if own and own.replication and not own.fleet and own.replication.control != (name,):
-        raise ConfigError("replication.control", f"without [fleet] it can name this node only, {name}")
-    if told is not None:
+def merge(platform: platform_config.Platform | None, operator: "Operator | None") -> Config:
+    """Combine both; where both set something, the platform's value holds. Raises `ConfigError`."""
+    _check_replication_alone(platform, operator)
+    if platform is not None:
         return Config(
-            told,
-            own,
-            told.name,
-            told.seed,
-            told.stop_ms,
-            told.limits.memory_mb,
-            told.limits.sockets,
-            told.settings,
-            told.gauges,
-            told.class_names,
+            platform=platform,
+            operator=operator,
+            name=platform.name,
+            seed=platform.seed,
+            stop_ms=platform.stop_ms,
+            memory_mb=platform.limits.memory_mb,
+            sockets=platform.limits.sockets,
+            settings=platform.settings,
+            gauges=platform.gauges,
+            class_names=platform.class_names,
         )
-    if own is None:
+    if operator is None:
         raise ConfigError("PROXY_CONFIG", "not set, and neither is REELUSHER_OPERATOR: one of them is needed")
-    if own.settings is None:
+    return _of_operator(operator)
+
+
+def _check_replication_alone(platform: platform_config.Platform | None, operator: "Operator | None") -> None:
+    """Raise `ConfigError` where a node without a fleet names other control members than itself."""
+    if operator is None or operator.replication is None or operator.fleet is not None:
+        return
+    name = platform.name if platform else operator.name
+    if operator.replication.control != (name,):
+        raise ConfigError("replication.control", f"without [fleet] it can name this node only, {name}")
+
+
+def _of_operator(operator: "Operator") -> Config:
+    """Return the configuration of a node without a platform."""
+    from reelusher.config.operator.classes import GAUGES
+
+    if operator.settings is None:
         raise ConfigError("classes", "at least one is needed where no platform tells them")
     return Config(
-        None,
-        own,
-        own.name,
-        own.seed,
-        own.stop_ms,
-        own.memory_mb,
-        own.sockets,
-        own.settings,
-        operator.GAUGES,
-        list(own.class_names),
+        platform=None,
+        operator=operator,
+        name=operator.name,
+        seed=operator.seed,
+        stop_ms=operator.stop_ms,
+        memory_mb=operator.memory_mb,
+        sockets=operator.sockets,
+        settings=operator.settings,
+        gauges=GAUGES,
+        class_names=list(operator.class_names),
     )
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read what the environment points to: PROXY_CONFIG, REELUSHER_OPERATOR, or both."""
-    told = platform_config.read(environ["PROXY_CONFIG"], environ) if environ.get("PROXY_CONFIG") else None
-    path = environ.get("REELUSHER_OPERATOR")
-    names = tuple(told.class_names) if told else ()
-    own = operator.read(path, names, told is not None) if path else None
-    return merge(told, own)
+    """Read what PROXY_CONFIG, REELUSHER_OPERATOR or both point to. Raises `ConfigError`."""
+    platform = None
+    if environ.get("PROXY_CONFIG"):
+        platform = platform_config.read(environ["PROXY_CONFIG"], environ)
+    operator = None
+    if path := environ.get("REELUSHER_OPERATOR"):
+        from reelusher.config.operator import file as operator_file  # not loaded on the platform
+
+        class_names = tuple(platform.class_names) if platform else ()
+        operator = operator_file.read(path, class_names, has_runtime=platform is not None)
+    return merge(platform, operator)
--- /dev/null
+++ b/reelusher/config/operator/ajp.py
@@ -0,0 +1,48 @@
+"""The AJP13 front end in the operator's file."""
+
+from dataclasses import dataclass
+
+from reelusher.codecs.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
+from reelusher.config.checked_table import Address, CheckedTable, ConfigError
+from reelusher.config.operator.checks import is_loopback
+
+
+@dataclass(slots=True, frozen=True)
+class Ajp:
+    """The AJP13 front."""
+
+    listen: Address
+    secret: str
+    packet_size: int
+    max_body_kb: int
+    max_response_kb: int
+    max_connections: int
+    idle_ms: int
+    allowed_attributes: frozenset[str]
+
+
+def read_ajp(table: CheckedTable) -> Ajp:
+    """Check the section `ajp`. Raises `ConfigError`."""
+    table.only(
+        "listen",
+        "secret",
+        "packet_size",
+        "max_body_kb",
+        "max_response_kb",
+        "max_connections",
+        "idle_ms",
+        "allowed_attributes",
+    )
+    made = Ajp(
+        listen=table.address("listen"),
+        secret=table.text("secret", " ").strip(),
+        packet_size=table.whole("packet_size", DEFAULT_PACKET, DEFAULT_PACKET, MOST_PACKET),
+        max_body_kb=table.whole("max_body_kb", 64, 1, 65536),
+        max_response_kb=table.whole("max_response_kb", 1024, 1, 65536),
+        max_connections=table.whole("max_connections", 400, 1, 10_000),
+        idle_ms=table.whole("idle_ms", 60_000, 100),
+        allowed_attributes=KNOWN_NAMES | set(table.texts("allowed_attributes", ())),
+    )
+    if not made.secret and not is_loopback(made.listen[0]):
+        raise ConfigError(table.path("secret"), "required when listening beyond loopback")
+    return made
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from reelusher.config.checked_table import Address, ConfigError
-from reelusher.config.operator import Fleet
+from reelusher.config.operator.fleet import Fleet
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.authentication import MIN_SECRET_BYTES, MessageAuthenticator
 from reelusher.fleet.membership.change_log import ChangeLog
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -17,7 +17,8 @@
 
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Ajp, Tenant
+from reelusher.config.operator.ajp import Ajp
+from reelusher.config.operator.tenants import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Answer, IncomingRequest, RequestArrived, Verdict
 from reelusher.drain.connection_shutdown import unread_bytes
--- a/reelusher/importer/__main__.py
+++ b/reelusher/importer/__main__.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from reelusher.config import ConfigError
-from reelusher.config.operator import parse
+from reelusher.config.operator.file import parse
 from reelusher.importer import httpd, jk
 from reelusher.importer.model import Imported
 
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -14,7 +14,7 @@
 
 from reelusher.codecs import ajp13, http1
 from reelusher.config.load import Config, merge
-from reelusher.config.operator import parse
+from reelusher.config.operator.file import parse
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.fleet.processes import deployed
 from reelusher.net.sockets import connect
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -8,7 +8,8 @@
 from random import Random
 
 from reelusher.backends.ajp.worker_pool import WorkerPool
-from reelusher.config.operator import Worker, parse
+from reelusher.config.operator.file import parse
+from reelusher.config.operator.workers import Worker
 from reelusher.core.counters import Counters
 from reelusher.core.messages import Message
 from reelusher.lab.capacity import site
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from reelusher.config.checked_table import Address, CheckedTable, ConfigError
-from reelusher.config.operator import is_loopback
+from reelusher.config.operator.checks import is_loopback
 
 
 @dataclass(slots=True, frozen=True)
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -19,7 +19,8 @@
 from reelusher.backends.runtime import RuntimeLink
 from reelusher.backends.service_registry import ServiceRegistry
 from reelusher.config import PLATFORM_TENANT, Config, ConfigError, load
-from reelusher.config.operator import Operator, backend_names
+from reelusher.config.operator.file import Operator
+from reelusher.config.operator.workers import backend_names
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
--- a/reelusher/tenancy/cached_registry.py
+++ b/reelusher/tenancy/cached_registry.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from reelusher.config.operator import Tenant
+from reelusher.config.operator.tenants import Tenant
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import EventLoopTask, Runner
 from reelusher.tenancy.fair_queue import FairQueue
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import Generic, NamedTuple, TypeVar
 
-from reelusher.config.operator import FULL_GUARANTEE, Route, Tenant, guarantee_units
+from reelusher.config.operator.tenants import FULL_GUARANTEE, Route, Tenant, guarantee_units
 from reelusher.tenancy.lifecycle import TenantRecord
 
 T = TypeVar("T")
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from reelusher.config.operator import Tenant
+from reelusher.config.operator.tenants import Tenant
 
 DEFAULT_DRAIN_TIMEOUT_US = 10_000_000  # of a removal
 
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
-from reelusher.config.operator import Tenant, read_tenant
+from reelusher.config.operator.tenants import Tenant, read_tenant
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Runner
 from reelusher.tenancy.fair_queue import FairQueue
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
-from reelusher.config.operator import Tenant, read_tenant
+from reelusher.config.operator.tenants import Tenant, read_tenant
 from reelusher.core.counters import Counters
 from reelusher.fleet.replication.messages import MOST_TENANT, LogEntry
 from reelusher.fleet.replication.replica import NotLeaderError, Position, holder_of, stream_of
--- a/reelusher/tenancy/tenant_source.py
+++ b/reelusher/tenancy/tenant_source.py
@@ -5,7 +5,7 @@
 from typing import Protocol, TypeVar
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
-from reelusher.config.operator import Tenant, read_tenant
+from reelusher.config.operator.tenants import Tenant, read_tenant
 
 T = TypeVar("T")
 UNREADABLE_ROW_ERRORS = ConfigError, ValueError, RecursionError  # what parsing a row may raise
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -15,7 +15,7 @@
 from loguru import logger
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
-from reelusher.config.operator import Tenant, read_tenant
+from reelusher.config.operator.tenants import Tenant, read_tenant
 from reelusher.storage.directory import Directory, LockedDirectory
 from reelusher.storage.errors import JournalError, UnreadableStateError
 from reelusher.storage.journal import Journal
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -12,7 +12,8 @@
 from reelusher.admin import openapi
 from reelusher.admin.api import AdminApi, AdminContext
 from reelusher.admin.merge_patch import merge_patch
-from reelusher.config.operator import Admin, ShareOf, Tenant
+from reelusher.config.operator.admin import Admin
+from reelusher.config.operator.tenants import QuotaSettings, Tenant
 from reelusher.core.event_loop import Core
 from reelusher.storage.directory import LockedDirectory
 from reelusher.tenancy.tenant_store import TenantStore
@@ -54,7 +55,7 @@
 def test_openapi_document_has_every_field_of_a_tenant() -> None:
     fields = {field.name for field in dataclasses.fields(Tenant)} | {"state"}
     assert set(openapi.SCHEMAS["Tenant"]["properties"]) == fields
-    shares = {field.name for field in dataclasses.fields(ShareOf)}
+    shares = {field.name for field in dataclasses.fields(QuotaSettings)}
     assert set(openapi.SCHEMAS["Share"]["properties"]) == shares
 
 
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -24,7 +24,7 @@
 from reelusher.codecs import ajp13
 from reelusher.config.checked_table import ConfigError, address_of
 from reelusher.config.load import merge
-from reelusher.config.operator import parse
+from reelusher.config.operator.file import parse
 from reelusher.fleet.replication import leadership, service
 from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, LogEntry
 from reelusher.fleet.replication.replica import Replica, stream_of
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -17,7 +17,7 @@
 from reelusher.admin import openapi
 from reelusher.config import ConfigError
 from reelusher.config.load import merge
-from reelusher.config.operator import parse as parse_operator
+from reelusher.config.operator.file import parse as parse_operator
 from reelusher.config.platform_config import parse as parse_platform
 from reelusher.importer.__main__ import main as run_importer
 from reelusher.net.sockets import Address
--- a/tests/pacing/test_users.py
+++ b/tests/pacing/test_users.py
@@ -9,7 +9,7 @@
 
 from reelusher.backends.ajp.worker_pool import Member, WorkerPool
 from reelusher.backends.service_registry import RegistryUnavailableError, ServiceRegistry
-from reelusher.config.operator import parse as parse_operator
+from reelusher.config.operator.file import parse as parse_operator
 from reelusher.core.counters import Counters
 from reelusher.pacing.report_schedule import ReportSchedule
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -20,7 +20,7 @@
 import parties
 
 from reelusher.config.load import merge
-from reelusher.config.operator import parse as parse_operator
+from reelusher.config.operator.file import parse as parse_operator
 from reelusher.config.platform_config import parse as parse_platform
 from reelusher.core.messages import EventLoopTask
 from reelusher.frontends.rpc.frontend import RpcFrontend
--- a/tests/tenancy/test_index.py
+++ b/tests/tenancy/test_index.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from reelusher.config.checked_table import ConfigError
-from reelusher.config.operator import Route, ShareOf, Tenant, over_guaranteed, parse
+from reelusher.config.operator.file import parse
+from reelusher.config.operator.tenants import QuotaSettings, Route, Tenant, over_guaranteed
 from reelusher.core import counters
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
@@ -35,7 +36,16 @@
     guarantee: float = 0.0,
 ) -> Tenant:
     return Tenant(
-        name, "runtime", hosts, prefix, "x-request-key", "", 0, 16.0, routes, ShareOf(guarantee=guarantee)
+        name,
+        "runtime",
+        hosts,
+        prefix,
+        "x-request-key",
+        "",
+        0,
+        16.0,
+        routes,
+        QuotaSettings(guarantee=guarantee),
     )
 
 
--- a/tests/tenancy/test_lifecycle.py
+++ b/tests/tenancy/test_lifecycle.py
@@ -7,7 +7,7 @@
 from core_harness import Backend
 from helpers import KEYED, SAFE, settings
 
-from reelusher.config.operator import Tenant
+from reelusher.config.operator.tenants import Tenant
 from reelusher.core.clock import Clock
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import (
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -17,7 +17,8 @@
 from hypothesis import strategies as st
 
 from reelusher.codecs import ajp13
-from reelusher.config.operator import Ajp, ShareOf, Tenant
+from reelusher.config.operator.ajp import Ajp
+from reelusher.config.operator.tenants import QuotaSettings, Tenant
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.event_loop import Core
@@ -756,10 +757,10 @@
 
 def test_guarantees_pages_and_usage_come_from_the_source(node: SimulatedNode) -> None:
     for name, part in (("a", 0.6), ("b", 0.3)):
-        node.source.put(make_tenant(name, name, share=ShareOf(guarantee=part)))
-    node.tenants.check(make_tenant("b", "b", share=ShareOf(guarantee=0.4)))
+        node.source.put(make_tenant(name, name, share=QuotaSettings(guarantee=part)))
+    node.tenants.check(make_tenant("b", "b", share=QuotaSettings(guarantee=0.4)))
     with pytest.raises(Exception, match=r"share.guarantee"):
-        node.tenants.check(make_tenant("c", "c", share=ShareOf(guarantee=0.2)))
+        node.tenants.check(make_tenant("c", "c", share=QuotaSettings(guarantee=0.2)))
     assert [record.tenant.name for record in node.tenants.page("", 1)[0]] == ["a"]
     assert node.tenants.page("", 1)[1] == "a"
     assert node.tenants.page("a", 1)[1] == ""
--- a/tests/tenancy/test_tenant_store.py
+++ b/tests/tenancy/test_tenant_store.py
@@ -8,7 +8,7 @@
 import pytest
 
 from reelusher.config import ConfigError
-from reelusher.config.operator import parse
+from reelusher.config.operator.file import parse
 from reelusher.storage.directory import LockedDirectory
 from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy.tenant_store import TenantStore, open_store
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -41,7 +41,8 @@
 
 def test_each_key_of_the_operators_file_is_on_the_page_of_the_configuration() -> None:
     page = (ROOT / "docs" / "configuration.md").read_text()
-    text = (ROOT / "reelusher" / "config" / "operator.py").read_text()
+    sources = sorted((ROOT / "reelusher" / "config" / "operator").glob("*.py"))
+    text = "\n".join(source.read_text() for source in sources)
     keys = set(calls(text, "text", "whole", "number", "flag", "word", "address", "texts"))
     assert len(keys) > 30
     assert sorted(key for key in keys if key not in page) == []
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -15,7 +15,7 @@
 
 from reelusher import node as node_module
 from reelusher.config.load import merge
-from reelusher.config.operator import parse
+from reelusher.config.operator.file import parse
 from reelusher.fleet.membership import requests
 from reelusher.fleet.membership.messages import Observation, ObservationsReply
 from reelusher.fleet.warm_start.observations import (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
 from msgspec.structs import replace
 
 from reelusher.config import ConfigError
-from reelusher.config.operator import Fleet
+from reelusher.config.operator.fleet import Fleet
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership import requests, state_sync
 from reelusher.fleet.membership.authentication import (
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -23,7 +23,7 @@
 from reelusher.codecs import msgpack
 from reelusher.config import ConfigError, load
 from reelusher.config.load import merge
-from reelusher.config.operator import parse as parse_operator
+from reelusher.config.operator.file import parse as parse_operator
 from reelusher.config.platform_config import parse as parse_platform
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -12,7 +12,7 @@
 from replicas import CONTROL, Replicas, entry, names_of
 from test_local_copy import spoil
 
-from reelusher.config.operator import Fleet
+from reelusher.config.operator.fleet import Fleet
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import MemberState, Update
 from reelusher.fleet.membership.service import Membership
