--- a/reelusher/assembly/descriptors.py
+++ b/reelusher/assembly/descriptors.py
@@ -2,7 +2,7 @@
 
 from reelusher.backends import downstream_client, runtime, service_registry
 from reelusher.config import Config
-from reelusher.config.operator import Operator
+from reelusher.config.operator.file import Operator
 from reelusher.config.platform_config import Platform
 from reelusher.frontends.rpc import frontend as rpc_frontend
 
--- a/reelusher/assembly/fleet.py
+++ b/reelusher/assembly/fleet.py
@@ -5,7 +5,7 @@
 
 from reelusher.assembly.parts import NodeParts
 from reelusher.config import Config
-from reelusher.config.operator import Fleet
+from reelusher.config.operator.fleet import Fleet
 from reelusher.fleet.membership.messages import Observation, ObservationsReply
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.warm_start.client import WarmStartClient
--- a/reelusher/assembly/hosted.py
+++ b/reelusher/assembly/hosted.py
@@ -9,7 +9,8 @@
 from reelusher.assembly.descriptors import max_ajp_connections
 from reelusher.assembly.parts import NodeCallbacks, NodeParts
 from reelusher.config import Config
-from reelusher.config.operator import Operator, backend_names
+from reelusher.config.operator.file import Operator
+from reelusher.config.operator.workers import backend_names
 from reelusher.frontends.ajp.frontend import AjpFrontend
 from reelusher.tenancy import tenant_store
 from reelusher.tenancy.lifecycle import TenantState
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -17,7 +17,7 @@
 from reelusher.backends.runtime import RuntimeLink
 from reelusher.backends.service_registry import ServiceRegistry
 from reelusher.config import PLATFORM_TENANT, Config
-from reelusher.config.operator import Operator
+from reelusher.config.operator.file import Operator
 from reelusher.config.platform_config import Platform
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
--- a/reelusher/assembly/replication.py
+++ b/reelusher/assembly/replication.py
@@ -7,8 +7,8 @@
 from reelusher.assembly.hosted import TenantParts
 from reelusher.assembly.parts import NodeParts
 from reelusher.config import Config, ConfigError
-from reelusher.config.operator import Operator
-from reelusher.config.operator import Replication as ReplicationConfig
+from reelusher.config.operator.file import Operator
+from reelusher.config.operator.fleet import Replication as ReplicationConfig
 from reelusher.fleet.replication.messages import ChangeRequest
 from reelusher.fleet.replication.replica import Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
--- a/reelusher/backends/ajp/connection.py
+++ b/reelusher/backends/ajp/connection.py
@@ -4,7 +4,7 @@
 
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Worker
+from reelusher.config.operator.workers import Worker
 from reelusher.net.sockets import connect
 
 READ_BYTES = 1 << 16
--- a/reelusher/backends/ajp/worker.py
+++ b/reelusher/backends/ajp/worker.py
@@ -7,7 +7,7 @@
 
 from reelusher.backends.ajp.connection import WorkerConnection, WorkerUnreachableError
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Worker
+from reelusher.config.operator.workers import Worker
 from reelusher.pacing.backoff import Backoff
 
 MAX_RECOVERY_FACTOR = 4  # times `recover_ms`: the longest time between two probes of an unreachable worker
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -19,7 +19,7 @@
 from reelusher.backends.ajp.worker import PooledWorker
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Balancer, Worker
+from reelusher.config.operator.workers import Balancer, Worker
 from reelusher.core.counters import Counters
 from reelusher.core.messages import GaugesReceived, IncomingRequest, Message, Result, RunFinished, Runner
 from reelusher.policy.events import Outcome
--- a/reelusher/frontends/ajp/request_mapping.py
+++ b/reelusher/frontends/ajp/request_mapping.py
@@ -7,7 +7,7 @@
 
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator import Ajp
+from reelusher.config.operator.ajp import Ajp
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import Answer, IncomingRequest, Result, Verdict
 from reelusher.frontends.ajp.connection import PacketStream
