--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 # start 24 or thirty at once take all cores, and run behind them. Every verdict counts.
 RIG = tests/test_fleet_rig.py tests/test_live_changes.py
 LONG = tests/test_membership.py tests/test_shares.py
-TABLE = tests/test_replication.py tests/test_local_copy.py tests/test_paging.py tests/test_tenant_index.py \
+TABLE = tests/test_replication.py tests/test_sqlite_replica.py tests/test_paging.py tests/test_tenant_index.py \
 	tests/test_replicated_api.py tests/test_replication_service.py tests/test_capacity.py tests/test_capacity_model.py
 ALONE = tests/test_fleet_ramp.py tests/test_ready.py
 LANES = RIG LONG TABLE
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -136,7 +136,7 @@
                         "at_ms": one["at_ms"],
                         "state": one["state"],
                     }
-                    for one in table.copy.orphans(asked.whole("after", 0, 1 << 53), MOST_LISTED)
+                    for one in table.copy.divergent_rows(asked.whole("after", 0, 1 << 53), MOST_LISTED)
                 ],
             },
         )
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -86,8 +86,8 @@
 
     def start(self, spawn: Callable[[str, Callable[[], object]], object]) -> None:
         """Start to take part; `spawn` starts a thread."""
-        if self.copy.damaged_at_start:
-            self._tell_damaged(self.copy.damaged_at_start)
+        if self.copy.damage_at_open:
+            self._tell_damaged(self.copy.damage_at_open)
         if self._fleet is not None:
             self._fleet.ride(self.replica.announce, self._heard)
             spawn("replication", self._pulls)
@@ -159,9 +159,9 @@
         while not self._stop.is_set():
             now = time.monotonic()
             self._pull.clear()
-            pull = None if self.copy.damaged else self.replica.next_pull(now)
+            pull = None if self.copy.damage else self.replica.next_pull(now)
             if pull is None:
-                left_s = LOOK_S if self.copy.damaged else self.replica.due_s() - now
+                left_s = LOOK_S if self.copy.damage else self.replica.due_s() - now
                 self._pull.wait(min(max(left_s, 0.005), LOOK_S))
                 continue
             assert self._fleet is not None
@@ -225,7 +225,7 @@
                 logger.exception("replication: a round of upkeep failed")
 
     def _look(self, now: float) -> None:
-        if self.copy.damaged:
+        if self.copy.damage:
             self._renew(now)
             return
         if now - self._zones_s >= ZONES_S:
@@ -253,8 +253,8 @@
         if now < self._renew_s:
             return
         self._renew_s = now + self._random.uniform(*RENEW_S)
-        why = self.copy.damaged
-        self.replica.reload(self.copy.renew)
+        why = self.copy.damage
+        self.replica.reload(self.copy.recreate)
         self._tell_damaged(why)
 
     def _tell_damaged(self, why: str) -> None:
@@ -262,7 +262,7 @@
         logger.error(
             "replication: the copy is damaged ({}), it is kept as {} and all rows are pulled again",
             why,
-            self.copy.put_aside[-1],
+            self.copy.quarantined_files[-1],
         )
         held = [stream for stream in self.replica.control if self.writer.holds(stream)]
         if held:
--- /dev/null
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -0,0 +1,294 @@
+"""The replica of the tenant table in a SQLite file, in WAL mode.
+
+When it is opened, the header, the schema, the owner and the positions are checked: a few reads, however many
+rows there are. The write-ahead log has checksums of its own. `check` reads all pages; the service calls it
+now and then, since reading 260,000 rows would delay each start.
+
+A file that turns out to be damaged, at any read or write, raises `DamagedReplicaError` from then on.
+`recreate` renames it and creates another; the node serves what it has in memory meanwhile and pulls all rows
+again. Every partition is then marked `lost`: the new file can't tell which indexes were given, so a leader
+accepts no change until an operator has ordered a take-over, which begins a new term (see `leadership`).
+
+On a full disk or a failed write, the transaction is rolled back and `ReplicaError` raised: a pull is retried
+later, a change is rejected.
+
+What a leader accepts is synced before `apply` returns (`synchronous=FULL`). What was pulled may be lost by a
+power cut (`NORMAL`), together with the position that counts it, and is pulled again. A kill of the process
+loses neither.
+"""
+
+import sqlite3
+import time
+from collections.abc import Callable, Iterable, Iterator, Sequence
+from contextlib import contextmanager, suppress
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from reelusher.fleet.replication.messages import MOST_PIECE, LogEntry
+from reelusher.fleet.replication.replica import first_epoch
+from reelusher.fleet.replication.replica_store import SPARE, PartitionState, ReplicaError, SegmentBatch
+from reelusher.fleet.replication.sqlite_replica import integrity, queries, schema
+from reelusher.fleet.replication.sqlite_replica.database import Database
+from reelusher.fleet.replication.sqlite_replica.errors import DamagedReplicaError
+from reelusher.fleet.replication.sqlite_replica.partitions import PartitionTable
+from reelusher.fleet.replication.sqlite_replica.rows import GUARANTEE_UNITS, ReplicaAuditEntry, ReplicaRow
+from reelusher.fleet.replication.sqlite_replica.totals import RowTotals, read_totals, write_totals
+from reelusher.fleet.replication.sqlite_replica.writes import RowWriter, SegmentContext, TenantCheck
+
+
+class SqliteReplica:
+    """One node's replica. Any thread may call it."""
+
+    def __init__(
+        self,
+        path: Path,
+        fleet: str,
+        control: Sequence[str],
+        check_tenant: TenantCheck = lambda name, tenant: "",
+        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+    ) -> None:
+        """Open or create the file; a damaged one is renamed first. Raises `ReplicaError`.
+
+        `check_tenant` returns "" or why this node can't serve a tenant.
+        """
+        self.path, self._fleet, self._wall_ms = path, fleet, wall_ms
+        self.check_tenant = check_tenant
+        self.on_change: Callable[[list[str]], None] = lambda names: None
+        self.damage_at_open = ""
+        self.totals = RowTotals()  # replaced as a whole when a transaction is committed
+        self._partitions = PartitionTable(path, control)
+        self.database = Database(path)
+        try:
+            self._open_or_recreate()
+        except ReplicaError:
+            self.close()
+            raise
+
+    # Opening and closing
+
+    def _open_or_recreate(self) -> None:
+        try:
+            self._open(lost=False)
+        except DamagedReplicaError as error:
+            self._replace_file()
+            self.damage_at_open = str(error)
+
+    def _open(self, lost: bool) -> None:
+        """Open the file. `lost`: it replaces a damaged one, and its partitions are marked if it is new."""
+        with self.database.guard():
+            writer = self.database.open_writer()
+            schema.verify_header(writer, self.path)
+            self.database.configure_writer(writer)
+            if schema.is_empty(writer):
+                self._create(lost)
+            schema.verify_owner(writer, self.path, self._fleet, self._partitions.names)
+            self.totals = read_totals(writer, self.path)
+            integrity.verify_positions(writer, self.path, self._partitions)
+            self.database.open_readers()
+
+    def _create(self, lost: bool) -> None:
+        control = self._partitions.names
+        last_row_id = self._wall_ms() * 1000  # past all ids of a file that this one replaces
+        writer = self.database.writer
+        assert writer is not None
+        writer.execute("BEGIN IMMEDIATE")
+        schema.create_tables(writer, self._fleet, control, last_row_id)
+        if lost:
+            for partition in control:
+                state = PartitionState(first_epoch(partition, control), lost=True)
+                self._partitions.write(writer, partition, state)
+        schema.mark_header(writer)
+        writer.execute("COMMIT")
+
+    def _replace_file(self) -> None:
+        self.database.disconnect()
+        self.database.quarantine(self._wall_ms())
+        self._open(lost=True)
+        self.database.damage = ""
+
+    def recreate(self) -> Path:
+        """Rename a damaged file and create another; return the new name. Raises `ReplicaError`."""
+        with self.database.lock:
+            self._replace_file()
+            return self.quarantined_files[-1]
+
+    def close(self) -> None:
+        """Release the file."""
+        self.database.close()
+
+    @property
+    def damage(self) -> str:
+        """Why the file is of no use until `recreate`; "" while it is intact."""
+        return self.database.damage
+
+    @property
+    def quarantined_files(self) -> list[Path]:
+        """The damaged files that were renamed, oldest first."""
+        return self.database.quarantined
+
+    # Replication: `ReplicaStore`
+
+    def states(self) -> dict[str, PartitionState]:
+        """Return the states of all partitions that were ever written."""
+        with self.database.write_connection() as conn:
+            return self._partitions.read_all(conn)
+
+    def given(self, partition: str, since: int, max_bytes: int = MOST_PIECE) -> SegmentBatch | None:
+        """Return entries past an index, and the state of the partition at that instant."""
+        with self.database.segment_read() as conn:
+            state = self._partitions.read(conn, partition)
+            if state is None:
+                return None
+            partition_id = self._partitions.ids[partition]
+            entries, more = queries.read_entries(conn, partition_id, since, state.number, max_bytes)
+            return SegmentBatch(state, entries, more)
+
+    @contextmanager
+    def _transaction(self, durable: bool) -> Iterator[tuple[sqlite3.Connection, RowWriter]]:
+        """Make one transaction; the totals change only if it is committed."""
+        with self.database.lock:
+            with self.database.transaction(durable) as conn:
+                writer = RowWriter(conn, self.totals.copy(), self.check_tenant)
+                yield conn, writer
+                write_totals(conn, writer.totals, self.totals)
+            self.totals = writer.totals
+
+    def apply(
+        self,
+        partition: str,
+        entries: Sequence[LogEntry],
+        state: PartitionState,
+        drop: bool = False,
+        durable: bool = False,
+        trail: bool = True,
+    ) -> list[str]:
+        """Write entries and the state; see `ReplicaStore`."""
+        with self._transaction(durable) as (conn, writer):
+            partition_id = self._partitions.ids[partition]
+            names = writer.apply(
+                entries, SegmentContext(partition_id, state.generation, self._wall_ms(), trail)
+            )
+            if drop:
+                names += writer.drop_older(partition_id, state.generation)
+            if trail:
+                writer.trim_history()
+            elif entries:
+                integrity.restart_recheck(conn)
+            self._partitions.write(conn, partition, state)
+            return names
+
+    def orphan(self, partition: str, past_index: int, state: PartitionState) -> int:
+        """Set rows past an index aside as divergent; return how many."""
+        with self._transaction(durable=True) as (conn, writer):
+            count = writer.set_aside_divergent(
+                self._partitions.ids[partition], past_index, state.epoch, self._wall_ms()
+            )
+            writer.trim_history()
+            self._partitions.write(conn, partition, state)
+            return count
+
+    def collect(self, partition: str, before_ms: int, spare: int = SPARE) -> int:
+        """Delete old tombstones; return how many."""
+        with self._transaction(durable=False) as (conn, writer):
+            state = self._partitions.read(conn, partition)
+            if state is None:
+                return 0
+            partition_id = self._partitions.ids[partition]
+            indexes = writer.collect_tombstones(partition_id, state.number - spare, before_ms)
+            if indexes:
+                horizon = max(state.horizon, *indexes)
+                self._partitions.write(conn, partition, replace(state, horizon=horizon))
+            return len(indexes)
+
+    def changed(self, names: Iterable[str]) -> None:
+        """Notify `on_change` of names that changed."""
+        changed_names = list(names)
+        if changed_names:
+            self.on_change(changed_names)
+
+    # Look-ups for serving and the administration API
+
+    def match(self, host: str, path: str) -> ReplicaRow | None:
+        """Return the tenant of a request: one with the host before one without any, longest prefix first."""
+        lengths = [length for length, count in self.totals.prefix_lengths.items() if count]
+        with self.database.lookup() as conn:
+            return queries.find_by_route(conn, self._partitions.names, lengths, host, path)
+
+    def get(self, name: str) -> ReplicaRow | None:
+        """Return one tenant; None where there is none, or it was removed."""
+        with self.database.lookup() as conn:
+            return queries.find_by_name(conn, self._partitions.names, name)
+
+    def page(self, after: str = "", limit: int = 100) -> list[ReplicaRow]:
+        """Return tenants with names past one, by name."""
+        with self.database.lookup() as conn:
+            return queries.list_rows(conn, self._partitions.names, after, limit)
+
+    def prefixes(self, host: str, limit: int) -> list[tuple[bool, str, str]] | None:
+        """Return the tenants that take requests of a host: whether it is named, prefix, name.
+
+        None where there are more than `limit`.
+        """
+        with self.database.lookup() as conn:
+            found = queries.list_prefixes(conn, host, limit + 1)
+        return None if len(found) > limit else found
+
+    def sharing(self, host: str, prefix: str) -> list[str]:
+        """Return the names of tenants with just this host ("": without any) and prefix; the first wins."""
+        with self.database.lookup() as conn:
+            return queries.list_sharing(conn, host, prefix)
+
+    def count(self) -> int:
+        """Return the number of tenants."""
+        return self.totals.count
+
+    def guaranteed(self) -> float:
+        """Return the sum of all guarantees."""
+        return self.totals.guarantee / GUARANTEE_UNITS
+
+    def audit(self, after: int = 0, limit: int = 100) -> list[ReplicaAuditEntry]:
+        """Return audit entries past a number, oldest first."""
+        with self.database.lookup() as conn:
+            return queries.list_audit(conn, self._partitions.names, after, limit)
+
+    def key(self, text: str) -> str | None:
+        """Return the name of the tenant that a call with this idempotency key changed."""
+        with self.database.lookup() as conn:
+            return queries.name_by_key(conn, text)
+
+    def divergent_rows(self, after: int = 0, limit: int = 100) -> list[dict[str, Any]]:
+        """Return divergent rows past a number, oldest first, as the administration API shows them."""
+        with self.database.lookup() as conn:
+            return queries.list_divergent(conn, self._partitions.names, after, limit)
+
+    def unreadable(self, limit: int = 100) -> list[tuple[str, str]]:
+        """Return names of rows that this node can't serve, and why."""
+        with self.database.lookup() as conn:
+            return queries.list_unreadable(conn, limit)
+
+    def unreadable_count(self) -> int:
+        """Return the number of rows that this node can't serve."""
+        with self.database.lookup() as conn:
+            return queries.count_unreadable(conn)
+
+    # Checks, called by the service
+
+    def recheck(self, checked_by: str, limit: int = 100) -> bool:
+        """Check rows not checked since a refill or under other settings; return whether there are more.
+
+        `checked_by` identifies the settings that rows are checked by.
+        """
+        with self._transaction(durable=False) as (conn, _):
+            result = integrity.recheck_rows(conn, checked_by, limit, self.check_tenant)
+        self.changed(result.changed_names)
+        return result.more
+
+    def check(self) -> bool:
+        """Read all pages; return whether the file is intact. Takes long."""
+        with suppress(DamagedReplicaError), self.database.lookup() as conn:
+            fault = integrity.find_page_damage(conn)
+            if not fault:
+                return True
+            self.database.damage = self.damage or fault
+        return False
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -68,7 +68,7 @@
 def standing(row: ReplicaRow) -> ReplicatedTenant:
     """Read a row of the copy."""
     return ReplicatedTenant(
-        _tenant(row.name, row.tenant), row.state, f"{row.epoch}.{row.revision}", row.unreadable
+        _tenant(row.name, row.tenant), row.state, f"{row.term}.{row.index}", row.unreadable
     )
 
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -355,20 +355,20 @@
             9, number=9, bases=((9, 2),), horizon=1, covered=9, goal=12, generation=3, put_back=True
         ),
     }
-    assert [(row.name, row.state, row.revision, row.stream, row.unreadable) for row in copy.page()] == [
+    assert [(row.name, row.state, row.index, row.partition, row.unreadable) for row in copy.page()] == [
         ("clinic", "active", 1, "c1", ""),
         ("divergent", "active", 0, "c2", ""),
         ("odd", "active", 4, "c1", "no backend"),
         ("ward", "suspended", 2, "c1", ""),
     ]
-    assert [(one.name, one.who, one.revision, one.after_state) for one in copy.audit()] == [
+    assert [(one.name, one.who, one.index, one.after_state) for one in copy.audit()] == [
         ("clinic", "operator", 1, "active"),
         ("ward", "c2", 2, "suspended"),
         ("gone", "operator", 3, ""),
         ("odd", "operator", 4, "active"),
         ("divergent", "c2", 11, "active"),
     ]
-    assert [(one["name"], one["revision"]) for one in copy.orphans()] == [("divergent", 11)]
+    assert [(one["name"], one["revision"]) for one in copy.divergent_rows()] == [("divergent", 11)]
     assert (copy.key("key-1"), copy.key("key-2"), copy.count(), copy.guaranteed()) == (
         "clinic",
         "gone",
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -81,14 +81,14 @@
         rows = self.rows[name]
         if isinstance(rows, MemoryReplicaStore):
             return {key: (one.number, one.state) for key, one in rows.live().items()}
-        return {row.name: (row.revision, row.state) for row in rows.page("", 10_000)}
+        return {row.name: (row.index, row.state) for row in rows.page("", 10_000)}
 
     def orphans(self, name: str) -> list[tuple[str, int]]:
         """Return name and number of what a member keeps aside."""
         rows = self.rows[name]
         if isinstance(rows, MemoryReplicaStore):
             return [(one.name, one.number) for _, _, one in rows.orphans]
-        return [(one["name"], one["revision"]) for one in rows.orphans()]
+        return [(one["name"], one["revision"]) for one in rows.divergent_rows()]
 
     def _begun(self, name: str) -> Replica:
         return Replica(
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -732,7 +732,7 @@
     worker.close(["listener"])
     kept = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
     assert kept.count() == 2
-    assert not kept.put_aside
+    assert not kept.quarantined_files
     kept.close()
 
 
@@ -760,12 +760,12 @@
                     assert status == 201
                     tags[name] = headers["etag"]
         copy = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
-        rows = {row.name: f'"{row.epoch}.{row.revision}"' for row in copy.page("", 10_000)}
+        rows = {row.name: f'"{row.term}.{row.index}"' for row in copy.page("", 10_000)}
         copy.close()
         assert tags.items() <= rows.items()
         assert len(rows) - len(tags) <= round_ + 1
         assert len(set(rows.values())) == len(rows)
-        assert not copy.put_aside
+        assert not copy.quarantined_files
     assert len(tags) > 10
 
 
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import soon
 from replicas import CONTROL, Replicas, entry, names_of
-from test_local_copy import spoil
+from test_sqlite_replica import spoil
 
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
@@ -470,13 +470,13 @@
     for name in C1:
         writes(c1, "c1", entry(name, pad="z" * 500))
     assert soon(lambda: n1.copy.count() == 40)
-    conn = n1.copy._conn
+    conn = n1.copy.database.writer
     assert conn is not None
     conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     spoil(n1.copy.path)
     assert not n1.copy.check()
-    assert n1.copy.damaged
-    assert soon(lambda: not n1.copy.damaged and n1.copy.count() == 40, 15)
+    assert n1.copy.damage
+    assert soon(lambda: not n1.copy.damage and n1.copy.count() == 40, 15)
     assert not n1.replica.states["c1"].lost
     assert soon(lambda: not n1.replication.filling())
     assert n1.counters.snapshot()["replication.copies_damaged"] == 1
@@ -493,8 +493,8 @@
     for name in C1[:20]:
         writes(c1, "c1", entry(name))
     assert soon(lambda: n1.copy.count() == 20)
-    c1.copy.damaged = "by the test"
-    assert soon(lambda: not c1.copy.damaged and c1.copy.count() == 20, 15)
+    c1.copy.database.damage = "by the test"
+    assert soon(lambda: not c1.copy.damage and c1.copy.count() == 20, 15)
     with pytest.raises(NotLeaderError, match="damaged"):
         writes(c1, "c1", entry(C1[30]), QUIET_S + 2)
     begun = c1.replication.writer.take_over("c1")
--- a/tests/test_local_copy.py
+++ b/tests/test_sqlite_replica.py
@@ -1,4 +1,4 @@
-"""The local copy: look-ups by the linear rule, kills between statements, damage, and whose file it is."""
+"""The SQLite replica: look-ups against a linear search, kills between statements, damage, ownership."""
 
 import contextlib
 import os
@@ -21,16 +21,15 @@
 from hypothesis import strategies as st
 from replicas import CONTROL, entry, names_of, tenant_json
 
-from reelusher.fleet.replication import sqlite_replica
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry, LogSegment
 from reelusher.fleet.replication.replica import NotLeaderError, Replica, first_epoch, stream_of
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore, PartitionState, ReplicaError
 from reelusher.fleet.replication.sqlite_replica import (
-    MOST_ASIDE,
-    MOST_AUDIT,
     DamagedReplicaError,
     ForeignReplicaError,
     SqliteReplica,
+    database,
+    writes,
 )
 from reelusher.tenancy.index import lies_under
 
@@ -44,7 +43,7 @@
 
 
 @pytest.fixture
-def copy(path: Path) -> Iterator[SqliteReplica]:
+def store(path: Path) -> Iterator[SqliteReplica]:
     made = SqliteReplica(path, "f", CONTROL)
     yield made
     made.close()
@@ -55,11 +54,11 @@
 
 
 def put(rows: SqliteReplica | MemoryReplicaStore, *entries: LogEntry, **more: Any) -> list[str]:
-    """Take entries as one change of stream c1."""
+    """Write entries as one change of partition c1."""
     return rows.apply("c1", entries, at(entries[-1].number), **more)
 
 
-# Rows: what both kinds do alike
+# Rows: SQLite and memory alike
 
 
 CHANGES = st.lists(st.tuples(st.integers(0, 4), st.booleans()), max_size=4)
@@ -78,7 +77,7 @@
 
 @given(operations=OPERATIONS)
 @settings(max_examples=60, deadline=None)
-def test_rows_in_a_file_are_those_in_memory(
+def test_sqlite_and_memory_store_hold_the_same_rows(
     tmp_path_factory: pytest.TempPathFactory, operations: list[tuple[Any, Any, Any]]
 ) -> None:
     kept = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", CONTROL, wall_ms=lambda: 0)
@@ -110,7 +109,7 @@
         assert not made or made[0] == made[1]
         assert memory.states() == kept.states()
         live = memory.live()
-        assert [(row.name, row.revision, row.state, row.tenant) for row in kept.page("", 100)] == [
+        assert [(row.name, row.index, row.state, row.tenant) for row in kept.page("", 100)] == [
             (name, live[name].number, live[name].state, live[name].tenant) for name in sorted(live)
         ]
         assert kept.count() == len(live)
@@ -144,14 +143,14 @@
 
 @given(TABLES, ASKED)
 @settings(max_examples=150, deadline=None)
-def test_a_request_belongs_to_whom_the_linear_rule_says(
+def test_match_agrees_with_a_linear_search(
     table: list[tuple[list[str], str, bool]], asked: list[tuple[str, str]]
 ) -> None:
     with (
         tempfile.TemporaryDirectory() as folder,
         contextlib.closing(SqliteReplica(Path(folder) / "t.db", "f", CONTROL)) as kept,
     ):
-        # each row stands otherwise first, so that look-ups are changed and not only made
+        # each row is first written in the opposite state, so that look-ups are changed and not only added
         made = [({"hosts": hosts, "prefix": prefix}, live) for hosts, prefix, live in table]
         turned = [(told, not live) for told, live in reversed(made)]
         number = 0
@@ -189,122 +188,124 @@
             assert (found.name if found else None) == linear
 
 
-def test_a_number_is_the_name_s_while_it_exists_and_never_used_again(copy: SqliteReplica, path: Path) -> None:
-    put(copy, entry("a", 1), entry("b", 2))
-    first = copy.get("a")
-    put(copy, entry("a", 3, pad="more"))
-    same = copy.get("a")
-    put(copy, entry("a", 4, ""))
-    assert copy.get("a") is None
-    assert copy.match("a.example", "/") is None
-    put(copy, entry("a", 5))
-    again = copy.get("a")
+def test_row_number_stays_while_the_tenant_exists_and_is_never_reused(
+    store: SqliteReplica, path: Path
+) -> None:
+    put(store, entry("a", 1), entry("b", 2))
+    first = store.get("a")
+    put(store, entry("a", 3, pad="more"))
+    same = store.get("a")
+    put(store, entry("a", 4, ""))
+    assert store.get("a") is None
+    assert store.match("a.example", "/") is None
+    put(store, entry("a", 5))
+    again = store.get("a")
     assert first
     assert same
     assert again
     assert first.number == same.number < again.number
-    copy.damaged = "by the test"
-    copy.renew()
-    put(copy, entry("c", 1))
-    other = copy.get("c")
+    store.database.damage = "by the test"
+    store.recreate()
+    put(store, entry("c", 1))
+    other = store.get("c")
     assert other is not None
     assert other.number > again.number
 
 
-def test_totals_are_kept_up_and_the_same_after_a_restart(copy: SqliteReplica, path: Path) -> None:
+def test_totals_follow_changes_and_survive_a_restart(store: SqliteReplica, path: Path) -> None:
     for number in range(1, 31):
         put(
-            copy,
+            store,
             entry(
                 C1[number % 10], number, "active" if number % 3 else "", share={"guarantee": number / 1000}
             ),
         )
-    live = copy.page("", 100)
+    live = store.page("", 100)
     told = [msgspec.json.decode(row.tenant)["share"]["guarantee"] for row in live]
     for _ in range(2):
-        assert copy.count() == len(live)
-        assert copy.guaranteed() == pytest.approx(sum(told), abs=1e-12)
-        copy.close()
-        copy.__init__(path, "f", CONTROL)  # type: ignore[misc]
+        assert store.count() == len(live)
+        assert store.guaranteed() == pytest.approx(sum(told), abs=1e-12)
+        store.close()
+        store.__init__(path, "f", CONTROL)  # type: ignore[misc]
 
 
-def test_pages_go_by_name_and_leave_out_what_was_removed(copy: SqliteReplica) -> None:
-    put(copy, *(entry(name, number) for number, name in enumerate(sorted(C1[:9]), 1)), entry(C1[3], 10, ""))
+def test_pages_are_sorted_by_name_without_removed_tenants(store: SqliteReplica) -> None:
+    put(store, *(entry(name, number) for number, name in enumerate(sorted(C1[:9]), 1)), entry(C1[3], 10, ""))
     names = sorted(set(C1[:9]) - {C1[3]})
-    assert [row.name for row in copy.page("", 5)] == names[:5]
-    assert [row.name for row in copy.page(names[4], 5)] == names[5:]
+    assert [row.name for row in store.page("", 5)] == names[:5]
+    assert [row.name for row in store.page(names[4], 5)] == names[5:]
 
 
-def test_keys_and_the_trail_are_kept_and_bounded(
-    copy: SqliteReplica, monkeypatch: pytest.MonkeyPatch
+def test_idempotency_keys_and_audit_entries_are_bounded(
+    store: SqliteReplica, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sqlite_replica, "MOST_AUDIT", 5)
-    monkeypatch.setattr(sqlite_replica, "MOST_KEYS", 3)
-    assert MOST_AUDIT >= 1000
+    assert writes.MAX_AUDIT_ENTRIES >= 1000
+    monkeypatch.setattr(writes, "MAX_AUDIT_ENTRIES", 5)
+    monkeypatch.setattr(writes, "MAX_IDEMPOTENCY_KEYS", 3)
     for number in range(1, 9):
         made = entry("a", number, "" if number == 8 else "active", pad=number)
-        put(copy, msgspec.structs.replace(made, key=f"k{number}"))
-    trail = copy.audit(0, 100)
-    assert [one.revision for one in trail] == [4, 5, 6, 7, 8]
-    assert (trail[-1].before_state, trail[-1].after_state, trail[-1].stream) == ("active", "", "c1")
+        put(store, msgspec.structs.replace(made, key=f"k{number}"))
+    trail = store.audit(0, 100)
+    assert [one.index for one in trail] == [4, 5, 6, 7, 8]
+    assert (trail[-1].before_state, trail[-1].after_state, trail[-1].partition) == ("active", "", "c1")
     assert msgspec.json.decode(trail[-1].before)["pad"] == 7
-    assert copy.audit(trail[1].number, 2) == trail[2:4]
-    assert [copy.key(f"k{number}") for number in (5, 6, 8)] == [None, "a", "a"]
+    assert store.audit(trail[1].number, 2) == trail[2:4]
+    assert [store.key(f"k{number}") for number in (5, 6, 8)] == [None, "a", "a"]
 
 
-def test_who_has_one_host_and_prefix_is_told_in_the_order_in_which_they_win(copy: SqliteReplica) -> None:
+def test_tenants_sharing_a_route_are_listed_by_precedence(store: SqliteReplica) -> None:
     for number, name in enumerate(("b", "a", "c"), 1):
         put(
-            copy,
+            store,
             LogEntry(number, name, 0, "", "active", msgspec.json.encode({"hosts": ["H"], "prefix": "/x"})),
         )
-    assert copy.sharing("h", "/x") == ["a", "b", "c"]
-    assert copy.sharing("", "/x") == []
-    found = copy.match("H", "/x/y")
+    assert store.sharing("h", "/x") == ["a", "b", "c"]
+    assert store.sharing("", "/x") == []
+    found = store.match("H", "/x/y")
     assert found is not None
     assert found.name == "a"
 
 
-def test_names_that_changed_are_told_without_a_lock_held(copy: SqliteReplica) -> None:
+def test_on_change_is_called_without_a_lock_held(store: SqliteReplica) -> None:
     told: queue.Queue[int] = queue.Queue()
 
     def looked(names: list[str]) -> None:
-        other = threading.Thread(target=lambda: told.put(copy.count() + len(copy.states())))
+        other = threading.Thread(target=lambda: told.put(store.count() + len(store.states())))
         other.start()
         other.join(5)
 
-    copy.on_change = looked
-    replica = Replica("c1", CONTROL, copy, Random(1))
+    store.on_change = looked
+    replica = Replica("c1", CONTROL, store, Random(1))
     replica.accept("c1", "c1", entry(C1[0]))
     assert told.get(timeout=1) == 2
 
 
-def test_readers_wait_a_bounded_time_and_are_refused_past_it(copy: SqliteReplica) -> None:
-    put(copy, entry("a", 1))
-    held = [copy._free.get() for _ in range(sqlite_replica.READERS)]
+def test_readers_wait_a_bounded_time_and_then_fail(store: SqliteReplica) -> None:
+    put(store, entry("a", 1))
+    held = [store.database.lookup_pool.get() for _ in range(database.LOOKUP_CONNECTIONS)]
     with pytest.raises(ReplicaError, match="too many"):
-        copy.get("a")
-    assert copy.given("c1", 0) is not None  # members are given all the same
-    copy._free.put(held[0])
-    assert copy.get("a") is not None
-    giving = copy._giving.get()
-    assert copy.get("a") is not None  # and whoever is given much keeps no request waiting
-    copy._giving.put(giving)
+        store.get("a")
+    assert store.given("c1", 0) is not None  # segments have a connection of their own
+    store.database.lookup_pool.put(held[0])
+    assert store.get("a") is not None
+    giving = store.database.segment_pool.get()
+    assert store.get("a") is not None  # and a slow segment delays no look-up
+    store.database.segment_pool.put(giving)
 
 
-def test_many_threads_read_while_one_writes(copy: SqliteReplica, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_threads_read_while_one_writes(store: SqliteReplica, monkeypatch: pytest.MonkeyPatch) -> None:
     # four threads share three connections: on a busy machine one may wait for longer than callers should
-    monkeypatch.setattr(sqlite_replica, "READ_WAIT_S", 10.0)
-    put(copy, entry("a", 1))
+    monkeypatch.setattr(database, "LOOKUP_WAIT_S", 10.0)
+    put(store, entry("a", 1))
     faults: list[BaseException] = []
 
     def read() -> None:
         try:
             for _ in range(200):
-                row = copy.get("a")
+                row = store.get("a")
                 assert row is not None
                 assert msgspec.json.decode(row.tenant)["name"] == "a"
-                copy.match("a.example", "/x")
+                store.match("a.example", "/x")
         except BaseException as error:
             faults.append(error)
 
@@ -312,13 +313,13 @@
     for one in threads:
         one.start()
     for number in range(2, 60):
-        put(copy, entry("a", number, prefix=f"/{'x' * (number % 3)}"))
+        put(store, entry("a", number, prefix=f"/{'x' * (number % 3)}"))
     for one in threads:
         one.join()
     assert not faults
 
 
-# Rows that this node can't read
+# Unreadable rows
 
 
 def strict(name: str, tenant: bytes) -> str:
@@ -328,15 +329,15 @@
     return "" if told.get("backend") == "w" else "backend: is not known here"
 
 
-def unserved(copy: SqliteReplica, host: str) -> bool:
-    """Tell whether the row of a host's requests is one that this node can't serve."""
-    found = copy.match(host, "/")
+def unserved(store: SqliteReplica, host: str) -> bool:
+    """Return whether the row of a host's requests is one that this node can't serve."""
+    found = store.match(host, "/")
     assert found is not None
     return bool(found.unreadable)
 
 
-def test_a_row_that_can_not_be_read_is_kept_passed_on_and_harms_no_other(path: Path) -> None:
-    copy = SqliteReplica(path, "f", CONTROL, strict)
+def test_unreadable_row_is_stored_and_replicated_and_affects_no_other(path: Path) -> None:
+    store = SqliteReplica(path, "f", CONTROL, strict)
     newer = [
         LogEntry(1, "bad", 0, "", "active", b'{"hosts": 7}'),
         entry("odd", 2, backend="of-tomorrow"),
@@ -345,88 +346,88 @@
         LogEntry(5, "worse", 0, "", "a state of tomorrow", b"\xff\x00"),
         entry("odd", 6, hosts=["good.example"], backend="of-tomorrow"),
     ]
-    put(copy, *newer)
-    given = copy.given("c1", 0)
+    put(store, *newer)
+    given = store.given("c1", 0)
     assert given is not None
     assert [one.number for one in given.entries] == [1, 3, 4, 5, 6]
-    assert {name for name, _ in copy.unreadable()} == {"bad", "bug", "odd", "worse"}
-    assert copy.unreadable_count() == 4
-    found = copy.match("good.example", "/")
+    assert {name for name, _ in store.unreadable()} == {"bad", "bug", "odd", "worse"}
+    assert store.unreadable_count() == 4
+    found = store.match("good.example", "/")
     assert found is not None
     assert (found.name, found.unreadable) == ("good", "")
-    odd = copy.get("odd")
+    odd = store.get("odd")
     assert odd is not None
     assert "not known" in odd.unreadable
-    put(copy, entry("odd", 7), entry("bad", 8, ""))
-    assert {name for name, _ in copy.unreadable()} == {"bug", "worse"}
-    assert copy.match("odd.example", "/") is not None
-    copy.close()
+    put(store, entry("odd", 7), entry("bad", 8, ""))
+    assert {name for name, _ in store.unreadable()} == {"bug", "worse"}
+    assert store.match("odd.example", "/") is not None
+    store.close()
 
 
-def test_rows_are_checked_again_when_the_settings_changed_and_after_a_fill(path: Path) -> None:
-    copy = SqliteReplica(path, "f", CONTROL)
+def test_rows_are_rechecked_after_changed_settings_and_a_refill(path: Path) -> None:
+    store = SqliteReplica(path, "f", CONTROL)
     told: list[str] = []
-    put(copy, *(entry(f"t{number}", number, backend="w" if number % 2 else "v") for number in range(1, 10)))
-    copy.close()
-    copy = SqliteReplica(path, "f", CONTROL, strict)
-    copy.on_change = told.extend
-    while copy.recheck("one", 4):
+    put(store, *(entry(f"t{number}", number, backend="w" if number % 2 else "v") for number in range(1, 10)))
+    store.close()
+    store = SqliteReplica(path, "f", CONTROL, strict)
+    store.on_change = told.extend
+    while store.recheck("one", 4):
         pass
     assert told == ["t2", "t4", "t6", "t8"]
-    assert unserved(copy, "t2.example")
-    assert not copy.recheck("one", 4)
-    assert copy.unreadable_count() == 4
-    assert copy.count() == 9
-    put(copy, entry("t9", 10, backend="v"), trail=False)  # filled: not checked yet
-    assert not unserved(copy, "t9.example")
-    while copy.recheck("one", 4):
+    assert unserved(store, "t2.example")
+    assert not store.recheck("one", 4)
+    assert store.unreadable_count() == 4
+    assert store.count() == 9
+    put(store, entry("t9", 10, backend="v"), trail=False)  # from a refill: not checked yet
+    assert not unserved(store, "t9.example")
+    while store.recheck("one", 4):
         pass
-    assert unserved(copy, "t9.example")
-    copy._readable = lambda name, tenant: ""
-    while copy.recheck("two", 4):
+    assert unserved(store, "t9.example")
+    store.check_tenant = lambda name, tenant: ""
+    while store.recheck("two", 4):
         pass
-    assert copy.unreadable_count() == 0
-    assert not unserved(copy, "t2.example")
-    copy.close()
+    assert store.unreadable_count() == 0
+    assert not unserved(store, "t2.example")
+    store.close()
 
 
-def test_requests_of_a_row_that_can_not_be_served_are_not_handed_to_another_tenant(path: Path) -> None:
-    copy = SqliteReplica(path, "f", CONTROL, strict)
-    put(copy, entry("any", 1, hosts=[]), entry("odd", 2, hosts=["odd.example"], backend="of-tomorrow"))
-    assert unserved(copy, "odd.example")
-    assert not unserved(copy, "else.example")
-    rows = copy.prefixes("odd.example", 10)
+def test_requests_of_an_unreadable_row_go_to_no_other_tenant(path: Path) -> None:
+    store = SqliteReplica(path, "f", CONTROL, strict)
+    put(store, entry("any", 1, hosts=[]), entry("odd", 2, hosts=["odd.example"], backend="of-tomorrow"))
+    assert unserved(store, "odd.example")
+    assert not unserved(store, "else.example")
+    rows = store.prefixes("odd.example", 10)
     assert rows is not None
     assert (True, "/", "odd") in rows
-    put(copy, entry("odd", 3, hosts=["now.example"], backend="of-tomorrow"))
-    found = copy.match("odd.example", "/")
+    put(store, entry("odd", 3, hosts=["now.example"], backend="of-tomorrow"))
+    found = store.match("odd.example", "/")
     assert found is not None
     assert found.name == "any"
-    assert unserved(copy, "now.example")
-    put(copy, entry("odd", 4, ""))
-    assert not unserved(copy, "now.example")
-    assert copy._totals.lengths == {1: 1}
-    copy.close()
+    assert unserved(store, "now.example")
+    put(store, entry("odd", 4, ""))
+    assert not unserved(store, "now.example")
+    assert store.totals.prefix_lengths == {1: 1}
+    store.close()
 
 
-# Whose file it is
+# Ownership of the file
 
 
 @pytest.mark.parametrize(("fleet", "control"), [("other", CONTROL), ("f", ("c1", "c3"))])
-def test_the_copy_of_another_fleet_or_control_list_is_left_as_it_is(
-    path: Path, copy: SqliteReplica, fleet: str, control: tuple[str, ...]
+def test_replica_of_another_fleet_or_control_list_is_not_changed(
+    path: Path, store: SqliteReplica, fleet: str, control: tuple[str, ...]
 ) -> None:
-    put(copy, entry("a", 1))
-    copy.close()
+    put(store, entry("a", 1))
+    store.close()
     with pytest.raises(ForeignReplicaError, match=r"of the fleet|of another list"):
         SqliteReplica(path, fleet, control)
     again = SqliteReplica(path, "f", CONTROL)
     assert again.count() == 1
-    assert not again.put_aside
+    assert not again.quarantined_files
     again.close()
 
 
-def test_a_file_of_something_else_or_of_a_newer_program_is_left_as_it_is(tmp_path: Path) -> None:
+def test_file_of_another_program_or_newer_format_is_not_changed(tmp_path: Path) -> None:
     other = tmp_path / "other.db"
     with sqlite3.connect(other) as made:
         made.execute("CREATE TABLE rows(x)")
@@ -441,33 +442,33 @@
         SqliteReplica(tmp_path / "t.db", "f", CONTROL)
 
 
-def test_two_processes_do_not_have_one_copy(copy: SqliteReplica, path: Path) -> None:
+def test_second_process_can_not_open_the_replica(store: SqliteReplica, path: Path) -> None:
     with pytest.raises(ReplicaError, match="another process"):
         SqliteReplica(path, "f", CONTROL)
 
 
-def test_a_copy_is_for_its_user_only(copy: SqliteReplica, path: Path) -> None:
-    put(copy, entry("a", 1))
+def test_files_are_readable_by_their_owner_only(store: SqliteReplica, path: Path) -> None:
+    put(store, entry("a", 1))
     assert {one.stat().st_mode & 0o777 for one in path.parent.iterdir()} == {0o600}
 
 
-def test_nothing_of_a_pull_under_way_gets_into_a_copy_that_was_begun_anew(path: Path) -> None:
-    copy = filled(path, 10)
-    replica = Replica("n", CONTROL, copy, Random(1))
+def test_pull_in_flight_is_not_applied_to_a_recreated_replica(path: Path) -> None:
+    store = filled(path, 10)
+    replica = Replica("n", CONTROL, store, Random(1))
     assert replica.states["c1"].number == 10
     replica.heard("x", "", [replica.announce()[0], FIRST.epoch, 12, *replica.announce()[3:]], 1.0)
     pull = replica.next_pull(2.0)
     assert pull is not None
-    copy.damaged = "by the test"
-    replica.reload(copy.renew)
+    store.database.damage = "by the test"
+    replica.reload(store.recreate)
     piece = LogSegment("c1", FIRST.epoch, (), 10, 12, [entry(C1[0], 12)], False, 0, 12, 12)
     assert replica.take(pull, EntriesReply([piece]), 2.1).refused == ["stale"]
-    assert copy.count() == 0
-    assert copy.states()["c1"].number == 0
-    copy.close()
+    assert store.count() == 0
+    assert store.states()["c1"].number == 0
+    store.close()
 
 
-def test_a_folder_that_is_none_is_told_of(tmp_path: Path) -> None:
+def test_path_below_a_file_raises(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(ReplicaError):
         SqliteReplica(tmp_path / "file" / "t.db", "f", CONTROL)
@@ -485,47 +486,47 @@
 
 
 def filled(path: Path, count: int = 400) -> SqliteReplica:
-    copy = SqliteReplica(path, "f", CONTROL)
-    put(copy, *(entry(f"t{number:04d}", number, pad="x" * 200) for number in range(1, count + 1)))
-    copy.close()
+    store = SqliteReplica(path, "f", CONTROL)
+    put(store, *(entry(f"t{number:04d}", number, pad="x" * 200) for number in range(1, count + 1)))
+    store.close()
     return SqliteReplica(path, "f", CONTROL)
 
 
 @pytest.mark.parametrize("how", ["read", "write", "check"])
-def test_a_copy_that_turns_out_to_be_damaged_is_put_aside_and_begun_anew(path: Path, how: str) -> None:
-    copy = filled(path)
-    copy._conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")  # type: ignore[union-attr]
+def test_replica_found_damaged_is_quarantined_and_recreated(path: Path, how: str) -> None:
+    store = filled(path)
+    store.database.writer.execute("PRAGMA wal_checkpoint(TRUNCATE)")  # type: ignore[union-attr]
     spoil(path)
     if how == "check":
-        assert not copy.check()
+        assert not store.check()
     else:
         with pytest.raises(DamagedReplicaError):
             for number in range(1, 401):
                 if how == "read":
-                    copy.get(f"t{number:04d}")
+                    store.get(f"t{number:04d}")
                 else:
-                    put(copy, entry(f"t{number:04d}", 400 + number))
-    assert copy.damaged
+                    put(store, entry(f"t{number:04d}", 400 + number))
+    assert store.damage
     with pytest.raises(DamagedReplicaError):
-        copy.get("t0001")
+        store.get("t0001")
     with pytest.raises(DamagedReplicaError):
-        copy.match("x", "/")
-    aside = copy.renew()
+        store.match("x", "/")
+    aside = store.recreate()
     assert aside.exists()
     assert ".damaged-" in aside.name
-    assert not copy.damaged
-    assert copy.count() == 0
-    assert copy.page() == []
-    assert all(state.lost for state in copy.states().values())
-    assert len(copy.states()) == 2
-    replica = Replica("c1", CONTROL, copy, Random(1))
+    assert not store.damage
+    assert store.count() == 0
+    assert store.page() == []
+    assert all(state.lost for state in store.states().values())
+    assert len(store.states()) == 2
+    replica = Replica("c1", CONTROL, store, Random(1))
     with pytest.raises(NotLeaderError, match="take-over"):
         replica.accept("c1", "c1", entry(C1[0]))
-    copy.close()
+    store.close()
     replica = Replica("c1", CONTROL, SqliteReplica(path, "f", CONTROL), Random(1))
     with pytest.raises(NotLeaderError, match="take-over"):  # nor after a restart
         replica.accept("c1", "c1", entry(C1[0]))
-    with pytest.raises(NotLeaderError, match="nobody was heard"):  # all others would lose all that they have
+    with pytest.raises(NotLeaderError, match="nobody was heard"):  # others would lose their rows
         replica.begin_term("c1", "c1")
     assert replica.begin_term("c1", "c1", force=True).epoch > FIRST.epoch
     assert replica.accept("c1", "c1", entry(C1[0])).number == 1
@@ -534,83 +535,87 @@
 
 
 @pytest.mark.parametrize("begin", [0, 4096])
-def test_a_copy_that_is_damaged_at_the_start_is_put_aside(path: Path, begin: int) -> None:
+def test_replica_damaged_at_open_is_quarantined(path: Path, begin: int) -> None:
     filled(path).close()
     spoil(path, begin)
-    copy = SqliteReplica(path, "f", CONTROL)
-    if not copy.put_aside:  # what is read at the start was spared: found by the first look at the rest
-        assert not copy.check()
-        copy.renew()
-    assert copy.count() == 0
-    assert all(state.lost for state in copy.states().values())
-    copy.close()
-
-
-def test_rows_past_their_stream_are_damage(path: Path) -> None:
-    copy = filled(path, 10)
-    copy.close()
+    store = SqliteReplica(path, "f", CONTROL)
+    if (
+        not store.quarantined_files
+    ):  # what is read at the start was spared: found by the first look at the rest
+        assert not store.check()
+        store.recreate()
+    assert store.count() == 0
+    assert all(state.lost for state in store.states().values())
+    store.close()
+
+
+def test_row_past_the_position_of_its_partition_is_damage(path: Path) -> None:
+    store = filled(path, 10)
+    store.close()
     with sqlite3.connect(path) as made:
         made.execute("UPDATE streams SET number = 4")
     made.close()
-    copy = SqliteReplica(path, "f", CONTROL)
-    assert "past its position" in copy.damaged_at_start
-    assert copy.count() == 0
-    copy.close()
+    store = SqliteReplica(path, "f", CONTROL)
+    assert "past its position" in store.damage_at_open
+    assert store.count() == 0
+    store.close()
 
 
-def test_only_the_newest_damaged_files_are_kept(path: Path) -> None:
+def test_only_the_newest_quarantined_files_stay(path: Path) -> None:
     now = iter(range(1000, 100_000))
-    copy = SqliteReplica(path, "f", CONTROL, wall_ms=lambda: next(now))
-    for _ in range(MOST_ASIDE + 2):
-        copy.damaged = "by the test"
-        copy.renew()
+    store = SqliteReplica(path, "f", CONTROL, wall_ms=lambda: next(now))
+    for _ in range(database.MAX_QUARANTINED_FILES + 2):
+        store.database.damage = "by the test"
+        store.recreate()
     kept = [one.name for one in path.parent.iterdir() if ".damaged-" in one.name and "-wal" not in one.name]
-    assert sorted(kept) == sorted(one.name for one in copy.put_aside[-MOST_ASIDE:])
-    copy.close()
+    assert sorted(kept) == sorted(
+        one.name for one in store.quarantined_files[-database.MAX_QUARANTINED_FILES :]
+    )
+    store.close()
 
 
-def test_a_full_disk_refuses_a_change_whole_and_takes_it_once_there_is_room(path: Path) -> None:
-    copy = filled(path, 20)
-    assert copy._conn is not None
-    pages = copy._conn.execute("PRAGMA page_count").fetchone()[0]
-    copy._conn.execute(f"PRAGMA max_page_count = {pages}")
-    replica = Replica("c1", CONTROL, copy, Random(1))
-    before = copy.states(), copy.count(), copy.guaranteed(), replica.announce()
+def test_full_disk_rejects_a_change_until_there_is_space(path: Path) -> None:
+    store = filled(path, 20)
+    assert store.database.writer is not None
+    pages = store.database.writer.execute("PRAGMA page_count").fetchone()[0]
+    store.database.writer.execute(f"PRAGMA max_page_count = {pages}")
+    replica = Replica("c1", CONTROL, store, Random(1))
+    before = store.states(), store.count(), store.guaranteed(), replica.announce()
     with pytest.raises(ReplicaError, match="full"):
         for name in C1:
             replica.accept("c1", "c1", entry(name, pad="y" * 4000))
-            before = copy.states(), copy.count(), copy.guaranteed(), replica.announce()
-    assert (copy.states(), copy.count(), copy.guaranteed(), replica.announce()) == before
-    assert not copy.damaged
-    assert copy.check()
-    copy._conn.execute("PRAGMA max_page_count = 100000")
+            before = store.states(), store.count(), store.guaranteed(), replica.announce()
+    assert (store.states(), store.count(), store.guaranteed(), replica.announce()) == before
+    assert not store.damage
+    assert store.check()
+    store.database.writer.execute("PRAGMA max_page_count = 100000")
     last = replica.states["c1"].number
     assert replica.accept("c1", "c1", entry(C1[0], pad="y" * 4000)).number == last + 1
-    copy.close()
+    store.close()
 
 
-def test_what_is_raised_within_a_change_undoes_it_whole_and_the_next_is_taken(copy: SqliteReplica) -> None:
-    put(copy, entry("a", 1))
-    before = copy.states(), copy.count(), copy.guaranteed()
+def test_exception_within_a_transaction_rolls_it_back(store: SqliteReplica) -> None:
+    put(store, entry("a", 1))
+    before = store.states(), store.count(), store.guaranteed()
     with pytest.raises(OverflowError):
-        put(copy, entry("b", 2, share={"guarantee": 0.5}), LogEntry(3, "c", 1 << 70, "", "active", b"{}"))
-    assert (copy.states(), copy.count(), copy.guaranteed()) == before
-    assert copy.get("b") is None
-    put(copy, entry("b", 2))
-    assert copy.count() == 2
-    assert copy.match("b.example", "/") is not None
+        put(store, entry("b", 2, share={"guarantee": 0.5}), LogEntry(3, "c", 1 << 70, "", "active", b"{}"))
+    assert (store.states(), store.count(), store.guaranteed()) == before
+    assert store.get("b") is None
+    put(store, entry("b", 2))
+    assert store.count() == 2
+    assert store.match("b.example", "/") is not None
 
 
-def test_what_a_holder_accepts_is_synced_and_what_is_pulled_need_not_be(copy: SqliteReplica) -> None:
+def test_accepted_changes_are_synced_and_pulled_ones_are_not(store: SqliteReplica) -> None:
     def level() -> int:
-        assert copy._conn is not None
-        return int(copy._conn.execute("PRAGMA synchronous").fetchone()[0])
+        assert store.database.writer is not None
+        return int(store.database.writer.execute("PRAGMA synchronous").fetchone()[0])
 
-    replica = Replica("c1", CONTROL, copy, Random(1))
+    replica = Replica("c1", CONTROL, store, Random(1))
     for number in (1, 3):
         assert replica.accept("c1", "c1", entry(C1[number])).number == number
         assert level() == 2
-        put(copy, entry(C1[number + 1], number + 1))
+        put(store, entry(C1[number + 1], number + 1))
         replica.reload()
         assert level() == 1
     replica.begin_term("c1", "c1")
@@ -631,14 +636,14 @@
 from reelusher.fleet.replication.replica import Replica, Pull
 from reelusher.fleet.replication.messages import EntriesReply
 path, what, left = Path(sys.argv[1]), sys.argv[2], int(sys.argv[3])
-copy = SqliteReplica(path, "f", CONTROL)
-replica = Replica("c1" if what == "accept" else "n", CONTROL, copy, Random(1))
+store = SqliteReplica(path, "f", CONTROL)
+replica = Replica("c1" if what == "accept" else "n", CONTROL, store, Random(1))
 def count(statement):
     global left
     left -= 1
     if left == 0:
         os.kill(os.getpid(), signal.SIGKILL)
-copy._conn.set_trace_callback(count)
+store.database.writer.set_trace_callback(count)
 names = names_of("c1", 5)
 if what == "accept":
     for name in names[:3]:
@@ -647,7 +652,8 @@
 else:
     epoch = replica.states["c1"].epoch
     for at in range(0, 4, 2):
-        pieces = [LogSegment("c1", epoch, (), at, at + 2, [entry(names[at], at + 1), entry(names[at + 1], at + 2)],
+        entries = [entry(names[at], at + 1), entry(names[at + 1], at + 2)]
+        pieces = [LogSegment("c1", epoch, (), at, at + 2, entries,
                         at < 2, 0, 4, 4)]
         pull = replica._pulling = Pull("x", None, 1e9)
         replica.take(pull, EntriesReply(pieces), 1.0)
@@ -657,7 +663,7 @@
 
 
 def child(path: Path, what: str, left: int) -> list[str]:
-    """Run changes in a process that kills itself before a statement; return what it told."""
+    """Run changes in a process that kills itself before a statement; return what it printed."""
     here = Path(__file__).parent
     script = CHILD.format(paths=[str(here), str(here.parent)])
     done = subprocess.run(
@@ -672,28 +678,26 @@
 
 
 @pytest.mark.parametrize("what", ["accept", "take"])
-def test_a_kill_before_any_statement_loses_nothing_that_was_told_and_leaves_no_half(
-    tmp_path: Path, what: str
-) -> None:
+def test_kill_before_any_statement_loses_no_acknowledged_change(tmp_path: Path, what: str) -> None:
     names, killed = C1[:4], 0
     for left in range(1, 200):
         path = tmp_path / f"{left}.db"
         told = child(path, what, left)
-        copy = SqliteReplica(path, "f", CONTROL)
-        assert not copy.put_aside
-        assert copy.check()
-        state = copy.states().get("c1", FIRST)
-        rows = {row.name: row.revision for row in copy.page("", 100)}
+        store = SqliteReplica(path, "f", CONTROL)
+        assert not store.quarantined_files
+        assert store.check()
+        state = store.states().get("c1", FIRST)
+        rows = {row.name: row.index for row in store.page("", 100)}
         acknowledged = max((int(one) for one in told if one != "end"), default=0)
         assert acknowledged <= state.number <= acknowledged + (1 if what == "accept" else 2)
         assert rows == {name: number for number, name in enumerate(names, 1) if number <= state.number}
-        assert copy.count() == len(rows)
+        assert store.count() == len(rows)
         for name in rows:
-            assert copy.match(f"{name}.example", "/") is not None
+            assert store.match(f"{name}.example", "/") is not None
         if what == "accept":
-            replica = Replica("c1", CONTROL, copy, Random(1))
+            replica = Replica("c1", CONTROL, store, Random(1))
             assert replica.accept("c1", "c1", entry(names[0])).number == state.number + 1
-        copy.close()
+        store.close()
         if "end" in told:
             break
         killed += 1
@@ -701,21 +705,21 @@
     assert "end" in told
 
 
-def test_what_is_read_for_a_piece_is_of_one_instant(copy: SqliteReplica) -> None:
-    put(copy, *(entry(name, number) for number, name in enumerate(C1[:20], 1)))
+def test_segment_is_read_at_one_instant(store: SqliteReplica) -> None:
+    put(store, *(entry(name, number) for number, name in enumerate(C1[:20], 1)))
     stop, faults = threading.Event(), []
 
     def write() -> None:
         number = 20
         while not stop.is_set():
             number += 1
-            put(copy, entry(C1[number % 20], number))
+            put(store, entry(C1[number % 20], number))
 
     writer = threading.Thread(target=write)
     writer.start()
     try:
         for _ in range(300):
-            given = copy.given("c1", 0, 1 << 20)
+            given = store.given("c1", 0, 1 << 20)
             assert given is not None
             numbers = [one.number for one in given.entries]
             if len(numbers) != 20 or numbers[-1] != given.state.number or sorted(numbers) != numbers:
@@ -726,6 +730,6 @@
     assert not faults
 
 
-def test_names_of_the_tests_are_of_the_stream_they_are_put_into() -> None:
+def test_names_used_here_belong_to_partition_c1() -> None:
     assert {stream_of(name, CONTROL) for name in C1} == {"c1"}
     assert tenant_json("a").startswith(b"{")
