--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -19,8 +19,8 @@
 from reelusher.core.event_loop import Core
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
-from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
-from reelusher.fleet.replication.replica import Position
+from reelusher.fleet.replication.messages import MAX_CHANGE_BYTES, ChangeReply, ChangeRequest
+from reelusher.fleet.replication.positions import Position
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.storage.tenant_state import TenantVersion as Kept
 from reelusher.storage.tenant_state import shown
@@ -107,7 +107,7 @@
                     "heard_of": told(further) if further else None,
                     "refilling": state.cursor >= 0,
                     "lost": state.lost,
-                    "put_back": state.put_back,
+                    "put_back": state.restored,
                     "counted": counted.get(stream),
                     "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases],
                 }
@@ -178,7 +178,7 @@
     def _make(self, key: Key, asked: ApiCall) -> Reply:
         """Make a change at its holder, and wait until as many others have it as the caller wants."""
         copies = asked.whole("copies", 0, max(0, len(self._live()) - 1))
-        stream = self._replicated.stream_of(self._name(asked))
+        stream = self._replicated.partition_of(self._name(asked))
         self._sole(self._replicated.own_name)
         if copies and not self._waits.acquire(blocking=False):
             raise self._later("others wait for copies: nothing was changed")
@@ -311,7 +311,7 @@
         """Return what makes a change here or sends it on to its holder."""
 
         def react(asked: ApiCall) -> Reply:
-            stream = self._replicated.stream_of(self._name(asked))
+            stream = self._replicated.partition_of(self._name(asked))
             holder = self._replicated.holder(stream)
             if holder == self._replicated.own_name:
                 return self._make(key, asked)
@@ -330,7 +330,7 @@
         path = f"/v1/tenants{'/' * bool(asked.name)}{quote(asked.name, '')}{kind.removeprefix('tenants')}"
         target = f"{path}?{urlencode(asked.query)}"
         body = b"" if asked.value is None else json.dumps(asked.value).encode()
-        if len(target) > MOST_TARGET or len(body) > MOST_CHANGE:
+        if len(target) > MOST_TARGET or len(body) > MAX_CHANGE_BYTES:
             raise ApiError(413, "it is too long to be carried to the member that makes the change")
         request = ChangeRequest(
             self._live()[0].place,
@@ -410,7 +410,7 @@
         except (ValueError, RecursionError) as error:
             raise ApiError(400, f"the body is not JSON: {error}") from None
         asked = ApiCall(request.who, name, value, dict(parse_qsl(query)), request.headers)
-        stream = self._replicated.stream_of(self._name(asked))
+        stream = self._replicated.partition_of(self._name(asked))
         holder = self._replicated.holder(stream)
         if holder != self._replicated.own_name:  # who asked knows it otherwise; one of the two will learn
             raise self._later(f"{holder!r} makes the changes of {self._name(asked)!r}: nothing was changed")
@@ -421,4 +421,4 @@
     """Return how many changes are past a position; None where that is not known."""
     if further is None:
         return 0
-    return further.number - position.number if further.epoch == position.epoch else None
+    return further.log_index - position.log_index if further.term == position.term else None
--- a/reelusher/fleet/replication/leadership.py
+++ b/reelusher/fleet/replication/leadership.py
@@ -28,7 +28,8 @@
 
 from reelusher.core.counters import Counters
 from reelusher.fleet.replication.messages import LogEntry
-from reelusher.fleet.replication.replica import NotLeaderError, Position, Replica
+from reelusher.fleet.replication.positions import Position
+from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 
 HEARD = 3  # other members that are heard before anything is accepted, or all there are
@@ -56,11 +57,11 @@
         self._heard: set[str] = set()
         self._namesakes = False
         self._told_s: dict[str, float] = {}  # when others were last seen to have more of a stream
-        replica.guard = self.refusal
+        replica.write_guard = self.refusal
 
     def holds(self, stream: str) -> bool:
         """Tell whether this member writes a stream, as far as is known here."""
-        return self.replica.holds(stream, self.replica.own_name)
+        return self.replica.leads(stream, self.replica.own_name)
 
     def refusal(self, stream: str) -> str:
         """Return "", or why a stream may not be written now."""
@@ -68,16 +69,16 @@
             return f"another live member is called {self.replica.own_name}"
         if not self._settled:
             return "other members were not heard yet since the start"
-        told = self.replica.claimed(stream, self._clock())
+        told = self.replica.pulls.claimed(stream, self._clock())
         if told is not None:
-            return f"others have stream {stream} up to {told.epoch}.{told.number}, this member does not"
+            return f"others have stream {stream} up to {told.term}.{told.log_index}, this member does not"
         return ""
 
     def accept(self, stream: str, made: LogEntry) -> LogEntry:
         """Number a change and make it durable. Raises `NotLeaderError` and `ReplicaError`."""
         entry = self.replica.accept(stream, self.replica.own_name, made)
         self._counters.add("replication.accepted")
-        self._made(stream, Position(entry.epoch, entry.number), self._clock())
+        self._made(stream, Position(entry.term, entry.index), self._clock())
         return entry
 
     def take_over(self, stream: str, force: bool = False) -> Position:
@@ -85,7 +86,7 @@
         begun = self.replica.begin_term(stream, self.replica.own_name, force)
         self._counters.add("replication.terms")
         logger.warning(
-            "replication: this member writes stream {} from {}.{} on", stream, begun.epoch, begun.number
+            "replication: this member writes stream {} from {}.{} on", stream, begun.term, begun.log_index
         )
         return begun
 
@@ -111,15 +112,15 @@
             )
         for stream in self.replica.control:
             state = self.replica.states[stream]
-            if not self.holds(stream) or not state.put_back or state.lost:
+            if not self.holds(stream) or not state.restored or state.lost:
                 self._told_s.pop(stream, None)
-            elif self.refusal(stream) or state.cursor >= 0 or state.goal > state.number:
+            elif self.refusal(stream) or state.cursor >= 0 or state.goal > state.index:
                 self._told_s[stream] = now
             elif now - self._told_s.setdefault(stream, now) >= QUIET_S:
                 self._begin(stream)
 
     def _begin(self, stream: str) -> None:
-        number = self.replica.states[stream].number
+        number = self.replica.states[stream].index
         try:
             begun = self.replica.begin_term(stream, self.replica.own_name)
         except (NotLeaderError, ReplicaError) as error:
@@ -131,5 +132,5 @@
             " and what is written now begins with {}",
             stream,
             number,
-            begun.epoch,
+            begun.term,
         )
--- a/reelusher/fleet/replication/messages.py
+++ b/reelusher/fleet/replication/messages.py
@@ -1,4 +1,7 @@
-"""What replicas say to each other over the sealed exchange of membership."""
+"""The messages of replication, carried by the authenticated requests of membership.
+
+The order of fields, the tags and the bounds are the wire format.
+"""
 
 from typing import Annotated
 
@@ -6,84 +9,85 @@
 
 from reelusher.fleet.membership.messages import Name, Number, Place
 
-MOST_PIECE = 1 << 16  # bytes of the entries of a piece; one entry is given in any case
-MOST_TENANT = 48 << 10  # bytes of one tenant's JSON
-MOST_REPLY = 4 * MOST_PIECE  # bytes of entries in one reply, half of what the exchange carries
-MOST_BASES = 256  # take-overs of one stream, ever
-MOST_CONTROL = 8  # control members
-MOST_INSTEAD = 5  # members that one is sent to
-MOST_CHANGE = 1 << 18  # bytes of a call that is carried to its writer, and of its answer
+MAX_SEGMENT_BYTES = 1 << 16  # of the entries; a single entry may exceed it
+MAX_TENANT_BYTES = 48 << 10  # of JSON
+MAX_REPLY_BYTES = 4 * MAX_SEGMENT_BYTES  # of the entries, half of what membership carries
+MAX_BASES = 256  # take-overs of one partition
+MAX_CONTROL_MEMBERS = 8
+MAX_ALTERNATIVES = 5
+ENTRY_OVERHEAD_BYTES = 40  # approximate, of an entry's numbers and headers
+MAX_CHANGE_BYTES = 1 << 18  # of the body of a forwarded call, and of its answer
 
 Partition = Name
-Base = tuple[Number, Number]  # an epoch, and the number that its first change comes after
-Vector = Annotated[list[Number], msgspec.Meta(max_length=1 + 2 * MOST_CONTROL)]
+Base = tuple[Number, Number]  # a term, and the index that its first change follows
+Vector = Annotated[list[Number], msgspec.Meta(max_length=1 + 2 * MAX_CONTROL_MEMBERS)]
 
 
 class LogEntry(msgspec.Struct, array_like=True, frozen=True):
     """A tenant as it stands after a change; a `state` of "" is a tombstone."""
 
-    number: Number
+    index: Number
     name: Name
-    at_ms: Number  # Unix time, by the clock of the writer
+    at_ms: Number  # Unix time, by the clock of the leader
     who: Annotated[str, msgspec.Meta(max_length=256)]
     state: Annotated[str, msgspec.Meta(max_length=32)]
-    tenant: Annotated[bytes, msgspec.Meta(max_length=MOST_TENANT)]  # JSON
-    key: Annotated[str, msgspec.Meta(max_length=256)] = ""  # idempotency key of the call that made it
-    epoch: Number = 0  # that the change was made in
+    tenant: Annotated[bytes, msgspec.Meta(max_length=MAX_TENANT_BYTES)]  # JSON
+    key: Annotated[str, msgspec.Meta(max_length=256)] = ""  # idempotency key of the call
+    term: Number = 0  # in which the change was made
 
     @property
     def size(self) -> int:
-        """Return roughly the bytes that it takes on the wire."""
-        return len(self.tenant) + len(self.name) + len(self.who) + len(self.key) + 40
+        """Return the approximate size in bytes on the wire."""
+        return len(self.tenant) + len(self.name) + len(self.who) + len(self.key) + ENTRY_OVERHEAD_BYTES
 
 
 class LogSegment(msgspec.Struct, array_like=True, frozen=True):
-    """The newest entries of a stream numbered in `(since, upto]`, ascending; superseded ones are absent."""
+    """The newest entries with indexes in `(since, through_index]`, ascending, without superseded ones."""
 
-    stream: Partition
-    epoch: Number
-    bases: Annotated[tuple[Base, ...], msgspec.Meta(max_length=MOST_BASES)]
+    partition: Partition
+    term: Number
+    bases: Annotated[tuple[Base, ...], msgspec.Meta(max_length=MAX_BASES)]
     since: Number
-    upto: Number
+    through_index: Number
     entries: list[LogEntry]
-    more: bool  # the giver has entries past `upto`
-    horizon: Number = 0  # tombstones up to this number may be absent
-    covered: Number = 0  # no row of the giver was removed by a change up to this number
-    goal: Number = 0  # an absent entry is superseded by one up to this number
+    more: bool  # the sender has entries past `through_index`
+    horizon: Number = 0  # tombstones up to this index may be absent
+    covered: Number = 0  # no row of the sender was removed by a change up to this index
+    goal: Number = 0  # an absent entry is superseded by one up to this index
 
 
 class EntriesRequest(msgspec.Struct, array_like=True, frozen=True, tag="entries"):
-    """Asks for what lies past the asker's positions."""
+    """Requests the entries past the positions of the sender."""
 
     sender: Place
-    control: Number  # digest of the list of control members
+    control_digest: Number  # see `positions.control_digest`
     vector: Vector
     covered: Annotated[
-        list[Number], msgspec.Meta(max_length=MOST_CONTROL)
-    ] = []  # see `LogSegment`, by stream
+        list[Number], msgspec.Meta(max_length=MAX_CONTROL_MEMBERS)
+    ] = []  # of each partition, see `LogSegment`
 
 
 class EntriesReply(msgspec.Struct, array_like=True, frozen=True):
-    """Pieces, or, where the giver has given enough of late, whom to ask instead."""
+    """Segments, or, where the sender has reached its limits, addresses of members to ask instead."""
 
-    pieces: Annotated[list[LogSegment], msgspec.Meta(max_length=MOST_CONTROL)]
-    instead: Annotated[list[Place], msgspec.Meta(max_length=MOST_INSTEAD)] = []
+    segments: Annotated[list[LogSegment], msgspec.Meta(max_length=MAX_CONTROL_MEMBERS)]
+    alternatives: Annotated[list[Place], msgspec.Meta(max_length=MAX_ALTERNATIVES)] = []
 
 
 class ChangeRequest(msgspec.Struct, array_like=True, frozen=True, tag="change"):
-    """A call of the administration API, carried to the member that writes what it changes."""
+    """A call of the administration API, forwarded to the leader of the partition that it changes."""
 
     sender: Place
     method: Annotated[str, msgspec.Meta(max_length=16)]
     target: Annotated[str, msgspec.Meta(max_length=4096)]  # path and query
     headers: Annotated[dict[str, str], msgspec.Meta(max_length=64)]
-    body: Annotated[bytes, msgspec.Meta(max_length=MOST_CHANGE)] = b""
-    who: Annotated[str, msgspec.Meta(max_length=256)] = ""  # for the trail
+    body: Annotated[bytes, msgspec.Meta(max_length=MAX_CHANGE_BYTES)] = b""
+    who: Annotated[str, msgspec.Meta(max_length=256)] = ""  # for the audit trail
 
 
 class ChangeReply(msgspec.Struct, array_like=True, frozen=True):
-    """Its answer."""
+    """The answer to a `ChangeRequest`."""
 
     status: int
-    value: Annotated[bytes, msgspec.Meta(max_length=MOST_CHANGE)] = b"null"  # JSON
+    value: Annotated[bytes, msgspec.Meta(max_length=MAX_CHANGE_BYTES)] = b"null"  # JSON
     headers: Annotated[dict[str, str], msgspec.Meta(max_length=64)] = {}
--- /dev/null
+++ b/reelusher/fleet/replication/pull_scheduler.py
@@ -0,0 +1,248 @@
+"""Decides when to pull, and from which member: one pull at a time, own zone first, with backoff.
+
+Members announce their version vectors; those that are ahead are candidates. A member that did not answer, or
+sent nothing of use, is avoided for a growing time. `observe` and the queries may come from any thread and
+never wait for a disk; all else is called by the thread that pulls.
+"""
+
+import threading
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass
+from math import inf
+from random import Random
+from typing import NamedTuple
+
+from reelusher.fleet.replication.messages import (
+    MAX_ALTERNATIVES,
+    MAX_SEGMENT_BYTES,
+    EntriesReply,
+    EntriesRequest,
+)
+from reelusher.fleet.replication.positions import (
+    Position,
+    ReplicaPositions,
+    is_valid_term,
+    position_at,
+)
+from reelusher.pacing.backoff import Backoff
+
+PULL_DELAY_S = 0.02, 0.15  # from the news that a member is ahead to the pull
+MIN_PULL_INTERVAL_S = 0.1  # so that one pull brings many changes
+BOOTSTRAP_SEGMENTS_PER_S = 5.0  # full segments that a replica pulls; each takes 6 ms of a core
+PULL_TIMEOUT_S = 5.0
+RETRY_BACKOFF_S = 0.1, 5.0  # while no member that is ahead answers
+AVOID_BACKOFF_S = 1.0, 30.0  # for which a member is not asked
+PEER_AHEAD_TTL_S = 30.0
+CLAIM_TTL_S = 30.0
+SAMPLED_PEERS = 3  # drawn from the candidates; the one that is furthest ahead is asked
+MAX_PEERS_AHEAD = 32
+MAX_PEERS_EQUAL = 16
+PULL_INTERVAL_JITTER = 0.8, 1.2
+
+
+@dataclass(slots=True)
+class PeerAhead:
+    """A member that announced more than this replica has."""
+
+    zone: str
+    vector: list[int]
+    heard_s: float
+
+
+class AvoidedPeer(NamedTuple):
+    """A member that is not asked for a while."""
+
+    until_s: float
+    backoff: Backoff
+
+
+class Claim(NamedTuple):
+    """The furthest position that a member announced in a partition."""
+
+    position: Position
+    heard_s: float
+
+
+@dataclass(slots=True, frozen=True)
+class Pull:
+    """A request that is in flight."""
+
+    address: str
+    request: EntriesRequest
+    until_s: float
+
+
+class PullScheduler:
+    """Schedules the pulls of one replica."""
+
+    def __init__(self, own_address: str, positions: ReplicaPositions, random: Random, zone: str) -> None:
+        self._own_address, self._positions, self._random, self._zone = own_address, positions, random, zone
+        self._lock = threading.Lock()  # of what is known of peers
+        self.peers_ahead: dict[str, PeerAhead] = {}  # by address
+        self.avoided: dict[str, AvoidedPeer] = {}  # by address
+        self.peers_equal: deque[str] = deque(maxlen=MAX_PEERS_EQUAL)  # addresses
+        self._claims: dict[str, Claim] = {}  # by partition
+        self._backoff = Backoff(random, *RETRY_BACKOFF_S)
+        self.in_flight: Pull | None = None
+        self.due_s = inf
+
+    # What members announce
+
+    def observe(self, address: str, zone: str, vector: list[int], now: float) -> str:
+        """Record the vector of a member; return "", or a word for the counters where it is rejected."""
+        if vector == self._positions.announced:
+            self.peers_equal.append(address)
+            return ""
+        if not self._positions.is_compatible(vector):
+            return "control"
+        if not self._positions.is_ahead(vector) or address == self._own_address:
+            return ""
+        if not all(is_valid_term(term, self._positions.control) for term in vector[1::2]):
+            return "epoch"
+        with self._lock:
+            self.peers_ahead.pop(address, None)
+            self.peers_ahead[address] = PeerAhead(zone, vector, now)
+            if len(self.peers_ahead) > MAX_PEERS_AHEAD:
+                del self.peers_ahead[next(iter(self.peers_ahead))]
+            self._record_claims(vector, now)
+        if self.due_s == inf:
+            self.due_s = now + self._random.uniform(*PULL_DELAY_S)
+        return ""
+
+    def _record_claims(self, vector: Sequence[int], now: float) -> None:
+        for place, partition in enumerate(self._positions.control):
+            position = position_at(vector, place)
+            claim = self._claims.get(partition)
+            if claim is None or position >= claim.position or now - claim.heard_s > CLAIM_TTL_S:
+                self._claims[partition] = Claim(position, now)
+
+    def claimed(self, partition: str, now: float) -> Position | None:
+        """Return the furthest position announced lately, where it is past this replica's."""
+        with self._lock:
+            claim = self._claims.get(partition)
+        state = self._positions.states[partition]
+        if claim is None or now - claim.heard_s > CLAIM_TTL_S:
+            return None
+        return claim.position if claim.position > (state.term, state.index) else None
+
+    def alternatives(self, besides: str) -> list[str]:
+        """Return addresses of some members that are as far as this replica or further."""
+        with self._lock:
+            known = {*self.peers_equal.copy(), *self.peers_ahead} - {besides}
+        return self._random.sample(sorted(known), min(MAX_ALTERNATIVES, len(known)))
+
+    # Pulls
+
+    def next_due_s(self) -> float:
+        """Return when `next_pull` is wanted; infinite: not before a member is ahead."""
+        return self.in_flight.until_s if self.in_flight else self.due_s
+
+    def next_pull(self, now: float) -> Pull | None:
+        """Return the pull that is due. `Replica.apply_reply` or `failed` ends it."""
+        if self.in_flight is not None:
+            if now < self.in_flight.until_s:
+                return None
+            self.failed(self.in_flight, now)
+        if now < self.due_s:
+            return None
+        with self._lock:
+            self._forget_outdated(now)
+            address = self._choose_peer(now)
+        if address is None:
+            return None
+        self.in_flight = Pull(address, self._request(), now + PULL_TIMEOUT_S)
+        self.due_s = inf
+        return self.in_flight
+
+    def _forget_outdated(self, now: float) -> None:
+        self.peers_ahead = {
+            address: peer
+            for address, peer in self.peers_ahead.items()
+            if now - peer.heard_s < PEER_AHEAD_TTL_S and self._positions.is_ahead(peer.vector)
+        }
+        self.avoided = {
+            address: avoided
+            for address, avoided in self.avoided.items()
+            if address in self.peers_ahead or now < avoided.until_s + AVOID_BACKOFF_S[1]
+        }
+
+    def _choose_peer(self, now: float) -> str | None:
+        """Return the address of the member to ask; where there is none, wait for the first avoided one."""
+        avoided_until_s = {
+            address: avoided.until_s
+            for address, avoided in self.avoided.items()
+            if address in self.peers_ahead
+        }
+        candidates = [address for address in self.peers_ahead if now >= avoided_until_s.get(address, 0.0)]
+        if not candidates:
+            self.due_s = min(avoided_until_s.values(), default=inf)
+            return None
+        near = [address for address in candidates if self.peers_ahead[address].zone == self._zone]
+        preferred = near or candidates
+        drawn = self._random.sample(preferred, min(SAMPLED_PEERS, len(preferred)))
+        return max(drawn, key=lambda address: self._positions.gain(self.peers_ahead[address].vector))
+
+    def _request(self) -> EntriesRequest:
+        states = [self._positions.states[partition] for partition in self._positions.control]
+        vector = [self._positions.digest]
+        for state in states:
+            vector += state.term, state.since
+        covered = [state.covered if state.since else 0 for state in states]
+        return EntriesRequest(self._own_address, self._positions.digest, vector, covered)
+
+    def failed(self, pull: Pull, now: float) -> None:
+        """End a pull that was not answered."""
+        if self.end(pull):
+            self._avoid(pull.address, now)
+            self.retry_later(now)
+
+    def end(self, pull: Pull) -> bool:
+        """End a pull; return whether it was still in flight."""
+        if self.in_flight is not pull:
+            return False
+        self.in_flight = None
+        return True
+
+    def retry_later(self, now: float) -> None:
+        """Schedule the next pull after a failure."""
+        self.due_s = now + self._backoff.next_s()
+
+    def _avoid(self, address: str, now: float) -> None:
+        with self._lock:
+            avoided = self.avoided.get(address)
+            backoff = avoided.backoff if avoided else Backoff(self._random, *AVOID_BACKOFF_S)
+            self.avoided[address] = AvoidedPeer(now + backoff.next_s(), backoff)
+
+    def reply_applied(self, pull: Pull, reply: EntriesReply, useful: bool, now: float) -> None:
+        """Schedule the next pull after a reply. `useful`: this replica has more than before."""
+        if useful:
+            self._backoff.reset()
+            with self._lock:
+                self.avoided.pop(pull.address, None)
+        else:
+            self._record_alternatives(pull, reply, now)
+            self._avoid(pull.address, now)
+        if self._more_to_pull(reply):
+            # paced by bytes, not by segments: one change in each of several partitions is no bootstrap
+            size = sum(entry.size for segment in reply.segments for entry in segment.entries)
+            segments = size / MAX_SEGMENT_BYTES
+            paced_s = max(MIN_PULL_INTERVAL_S, segments / BOOTSTRAP_SEGMENTS_PER_S)
+            wait_s = paced_s if useful else self._backoff.next_s()
+            self.due_s = now + wait_s * self._random.uniform(*PULL_INTERVAL_JITTER)
+
+    def _more_to_pull(self, reply: EntriesReply) -> bool:
+        with self._lock:
+            behind = any(self._positions.is_ahead(peer.vector) for peer in self.peers_ahead.values())
+        return behind or any(segment.more for segment in reply.segments)
+
+    def _record_alternatives(self, pull: Pull, reply: EntriesReply, now: float) -> None:
+        """Trust a member at its limit that the alternatives it named are as far as itself."""
+        with self._lock:
+            peer = self.peers_ahead.get(pull.address)
+            if peer is None:
+                return
+            for address in reply.alternatives:
+                known = address in self.peers_ahead or address == self._own_address
+                if not known and len(self.peers_ahead) < MAX_PEERS_AHEAD:
+                    self.peers_ahead[address] = PeerAhead("", peer.vector, now)
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass
 
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.replica import Position, Replica, TokenBucket
+from reelusher.fleet.replication.positions import Position
+from reelusher.fleet.replication.replica import Replica, TokenBucket
 
 MOST_MEMBERS = 4096
 GRACE_S = 3.0  # after a change, in which nearly all members have it and are heard by themselves
@@ -55,7 +56,7 @@
     def heard(self, place: str, vector: list[int], now: float) -> None:
         """Note what a member announces."""
         own = self._replica.announce()
-        if len(vector) != len(own) or vector[0] != own[0] or place == self._replica.own_place:
+        if len(vector) != len(own) or vector[0] != own[0] or place == self._replica.own_address:
             return
         with self._changed:
             known = self._vectors.pop(place, None)
@@ -97,9 +98,9 @@
     def _held(self) -> list[tuple[str, Position]]:
         states = self._replica.states
         return [
-            (stream, Position(states[stream].epoch, states[stream].number))
+            (stream, Position(states[stream].term, states[stream].index))
             for stream in self._replica.control
-            if self._replica.holds(stream, self._own_name)
+            if self._replica.leads(stream, self._own_name)
         ]
 
     # The service's thread
@@ -111,14 +112,14 @@
             and any(
                 self._everywhere[stream].position != position if stream in self._everywhere else True
                 for stream, position in self._held()
-                if position.number
+                if position.log_index
             )
         )
 
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
         """Return the places of members to call now; `live` are all live ones."""
         self._looked_s = now
-        places = [said.place for said in live if said.place != self._replica.own_place]
+        places = [said.place for said in live if said.place != self._replica.own_address]
         behind: dict[str, float] = {}  # when each was last heard or called
         with self._changed:
             for gone in self._vectors.keys() - set(places):
@@ -126,7 +127,7 @@
             for stream, position in self._held():
                 lack = [place for place in places if not self._has(place, stream, position)]
                 made = dict(self._made[stream])
-                if not lack and position.number:
+                if not lack and position.log_index:
                     self._note(stream, position, now, made.get(position))
                 elif now - made.get(position, 0.0) >= GRACE_S:
                     behind |= dict.fromkeys(lack, 0.0)
@@ -154,7 +155,7 @@
     def told(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
         """Return, for each stream that this member holds, who has its newest change."""
         self.attend(now)
-        others = [said for said in live if said.place != self._replica.own_place]
+        others = [said for said in live if said.place != self._replica.own_address]
         made = []
         with self._changed:
             for stream, position in self._held():
@@ -165,7 +166,7 @@
                 made.append(
                     {
                         "stream": stream,
-                        "position": f"{position.epoch}.{position.number}",
+                        "position": f"{position.term}.{position.log_index}",
                         "members": len(others),
                         "have": len(others) - len(lack),
                         "made_s": None if newest is None else round(now - newest, 1),
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -16,7 +16,7 @@
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.replication.leadership import SETTLE_S, Leadership
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest
-from reelusher.fleet.replication.replica import KEPT_S, PullResult, Replica
+from reelusher.fleet.replication.replica import TOMBSTONE_TTL_S, PullResult, Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.replication_progress import ReplicationProgress
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
@@ -116,8 +116,8 @@
     def filling(self) -> bool:
         """Tell whether rows are missing that others were seen to have: a name not found may yet come."""
         now = time.monotonic()
-        self._fresh = self._fresh and now - self._began_s < SETTLE_S and self.replica.fresh()
-        return self._fresh or self.replica.filling(now)
+        self._fresh = self._fresh and now - self._began_s < SETTLE_S and self.replica.is_uninitialized()
+        return self._fresh or self.replica.is_bootstrapping(now)
 
     def _live(self) -> list[Update]:
         return self._fleet.live() if self._fleet is not None else []
@@ -130,7 +130,7 @@
 
     def _heard(self, place: str, vector: list[int], now: float) -> None:
         """Take what rode on a datagram; called with the lock of membership held."""
-        fault = self.replica.heard(place, self._zones.get(place, ""), vector, now)
+        fault = self.replica.pulls.observe(place, self._zones.get(place, ""), vector, now)
         if fault:
             self._counters.warn(
                 f"replication.refused_{fault}", "replication: what {} announces is refused: {}", place, fault
@@ -139,18 +139,18 @@
         self.writer.heard(place)
         if self.census is not None:
             self.census.heard(place, vector, now)
-        if self.replica.ahead(vector):
+        if self.replica.positions.is_ahead(vector):
             self._pull.set()
 
     def _asked(self, request: EntriesRequest) -> EntriesReply:
         try:
-            reply = self.replica.asked(request, time.monotonic())
+            reply = self.replica.answer(request, time.monotonic())
         except ReplicaError as error:
             self._tell(error)
             return EntriesReply([])
-        self._counters.add("replication.pieces_given", len(reply.pieces))
-        if not reply.pieces:
-            self._counters.add("replication.sent_on" if reply.instead else "replication.nothing_given")
+        self._counters.add("replication.pieces_given", len(reply.segments))
+        if not reply.segments:
+            self._counters.add("replication.sent_on" if reply.alternatives else "replication.nothing_given")
         return reply
 
     # The thread of pulls
@@ -159,30 +159,30 @@
         while not self._stop.is_set():
             now = time.monotonic()
             self._pull.clear()
-            pull = None if self.copy.damage else self.replica.next_pull(now)
+            pull = None if self.copy.damage else self.replica.pulls.next_pull(now)
             if pull is None:
-                left_s = LOOK_S if self.copy.damage else self.replica.due_s() - now
+                left_s = LOOK_S if self.copy.damage else self.replica.pulls.next_due_s() - now
                 self._pull.wait(min(max(left_s, 0.005), LOOK_S))
                 continue
             assert self._fleet is not None
-            reply = self._fleet.ask(pull.place, pull.request, EntriesReply)
+            reply = self._fleet.ask(pull.address, pull.request, EntriesReply)
             now = time.monotonic()
             if reply is None:
                 self._counters.add("replication.pulls_failed")
-                self.replica.failed(pull, now)
+                self.replica.pulls.failed(pull, now)
                 continue
             try:
-                self._count(pull.place, self.replica.take(pull, reply, now))
+                self._count(pull.address, self.replica.apply_reply(pull, reply, now))
             except Exception:
-                logger.exception("replication: what {} gave could not be taken", pull.place)
-                self.replica.failed(pull, now)
+                logger.exception("replication: what {} gave could not be taken", pull.address)
+                self.replica.pulls.failed(pull, now)
 
     def _count(self, place: str, taken: PullResult) -> None:
         add = self._counters.add
         add("replication.pulls")
-        add("replication.pieces_taken", taken.pieces)
+        add("replication.pieces_taken", taken.segments)
         add("replication.entries_taken", taken.entries)
-        for fault in taken.refused:
+        for fault in taken.faults:
             if fault == "stale":
                 add("replication.pieces_stale")
             else:
@@ -192,7 +192,7 @@
         for stream in taken.refills:
             add("replication.refills")
             logger.info("replication: stream {} is refilled from 0", stream)
-        for stream, count in taken.orphans.items():
+        for stream, count in taken.divergent.items():
             add("replication.orphans", count)
             logger.warning(
                 "replication: {} changes of stream {} are of no history since it was taken over,"
@@ -200,8 +200,8 @@
                 count,
                 stream,
             )
-        if taken.broken:
-            self._tell(ReplicaError(taken.broken))
+        if taken.store_error:
+            self._tell(ReplicaError(taken.store_error))
 
     def _tell(self, error: ReplicaError) -> None:
         if self._stop.is_set():  # the copy is closed: whoever is late finds it so
@@ -242,7 +242,7 @@
             self._recheck_s = now if more else now + RECHECK_S
         if now >= self._collect_s:
             self._collect_s = now + self._random.uniform(*COLLECT_S)
-            gone = self.replica.collect(time.time_ns() // 1_000_000 - int(KEPT_S * 1000))
+            gone = self.replica.collect_tombstones(time.time_ns() // 1_000_000 - int(TOMBSTONE_TTL_S * 1000))
             self._counters.add("replication.tombstones_collected", gone)
         if now >= self._check_s:
             self._check_s = now + self._random.uniform(*CHECK_S)
--- a/reelusher/fleet/replication/sqlite_replica/integrity.py
+++ b/reelusher/fleet/replication/sqlite_replica/integrity.py
@@ -18,7 +18,7 @@
         last_index = conn.execute(
             "SELECT max(number) FROM rows WHERE stream = ?", (partitions.ids[partition],)
         ).fetchone()[0]
-        if (last_index or 0) > max(state.number, state.cursor):
+        if (last_index or 0) > max(state.index, state.cursor):
             reason = f"a row of {partition} is numbered {last_index}, past its position"
             raise DamagedReplicaError(path, reason)
 
--- a/reelusher/fleet/replication/sqlite_replica/partitions.py
+++ b/reelusher/fleet/replication/sqlite_replica/partitions.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from reelusher.fleet.replication.replica import ordered
+from reelusher.fleet.replication.positions import sorted_control
 from reelusher.fleet.replication.replica_store import PartitionState
 from reelusher.fleet.replication.sqlite_replica.errors import DamagedReplicaError
 
@@ -20,7 +20,7 @@
 
     def __init__(self, path: Path, control: Sequence[str]) -> None:
         self._path = path
-        self.names = ordered(control)
+        self.names = sorted_control(control)
         self.ids = {partition: number for number, partition in enumerate(self.names)}
 
     def read_all(self, conn: sqlite3.Connection) -> dict[str, PartitionState]:
@@ -48,15 +48,15 @@
             "INSERT OR REPLACE INTO streams VALUES(?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
                 self.ids[partition],
-                state.epoch,
-                state.number,
+                state.term,
+                state.index,
                 msgspec.json.encode(state.bases).decode(),
                 state.horizon,
                 state.covered,
                 state.goal,
                 state.generation,
                 state.cursor,
-                LOST_FLAG * state.lost | RESTORED_FLAG * state.put_back,
+                LOST_FLAG * state.lost | RESTORED_FLAG * state.restored,
             ),
         )
 
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -25,9 +25,14 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.fleet.replication.messages import MOST_PIECE, LogEntry
-from reelusher.fleet.replication.replica import first_epoch
-from reelusher.fleet.replication.replica_store import SPARE, PartitionState, ReplicaError, SegmentBatch
+from reelusher.fleet.replication.messages import MAX_SEGMENT_BYTES, LogEntry
+from reelusher.fleet.replication.positions import first_term
+from reelusher.fleet.replication.replica_store import (
+    MIN_KEPT_INDEXES,
+    PartitionState,
+    ReplicaError,
+    SegmentBatch,
+)
 from reelusher.fleet.replication.sqlite_replica import integrity, queries, schema
 from reelusher.fleet.replication.sqlite_replica.database import Database
 from reelusher.fleet.replication.sqlite_replica.errors import DamagedReplicaError
@@ -96,7 +101,7 @@
         schema.create_tables(writer, self._fleet, control, last_row_id)
         if lost:
             for partition in control:
-                state = PartitionState(first_epoch(partition, control), lost=True)
+                state = PartitionState(first_term(partition, control), lost=True)
                 self._partitions.write(writer, partition, state)
         schema.mark_header(writer)
         writer.execute("COMMIT")
@@ -134,14 +139,16 @@
         with self.database.write_connection() as conn:
             return self._partitions.read_all(conn)
 
-    def given(self, partition: str, since: int, max_bytes: int = MOST_PIECE) -> SegmentBatch | None:
+    def read_batch(
+        self, partition: str, since: int, max_bytes: int = MAX_SEGMENT_BYTES
+    ) -> SegmentBatch | None:
         """Return entries past an index, and the state of the partition at that instant."""
         with self.database.segment_read() as conn:
             state = self._partitions.read(conn, partition)
             if state is None:
                 return None
             partition_id = self._partitions.ids[partition]
-            entries, more = queries.read_entries(conn, partition_id, since, state.number, max_bytes)
+            entries, more = queries.read_entries(conn, partition_id, since, state.index, max_bytes)
             return SegmentBatch(state, entries, more)
 
     @contextmanager
@@ -178,30 +185,30 @@
             self._partitions.write(conn, partition, state)
             return names
 
-    def orphan(self, partition: str, past_index: int, state: PartitionState) -> int:
+    def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
         """Set rows past an index aside as divergent; return how many."""
         with self._transaction(durable=True) as (conn, writer):
             count = writer.set_aside_divergent(
-                self._partitions.ids[partition], past_index, state.epoch, self._wall_ms()
+                self._partitions.ids[partition], past_index, state.term, self._wall_ms()
             )
             writer.trim_history()
             self._partitions.write(conn, partition, state)
             return count
 
-    def collect(self, partition: str, before_ms: int, spare: int = SPARE) -> int:
+    def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
         """Delete old tombstones; return how many."""
         with self._transaction(durable=False) as (conn, writer):
             state = self._partitions.read(conn, partition)
             if state is None:
                 return 0
             partition_id = self._partitions.ids[partition]
-            indexes = writer.collect_tombstones(partition_id, state.number - spare, before_ms)
+            indexes = writer.collect_tombstones(partition_id, state.index - spare, before_ms)
             if indexes:
                 horizon = max(state.horizon, *indexes)
                 self._partitions.write(conn, partition, replace(state, horizon=horizon))
             return len(indexes)
 
-    def changed(self, names: Iterable[str]) -> None:
+    def notify_changed(self, names: Iterable[str]) -> None:
         """Notify `on_change` of names that changed."""
         changed_names = list(names)
         if changed_names:
@@ -281,7 +288,7 @@
         """
         with self._transaction(durable=False) as (conn, _):
             result = integrity.recheck_rows(conn, checked_by, limit, self.check_tenant)
-        self.changed(result.changed_names)
+        self.notify_changed(result.changed_names)
         return result.more
 
     def check(self) -> bool:
--- a/reelusher/fleet/replication/sqlite_replica/writes.py
+++ b/reelusher/fleet/replication/sqlite_replica/writes.py
@@ -47,12 +47,12 @@
         last_id = stored_last_id = self._last_row_id()
         for entry in entries:
             before = self._find(entry.name)
-            if before is None or entry.number > before.log_index:
+            if before is None or entry.index > before.log_index:
                 if before is None or (entry.state and not before.state):
                     last_id += 1
                 self._replace(entry, segment, before, last_id)
                 names.append(entry.name)
-            elif entry.number == before.log_index:
+            elif entry.index == before.log_index:
                 self._conn.execute(
                     "UPDATE rows SET generation = ? WHERE id = ?", (segment.generation, before.row_id)
                 )
@@ -98,8 +98,8 @@
     ) -> None:
         columns = (
             segment.partition_id,
-            entry.number,
-            entry.epoch,
+            entry.index,
+            entry.term,
             segment.generation,
             entry.state,
             entry.tenant,
@@ -160,8 +160,8 @@
             "INSERT INTO audit VALUES(NULL, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
                 segment.partition_id,
-                entry.epoch,
-                entry.number,
+                entry.term,
+                entry.index,
                 entry.name,
                 entry.who,
                 entry.at_ms,
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from reelusher.fleet.replication.messages import LogEntry
-from reelusher.fleet.replication.replica import first_epoch, ordered, stream_of
+from reelusher.fleet.replication.positions import first_term, partition_of, sorted_control
 from reelusher.fleet.replication.replica_store import PartitionState
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.lab.capacity import site
@@ -31,7 +31,7 @@
     numbers = dict.fromkeys(control, 0)
     for number in range(size):
         told = site.tenant(number, f"worker-{number % workers}")
-        stream = stream_of(told["name"], control)
+        stream = partition_of(told["name"], control)
         numbers[stream] += 1
         pieces[stream].append(
             LogEntry(
@@ -42,7 +42,7 @@
                 "active",
                 msgspec.json.encode(told),
                 "",
-                first_epoch(stream, control),
+                first_term(stream, control),
             )
         )
         if len(pieces[stream]) == PIECE:
@@ -55,11 +55,11 @@
     path: Path, size: int, fleet: str = FLEET, control: tuple[str, ...] = CONTROL, workers: int = 1
 ) -> None:
     """Fill a copy as a fresh machine does, in pieces that are not synced one by one."""
-    control = ordered(control)
+    control = sorted_control(control)
     copy = SqliteReplica(path, fleet, control)
     for stream, piece in entries(size, control, workers):
-        upto = piece[-1].number
-        state = PartitionState(first_epoch(stream, control), upto, covered=upto, goal=upto)
+        upto = piece[-1].index
+        state = PartitionState(first_term(stream, control), upto, covered=upto, goal=upto)
         copy.apply(stream, piece, state, durable=False)
     copy.close()
 
@@ -85,7 +85,7 @@
     copy = SqliteReplica(path, FLEET, CONTROL)
     open_ms = (time.monotonic() - began) * 1000
     there(copy.count() == size, "rows are lost")
-    random, control = Random(1), ordered(CONTROL)
+    random, control = Random(1), sorted_control(CONTROL)
     numbers = [random.randrange(size) for _ in range(LOOKS)]
 
     def look() -> None:
@@ -94,9 +94,9 @@
 
     def change() -> None:
         told = site.tenant(random.randrange(size)) | {"max_open": random.randrange(1, 1000)}
-        stream = stream_of(told["name"], control)
+        stream = partition_of(told["name"], control)
         state = copy.states()[stream]
-        number = state.number + 1
+        number = state.index + 1
         copy.apply(
             stream,
             [
@@ -108,10 +108,10 @@
                     "active",
                     msgspec.json.encode(told),
                     "",
-                    state.epoch,
+                    state.term,
                 )
             ],
-            PartitionState(state.epoch, number, covered=number, goal=number),
+            PartitionState(state.term, number, covered=number, goal=number),
         )
 
     match_us = each_us(look) / LOOKS
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -66,12 +66,12 @@
     state, at_ms = copy.states()[WRITER], time.time_ns() // 1_000_000
     try:
         for begin in range(0, rows, AT_ONCE):
-            upto = state.number + min(AT_ONCE, rows - begin)
+            upto = state.index + min(AT_ONCE, rows - begin)
             entries = []
-            for place, number in enumerate(range(state.number + 1, upto + 1), begin):
+            for place, number in enumerate(range(state.index + 1, upto + 1), begin):
                 row = json.dumps(tenant(name_of(place), place)).encode()
-                entries.append(LogEntry(number, name_of(place), at_ms, "rig", "active", row, "", state.epoch))
-            state = replace(state, number=upto, covered=upto, goal=upto)
+                entries.append(LogEntry(number, name_of(place), at_ms, "rig", "active", row, "", state.term))
+            state = replace(state, index=upto, covered=upto, goal=upto)
             copy.apply(WRITER, entries, state)
     finally:
         copy.close()
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -51,7 +51,9 @@
 )
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, LogEntry
-from reelusher.fleet.replication.replica import Pull, Replica, stream_of
+from reelusher.fleet.replication.positions import partition_of
+from reelusher.fleet.replication.pull_scheduler import Pull
+from reelusher.fleet.replication.replica import Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.lab.fleet.rig import free_port
 
@@ -93,7 +95,7 @@
         self.exchanging = False
 
     def _heard(self, sender: str, vector: list[int], now: float) -> None:
-        self.replica.heard(sender, self.zone_of(sender), vector, now)
+        self.replica.pulls.observe(sender, self.zone_of(sender), vector, now)
 
     def zone_of(self, place: str) -> str:
         """Return the zone of a member that it knows."""
@@ -102,7 +104,7 @@
 
     def next_s(self) -> float:
         """Return when it has something to do."""
-        return min(self.swim.next_s(), self.replica.due_s(), self.sync_s)
+        return min(self.swim.next_s(), self.replica.pulls.next_due_s(), self.sync_s)
 
 
 def hosts_of(count: int) -> list[str]:
@@ -243,7 +245,7 @@
                 member.sync_s = now + self.random.uniform(*SYNC_S)
                 for place in member.swim.table.some(1):
                     self._compare(member, place)
-            if (pull := member.replica.next_pull(now)) is not None:
+            if (pull := member.replica.pulls.next_pull(now)) is not None:
                 self._pull(member, pull)
             self._wake(member)
         for one in [one for one in self.exchanges if one.until_s < self.looked_s]:
@@ -328,23 +330,23 @@
 
     def _pull(self, member: Member, pull: Pull) -> None:
         self.counts["pulls"] += 1
-        other = self.members.get(pull.place)
-        if self._apart(member, pull.place):
-            member.replica.failed(pull, self.now)
+        other = self.members.get(pull.address)
+        if self._apart(member, pull.address):
+            member.replica.pulls.failed(pull, self.now)
         elif other is not None:
-            member.replica.take(pull, other.replica.asked(pull.request, self.now), self.now)
+            member.replica.apply_reply(pull, other.replica.answer(pull.request, self.now), self.now)
         else:
 
             def take(reply: EntriesReply) -> None:
-                member.replica.take(pull, reply, self.now)
+                member.replica.apply_reply(pull, reply, self.now)
                 self._wake(member)
 
             def failed() -> None:
-                member.replica.failed(pull, self.now)
+                member.replica.pulls.failed(pull, self.now)
                 self._wake(member)
 
             self.counts["pulls_of_nodes"] += 1
-            self._ask(member, pull.place, pull.request, EntriesReply, take, failed)
+            self._ask(member, pull.address, pull.request, EntriesReply, take, failed)
 
     def _answer(self, member: Member, asked: Any) -> Any:
         match asked:
@@ -358,7 +360,7 @@
             case DigestRequest():
                 return DigestReply(member.swim.compared(asked.whole))
             case EntriesRequest():
-                return member.replica.asked(asked, self.now)
+                return member.replica.answer(asked, self.now)
         return FactsReply(False, [])
 
     # Exchanges with real nodes
@@ -451,14 +453,14 @@
     def change(self, name: str) -> tuple[str, int]:
         """Have the member that writes a name change it; return the stream and the change's number."""
         first = next(iter(self.members.values()))
-        stream = stream_of(name, first.replica.control)
+        stream = partition_of(name, first.replica.control)
         writer = next(member for member in self.members.values() if member.swim.own.name == stream)
         made = writer.replica.accept(stream, stream, LogEntry(0, name, 0, "rig", "active", b"{}"))
-        return stream, made.number
+        return stream, made.index
 
     def lacking(self, stream: str, number: int) -> int:
         """Return how many members do not have a change."""
-        return sum(member.replica.states[stream].number < number for member in self.members.values())
+        return sum(member.replica.states[stream].index < number for member in self.members.values())
 
     # What the rig wants to know
 
@@ -483,7 +485,7 @@
         """Tell whether a member has these rows, `max_open` and state by name, and no others."""
         found = {
             name: [json.loads(entry.tenant)["max_open"], entry.state]
-            for name, entry in member.rows.live().items()
+            for name, entry in member.rows.live_entries().items()
         }
         return found == wanted
 
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -42,7 +42,9 @@
 )
 from reelusher.fleet.membership.swim import Said, Swim
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry
-from reelusher.fleet.replication.replica import NotLeaderError, Pull, Replica, stream_of
+from reelusher.fleet.replication.positions import partition_of
+from reelusher.fleet.replication.pull_scheduler import Pull
+from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.lab.fleet.virtual import VirtualLine
 
@@ -249,9 +251,9 @@
             node.swim.heard = lambda sender, vector, at: self._heard(node, sender, vector, at)
 
     def _heard(self, node: Node, sender: str, vector: list[int], now: float) -> None:
-        if vector != node.position or node.replica._due_s != node.pull_due_s:
+        if vector != node.position or node.replica.pulls.due_s != node.pull_due_s:
             began = perf_counter()
-            node.replica.heard(sender, str(self.by_place[sender].zone), vector, now)
+            node.replica.pulls.observe(sender, str(self.by_place[sender].zone), vector, now)
             took = perf_counter() - began
             self.replica_s += took
             self.swim_s -= took  # within which it is called
@@ -408,7 +410,7 @@
                 gives = node.states.take(now)
                 return StateReply(node.swim.state()) if gives else StateReply([], [node.place])
         began = perf_counter()
-        reply = node.replica.asked(request, now)
+        reply = node.replica.answer(request, now)
         self.replica_s += perf_counter() - began
         return reply
 
@@ -467,7 +469,7 @@
     # Replication
 
     def _wake_pull(self, node: Node) -> None:
-        at = node.replica.due_s()
+        at = node.replica.pulls.next_due_s()
         if at != node.pull_due_s and node.up:
             node.pull_due_s = at
             if at < float("inf"):
@@ -478,22 +480,22 @@
             return
         node.pull_due_s = float("inf")
         began = perf_counter()
-        pull = replica.next_pull(self.line.now)
+        pull = replica.pulls.next_pull(self.line.now)
         self.replica_s += perf_counter() - began
         self._wake_pull(node)
         if pull is not None:
             self._ask(
-                node, self.by_place[pull.place], pull.request, lambda reply: self._pulled(node, pull, reply)
+                node, self.by_place[pull.address], pull.request, lambda reply: self._pulled(node, pull, reply)
             )
 
     def _pulled(self, node: Node, pull: Pull, reply: EntriesReply | None) -> None:
         began = perf_counter()
         if reply is None:
             self.failed_pulls += 1
-            node.replica.failed(pull, self.line.now)
+            node.replica.pulls.failed(pull, self.line.now)
         else:
-            taken = node.replica.take(pull, reply, self.line.now)
-            for word in taken.refused:
+            taken = node.replica.apply_reply(pull, reply, self.line.now)
+            for word in taken.faults:
                 self.refused[word] = self.refused.get(word, 0) + 1
         self.replica_s += perf_counter() - began
         self._note(node)
@@ -511,7 +513,7 @@
     def change(self, tenant: int) -> bool:
         """Have a tenant's holder make a change; False where it is away, or of another part."""
         name = f"tenant-{tenant}"
-        holder = stream_of(name, CONTROL)
+        holder = partition_of(name, CONTROL)
         node = self.nodes[CONTROL.index(holder)]
         if not node.up or self.part_of(node) != self.part:
             return False
@@ -524,7 +526,7 @@
         except NotLeaderError:
             return False
         stream = CONTROL.index(holder)
-        self.changes.append(Change(now, stream, entry.number))
+        self.changes.append(Change(now, stream, entry.index))
         self._note(node)
         return True
 
@@ -819,14 +821,14 @@
         name: kept
         for node in fleet.mine
         if node.index < len(CONTROL)
-        for name, kept in node.rows.live().items()
-        if stream_of(name, CONTROL) == node.name
+        for name, kept in node.rows.live_entries().items()
+        if partition_of(name, CONTROL) == node.name
     }
 
 
 def lost(fleet: Fleet, newest: dict[str, Any], changes: Sequence[Change]) -> dict[str, int]:
     """Return how many live nodes of a part lack a change, or have another row than the holder."""
-    differ = sum(node.rows.live() != newest for node in fleet.mine if node.up)
+    differ = sum(node.rows.live_entries() != newest for node in fleet.mine if node.up)
     numbers = [sum(change.stream == stream for change in changes) for stream in range(len(CONTROL))]
     undone = sum(node.position[2::2] != numbers for node in fleet.mine if node.up)
     return {"nodes_with_other_rows": differ, "nodes_not_at_the_last_change": undone}
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -22,7 +22,7 @@
 from statistics import median
 from typing import Any
 
-from reelusher.fleet.replication.replica import stream_of
+from reelusher.fleet.replication.positions import partition_of
 from reelusher.lab.capacity import fill
 from reelusher.lab.capacity.books import (
     ACTIVE,
@@ -129,7 +129,7 @@
     def _writers(self) -> dict[str, str]:
         if not self.control:
             return dict.fromkeys(self.tenants, self.names[0])
-        return {name: stream_of(name, self.control) for name in self.tenants}
+        return {name: partition_of(name, self.control) for name in self.tenants}
 
     def spawn(self, work: Any) -> None:
         """Run something beside all else; a fault in it spoils the run."""
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -16,8 +16,9 @@
 from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator import Tenant, read_tenant
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.messages import MOST_TENANT, LogEntry
-from reelusher.fleet.replication.replica import NotLeaderError, Position, holder_of, stream_of
+from reelusher.fleet.replication.messages import MAX_TENANT_BYTES, LogEntry
+from reelusher.fleet.replication.positions import Position, leader_of, partition_of
+from reelusher.fleet.replication.replica import NotLeaderError
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
 from reelusher.fleet.replication.sqlite_replica import ReplicaAuditEntry, ReplicaRow
@@ -62,7 +63,7 @@
 
 def told(position: Position) -> str:
     """Return a position as people read it."""
-    return f"{position.epoch}.{position.number}"
+    return f"{position.term}.{position.log_index}"
 
 
 def standing(row: ReplicaRow) -> ReplicatedTenant:
@@ -113,22 +114,22 @@
 
     # Who writes what
 
-    def stream_of(self, name: str) -> str:
+    def partition_of(self, name: str) -> str:
         """Return the stream that a tenant's name belongs to."""
-        return stream_of(name, self.replica.control)
+        return partition_of(name, self.replica.control)
 
     def holder(self, stream: str) -> str:
         """Return the name of the member that writes a stream, as far as is known here."""
-        return holder_of(self.replica.states[stream].epoch, self.replica.control)
+        return leader_of(self.replica.states[stream].term, self.replica.control)
 
     def position(self, stream: str) -> Position:
         """Return how far this node is in a stream."""
         state = self.replica.states[stream]
-        return Position(state.epoch, state.number)
+        return Position(state.term, state.index)
 
     def lacks(self, stream: str) -> Position | None:
         """Return how far somebody was heard to be of late, where that is further than this node."""
-        return self.replica.claimed(stream, time.monotonic())
+        return self.replica.pulls.claimed(stream, time.monotonic())
 
     # Looking, at this node's copy
 
@@ -167,8 +168,8 @@
             size = len(msgspec.json.encode(tenant.to_json()))
         except UnicodeEncodeError as error:  # half of a pair of surrogates
             raise ConfigError(tenant.name, f"it is no Unicode: {error}") from None
-        if size > MOST_TENANT:
-            raise ConfigError(tenant.name, f"at most {MOST_TENANT} bytes of JSON are wanted, not {size}")
+        if size > MAX_TENANT_BYTES:
+            raise ConfigError(tenant.name, f"at most {MAX_TENANT_BYTES} bytes of JSON are wanted, not {size}")
         return tenant
 
     def overlapping(self, kept: ReplicatedTenant) -> ReplicatedTenant:
@@ -215,7 +216,7 @@
         made = None if tenant is None else self.overlapping(ReplicatedTenant(tenant, state, ""))
         wanted = LogEntry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
         try:
-            entry = self.replication.writer.accept(self.stream_of(name), wanted)
+            entry = self.replication.writer.accept(self.partition_of(name), wanted)
         except NotLeaderError as error:
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
@@ -223,7 +224,7 @@
         if made is None:
             return None
         self._tell(made)
-        return replace(made, version=f"{entry.epoch}.{entry.number}")
+        return replace(made, version=f"{entry.term}.{entry.index}")
 
     def noticed(self, names: Sequence[str]) -> None:
         """Look whether rows of other writers overlap with those that this node writes, and tell.
@@ -233,7 +234,7 @@
         if self.own_name not in self.replica.control or len(names) > MOST_NOTICED:
             return
         for name in names:
-            if self.holder(self.stream_of(name)) == self.own_name:
+            if self.holder(self.partition_of(name)) == self.own_name:
                 continue  # told when it was made
             with suppress(ReplicaError):
                 kept = self.kept(name)
@@ -242,7 +243,7 @@
                     self._tell(replace(made, lost=self._own(made.lost), won=self._own(made.won)))
 
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
-        return tuple(one for one in overlaps if self.holder(self.stream_of(one.tenant)) == self.own_name)
+        return tuple(one for one in overlaps if self.holder(self.partition_of(one.tenant)) == self.own_name)
 
     def _tell(self, made: ReplicatedTenant) -> None:
         name = str(made.tenant["name"])
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -21,14 +21,14 @@
 )
 from reelusher.fleet.replication import messages as replication
 from reelusher.fleet.replication.messages import LogEntry, LogSegment
-from reelusher.fleet.replication.replica import (
+from reelusher.fleet.replication.positions import (
     Position,
     control_digest,
-    first_epoch,
-    holder_of,
-    next_epoch,
+    first_term,
+    leader_of,
+    next_term,
     pack,
-    stream_of,
+    partition_of,
 )
 from reelusher.fleet.warm_start.facts import donors
 
@@ -58,33 +58,33 @@
 ]
 ENTRIES = [
     LogEntry(
-        number=41,
+        index=41,
         name="clinic",
         at_ms=1_700_000_000_000,
         who="operator",
         state="active",
         tenant=b'{"name":"clinic"}',
         key="key-1",
-        epoch=17,
+        term=17,
     ),
-    LogEntry(number=42, name="removed", at_ms=1_700_000_000_001, who="c2", state="", tenant=b""),
+    LogEntry(index=42, name="removed", at_ms=1_700_000_000_001, who="c2", state="", tenant=b""),
     LogEntry(
-        number=43,
+        index=43,
         name="held",
         at_ms=1_700_000_000_002,
         who="",
         state="suspended",
         tenant=b'{"name":"held"}',
         key="",
-        epoch=25,
+        term=25,
     ),
 ]
 PIECE = LogSegment(
-    stream="c1",
-    epoch=17,
+    partition="c1",
+    term=17,
     bases=((9, 3), (17, 40)),
     since=40,
-    upto=43,
+    through_index=43,
     entries=ENTRIES,
     more=True,
     horizon=12,
@@ -125,12 +125,12 @@
     "entries request": (
         replication.EntriesRequest,
         replication.EntriesRequest(
-            sender=OWN, control=control_digest(CONTROL), vector=[1, 2, 3], covered=[40, 41]
+            sender=OWN, control_digest=control_digest(CONTROL), vector=[1, 2, 3], covered=[40, 41]
         ),
     ),
     "entries reply": (
         replication.EntriesReply,
-        replication.EntriesReply(pieces=[PIECE], instead=[OTHER]),
+        replication.EntriesReply(segments=[PIECE], alternatives=[OTHER]),
     ),
     "change request": (
         replication.ChangeRequest,
@@ -204,15 +204,15 @@
     table = MemberTable(Random(1))
     for update in UPDATES:
         table.take(update, 0.0)
-    vector = {member: Position(first_epoch(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
+    vector = {member: Position(first_term(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
     return {
         "buckets": [bucket_of(update.place) for update in UPDATES],
         "marks": [mark_of(update) for update in UPDATES],
         "digests": [[at, digest] for at, digest in enumerate(table.digests) if digest],
-        "owners": "".join(stream_of(f"tenant-{number}", CONTROL)[1] for number in range(60)),
+        "owners": "".join(partition_of(f"tenant-{number}", CONTROL)[1] for number in range(60)),
         "control digest": control_digest(CONTROL),
         "vector": pack(vector, CONTROL),
-        "epochs": [first_epoch("c2", CONTROL), next_epoch(9, "c3", CONTROL), holder_of(18, CONTROL)],
+        "epochs": [first_term("c2", CONTROL), next_term(9, "c3", CONTROL), leader_of(18, CONTROL)],
         "donors": donors(OWN, [f"127.0.0.1:{port}" for port in range(7001, 7020)]),
     }
 
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -20,7 +20,7 @@
 from golden.recordings import as_json, load, path_of
 from reelusher.core.messages import KeyLockRequest, Result
 from reelusher.fleet.replication.messages import LogEntry
-from reelusher.fleet.replication.replica import first_epoch
+from reelusher.fleet.replication.positions import first_term
 from reelusher.fleet.replication.replica_store import PartitionState
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.storage.directory import LockedDirectory
@@ -162,23 +162,23 @@
     """Write a replica with rows, a tombstone, a row that can't be served, one kept aside, and a trail."""
     folder.mkdir()
     copy = open_replica(folder / "tenants.db")
-    first = PartitionState(first_epoch("c1", CONTROL), number=4, covered=4, goal=4)
+    first = PartitionState(first_term("c1", CONTROL), index=4, covered=4, goal=4)
     copy.apply("c1", replica_entries(), first, durable=True)
     other = PartitionState(
-        first_epoch("c2", CONTROL),
-        number=9,
+        first_term("c2", CONTROL),
+        index=9,
         bases=((9, 2),),
         horizon=1,
         covered=9,
         goal=12,
         generation=3,
-        put_back=True,
+        restored=True,
     )
     divergent = LogEntry(
         11, "divergent", START_MS, "c2", "active", msgspec.json.encode(tenant("divergent")), "", 9
     )
-    copy.apply("c2", [divergent], replace(other, number=11))
-    copy.orphan("c2", 9, other)
+    copy.apply("c2", [divergent], replace(other, index=11))
+    copy.set_aside_divergent("c2", 9, other)
     copy.close()
 
 
@@ -350,9 +350,9 @@
     copy = open_replica(path)
     states = copy.states()
     assert states == {
-        "c1": PartitionState(8, number=4, covered=4, goal=4),
+        "c1": PartitionState(8, index=4, covered=4, goal=4),
         "c2": PartitionState(
-            9, number=9, bases=((9, 2),), horizon=1, covered=9, goal=12, generation=3, put_back=True
+            9, index=9, bases=((9, 2),), horizon=1, covered=9, goal=12, generation=3, restored=True
         ),
     }
     assert [(row.name, row.state, row.index, row.partition, row.unreadable) for row in copy.page()] == [
@@ -379,7 +379,7 @@
     assert found is not None
     assert found.name == "ward"
     changed = LogEntry(5, "ward", START_MS, "operator", "active", b"{}", "", 8)
-    copy.apply("c1", [changed], replace(states["c1"], number=5, covered=5, goal=5), durable=True)
+    copy.apply("c1", [changed], replace(states["c1"], index=5, covered=5, goal=5), durable=True)
     copy.close()
     rows = tables(path)["rows"]
     assert [row[1:5] + row[6:8] for row in rows["rows"] if row[1] == "ward"] == [
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -8,7 +8,9 @@
 import msgspec
 
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry
-from reelusher.fleet.replication.replica import Pull, PullResult, Replica, stream_of
+from reelusher.fleet.replication.positions import partition_of
+from reelusher.fleet.replication.pull_scheduler import Pull
+from reelusher.fleet.replication.replica import PullResult, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 
@@ -39,7 +41,7 @@
     found: list[str] = []
     number = 0
     while len(found) < count:
-        if stream_of(f"t{number}", control) == stream:
+        if partition_of(f"t{number}", control) == stream:
             found.append(f"t{number}")
         number += 1
     return found
@@ -80,14 +82,14 @@
         """Return number and state of each tenant that a member has."""
         rows = self.rows[name]
         if isinstance(rows, MemoryReplicaStore):
-            return {key: (one.number, one.state) for key, one in rows.live().items()}
+            return {key: (one.index, one.state) for key, one in rows.live_entries().items()}
         return {row.name: (row.index, row.state) for row in rows.page("", 10_000)}
 
     def orphans(self, name: str) -> list[tuple[str, int]]:
         """Return name and number of what a member keeps aside."""
         rows = self.rows[name]
         if isinstance(rows, MemoryReplicaStore):
-            return [(one.name, one.number) for _, _, one in rows.orphans]
+            return [(one.name, one.index) for _, _, one in rows.divergent_rows]
         return [(one["name"], one["revision"]) for one in rows.divergent_rows()]
 
     def _begun(self, name: str) -> Replica:
@@ -105,7 +107,7 @@
 
     def change(self, name: str, state: str = "active", by: str = "", **more: Any) -> LogEntry:
         """Have the writer of a name make a change."""
-        stream = stream_of(name, self.control)
+        stream = partition_of(name, self.control)
         holder = by or stream
         return self.all[holder].accept(stream, holder, entry(name, state=state, **more))
 
@@ -113,17 +115,17 @@
         """Have one ask another, past all waits; None where it is not behind it."""
         self.now += 60.0
         one, other = self.all[asker], self.all[giver]
-        one._ahead.clear()
-        one._shunned.clear()
-        one._due_s = self.now
-        one.heard(giver, "", list(other.announce()), self.now)
-        pull = one.next_pull(self.now)
-        return None if pull is None else (pull, other.asked(pull.request, self.now))
+        one.pulls.peers_ahead.clear()
+        one.pulls.avoided.clear()
+        one.pulls.due_s = self.now
+        one.pulls.observe(giver, "", list(other.announce()), self.now)
+        pull = one.pulls.next_pull(self.now)
+        return None if pull is None else (pull, other.answer(pull.request, self.now))
 
     def pull(self, asker: str, giver: str) -> PullResult | None:
         """Let one exchange come to its end."""
         asked = self.ask(asker, giver)
-        return None if asked is None else self.all[asker].take(*asked, self.now)
+        return None if asked is None else self.all[asker].apply_reply(*asked, self.now)
 
     def settle(self, *members: str, most: int = 200) -> None:
         """Have all ask all until nobody learns anything more."""
@@ -133,7 +135,7 @@
             for asker in among:
                 for giver in among:
                     taken = self.pull(asker, giver) if asker != giver else None
-                    moved |= taken is not None and taken.pieces > 0
+                    moved |= taken is not None and taken.segments > 0
             if not moved:
                 return
         raise AssertionError("they don't settle")
--- a/tests/test_paging.py
+++ b/tests/test_paging.py
@@ -332,7 +332,7 @@
             number += 1
             state = rows[one.name][1].value if one.name in rows else ""
             told = json.dumps(one.to_json()).encode() if state else b""
-            copy.changed(
+            copy.notify_changed(
                 copy.apply(
                     "c1",
                     [Row(number, one.name, 0, "me", state, told)],
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -27,7 +27,8 @@
 from reelusher.config.operator import parse
 from reelusher.fleet.replication import leadership, service
 from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, LogEntry
-from reelusher.fleet.replication.replica import Replica, stream_of
+from reelusher.fleet.replication.positions import partition_of
+from reelusher.fleet.replication.replica import Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.frontends.ajp.frontend import AjpFrontend
@@ -139,9 +140,9 @@
         """Have a node pull nothing more, or again."""
         replica = self.replica(at)
         if deaf:
-            replica.next_pull = lambda now: None  # type: ignore[method-assign]
+            replica.pulls.next_pull = lambda now: None  # type: ignore[method-assign]
         else:
-            del replica.next_pull
+            del replica.pulls.next_pull
 
     def follows(self, first: str, second: str) -> bool:
         """Wait until two nodes are equally far."""
@@ -286,7 +287,7 @@
 def test_no_change_is_answered_before_it_is_durable(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     replica, durable, asked = nodes.replica("c2"), threading.Event(), threading.Event()
-    apply = replica.rows.apply
+    apply = replica.store.apply
 
     def slow(*arguments: Any, **named: Any) -> list[str]:
         assert named["durable"]
@@ -294,7 +295,7 @@
         durable.wait(10)
         return apply(*arguments, **named)
 
-    replica.rows.apply = slow  # type: ignore[method-assign]
+    replica.store.apply = slow  # type: ignore[method-assign]
     answers: list[Called] = []
     caller = threading.Thread(
         target=lambda: answers.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
@@ -315,17 +316,17 @@
 ) -> None:
     nodes.start("c1", "c2")
     replica = nodes.replica("c2")
-    apply, before = replica.rows.apply, nodes.positions("c2")
+    apply, before = replica.store.apply, nodes.positions("c2")
 
     def full(*arguments: Any, **named: Any) -> list[str]:
         raise ReplicaError("the disk is full")
 
-    replica.rows.apply = full  # type: ignore[method-assign]
+    replica.store.apply = full  # type: ignore[method-assign]
     status, value, _ = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))
     assert status == 507
     assert "the disk is full" in value["error"]
     assert nodes.positions("c2") == before
-    replica.rows.apply = apply  # type: ignore[method-assign]
+    replica.store.apply = apply  # type: ignore[method-assign]
     assert nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))[2]["etag"] == '"9.1"'
 
 
@@ -689,7 +690,9 @@
     for number, name in enumerate((C1[0], C2[0]), 1):
         data = json.dumps(tenant(name)).encode()
         replica.accept(
-            stream_of(name, CONTROL), stream_of(name, CONTROL), LogEntry(0, name, number, "x", "active", data)
+            partition_of(name, CONTROL),
+            partition_of(name, CONTROL),
+            LogEntry(0, name, number, "x", "active", data),
         )
     copy.close()
     ajp, admin, away = ("{}:{}".format(*place) for place in free_places(3))
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -17,30 +17,31 @@
 
 from reelusher.fleet.replication import replica as replica_module
 from reelusher.fleet.replication.messages import (
-    MOST_PIECE,
-    MOST_REPLY,
-    MOST_TENANT,
+    MAX_REPLY_BYTES,
+    MAX_SEGMENT_BYTES,
+    MAX_TENANT_BYTES,
     EntriesReply,
     EntriesRequest,
     LogEntry,
     LogSegment,
 )
-from reelusher.fleet.replication.replica import (
-    FILL_PER_S,
-    JITTER_S,
-    LEAST_S,
-    NotLeaderError,
+from reelusher.fleet.replication.positions import (
     Position,
-    Replica,
     control_digest,
-    first_epoch,
-    holder_of,
-    next_epoch,
+    first_term,
+    leader_of,
+    next_term,
     pack,
-    shared_upto,
-    stream_of,
+    partition_of,
+    shared_through_index,
     unpack,
 )
+from reelusher.fleet.replication.pull_scheduler import (
+    BOOTSTRAP_SEGMENTS_PER_S,
+    MIN_PULL_INTERVAL_S,
+    PULL_DELAY_S,
+)
+from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore, PartitionState, ReplicaError
 
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
@@ -63,10 +64,18 @@
     )
 
 
-def piece(state: PartitionState, entries: list[LogEntry], since: int = 0, **more: Any) -> LogSegment:
-    upto = more.pop("upto", entries[-1].number if entries else since)
-    told = {"stream": "c1", "epoch": state.epoch, "bases": state.bases, "covered": upto, "goal": upto} | more
-    return LogSegment(since=since, upto=upto, entries=entries, more=False, **told)
+def make_segment(state: PartitionState, entries: list[LogEntry], since: int = 0, **more: Any) -> LogSegment:
+    through_index = more.pop("through_index", entries[-1].index if entries else since)
+    fields = {
+        "partition": "c1",
+        "term": state.term,
+        "bases": state.bases,
+        "covered": through_index,
+        "goal": through_index,
+    }
+    return LogSegment(
+        since=since, through_index=through_index, entries=entries, more=False, **(fields | more)
+    )
 
 
 # Names, streams, vectors
@@ -75,11 +84,11 @@
 def test_names_are_spread_evenly_and_a_list_that_grows_takes_its_part_of_each() -> None:
     control = ["a", "b", "c"]
     names = [f"tenant-{number}" for number in range(3000)]
-    before = [stream_of(name, control) for name in names]
+    before = [partition_of(name, control) for name in names]
     assert all(before.count(member) > 850 for member in control)
-    after = [stream_of(name, [*control, "d"]) for name in names]
+    after = [partition_of(name, [*control, "d"]) for name in names]
     assert {new for old, new in zip(before, after, strict=True) if new != old} == {"d"}
-    assert stream_of("x", control) == stream_of("x", control[::-1])
+    assert partition_of("x", control) == partition_of("x", control[::-1])
 
 
 @given(st.lists(st.tuples(st.integers(0, 1 << 40), st.integers(0, 1 << 40)), min_size=2, max_size=2))
@@ -91,12 +100,12 @@
 
 
 def test_an_epoch_tells_its_holder_and_two_that_take_over_at_once_begin_two() -> None:
-    begun = first_epoch("c2", CONTROL)
-    assert holder_of(begun, CONTROL) == "c2"
-    one, other = (next_epoch(begun, name, CONTROL) for name in CONTROL)
+    begun = first_term("c2", CONTROL)
+    assert leader_of(begun, CONTROL) == "c2"
+    one, other = (next_term(begun, name, CONTROL) for name in CONTROL)
     assert one != other
     assert min(one, other) > begun
-    assert (holder_of(one, CONTROL), holder_of(other, CONTROL)) == CONTROL
+    assert (leader_of(one, CONTROL), leader_of(other, CONTROL)) == CONTROL
 
 
 @pytest.mark.parametrize(
@@ -111,7 +120,7 @@
     ],
 )
 def test_histories_are_one_up_to_where_the_first_of_them_leaves(first: Any, second: Any, upto: float) -> None:
-    assert shared_upto(first, second) == shared_upto(second, first) == upto
+    assert shared_through_index(first, second) == shared_through_index(second, first) == upto
 
 
 # Exchanges
@@ -123,7 +132,7 @@
         fleet.change(name)
     taken = fleet.pull("n1", "c1")
     assert taken is not None
-    assert (taken.entries, sorted(taken.names)) == (3, sorted(C1[:3]))
+    assert (taken.entries, sorted(taken.changed_names)) == (3, sorted(C1[:3]))
     fleet.settle()
     assert all_alike(fleet)
     assert len(live(fleet, "n3")) == 5
@@ -138,8 +147,8 @@
     one, other = fleet.ask("n1", "n2"), fleet.ask("n2", "n1")
     assert one is not None
     assert other is not None
-    fleet.all["n1"].take(*one, fleet.now)
-    fleet.all["n2"].take(*other, fleet.now)
+    fleet.all["n1"].apply_reply(*one, fleet.now)
+    fleet.all["n2"].apply_reply(*other, fleet.now)
     assert live(fleet, "n1") == live(fleet, "n2")
     assert len(live(fleet, "n1")) == 2
 
@@ -158,7 +167,7 @@
     assert removed is not None
     assert added is not None
     for name in sorted(("n1", "n2"), key=lambda name: name != first):
-        fleet.all[name].take(*{"n1": removed, "n2": added}[name], fleet.now)
+        fleet.all[name].apply_reply(*{"n1": removed, "n2": added}[name], fleet.now)
     assert not live(fleet, "n1")
     assert live(fleet, "n2")
     fleet.settle()
@@ -174,9 +183,9 @@
     asked = fleet.ask("n1", "c1")
     assert asked is not None
     replica = fleet.all["n1"]
-    replica.failed(asked[0], fleet.now)
-    assert replica.due_s() > fleet.now
-    assert replica.take(*asked, fleet.now).pieces == 0
+    replica.pulls.failed(asked[0], fleet.now)
+    assert replica.pulls.next_due_s() > fleet.now
+    assert replica.apply_reply(*asked, fleet.now).segments == 0
     assert not live(fleet, "n1")
     fleet.settle()
     assert all_alike(fleet)
@@ -188,15 +197,15 @@
     fleet.pull("n2", "c1")
     replica = fleet.all["n1"]
     for name in ("c1", "n2"):
-        replica.heard(name, "", list(fleet.all[name].announce()), fleet.now)
-    first = replica.next_pull(replica.due_s())
+        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+    first = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert first is not None
-    assert replica.next_pull(fleet.now + 1) is None
-    late_s = replica.due_s()
-    assert replica.next_pull(late_s) is None  # waits a little first
-    second = replica.next_pull(replica.due_s())
+    assert replica.pulls.next_pull(fleet.now + 1) is None
+    late_s = replica.pulls.next_due_s()
+    assert replica.pulls.next_pull(late_s) is None  # waits a little first
+    second = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert second is not None
-    assert second.place != first.place
+    assert second.address != first.address
 
 
 def test_a_pull_follows_soon_after_hearing_with_jitter_and_own_zone_first() -> None:
@@ -206,13 +215,13 @@
         other = Replica("c1", CONTROL, MemoryReplicaStore(), Random(seed))
         other.accept("c1", "c1", entry(C1[0]))
         for place, zone in (("a", "far"), ("b", "near"), ("c", "far")):
-            assert replica.heard(place, zone, list(other.announce()), 5.0) == ""
-        due.add(replica.due_s())
-        pull = replica.next_pull(replica.due_s())
+            assert replica.pulls.observe(place, zone, list(other.announce()), 5.0) == ""
+        due.add(replica.pulls.next_due_s())
+        pull = replica.pulls.next_pull(replica.pulls.next_due_s())
         assert pull is not None
-        assert pull.place == "b"
+        assert pull.address == "b"
     assert len(due) == 20
-    assert 5 + JITTER_S[0] <= min(due) <= max(due) <= 5 + JITTER_S[1]
+    assert 5 + PULL_DELAY_S[0] <= min(due) <= max(due) <= 5 + PULL_DELAY_S[1]
 
 
 def test_of_several_that_are_ahead_the_one_ahead_most_is_asked_and_a_later_epoch_is_further() -> None:
@@ -223,22 +232,25 @@
         fleet.pull(name, "c1")
     replica = fleet.all["n1"]
     for name in ("n2", "n3", "n2"):
-        replica.heard(name, "", list(fleet.all[name].announce()), fleet.now)
-    pull = replica.next_pull(replica.due_s())
+        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+    pull = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert pull is not None
-    assert pull.place == "n3"
-    replica.failed(pull, fleet.now)
+    assert pull.address == "n3"
+    replica.pulls.failed(pull, fleet.now)
     told = list(fleet.all["n2"].announce())
     told[1] += 8  # a later term
-    replica.heard("n4", "", told, fleet.now)
-    pull = replica.next_pull(fleet.now + 10)
+    replica.pulls.observe("n4", "", told, fleet.now)
+    pull = replica.pulls.next_pull(fleet.now + 10)
     assert pull is not None
-    assert pull.place == "n4"
+    assert pull.address == "n4"
 
 
 @pytest.mark.parametrize(
     ("rows", "least_s", "most_s"),
-    [(1, 0.8 * LEAST_S, 1.2 * LEAST_S), (1000, 0.8 * 3.5 / FILL_PER_S, 1.2 * 4.5 / FILL_PER_S)],
+    [
+        (1, 0.8 * MIN_PULL_INTERVAL_S, 1.2 * MIN_PULL_INTERVAL_S),
+        (1000, 0.8 * 3.5 / BOOTSTRAP_SEGMENTS_PER_S, 1.2 * 4.5 / BOOTSTRAP_SEGMENTS_PER_S),
+    ],
 )
 def test_the_next_pull_waits_for_the_bytes_of_the_last_and_not_for_its_streams(
     rows: int, least_s: float, most_s: float
@@ -255,25 +267,25 @@
     pull, reply = found
     fleet.change(names_of("c1", rows + 1, control)[-1])
     replica = fleet.all["n1"]
-    replica.heard("c1", "", list(fleet.all["c1"].announce()), fleet.now)
-    assert len(reply.pieces) == 6 if rows == 1 else len(reply.pieces) >= 4
-    replica.take(pull, reply, fleet.now)
-    assert least_s <= replica.due_s() - fleet.now <= most_s
+    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), fleet.now)
+    assert len(reply.segments) == 6 if rows == 1 else len(reply.segments) >= 4
+    replica.apply_reply(pull, reply, fleet.now)
+    assert least_s <= replica.pulls.next_due_s() - fleet.now <= most_s
 
 
 def test_nobody_is_asked_who_is_level_behind_or_of_another_list(folder: Path | None) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
     writer = fleet.all["c1"]
-    assert writer.heard("n1", "", list(fleet.all["n1"].announce()), fleet.now) == ""
-    assert writer.heard("n1", "", list(writer.announce()), fleet.now) == ""
+    assert writer.pulls.observe("n1", "", list(fleet.all["n1"].announce()), fleet.now) == ""
+    assert writer.pulls.observe("n1", "", list(writer.announce()), fleet.now) == ""
     other = Replica("c1", ("c1", "c3"), MemoryReplicaStore(), Random(1))
     other.accept("c1", "c1", entry(names_of("c1", 1, ("c1", "c3"))[0]))
-    assert fleet.all["n1"].heard("x", "", list(other.announce()), fleet.now) == "control"
-    assert fleet.all["n1"].heard("x", "", [1, 2], fleet.now) == "control"
-    assert all(one.due_s() == float("inf") for one in (writer, fleet.all["n1"]))
+    assert fleet.all["n1"].pulls.observe("x", "", list(other.announce()), fleet.now) == "control"
+    assert fleet.all["n1"].pulls.observe("x", "", [1, 2], fleet.now) == "control"
+    assert all(one.pulls.next_due_s() == float("inf") for one in (writer, fleet.all["n1"]))
     told = other.announce()
-    assert writer.asked(EntriesRequest("x", told[0], list(told)), fleet.now) == EntriesReply([])
+    assert writer.answer(EntriesRequest("x", told[0], list(told)), fleet.now) == EntriesReply([])
 
 
 def test_who_has_given_enough_of_late_sends_on_to_others_that_have_it(folder: Path | None) -> None:
@@ -281,23 +293,23 @@
     fleet.change(C1[0])
     for name in ("n2", "n3"):
         fleet.pull(name, "c1")
-        fleet.all["c1"].heard(name, "", list(fleet.all[name].announce()), fleet.now)
+        fleet.all["c1"].pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
     writer, asker = fleet.all["c1"], fleet.all["n1"]
     request = EntriesRequest("n4", writer.announce()[0], [writer.announce()[0], 0, 0, 0, 0])
-    while writer.asked(request, fleet.now).pieces:
+    while writer.answer(request, fleet.now).segments:
         pass
-    replica_heard = asker.heard("c1", "", list(writer.announce()), fleet.now)
+    replica_heard = asker.pulls.observe("c1", "", list(writer.announce()), fleet.now)
     assert replica_heard == ""
-    pull = asker.next_pull(asker.due_s())
+    pull = asker.pulls.next_pull(asker.pulls.next_due_s())
     assert pull is not None
-    reply = writer.asked(pull.request, fleet.now)
-    assert not reply.pieces
-    assert set(reply.instead) == {"n2", "n3"}
-    assert asker.take(pull, reply, fleet.now).pieces == 0
-    second = asker.next_pull(asker.due_s())
+    reply = writer.answer(pull.request, fleet.now)
+    assert not reply.segments
+    assert set(reply.alternatives) == {"n2", "n3"}
+    assert asker.apply_reply(pull, reply, fleet.now).segments == 0
+    second = asker.pulls.next_pull(asker.pulls.next_due_s())
     assert second is not None
-    assert second.place in ("n2", "n3")
-    assert writer.asked(pull.request, fleet.now + 1).pieces
+    assert second.address in ("n2", "n3")
+    assert writer.answer(pull.request, fleet.now + 1).segments
 
 
 def test_pieces_and_replies_are_bounded_and_no_stream_waits_for_another(folder: Path | None) -> None:
@@ -306,9 +318,9 @@
         fleet.change(name, pad="x" * 20_000)
     asked = fleet.ask("n1", "c1")
     assert asked is not None
-    pieces = asked[1].pieces
-    assert sum(one.size for each in pieces for one in each.entries) <= MOST_REPLY + 48_000
-    assert all(sum(one.size for one in each.entries) <= MOST_PIECE for each in pieces)
+    pieces = asked[1].segments
+    assert sum(one.size for each in pieces for one in each.entries) <= MAX_REPLY_BYTES + 48_000
+    assert all(sum(one.size for one in each.entries) <= MAX_SEGMENT_BYTES for each in pieces)
     assert len(msgspec.msgpack.encode(asked[1])) < 1 << 19
     fleet.settle()
     assert all_alike(fleet)
@@ -325,14 +337,14 @@
 @pytest.mark.parametrize(
     ("more", "word"),
     [
-        bad("stream", stream="c9"),
-        bad("epoch", epoch=3),
-        bad("epoch", epoch=8 + 7),
+        bad("stream", partition="c9"),
+        bad("epoch", term=3),
+        bad("epoch", term=8 + 7),
         bad("bases", bases=((8, 1),)),
-        bad("bases", epoch=16),
-        bad("bases", epoch=16, bases=((16, 4), (16, 4))),
-        bad("bases", epoch=24, bases=((16, 9), (24, 4))),
-        bad("numbers", upto=1),
+        bad("bases", term=16),
+        bad("bases", term=16, bases=((16, 4), (16, 4))),
+        bad("bases", term=24, bases=((16, 9), (24, 4))),
+        bad("numbers", through_index=1),
         bad("numbers", goal=1),
         bad("numbers", since=1),
         bad("numbers", entries=[entry(C1[0], 2), entry(C1[1], 1)]),
@@ -348,14 +360,19 @@
     fleet.change(C1[0])
     asked = fleet.ask("n1", "c1")
     assert asked is not None
-    good: dict[str, Any] = {"since": 0, "upto": 2, "goal": 2, "entries": [entry(C1[0], 1), entry(C1[1], 2)]}
-    made = piece(replica.states["c1"], **(good | more))
-    taken = replica.take(asked[0], EntriesReply([made]), fleet.now)
-    assert taken.refused == [word]
+    good: dict[str, Any] = {
+        "since": 0,
+        "through_index": 2,
+        "goal": 2,
+        "entries": [entry(C1[0], 1), entry(C1[1], 2)],
+    }
+    made = make_segment(replica.states["c1"], **(good | more))
+    taken = replica.apply_reply(asked[0], EntriesReply([made]), fleet.now)
+    assert taken.faults == [word]
     assert not live(fleet, "n1")
-    assert taken.pieces == 0
+    assert taken.segments == 0
     assert replica.announce() == pack(
-        {name: Position(first_epoch(name, CONTROL), 0) for name in CONTROL}, CONTROL
+        {name: Position(first_term(name, CONTROL), 0) for name in CONTROL}, CONTROL
     )
 
 
@@ -366,15 +383,17 @@
     fleet.change(C1[0])
     fleet.pull("n2", "c1")
     replica = fleet.all["n1"]
-    replica.heard("c1", "", list(fleet.all["c1"].announce()), fleet.now)
-    pull = replica.next_pull(replica.due_s())
+    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), fleet.now)
+    pull = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert pull is not None
-    replica.take(pull, EntriesReply([piece(replica.states["c1"], [entry(C2[0], 1)])]), fleet.now)
+    replica.apply_reply(
+        pull, EntriesReply([make_segment(replica.states["c1"], [entry(C2[0], 1)])]), fleet.now
+    )
     for name in ("c1", "n2"):
-        replica.heard(name, "", list(fleet.all[name].announce()), fleet.now)
-    second = replica.next_pull(replica.due_s())
+        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+    second = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert second is not None
-    assert second.place == "n2"
+    assert second.address == "n2"
 
 
 def test_a_copy_that_can_not_be_written_takes_nothing_and_tries_again_later() -> None:
@@ -392,9 +411,9 @@
     taken = fleet.pull("n1", "c1")
     replica = fleet.all["n1"]
     assert taken is not None
-    assert "full" in taken.broken
+    assert "full" in taken.store_error
     assert not live(fleet, "n1")
-    assert fleet.now < replica.due_s() < fleet.now + 5
+    assert fleet.now < replica.pulls.next_due_s() < fleet.now + 5
     Full.full = False
     fleet.settle()
     assert all_alike(fleet)
@@ -404,7 +423,7 @@
     "made",
     [
         entry(C2[0]),
-        entry(C1[0], pad="x" * MOST_TENANT),
+        entry(C1[0], pad="x" * MAX_TENANT_BYTES),
         LogEntry(0, C1[0], 0, "o" * 257, "active", b"{}"),
         LogEntry(0, C1[0], -1, "", "active", b"{}"),
         LogEntry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
@@ -414,7 +433,7 @@
     fleet = Replicas(0)
     with pytest.raises(ValueError, match=r"stream|length|>="):
         fleet.all["c1"].accept("c1", "c1", made)
-    assert fleet.all["c1"].states["c1"].number == 0
+    assert fleet.all["c1"].states["c1"].index == 0
 
 
 # Tombstones, refills
@@ -443,11 +462,11 @@
     before = live(fleet, "n1")
     asked = fleet.ask("n1", "c1")
     assert asked is not None
-    assert asked[1].pieces[0].since == 0
-    taken = fleet.all["n1"].take(*asked, fleet.now)
+    assert asked[1].segments[0].since == 0
+    taken = fleet.all["n1"].apply_reply(*asked, fleet.now)
     assert taken.refills == ["c1"]
     assert set(before) - set(live(fleet, "n1")) == {C1[1]}
-    assert C1[1] in taken.names
+    assert C1[1] in taken.changed_names
     fleet.settle()
     assert all_alike(fleet)
     assert len(live(fleet, "n1")) == 4
@@ -458,8 +477,8 @@
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     before, told = set(live(fleet, "n1")), list(fleet.all["n1"].announce())
     steps = 0
     while fleet.all["n1"].announce() == told:
@@ -479,8 +498,8 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.settle()
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.add("n4")
     seen = []
     for giver in ("c1", "n2", "n3", "c1", "n2"):
@@ -516,13 +535,13 @@
     fleet.pull("n1", "c1")
     fleet.change(C1[0], "")
     fleet.change(C1[1], pad="newer")
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n4", "n1")
     fleet.pull("n4", "c1")
     assert set(live(fleet, "n4")) == {C1[0], C1[2]}
     assert fleet.all["n4"].states["c1"].covered == 5
-    fleet.all["c1"].rows.collect("c1", 1, spare=0)
+    fleet.all["c1"].store.collect("c1", 1, spare=0)
     fleet.restart("c1")
     taken = fleet.pull("n4", "c1")
     assert taken is not None
@@ -537,8 +556,8 @@
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     for giver in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 is one behind
         fleet.pull("n1", giver)
         assert C1[2] in live(fleet, "n1")
@@ -552,14 +571,14 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n1", "c1")
     assert fleet.all["n1"].states["c1"].cursor > 0
     for _ in range(3):
         taken = fleet.pull("n4", "n1")
         assert taken is not None
-        assert taken.pieces == 0
+        assert taken.segments == 0
     fleet.settle()
     assert all_alike(fleet)
 
@@ -570,13 +589,13 @@
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     fleet.add("n4")
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n4", "c1")
     assert fleet.all["n4"].states["c1"].horizon == 6
     taken = fleet.pull("n4", "n1")
     assert taken is not None
-    assert taken.refused == ["stale"]
+    assert taken.faults == ["stale"]
     assert set(live(fleet, "n4")) == {C1[0]}
     fleet.settle()
     assert all_alike(fleet)
@@ -601,8 +620,8 @@
     fleet.change(C1[0])
     fleet.settle()
     position = fleet.all["c2"].begin_term("c1", "c2")
-    assert holder_of(position.epoch, CONTROL) == "c2"
-    assert position.number == 1
+    assert leader_of(position.term, CONTROL) == "c2"
+    assert position.log_index == 1
     fleet.change(C1[1], by="c2")
     fleet.settle()
     assert all_alike(fleet)
@@ -621,7 +640,7 @@
     fleet.pull("n1", "c1")
     fleet.change(C1[2], by="c2")
     told = {name: fleet.pull(name, "c2") for name in ("c1", "n1")}
-    assert {name: taken.orphans for name, taken in told.items() if taken} == {
+    assert {name: taken.divergent for name, taken in told.items() if taken} == {
         "c1": {"c1": 2},
         "n1": {"c1": 2},
     }
@@ -656,7 +675,7 @@
     fleet.all["c2"].begin_term("c1", "c2")
     taken = fleet.pull("n1", "c2")
     assert taken is not None
-    assert (taken.entries, taken.orphans, taken.refills) == (2, {}, [])
+    assert (taken.entries, taken.divergent, taken.refills) == (2, {}, [])
     fleet.settle()
     assert all_alike(fleet)
 
@@ -670,8 +689,8 @@
         fleet.change(name)
     fleet.pull("c2", "c1")
     fleet.change(C1[1], pad="lost")  # number 5 supersedes 2
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     for _ in range(2):
         fleet.pull("n1", "c1")  # 1 and 3, no 2
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
@@ -692,15 +711,15 @@
         fleet.change(name)
     fleet.pull("c2", "c1")
     fleet.change(C1[0], pad="lost")
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n1", "c1")
     fleet.pull("n1", "c1")
     state = fleet.all["n1"].states["c1"]
-    assert (state.number, state.goal) == (3, 5)
+    assert (state.index, state.goal) == (3, 5)
     fleet.all["c2"].begin_term("c1", "c2")
     fleet.pull("n2", "c2")
-    assert fleet.all["n2"].states["c1"].number == 2
+    assert fleet.all["n2"].states["c1"].index == 2
     for _ in range(4):
         fleet.pull("n1", "n2")
     fleet.settle("n1", "n2", "c2")
@@ -714,12 +733,12 @@
     fleet = Replicas(1, folder)
     for name in C1[:4]:
         fleet.change(name)
-    monkeypatch.setattr(replica_module, "MOST_PIECE", 1)
-    monkeypatch.setattr(replica_module, "MOST_REPLY", 1)
+    monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
+    monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("c2", "c1")
     with pytest.raises(NotLeaderError, match="refilled"):
         fleet.all["c2"].begin_term("c1", "c2")
-    assert fleet.all["c2"].begin_term("c1", "c2", force=True).number == 1
+    assert fleet.all["c2"].begin_term("c1", "c2", force=True).log_index == 1
 
 
 def test_a_holder_that_hears_of_numbers_past_its_own_can_tell(folder: Path | None) -> None:
@@ -729,12 +748,12 @@
     fleet.settle()
     fleet.add("c1")  # an older copy was put back
     writer = fleet.all["c1"]
-    assert writer.claimed("c1", fleet.now) is None
-    writer.heard("n1", "", list(fleet.all["n1"].announce()), fleet.now)
-    assert writer.claimed("c1", fleet.now) == (first_epoch("c1", CONTROL), 2)
-    assert writer.claimed("c2", fleet.now) is None
+    assert writer.pulls.claimed("c1", fleet.now) is None
+    writer.pulls.observe("n1", "", list(fleet.all["n1"].announce()), fleet.now)
+    assert writer.pulls.claimed("c1", fleet.now) == (first_term("c1", CONTROL), 2)
+    assert writer.pulls.claimed("c2", fleet.now) is None
     fleet.settle("c1", "n1")
-    assert writer.claimed("c1", fleet.now) is None
+    assert writer.pulls.claimed("c1", fleet.now) is None
     assert live(fleet, "c1") == live(fleet, "n1")
 
 
@@ -770,10 +789,10 @@
     def hears(name: str, sender: str, now: float) -> None:
         if random.random() < loss:
             return
-        one, due = all_of[name], all_of[name].due_s()
-        one.heard(sender, "", all_of[sender].announce(), now)
-        if due > one.due_s():
-            later(one.due_s(), name, "pull")
+        one, due = all_of[name], all_of[name].pulls.next_due_s()
+        one.pulls.observe(sender, "", all_of[sender].announce(), now)
+        if due > one.pulls.next_due_s():
+            later(one.pulls.next_due_s(), name, "pull")
 
     while events and len(had_s) < size and events[0][0] < 60.0:
         now, _, name, what = heappop(events)
@@ -784,17 +803,17 @@
             hears(name, other, now)
             later(now + random.uniform(0.36, 0.44), name, None)
         elif what == "pull":
-            pull = one.next_pull(now)
+            pull = one.pulls.next_pull(now)
             if pull is not None:
                 later(now + 0.02, name, pull)
         else:
-            reply = all_of[what.place].asked(what.request, now)
-            given[what.place] += 1
-            one.take(what, reply, now)
+            reply = all_of[what.address].answer(what.request, now)
+            given[what.address] += 1
+            one.apply_reply(what, reply, now)
             if one.announce() == told:
                 had_s.setdefault(name, now)
-            elif one.due_s() < inf:
-                later(one.due_s(), name, "pull")
+            elif one.pulls.next_due_s() < inf:
+                later(one.pulls.next_due_s(), name, "pull")
     return sorted(had_s.values()), sorted(given.values())
 
 
@@ -829,13 +848,13 @@
         before = {name: unpack(one.announce(), CONTROL) for name, one in fleet.all.items()}
         if what == "change":
             name = names[first]
-            holders = [one for one in CONTROL if fleet.all[one].holds(stream_of(name, CONTROL), one)]
+            holders = [one for one in CONTROL if fleet.all[one].leads(partition_of(name, CONTROL), one)]
             for holder in holders:
                 with contextlib.suppress(NotLeaderError):
                     made = fleet.change(name, "active" if second else "", holder)
-                    acknowledged[name] = made.number, not second
-                    assert (stream_of(name, CONTROL), made.epoch, made.number) not in given
-                    given.add((stream_of(name, CONTROL), made.epoch, made.number))
+                    acknowledged[name] = made.index, not second
+                    assert (partition_of(name, CONTROL), made.term, made.index) not in given
+                    given.add((partition_of(name, CONTROL), made.term, made.index))
         elif what == "take-over":
             stream = CONTROL[second]
             with contextlib.suppress(NotLeaderError):
@@ -850,12 +869,12 @@
         elif first != second:
             asked = fleet.ask(members[first], members[second])
             if asked is not None and what == "cut":
-                fleet.all[members[first]].failed(asked[0], fleet.now)
+                fleet.all[members[first]].pulls.failed(asked[0], fleet.now)
             elif asked is not None:
-                fleet.all[members[first]].take(*asked, fleet.now)
+                fleet.all[members[first]].apply_reply(*asked, fleet.now)
                 if what == "twice":
-                    fleet.all[members[first]]._pulling = asked[0]
-                    fleet.all[members[first]].take(*asked, fleet.now)
+                    fleet.all[members[first]].pulls.in_flight = asked[0]
+                    fleet.all[members[first]].apply_reply(*asked, fleet.now)
         for name, one in fleet.all.items():
             after = unpack(one.announce(), CONTROL)
             told = before[name]
@@ -869,8 +888,8 @@
 def small_fleet(most: int, files: bool) -> Iterator[Replicas]:
     """Give five members that exchange pieces of so many bytes."""
     with pytest.MonkeyPatch.context() as patched, tempfile.TemporaryDirectory() as kept:
-        patched.setattr(replica_module, "MOST_PIECE", most)
-        patched.setattr(replica_module, "MOST_REPLY", most)
+        patched.setattr(replica_module, "MAX_SEGMENT_BYTES", most)
+        patched.setattr(replica_module, "MAX_REPLY_BYTES", most)
         fleet = Replicas(3, Path(kept) if files else None)
         yield fleet
         fleet.close()
@@ -887,7 +906,7 @@
         }
 
 
-@pytest.mark.parametrize("most", [1, 300, MOST_PIECE])
+@pytest.mark.parametrize("most", [1, 300, MAX_SEGMENT_BYTES])
 @given(steps=st.lists(STEP, max_size=60))
 @settings(max_examples=150, deadline=None)
 def test_whatever_the_order_all_end_with_the_same_rows_and_nothing_acknowledged_is_lost(
@@ -902,7 +921,7 @@
     holds_whatever_the_order(300, True, steps)
 
 
-@pytest.mark.parametrize("most", [1, MOST_PIECE])
+@pytest.mark.parametrize("most", [1, MAX_SEGMENT_BYTES])
 @given(steps=st.lists(st.one_of(STEP, TAKE_OVERS), max_size=60))
 @settings(max_examples=300, deadline=None)
 def test_all_end_with_the_same_rows_after_take_overs_too(most: int, steps: list[tuple[Any, ...]]) -> None:
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -20,15 +20,10 @@
 from reelusher.fleet.replication import replication_progress
 from reelusher.fleet.replication import service as serving
 from reelusher.fleet.replication.leadership import ALONE_S, QUIET_S, SETTLE_S, Leadership
-from reelusher.fleet.replication.messages import MOST_TENANT, EntriesReply, EntriesRequest, LogEntry
-from reelusher.fleet.replication.replica import (
-    CLAIM_S,
-    NotLeaderError,
-    Position,
-    Replica,
-    first_epoch,
-    holder_of,
-)
+from reelusher.fleet.replication.messages import MAX_TENANT_BYTES, EntriesReply, EntriesRequest, LogEntry
+from reelusher.fleet.replication.positions import Position, first_term, leader_of
+from reelusher.fleet.replication.pull_scheduler import CLAIM_TTL_S
+from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore, ReplicaError
 from reelusher.fleet.replication.replication_progress import ReplicationProgress
 from reelusher.fleet.replication.service import Replication
@@ -77,7 +72,7 @@
     clock.now += since_s
     writer.tick(others, False)
     if may:
-        assert writer.accept("c1", entry(C1[0])).number == 1
+        assert writer.accept("c1", entry(C1[0])).index == 1
     else:
         with pytest.raises(NotLeaderError, match="not heard"):
             writer.accept("c1", entry(C1[0]))
@@ -91,7 +86,7 @@
         Replicas(0).all["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True
     )
     made = writer.accept("c1", entry(C1[0]))
-    assert told == [("c1", (made.epoch, 1), 7.0)]
+    assert told == [("c1", (made.term, 1), 7.0)]
     with pytest.raises(NotLeaderError, match="c2 writes"):
         writer.accept("c2", entry(C2[0]))
 
@@ -104,7 +99,7 @@
     with pytest.raises(NotLeaderError, match="another live member"):
         writer.accept("c1", entry(C1[0]))
     writer.tick(1, False)
-    assert writer.accept("c1", entry(C1[0])).number == 1
+    assert writer.accept("c1", entry(C1[0])).index == 1
 
 
 @pytest.mark.parametrize("kept", [0, 2])
@@ -129,10 +124,10 @@
         path.write_bytes(data)
     fleet.restart("c1")
     assert fleet.all["c1"].states.get("c1")
-    assert fleet.all["c1"].states["c1"].number == kept
+    assert fleet.all["c1"].states["c1"].index == kept
     writer = writer_of(fleet, clock)
     told = list(fleet.all["n1"].announce())
-    fleet.all["c1"].heard("n1", "", told, clock.now)
+    fleet.all["c1"].pulls.observe("n1", "", told, clock.now)
     writer.heard("n1")
     writer.tick(1, False)
     with pytest.raises(NotLeaderError, match=r"others have stream c1 up to 8.5"):
@@ -149,7 +144,7 @@
     clock.now += QUIET_S + 0.1
     writer.tick(1, False)
     made = writer.accept("c1", entry(C1[9]))
-    assert (made.epoch, made.number) == (16, 6)
+    assert (made.term, made.index) == (16, 6)
     fleet.settle()
     assert fleet.live("n1") == fleet.live("c1")
     assert len(fleet.live("n1")) == 6
@@ -169,9 +164,9 @@
     fleet.pull("c1", "n1")
     for _ in range(2):
         writer.tick(1, False)
-        clock.now += CLAIM_S
+        clock.now += CLAIM_TTL_S
     made = writer.accept("c1", entry(C1[2]))
-    assert (made.epoch, made.number) == (16, 2)
+    assert (made.term, made.index) == (16, 2)
     fleet.settle()
     assert fleet.orphans("n2") == [(C1[1], 2)]
     assert (
@@ -198,10 +193,10 @@
     writer.tick(1, False)
     for _ in range(3):
         clock.now += QUIET_S - 1
-        fleet.all["c1"].heard("n1", "", list(fleet.all["n1"].announce()), clock.now)
+        fleet.all["c1"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
         writer.tick(1, False)
     fleet.pull("c1", "n1")
-    assert fleet.all["c1"].states["c1"].number == 3
+    assert fleet.all["c1"].states["c1"].index == 3
     writer.tick(1, False)
     clock.now += QUIET_S - 0.1
     writer.tick(1, False)
@@ -209,7 +204,7 @@
         writer.accept("c1", entry(C1[3]))
     clock.now += 0.2
     writer.tick(1, False)
-    assert writer.accept("c1", entry(C1[3])).number == 4
+    assert writer.accept("c1", entry(C1[3])).index == 4
     fleet.close()
 
 
@@ -220,11 +215,11 @@
     writer.tick(1, False)
     false = list(fleet.all["n1"].announce())
     false[2] = 99
-    fleet.all["c1"].heard("n1", "", false, clock.now)
+    fleet.all["c1"].pulls.observe("n1", "", false, clock.now)
     with pytest.raises(NotLeaderError, match="others have"):
         writer.accept("c1", entry(C1[0]))
-    clock.now += CLAIM_S + 0.1
-    assert writer.accept("c1", entry(C1[0])).number == 1
+    clock.now += CLAIM_TTL_S + 0.1
+    assert writer.accept("c1", entry(C1[0])).index == 1
 
 
 def test_a_take_over_waits_for_what_others_have_unless_it_is_forced() -> None:
@@ -236,7 +231,7 @@
     writer = writer_of(fleet, clock, "c2")
     writer.heard("n1")
     writer.tick(1, False)
-    fleet.all["c2"].heard("n1", "", list(fleet.all["n1"].announce()), clock.now)
+    fleet.all["c2"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
     with pytest.raises(NotLeaderError, match="others have stream c1"):
         writer.take_over("c1")
     fleet.pull("c2", "n1")
@@ -262,7 +257,7 @@
         acknowledged = True
     fleet.restart("c1")
     again = fleet.change(C1[2])
-    assert again.number == (2 if killed_after == "check" else 3)
+    assert again.index == (2 if killed_after == "check" else 3)
     fleet.settle()
     assert fleet.live("n2") == fleet.live("c1") == fleet.live("n1")
     assert not acknowledged or C1[1] in fleet.live("n2")
@@ -281,7 +276,7 @@
     census = ReplicationProgress(fleet.all["c1"], "c1")
     members = live("c1", "c2", "n1", "n2", "n3")
     made = fleet.change(C1[0])
-    census.made("c1", Position(made.epoch, 1), 10.0)
+    census.made("c1", Position(made.term, 1), 10.0)
     for name in ("n1", "n2"):
         fleet.pull(name, "c1")
         census.heard(name, list(fleet.all[name].announce()), 11.0)
@@ -316,7 +311,7 @@
     places = [f"n{number}" for number in range(300)]
     members = live("c1", *places)
     made = fleet.change(C1[0])
-    census.made("c1", Position(made.epoch, 1), 100.0)
+    census.made("c1", Position(made.term, 1), 100.0)
     old = list(fleet.all["c2"].announce())
     for at, place in enumerate(places):
         census.heard(place, old, 50.0 + at / 10)
@@ -340,7 +335,7 @@
     fleet = Replicas(2)
     census = ReplicationProgress(fleet.all["c1"], "c1")
     made = fleet.change(C1[0])
-    position = Position(made.epoch, made.number)
+    position = Position(made.term, made.index)
     assert census.wait("c1", position, 1, 0.01) == 0
     got: list[int] = []
     waiter = threading.Thread(target=lambda: got.append(census.wait("c1", position, 2, 10.0)))
@@ -428,7 +423,7 @@
     c1 = start("c1")
     others = [start("c2", c1), start("n1", c1), start("n2", c1)]
     made = writes(c1, "c1", entry(C1[0]))
-    position = Position(made.epoch, made.number)
+    position = Position(made.term, made.index)
     assert c1.replication.wait("c1", position, 3, 5.0) == 3
     assert all(node.copy.match(f"{C1[0]}.example", "/x") is not None for node in others)
     begun_s = time.monotonic()
@@ -446,7 +441,7 @@
 def test_a_large_entry_and_a_fill_from_nothing_get_through(start: Start) -> None:
     c1 = start("c1")
     n1 = start("n1", c1)
-    large = LogEntry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MOST_TENANT - 20) + b'"}')
+    large = LogEntry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MAX_TENANT_BYTES - 20) + b'"}')
     writes(c1, "c1", large)
     for name in C1[1:]:
         writes(c1, "c1", entry(name, pad="y" * 4000))
@@ -498,17 +493,17 @@
     with pytest.raises(NotLeaderError, match="damaged"):
         writes(c1, "c1", entry(C1[30]), QUIET_S + 2)
     begun = c1.replication.writer.take_over("c1")
-    assert begun.epoch > first_epoch("c1", CONTROL)
-    assert holder_of(begun.epoch, CONTROL) == "c1"
+    assert begun.term > first_term("c1", CONTROL)
+    assert leader_of(begun.term, CONTROL) == "c1"
     made = writes(c1, "c1", entry(C1[30]))
-    assert (made.epoch, made.number) == (begun.epoch, 21)
+    assert (made.term, made.index) == (begun.term, 21)
     assert soon(lambda: n1.copy.get(C1[30]) is not None)
     assert n1.counters.snapshot().get("replication.orphans", 0) == 0
 
 
 def test_a_node_with_nobody_there_serves_and_a_holder_writes_alone(start: Start) -> None:
     c1 = start("c1")
-    assert writes(c1, "c1", entry(C1[0]), ALONE_S + 3).number == 1
+    assert writes(c1, "c1", entry(C1[0]), ALONE_S + 3).index == 1
     assert c1.copy.match(f"{C1[0]}.example", "/") is not None
 
 
@@ -522,18 +517,18 @@
     replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
     node = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
     assert node.filling()  # nobody was heard yet
-    replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
     assert not node.filling()  # nobody has anything
     fleet.change(C1[0])
-    replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
     assert not node.filling()  # the first change is no fill
-    for number in range(replica_module.MUCH):
+    for number in range(replica_module.BOOTSTRAP_MIN_CHANGES):
         fleet.change(C1[0], pad=number)
-    replica.heard("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
     assert node.filling()
-    pull = replica.next_pull(now + 1)
+    pull = replica.pulls.next_pull(now + 1)
     assert pull is not None
-    replica.take(pull, fleet.all["c1"].asked(pull.request, now), now + 1)
+    replica.apply_reply(pull, fleet.all["c1"].answer(pull.request, now), now + 1)
     assert not node.filling()
     assert replica.announce() == fleet.all["c1"].announce()
     replica = Replica("n3", CONTROL, MemoryReplicaStore(), Random(1))
@@ -547,7 +542,7 @@
 
 def test_a_copy_that_can_not_be_read_gives_nothing_and_is_told_of() -> None:
     class Broke(MemoryReplicaStore):
-        def given(self, stream: str, since: int, most_bytes: int = 0) -> None:
+        def read_batch(self, partition: str, since: int, max_bytes: int = 0) -> None:
             raise ReplicaError("disk I/O error")
 
     class Deaf:
--- a/tests/test_sqlite_replica.py
+++ b/tests/test_sqlite_replica.py
@@ -22,7 +22,8 @@
 from replicas import CONTROL, entry, names_of, tenant_json
 
 from reelusher.fleet.replication.messages import EntriesReply, LogEntry, LogSegment
-from reelusher.fleet.replication.replica import NotLeaderError, Replica, first_epoch, stream_of
+from reelusher.fleet.replication.positions import first_term, partition_of
+from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore, PartitionState, ReplicaError
 from reelusher.fleet.replication.sqlite_replica import (
     DamagedReplicaError,
@@ -34,7 +35,7 @@
 from reelusher.tenancy.index import lies_under
 
 C1 = names_of("c1", 40)
-FIRST = PartitionState(first_epoch("c1", CONTROL))
+FIRST = PartitionState(first_term("c1", CONTROL))
 
 
 @pytest.fixture
@@ -50,12 +51,12 @@
 
 
 def at(number: int, **more: Any) -> PartitionState:
-    return replace(FIRST, number=number, covered=number, goal=number, **more)
+    return replace(FIRST, index=number, covered=number, goal=number, **more)
 
 
 def put(rows: SqliteReplica | MemoryReplicaStore, *entries: LogEntry, **more: Any) -> list[str]:
     """Write entries as one change of partition c1."""
-    return rows.apply("c1", entries, at(entries[-1].number), **more)
+    return rows.apply("c1", entries, at(entries[-1].index), **more)
 
 
 # Rows: SQLite and memory alike
@@ -91,7 +92,7 @@
                 number += 1
                 entries.append(entry(C1[name], number, "active" if live else ""))
             history += entries
-            state = replace(state, number=number, covered=number, goal=number)
+            state = replace(state, index=number, covered=number, goal=number)
             made = [rows.apply("c1", entries, state, trail=second) for rows in (memory, kept)]
         elif what == "again":
             made = [rows.apply("c1", history[first : first + 3], state) for rows in (memory, kept)]
@@ -100,17 +101,17 @@
             made = [sorted(rows.apply("c1", [], state, drop=first)) for rows in (memory, kept)]
         elif what == "orphan" and memory.states():
             state = replace(state, generation=state.generation + 1)
-            made = [rows.orphan("c1", first, state) for rows in (memory, kept)]
+            made = [rows.set_aside_divergent("c1", first, state) for rows in (memory, kept)]
         elif what == "collect":
             made = [rows.collect("c1", 1, first) for rows in (memory, kept)]
             state = memory.states().get("c1", state)
         elif what == "given":
-            made = [rows.given("c1", first, second) for rows in (memory, kept)]
+            made = [rows.read_batch("c1", first, second) for rows in (memory, kept)]
         assert not made or made[0] == made[1]
         assert memory.states() == kept.states()
-        live = memory.live()
+        live = memory.live_entries()
         assert [(row.name, row.index, row.state, row.tenant) for row in kept.page("", 100)] == [
-            (name, live[name].number, live[name].state, live[name].tenant) for name in sorted(live)
+            (name, live[name].index, live[name].state, live[name].tenant) for name in sorted(live)
         ]
         assert kept.count() == len(live)
     kept.close()
@@ -285,7 +286,7 @@
     held = [store.database.lookup_pool.get() for _ in range(database.LOOKUP_CONNECTIONS)]
     with pytest.raises(ReplicaError, match="too many"):
         store.get("a")
-    assert store.given("c1", 0) is not None  # segments have a connection of their own
+    assert store.read_batch("c1", 0) is not None  # segments have a connection of their own
     store.database.lookup_pool.put(held[0])
     assert store.get("a") is not None
     giving = store.database.segment_pool.get()
@@ -347,9 +348,9 @@
         entry("odd", 6, hosts=["good.example"], backend="of-tomorrow"),
     ]
     put(store, *newer)
-    given = store.given("c1", 0)
+    given = store.read_batch("c1", 0)
     assert given is not None
-    assert [one.number for one in given.entries] == [1, 3, 4, 5, 6]
+    assert [one.index for one in given.entries] == [1, 3, 4, 5, 6]
     assert {name for name, _ in store.unreadable()} == {"bad", "bug", "odd", "worse"}
     assert store.unreadable_count() == 4
     found = store.match("good.example", "/")
@@ -455,16 +456,16 @@
 def test_pull_in_flight_is_not_applied_to_a_recreated_replica(path: Path) -> None:
     store = filled(path, 10)
     replica = Replica("n", CONTROL, store, Random(1))
-    assert replica.states["c1"].number == 10
-    replica.heard("x", "", [replica.announce()[0], FIRST.epoch, 12, *replica.announce()[3:]], 1.0)
-    pull = replica.next_pull(2.0)
+    assert replica.states["c1"].index == 10
+    replica.pulls.observe("x", "", [replica.announce()[0], FIRST.term, 12, *replica.announce()[3:]], 1.0)
+    pull = replica.pulls.next_pull(2.0)
     assert pull is not None
     store.database.damage = "by the test"
     replica.reload(store.recreate)
-    piece = LogSegment("c1", FIRST.epoch, (), 10, 12, [entry(C1[0], 12)], False, 0, 12, 12)
-    assert replica.take(pull, EntriesReply([piece]), 2.1).refused == ["stale"]
+    piece = LogSegment("c1", FIRST.term, (), 10, 12, [entry(C1[0], 12)], False, 0, 12, 12)
+    assert replica.apply_reply(pull, EntriesReply([piece]), 2.1).faults == ["stale"]
     assert store.count() == 0
-    assert store.states()["c1"].number == 0
+    assert store.states()["c1"].index == 0
     store.close()
 
 
@@ -528,10 +529,10 @@
         replica.accept("c1", "c1", entry(C1[0]))
     with pytest.raises(NotLeaderError, match="nobody was heard"):  # others would lose their rows
         replica.begin_term("c1", "c1")
-    assert replica.begin_term("c1", "c1", force=True).epoch > FIRST.epoch
-    assert replica.accept("c1", "c1", entry(C1[0])).number == 1
-    assert isinstance(replica.rows, SqliteReplica)
-    replica.rows.close()
+    assert replica.begin_term("c1", "c1", force=True).term > FIRST.term
+    assert replica.accept("c1", "c1", entry(C1[0])).index == 1
+    assert isinstance(replica.store, SqliteReplica)
+    replica.store.close()
 
 
 @pytest.mark.parametrize("begin", [0, 4096])
@@ -589,8 +590,8 @@
     assert not store.damage
     assert store.check()
     store.database.writer.execute("PRAGMA max_page_count = 100000")
-    last = replica.states["c1"].number
-    assert replica.accept("c1", "c1", entry(C1[0], pad="y" * 4000)).number == last + 1
+    last = replica.states["c1"].index
+    assert replica.accept("c1", "c1", entry(C1[0], pad="y" * 4000)).index == last + 1
     store.close()
 
 
@@ -613,7 +614,7 @@
 
     replica = Replica("c1", CONTROL, store, Random(1))
     for number in (1, 3):
-        assert replica.accept("c1", "c1", entry(C1[number])).number == number
+        assert replica.accept("c1", "c1", entry(C1[number])).index == number
         assert level() == 2
         put(store, entry(C1[number + 1], number + 1))
         replica.reload()
@@ -633,7 +634,8 @@
 from replicas import CONTROL, entry, names_of
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.fleet.replication.messages import LogSegment
-from reelusher.fleet.replication.replica import Replica, Pull
+from reelusher.fleet.replication.replica import Replica
+from reelusher.fleet.replication.pull_scheduler import Pull
 from reelusher.fleet.replication.messages import EntriesReply
 path, what, left = Path(sys.argv[1]), sys.argv[2], int(sys.argv[3])
 store = SqliteReplica(path, "f", CONTROL)
@@ -648,15 +650,15 @@
 if what == "accept":
     for name in names[:3]:
         made = replica.accept("c1", "c1", entry(name))
-        print(made.number, flush=True)
+        print(made.index, flush=True)
 else:
-    epoch = replica.states["c1"].epoch
+    epoch = replica.states["c1"].term
     for at in range(0, 4, 2):
         entries = [entry(names[at], at + 1), entry(names[at + 1], at + 2)]
         pieces = [LogSegment("c1", epoch, (), at, at + 2, entries, at < 2, 0, 4, 4)]
-        pull = replica._pulling = Pull("x", None, 1e9)
-        replica.take(pull, EntriesReply(pieces), 1.0)
-        print(replica.states["c1"].number, flush=True)
+        pull = replica.pulls.in_flight = Pull("x", None, 1e9)
+        replica.apply_reply(pull, EntriesReply(pieces), 1.0)
+        print(replica.states["c1"].index, flush=True)
 print("end", flush=True)
 """
 
@@ -688,14 +690,14 @@
         state = store.states().get("c1", FIRST)
         rows = {row.name: row.index for row in store.page("", 100)}
         acknowledged = max((int(one) for one in told if one != "end"), default=0)
-        assert acknowledged <= state.number <= acknowledged + (1 if what == "accept" else 2)
-        assert rows == {name: number for number, name in enumerate(names, 1) if number <= state.number}
+        assert acknowledged <= state.index <= acknowledged + (1 if what == "accept" else 2)
+        assert rows == {name: number for number, name in enumerate(names, 1) if number <= state.index}
         assert store.count() == len(rows)
         for name in rows:
             assert store.match(f"{name}.example", "/") is not None
         if what == "accept":
             replica = Replica("c1", CONTROL, store, Random(1))
-            assert replica.accept("c1", "c1", entry(names[0])).number == state.number + 1
+            assert replica.accept("c1", "c1", entry(names[0])).index == state.index + 1
         store.close()
         if "end" in told:
             break
@@ -718,10 +720,10 @@
     writer.start()
     try:
         for _ in range(300):
-            given = store.given("c1", 0, 1 << 20)
+            given = store.read_batch("c1", 0, 1 << 20)
             assert given is not None
-            numbers = [one.number for one in given.entries]
-            if len(numbers) != 20 or numbers[-1] != given.state.number or sorted(numbers) != numbers:
+            numbers = [one.index for one in given.entries]
+            if len(numbers) != 20 or numbers[-1] != given.state.index or sorted(numbers) != numbers:
                 faults.append((numbers, given.state))
     finally:
         stop.set()
@@ -730,5 +732,5 @@
 
 
 def test_names_used_here_belong_to_partition_c1() -> None:
-    assert {stream_of(name, CONTROL) for name in C1} == {"c1"}
+    assert {partition_of(name, CONTROL) for name in C1} == {"c1"}
     assert tenant_json("a").startswith(b"{")
