--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -186,7 +186,7 @@
             reply = self._makes[key](asked)
             if copies and not asked.dry and reply.status < 300:
                 position = self._replicated.position(stream)
-                have = self._replicated.replication.wait(stream, position, copies, COPIES_S)
+                have = self._replicated.replication.wait_for_copies(stream, position, copies, COPIES_S)
                 if have < copies:
                     raise ApiError(
                         504,
@@ -260,7 +260,7 @@
     def _counted(self) -> list[dict[str, Any]]:
         """Return who has the newest changes, as holders have counted it; who does not say is left out."""
         table = self._replicated
-        found: list[dict[str, Any]] = table.replication.changes()
+        found: list[dict[str, Any]] = table.replication.progress_report()
         holders = {table.holder(stream) for stream in table.replica.control} - {table.own_name}
         for holder in sorted(holders & {member.name for member in self._live()}):
             found += self._asked(holder, COUNTED, [])
@@ -393,7 +393,7 @@
                     },
                 )
             case ["counted"]:
-                return Reply(200, self._replicated.replication.changes())
+                return Reply(200, self._replicated.replication.progress_report())
             case ["v1", "tenants"]:
                 kind, name = "tenants", ""
             case ["v1", "tenants", name]:
--- a/reelusher/config/operator.py
+++ b/reelusher/config/operator.py
@@ -171,7 +171,7 @@
 class Replication:
     """The table of tenants that all nodes of a fleet have a copy of."""
 
-    copy: str  # file of this node's copy
+    store: str  # file of this node's copy
     control: tuple[str, ...]  # names of the members that write it, the same list on every node
 
 
@@ -289,11 +289,11 @@
     if tenants:
         raise ConfigError("tenants", "with [replication] they are added through the administration API")
     if admin and admin.state_file:
-        raise ConfigError("admin.state_file", f"with [replication] tenants are kept in {replication.copy}")
+        raise ConfigError("admin.state_file", f"with [replication] tenants are kept in {replication.store}")
     if admin and admin.durable_keys:
         raise ConfigError("admin.durable_keys", "keys over a restart are not kept with [replication] so far")
     if admin and admin.state_dir:
-        raise ConfigError("admin.state_dir", f"with [replication] tenants are kept in {replication.copy}")
+        raise ConfigError("admin.state_dir", f"with [replication] tenants are kept in {replication.store}")
 
 
 def _ip(address: Address, key: str) -> Address:
--- a/reelusher/fleet/replication/__init__.py
+++ b/reelusher/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The table of tenants on every node: streams of changes, announced and pulled, see docs/replication.md."""
+"""The table of tenants on every node: partitions with one writer each, see docs/replication.md."""
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -1,193 +1,231 @@
-"""Which members have which changes, as far as they were heard to. Free of I/O but for the wait of a caller.
+"""Which members have which changes, by the vectors they announce. Free of I/O but for the wait of a caller.
 
-Only holders keep one. What a member has is told by the vector that rides on its datagrams; whoever was not
-heard since the last change is called, paced, and quicker while someone wants to know.
+Only leaders keep one. A member that announced nothing since the last change is called, so that it answers
+with its vector: paced, and more quickly while someone waits.
 """
 
 import threading
 from collections import deque
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.replication.positions import Position
 from reelusher.fleet.replication.replica import Replica, TokenBucket
 
-MOST_MEMBERS = 4096
-GRACE_S = 3.0  # after a change, in which nearly all members have it and are heard by themselves
-LOOK_S = 1.0  # between looks at all members, while some are not known to have the newest change
-CALLS_PER_S, QUICK_PER_S = 10.0, 100.0  # calls; the latter while someone wants to know
-QUICK_S = 20.0  # after someone wanted to know
+MAX_MEMBERS = 4096
+GRACE_S = 3.0  # after a change, in which nearly all members pull and announce it by themselves
+CHECK_INTERVAL_S = 1.0  # while some members may lack the newest change
+CALLS_PER_S = 10.0
+QUICK_CALLS_PER_S = 100.0
+QUICK_S = 20.0  # after a report was read
+CALLED_TTL_S = 60.0
 WAIT_CALLS = 3  # members called for each copy that is waited for
-MOST_SLOWEST = 10  # members named
-MOST_MADE = 64  # changes of a stream whose time is kept
+MAX_SLOWEST = 10  # members named in a report
+MAX_TIMED_CHANGES = 64  # of a partition
 
 
 @dataclass(slots=True)
-class Everywhere:
-    """The newest change of a stream that all live members were heard to have."""
+class FullyReplicated:
+    """The newest change of a partition that all live members announced."""
 
     position: Position
     at_s: float
-    took_s: float  # from when it was made, if that was here and not long ago
+    took_s: float  # since it was made, if that was here and not long ago
+
+
+class Waiter(NamedTuple):
+    """A caller that waits until other members have a change."""
+
+    partition: str
+    position: Position
+    copies: int
 
 
 class ReplicationProgress:
-    """What one holder knows of the others."""
+    """What one leader knows of the other members."""
 
     def __init__(self, replica: Replica, own_name: str) -> None:
         self._replica, self._own_name = replica, own_name
-        self._at = {stream: 1 + 2 * place for place, stream in enumerate(replica.control)}
+        self._offsets = {name: 1 + 2 * place for place, name in enumerate(replica.control)}  # in a vector
         self._changed = threading.Condition()
-        self._vectors: dict[str, list[int]] = {}  # of members, by place; equal ones are one list
-        self._heard_s: dict[str, float] = {}
-        self._made: dict[str, deque[tuple[Position, float]]] = {
-            stream: deque(maxlen=MOST_MADE) for stream in replica.control
+        self._vectors: dict[str, list[int]] = {}  # by address; equal ones are one list
+        self._announced_s: dict[str, float] = {}  # by address
+        self._made_s: dict[str, deque[tuple[Position, float]]] = {
+            partition: deque(maxlen=MAX_TIMED_CHANGES) for partition in replica.control
         }
-        self._everywhere: dict[str, Everywhere] = {}
-        self._waiting: list[tuple[str, Position, int]] = []
+        self._fully_replicated: dict[str, FullyReplicated] = {}
+        self._waiting: list[Waiter] = []
         self._calls = TokenBucket((CALLS_PER_S, CALLS_PER_S))
-        self._quick = TokenBucket((QUICK_PER_S, QUICK_PER_S))
-        self._quick_until_s = self._looked_s = 0.0
-        self._called_s: dict[str, float] = {}
+        self._quick_calls = TokenBucket((QUICK_CALLS_PER_S, QUICK_CALLS_PER_S))
+        self._quick_until_s = self._checked_s = 0.0
+        self._called_s: dict[str, float] = {}  # by address
 
     # From any thread
 
-    def heard(self, place: str, vector: list[int], now: float) -> None:
-        """Note what a member announces."""
+    def observe(self, address: str, vector: list[int], now: float) -> None:
+        """Record the vector of a member."""
         own = self._replica.announce()
-        if len(vector) != len(own) or vector[0] != own[0] or place == self._replica.own_address:
+        if len(vector) != len(own) or vector[0] != own[0] or address == self._replica.own_address:
             return
         with self._changed:
-            known = self._vectors.pop(place, None)
-            self._vectors[place] = own if vector == own else known if vector == known and known else vector
-            self._heard_s[place] = now
-            if len(self._vectors) > MOST_MEMBERS:
+            known = self._vectors.pop(address, None)
+            self._vectors[address] = own if vector == own else known if vector == known and known else vector
+            self._announced_s[address] = now
+            if len(self._vectors) > MAX_MEMBERS:
                 oldest = next(iter(self._vectors))
-                del self._vectors[oldest], self._heard_s[oldest]
+                del self._vectors[oldest], self._announced_s[oldest]
             if self._waiting:
                 self._changed.notify_all()
 
-    def made(self, stream: str, position: Position, now: float) -> None:
-        """Note a change that was made here."""
+    def record_change(self, partition: str, position: Position, now: float) -> None:
+        """Record when a change was made here."""
         with self._changed:
-            self._made[stream].append((position, now))
+            self._made_s[partition].append((position, now))
 
-    def wait(self, stream: str, position: Position, wanted: int, within_s: float) -> int:
+    def wait(self, partition: str, position: Position, copies: int, timeout_s: float) -> int:
         """Wait until so many other members have a change; return how many have it then."""
-        asked = stream, position, wanted
+        waiter = Waiter(partition, position, copies)
         with self._changed:
-            self._waiting.append(asked)
+            self._waiting.append(waiter)
             try:
-                self._changed.wait_for(lambda: self._count(stream, position) >= wanted, within_s)
-                return self._count(stream, position)
+                self._changed.wait_for(lambda: self._count(partition, position) >= copies, timeout_s)
+                return self._count(partition, position)
             finally:
-                self._waiting.remove(asked)
+                self._waiting.remove(waiter)
 
-    def attend(self, now: float) -> None:
-        """Call more quickly for a while: someone wants to know."""
+    def poll_quickly(self, now: float) -> None:
+        """Call members more quickly for a while."""
         self._quick_until_s = now + QUICK_S
 
-    def _has(self, place: str, stream: str, position: Position) -> bool:
-        vector, at = self._vectors.get(place), self._at[stream]
+    def _has(self, address: str, partition: str, position: Position) -> bool:
+        vector, at = self._vectors.get(address), self._offsets[partition]
         return vector is not None and (vector[at], vector[at + 1]) >= position
 
-    def _count(self, stream: str, position: Position) -> int:
-        return sum(self._has(place, stream, position) for place in self._vectors)
+    def _count(self, partition: str, position: Position) -> int:
+        return sum(self._has(address, partition, position) for address in self._vectors)
 
-    def _held(self) -> list[tuple[str, Position]]:
+    def _led_positions(self) -> list[tuple[str, Position]]:
         states = self._replica.states
         return [
-            (stream, Position(states[stream].term, states[stream].index))
-            for stream in self._replica.control
-            if self._replica.leads(stream, self._own_name)
+            (partition, Position(states[partition].term, states[partition].index))
+            for partition in self._replica.control
+            if self._replica.leads(partition, self._own_name)
         ]
 
     # The service's thread
 
-    def wants(self, now: float) -> bool:
-        """Tell whether `tick` is wanted now: live members are listed for it."""
-        return bool(self._waiting) or (
-            now - self._looked_s >= LOOK_S
-            and any(
-                self._everywhere[stream].position != position if stream in self._everywhere else True
-                for stream, position in self._held()
-                if position.log_index
-            )
+    def is_due(self, now: float) -> bool:
+        """Return whether `tick` is wanted now; listing the live members for it is costly."""
+        if self._waiting:
+            return True
+        return now - self._checked_s >= CHECK_INTERVAL_S and any(
+            position.log_index and not self._is_fully_replicated(partition, position)
+            for partition, position in self._led_positions()
         )
 
+    def _is_fully_replicated(self, partition: str, position: Position) -> bool:
+        known = self._fully_replicated.get(partition)
+        return known is not None and known.position == position
+
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
-        """Return the places of members to call now; `live` are all live ones."""
-        self._looked_s = now
-        places = [said.place for said in live if said.place != self._replica.own_address]
-        behind: dict[str, float] = {}  # when each was last heard or called
+        """Return the addresses of members to call now; `live` are all live ones."""
+        self._checked_s = now
+        addresses = [member.place for member in live if member.place != self._replica.own_address]
         with self._changed:
-            for gone in self._vectors.keys() - set(places):
-                del self._vectors[gone], self._heard_s[gone]
-            for stream, position in self._held():
-                lack = [place for place in places if not self._has(place, stream, position)]
-                made = dict(self._made[stream])
-                if not lack and position.log_index:
-                    self._note(stream, position, now, made.get(position))
-                elif now - made.get(position, 0.0) >= GRACE_S:
-                    behind |= dict.fromkeys(lack, 0.0)
-            called: list[str] = []
-            for stream, position, wanted in self._waiting:
-                lack = [place for place in places if not self._has(place, stream, position)]
-                lack.sort(key=lambda place: self._called_s.get(place, 0.0))
-                called += lack[: WAIT_CALLS * wanted]
-            self._called_s = {place: at for place, at in self._called_s.items() if now - at < 60.0}
-            for place in behind:
-                behind[place] = max(self._heard_s.get(place, 0.0), self._called_s.get(place, 0.0))
-        allowed = self._quick if now < self._quick_until_s else self._calls
-        called += sorted(behind, key=lambda place: behind[place])[: max(0, int(allowed.left(now)))]
+            self._forget_all_but(addresses)
+            behind = self._find_behind(addresses, now)
+            called = self._called_for_waiters(addresses)
+            self._called_s = {
+                address: at for address, at in self._called_s.items() if now - at < CALLED_TTL_S
+            }
+            behind.sort(key=self._last_contact_s)
+        limit = self._quick_calls if now < self._quick_until_s else self._calls
+        called += behind[: max(0, int(limit.left(now)))]
         called = list(dict.fromkeys(called))
-        allowed.take(len(called))
+        limit.take(len(called))
         self._called_s |= dict.fromkeys(called, now)
         return called
 
-    def _note(self, stream: str, position: Position, now: float, made_s: float | None) -> None:
-        known = self._everywhere.get(stream)
-        if known is None or known.position != position:
+    def _forget_all_but(self, addresses: Iterable[str]) -> None:
+        for address in self._vectors.keys() - set(addresses):
+            del self._vectors[address], self._announced_s[address]
+
+    def _find_behind(self, addresses: Sequence[str], now: float) -> list[str]:
+        """Return members that lack a change for longer than is usual; record what all have."""
+        behind: dict[str, None] = {}
+        for partition, position in self._led_positions():
+            lacking = [address for address in addresses if not self._has(address, partition, position)]
+            made_s = dict(self._made_s[partition]).get(position)
+            if not lacking and position.log_index:
+                self._record_fully_replicated(partition, position, now, made_s)
+            elif now - (made_s or 0.0) >= GRACE_S:
+                behind |= dict.fromkeys(lacking)
+        return list(behind)
+
+    def _called_for_waiters(self, addresses: Sequence[str]) -> list[str]:
+        called: list[str] = []
+        for partition, position, copies in self._waiting:
+            lacking = [address for address in addresses if not self._has(address, partition, position)]
+            lacking.sort(key=lambda address: self._called_s.get(address, 0.0))
+            called += lacking[: WAIT_CALLS * copies]
+        return called
+
+    def _last_contact_s(self, address: str) -> float:
+        return max(self._announced_s.get(address, 0.0), self._called_s.get(address, 0.0))
+
+    def _record_fully_replicated(
+        self, partition: str, position: Position, now: float, made_s: float | None
+    ) -> None:
+        if not self._is_fully_replicated(partition, position):
             took_s = now - made_s if made_s is not None else 0.0
-            self._everywhere[stream] = Everywhere(position, now, took_s)
+            self._fully_replicated[partition] = FullyReplicated(position, now, took_s)
 
-    def told(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
-        """Return, for each stream that this member holds, who has its newest change."""
-        self.attend(now)
-        others = [said for said in live if said.place != self._replica.own_address]
-        made = []
+    # Reports, for the administration API
+
+    def report(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
+        """Return, for each partition that this member leads, who has its newest change."""
+        self.poll_quickly(now)
+        others = [member for member in live if member.place != self._replica.own_address]
         with self._changed:
-            for stream, position in self._held():
-                lack = [said for said in others if not self._has(said.place, stream, position)]
-                lack.sort(key=lambda said: self._heard_s.get(said.place, 0.0))
-                newest = dict(self._made[stream]).get(position)
-                everywhere = self._everywhere.get(stream)
-                made.append(
-                    {
-                        "stream": stream,
-                        "position": f"{position.term}.{position.log_index}",
-                        "members": len(others),
-                        "have": len(others) - len(lack),
-                        "made_s": None if newest is None else round(now - newest, 1),
-                        "slowest": [self._slow(said, stream, now) for said in lack[:MOST_SLOWEST]],
-                        "everywhere": None
-                        if everywhere is None
-                        else {
-                            "position": "{}.{}".format(*everywhere.position),
-                            "since_s": round(now - everywhere.at_s, 1),
-                            "took_s": round(everywhere.took_s, 1),
-                        },
-                    }
-                )
-        return made
-
-    def _slow(self, said: Update, stream: str, now: float) -> dict[str, object]:
-        vector, at = self._vectors.get(said.place), self._at[stream]
-        heard_s = self._heard_s.get(said.place)
+            return [
+                self._partition_report(partition, position, others, now)
+                for partition, position in self._led_positions()
+            ]
+
+    def _partition_report(
+        self, partition: str, position: Position, others: Sequence[Update], now: float
+    ) -> dict[str, object]:
+        lacking = [member for member in others if not self._has(member.place, partition, position)]
+        lacking.sort(key=lambda member: self._announced_s.get(member.place, 0.0))
+        made_s = dict(self._made_s[partition]).get(position)
+        return {
+            "stream": partition,
+            "position": f"{position.term}.{position.log_index}",
+            "members": len(others),
+            "have": len(others) - len(lacking),
+            "made_s": None if made_s is None else round(now - made_s, 1),
+            "slowest": [self._member_report(member, partition, now) for member in lacking[:MAX_SLOWEST]],
+            "everywhere": self._fully_replicated_report(partition, now),
+        }
+
+    def _fully_replicated_report(self, partition: str, now: float) -> dict[str, object] | None:
+        known = self._fully_replicated.get(partition)
+        if known is None:
+            return None
+        return {
+            "position": f"{known.position.term}.{known.position.log_index}",
+            "since_s": round(now - known.at_s, 1),
+            "took_s": round(known.took_s, 1),
+        }
+
+    def _member_report(self, member: Update, partition: str, now: float) -> dict[str, object]:
+        vector, at = self._vectors.get(member.place), self._offsets[partition]
+        announced_s = self._announced_s.get(member.place)
         return {
-            "name": said.name,
-            "address": said.place,
+            "name": member.name,
+            "address": member.place,
             "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
-            "heard_s": None if heard_s is None else round(now - heard_s, 1),
+            "heard_s": None if announced_s is None else round(now - announced_s, 1),
         }
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -256,7 +256,7 @@
         assert self._shares is not None
         try:
             copy = SqliteReplica(
-                Path(told.copy),
+                Path(told.store),
                 own.fleet.name if own.fleet else "",
                 told.control,
                 lambda name, value: reason(name, value, own.class_names, backends),
@@ -291,7 +291,7 @@
             table.noticed(names)
 
         copy.on_change = changed
-        tenants.filling = replication.filling
+        tenants.filling = replication.is_bootstrapping
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
             self.fleet.serve[ChangeRequest] = calls.carried
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -105,7 +105,7 @@
         counters: Counters,
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        self.replication, self.copy = replication, replication.copy
+        self.replication, self.copy = replication, replication.store
         self.replica = replication.replica
         self.own_name = self.replica.own_name
         self._class_names, self._backends = class_names, backends
@@ -216,7 +216,7 @@
         made = None if tenant is None else self.overlapping(ReplicatedTenant(tenant, state, ""))
         wanted = LogEntry(0, name, self._wall_ms(), who[:MOST_WHO], state, data, key)
         try:
-            entry = self.replication.writer.accept(self.partition_of(name), wanted)
+            entry = self.replication.leadership.accept(self.partition_of(name), wanted)
         except NotLeaderError as error:
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
@@ -262,7 +262,7 @@
         """
         with self.changing():
             try:
-                return self.replication.writer.take_over(stream, force)
+                return self.replication.leadership.take_over(stream, force)
             except NotLeaderError as error:
                 raise TableBusyError(str(error)) from None
             except ReplicaError as error:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -219,7 +219,7 @@
 def test_a_fault_in_the_replication_of_an_operators_file_is_named(path: str, value: Any, named: str) -> None:
     made = parse_operator(REPLICATED).replication
     assert made is not None
-    assert (made.copy, made.control) == ("tenants.db", ("c1", "c2"))
+    assert (made.store, made.control) == ("tenants.db", ("c1", "c2"))
     with pytest.raises(ConfigError, match=f"^{named}: "):
         parse_operator(changed(REPLICATED, path, value))
 
--- a/tests/test_replicated_api.py
+++ b/tests/test_replicated_api.py
@@ -127,9 +127,14 @@
 
     def refusal(self, at: str) -> str:
         """Return why a control member does not write at present."""
-        own = self.replication(at).writer
+        own = self.replication(at).leadership
         return next(
-            (why for stream in own.replica.control if own.holds(stream) and (why := own.refusal(stream))), ""
+            (
+                why
+                for stream in own.replica.control
+                if own.leads(stream) and (why := own.write_refusal(stream))
+            ),
+            "",
         )
 
     def positions(self, at: str) -> list[int]:
@@ -172,8 +177,8 @@
     """Have nodes that see early whether they may write, and take them down again."""
     made = Nodes(folder)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leadership, "ALONE_S", 0.1)
-        patch.setattr(service, "LOOK_S", 0.05)
+        patch.setattr(leadership, "ALONE_SETTLE_S", 0.1)
+        patch.setattr(service, "MAINTENANCE_INTERVAL_S", 0.05)
         yield made
         for name in list(made.all):
             made.stop(name)
@@ -335,7 +340,7 @@
     nodes: Nodes, at: str
 ) -> None:
     nodes.start("c1", "c2")
-    copy, before = nodes.replication("c2").copy, nodes.positions("c2")
+    copy, before = nodes.replication("c2").store, nodes.positions("c2")
 
     def broken(name: str) -> None:
         raise ReplicaError("no connection is free")
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -19,7 +19,7 @@
 from reelusher.fleet.replication import replica as replica_module
 from reelusher.fleet.replication import replication_progress
 from reelusher.fleet.replication import service as serving
-from reelusher.fleet.replication.leadership import ALONE_S, QUIET_S, SETTLE_S, Leadership
+from reelusher.fleet.replication.leadership import ALONE_SETTLE_S, RESTORE_QUIET_S, SETTLE_S, Leadership
 from reelusher.fleet.replication.messages import MAX_TENANT_BYTES, EntriesReply, EntriesRequest, LogEntry
 from reelusher.fleet.replication.positions import Position, first_term, leader_of
 from reelusher.fleet.replication.pull_scheduler import CLAIM_TTL_S
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize(
     ("others", "heard", "since_s", "may"),
     [
-        (0, 0, ALONE_S - 0.1, False),
-        (0, 0, ALONE_S, True),
-        (5, 0, ALONE_S, False),
+        (0, 0, ALONE_SETTLE_S - 0.1, False),
+        (0, 0, ALONE_SETTLE_S, True),
+        (5, 0, ALONE_SETTLE_S, False),
         (5, 2, 1.0, False),
         (5, 3, 0.1, True),
         (1, 1, 0.1, True),
@@ -67,8 +67,8 @@
     fleet, clock = Replicas(0), Clock()
     writer = writer_of(fleet, clock)
     for number in range(heard):
-        writer.heard(f"n{number}")
-        writer.heard(f"n{number}")
+        writer.observe(f"n{number}")
+        writer.observe(f"n{number}")
     clock.now += since_s
     writer.tick(others, False)
     if may:
@@ -94,7 +94,7 @@
 def test_of_two_live_members_of_one_name_neither_writes() -> None:
     fleet, clock = Replicas(0), Clock()
     writer = writer_of(fleet, clock)
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, True)
     with pytest.raises(NotLeaderError, match="another live member"):
         writer.accept("c1", entry(C1[0]))
@@ -128,7 +128,7 @@
     writer = writer_of(fleet, clock)
     told = list(fleet.all["n1"].announce())
     fleet.all["c1"].pulls.observe("n1", "", told, clock.now)
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, False)
     with pytest.raises(NotLeaderError, match=r"others have stream c1 up to 8.5"):
         writer.accept("c1", entry(C1[9]))
@@ -137,11 +137,11 @@
             break
     fleet.restart("c1")  # what it knows of that outlives a restart
     writer = writer_of(fleet, clock)
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, False)
     with pytest.raises(NotLeaderError, match="older one"):
         writer.accept("c1", entry(C1[9]))
-    clock.now += QUIET_S + 0.1
+    clock.now += RESTORE_QUIET_S + 0.1
     writer.tick(1, False)
     made = writer.accept("c1", entry(C1[9]))
     assert (made.term, made.index) == (16, 6)
@@ -159,7 +159,7 @@
     fleet.pull("n2", "c1")  # and then n2 is away, and c1's machine lost
     fleet.add("c1")
     writer = writer_of(fleet, clock)
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, False)
     fleet.pull("c1", "n1")
     for _ in range(2):
@@ -187,18 +187,18 @@
             fleet.pull("n2", "c1")
     fleet.add("c1")
     writer = writer_of(fleet, clock)
-    writer.heard("n2")
+    writer.observe("n2")
     writer.tick(1, False)
     fleet.pull("c1", "n2")
     writer.tick(1, False)
     for _ in range(3):
-        clock.now += QUIET_S - 1
+        clock.now += RESTORE_QUIET_S - 1
         fleet.all["c1"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
         writer.tick(1, False)
     fleet.pull("c1", "n1")
     assert fleet.all["c1"].states["c1"].index == 3
     writer.tick(1, False)
-    clock.now += QUIET_S - 0.1
+    clock.now += RESTORE_QUIET_S - 0.1
     writer.tick(1, False)
     with pytest.raises(NotLeaderError, match="older one"):
         writer.accept("c1", entry(C1[3]))
@@ -211,7 +211,7 @@
 def test_a_claim_that_nobody_makes_good_stops_counting() -> None:
     fleet, clock = Replicas(1), Clock()
     writer = writer_of(fleet, clock)
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, False)
     false = list(fleet.all["n1"].announce())
     false[2] = 99
@@ -229,14 +229,14 @@
     fleet.change(C1[1])
     fleet.pull("n1", "c1")
     writer = writer_of(fleet, clock, "c2")
-    writer.heard("n1")
+    writer.observe("n1")
     writer.tick(1, False)
     fleet.all["c2"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
     with pytest.raises(NotLeaderError, match="others have stream c1"):
         writer.take_over("c1")
     fleet.pull("c2", "n1")
     assert writer.take_over("c1") == (17, 2)
-    assert writer.holds("c1")
+    assert writer.leads("c1")
     other = writer_of(fleet, clock, "c1")
     assert other.take_over("c1", force=True) == (16, 2)
 
@@ -276,12 +276,12 @@
     census = ReplicationProgress(fleet.all["c1"], "c1")
     members = live("c1", "c2", "n1", "n2", "n3")
     made = fleet.change(C1[0])
-    census.made("c1", Position(made.term, 1), 10.0)
+    census.record_change("c1", Position(made.term, 1), 10.0)
     for name in ("n1", "n2"):
         fleet.pull(name, "c1")
-        census.heard(name, list(fleet.all[name].announce()), 11.0)
-    census.heard("n3", list(fleet.all["n3"].announce()), 12.0)
-    (told,) = census.told(members, 13.0)
+        census.observe(name, list(fleet.all[name].announce()), 11.0)
+    census.observe("n3", list(fleet.all["n3"].announce()), 12.0)
+    (told,) = census.report(members, 13.0)
     assert (told["stream"], told["position"], told["members"], told["have"], told["everywhere"]) == (
         "c1",
         "8.1",
@@ -295,14 +295,14 @@
     ]
     fleet.settle()
     for name in ("c2", "n3"):
-        census.heard(name, list(fleet.all[name].announce()), 14.0)
-    assert census.wants(15.0)
+        census.observe(name, list(fleet.all[name].announce()), 14.0)
+    assert census.is_due(15.0)
     census.tick(members, 15.0)
-    (told,) = census.told(members, 18.0)
+    (told,) = census.report(members, 18.0)
     assert told["have"] == 4
     assert told["slowest"] == []
     assert told["everywhere"] == {"position": "8.1", "since_s": 3.0, "took_s": 5.0}
-    assert not census.wants(20.0)
+    assert not census.is_due(20.0)
 
 
 def test_members_not_known_to_have_a_change_are_called_paced_and_those_heard_longest_ago_first() -> None:
@@ -311,23 +311,23 @@
     places = [f"n{number}" for number in range(300)]
     members = live("c1", *places)
     made = fleet.change(C1[0])
-    census.made("c1", Position(made.term, 1), 100.0)
+    census.record_change("c1", Position(made.term, 1), 100.0)
     old = list(fleet.all["c2"].announce())
     for at, place in enumerate(places):
-        census.heard(place, old, 50.0 + at / 10)
+        census.observe(place, old, 50.0 + at / 10)
     assert census.tick(members, 100.0 + replication_progress.GRACE_S - 0.1) == []
     first = census.tick(members, 110.0)
     assert first == places[:10]
     assert census.tick(members, 110.15) == places[10:11]
     total = sum(len(census.tick(members, 110.0 + step)) for step in range(1, 21))
     assert 190 <= total <= 20 * replication_progress.CALLS_PER_S + 1
-    census.told(members, 140.0)
+    census.report(members, 140.0)
     quick = census.tick(members, 141.0)
     never = places[11 + total :]
-    assert len(quick) == replication_progress.QUICK_PER_S
+    assert len(quick) == replication_progress.QUICK_CALLS_PER_S
     assert quick[: len(never)] == never
     for place in places:
-        census.heard(place, list(fleet.all["c1"].announce()), 142.0)
+        census.observe(place, list(fleet.all["c1"].announce()), 142.0)
     assert census.tick(members, 143.0) == []
 
 
@@ -340,23 +340,23 @@
     got: list[int] = []
     waiter = threading.Thread(target=lambda: got.append(census.wait("c1", position, 2, 10.0)))
     waiter.start()
-    assert soon(lambda: census.wants(0.0))
+    assert soon(lambda: census.is_due(0.0))
     assert set(census.tick(live("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
     fleet.settle()
-    census.heard("n1", list(fleet.all["n1"].announce()), 1.0)
-    census.heard("x", [1, 2, 3], 1.0)
+    census.observe("n1", list(fleet.all["n1"].announce()), 1.0)
+    census.observe("x", [1, 2, 3], 1.0)
     assert not got
-    census.heard("n2", list(fleet.all["n2"].announce()), 1.0)
+    census.observe("n2", list(fleet.all["n2"].announce()), 1.0)
     waiter.join(5)
     assert got == [2]
 
 
 def test_the_census_is_bounded_and_forgets_who_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(replication_progress, "MOST_MEMBERS", 5)
+    monkeypatch.setattr(replication_progress, "MAX_MEMBERS", 5)
     fleet = Replicas(0)
     census = ReplicationProgress(fleet.all["c1"], "c1")
     for number in range(9):
-        census.heard(f"n{number}", list(fleet.all["c2"].announce()), float(number))
+        census.observe(f"n{number}", list(fleet.all["c2"].announce()), float(number))
     assert len(census._vectors) == 5
     assert len({id(one) for one in census._vectors.values()}) == 1
     census.tick(live("c1", "n8"), 10.0)
@@ -412,7 +412,7 @@
     until = time.monotonic() + within_s
     while True:
         try:
-            return node.replication.writer.accept(stream, made)
+            return node.replication.leadership.accept(stream, made)
         except NotLeaderError:
             if time.monotonic() > until:
                 raise
@@ -424,15 +424,15 @@
     others = [start("c2", c1), start("n1", c1), start("n2", c1)]
     made = writes(c1, "c1", entry(C1[0]))
     position = Position(made.term, made.index)
-    assert c1.replication.wait("c1", position, 3, 5.0) == 3
+    assert c1.replication.wait_for_copies("c1", position, 3, 5.0) == 3
     assert all(node.copy.match(f"{C1[0]}.example", "/x") is not None for node in others)
     begun_s = time.monotonic()
     for number in range(30):
         writes(others[0], "c2", entry(C2[number]))
     assert soon(lambda: all(node.copy.count() == 31 for node in [c1, *others]))
     assert time.monotonic() - begun_s < 5
-    assert soon(lambda: bool(c1.replication.changes()[0]["everywhere"]))
-    (told,) = c1.replication.changes()
+    assert soon(lambda: bool(c1.replication.progress_report()[0]["everywhere"]))
+    (told,) = c1.replication.progress_report()
     assert (told["members"], told["have"], told["slowest"]) == (3, 3, [])
     pulls = others[1].counters.snapshot()["replication.pulls"]
     assert pulls < 25  # several changes come with one
@@ -448,9 +448,9 @@
     assert soon(lambda: n1.copy.count() == 40)
     n2 = start("n2", n1)
     before = n2.copy.count()
-    assert n2.replication.filling() or before == 40  # a name that is not found there may yet come
+    assert n2.replication.is_bootstrapping() or before == 40  # a name that is not found there may yet come
     assert soon(lambda: n2.copy.count() == 40, 15)
-    assert soon(lambda: not n2.replication.filling())
+    assert soon(lambda: not n2.replication.is_bootstrapping())
     row = n2.copy.get(C1[0])
     assert row is not None
     assert row.tenant == large.tenant
@@ -459,7 +459,7 @@
 def test_a_damaged_copy_of_a_node_is_renewed_and_filled_while_it_runs(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(serving, "RENEW_S", (0.1, 0.2))
+    monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
     for name in C1:
@@ -473,7 +473,7 @@
     assert n1.copy.damage
     assert soon(lambda: not n1.copy.damage and n1.copy.count() == 40, 15)
     assert not n1.replica.states["c1"].lost
-    assert soon(lambda: not n1.replication.filling())
+    assert soon(lambda: not n1.replication.is_bootstrapping())
     assert n1.counters.snapshot()["replication.copies_damaged"] == 1
     writes(c1, "c1", entry(C1[0], pad="after"))
     assert soon(lambda: n1.replica.announce() == c1.replica.announce())
@@ -482,7 +482,7 @@
 def test_a_holder_whose_copy_is_damaged_writes_only_after_an_order(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(serving, "RENEW_S", (0.1, 0.2))
+    monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
     for name in C1[:20]:
@@ -491,8 +491,8 @@
     c1.copy.database.damage = "by the test"
     assert soon(lambda: not c1.copy.damage and c1.copy.count() == 20, 15)
     with pytest.raises(NotLeaderError, match="damaged"):
-        writes(c1, "c1", entry(C1[30]), QUIET_S + 2)
-    begun = c1.replication.writer.take_over("c1")
+        writes(c1, "c1", entry(C1[30]), RESTORE_QUIET_S + 2)
+    begun = c1.replication.leadership.take_over("c1")
     assert begun.term > first_term("c1", CONTROL)
     assert leader_of(begun.term, CONTROL) == "c1"
     made = writes(c1, "c1", entry(C1[30]))
@@ -503,7 +503,7 @@
 
 def test_a_node_with_nobody_there_serves_and_a_holder_writes_alone(start: Start) -> None:
     c1 = start("c1")
-    assert writes(c1, "c1", entry(C1[0]), ALONE_S + 3).index == 1
+    assert writes(c1, "c1", entry(C1[0]), ALONE_SETTLE_S + 3).index == 1
     assert c1.copy.match(f"{C1[0]}.example", "/") is not None
 
 
@@ -516,28 +516,28 @@
     fleet = Replicas(1)
     replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
     node = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
-    assert node.filling()  # nobody was heard yet
+    assert node.is_bootstrapping()  # nobody was heard yet
     replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
-    assert not node.filling()  # nobody has anything
+    assert not node.is_bootstrapping()  # nobody has anything
     fleet.change(C1[0])
     replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
-    assert not node.filling()  # the first change is no fill
+    assert not node.is_bootstrapping()  # the first change is no fill
     for number in range(replica_module.BOOTSTRAP_MIN_CHANGES):
         fleet.change(C1[0], pad=number)
     replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
-    assert node.filling()
+    assert node.is_bootstrapping()
     pull = replica.pulls.next_pull(now + 1)
     assert pull is not None
     replica.apply_reply(pull, fleet.all["c1"].answer(pull.request, now), now + 1)
-    assert not node.filling()
+    assert not node.is_bootstrapping()
     assert replica.announce() == fleet.all["c1"].announce()
     replica = Replica("n3", CONTROL, MemoryReplicaStore(), Random(1))
     alone = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
-    assert alone.filling()
+    assert alone.is_bootstrapping()
     monkeypatch.setattr(serving, "SETTLE_S", 0.0)
-    assert not alone.filling()
+    assert not alone.is_bootstrapping()
     single = Replication(None, replica, None, Random(1), Counters())  # type: ignore[arg-type]
-    assert not single.filling()
+    assert not single.is_bootstrapping()
 
 
 def test_a_copy_that_can_not_be_read_gives_nothing_and_is_told_of() -> None:
