--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -190,7 +190,7 @@
 
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
-        from reelusher.admin.api import AdminApi, Parts
+        from reelusher.admin.api import AdminApi, AdminContext
         from reelusher.frontends.ajp.frontend import AjpFrontend
 
         if own.fleet:
@@ -210,7 +210,7 @@
         if own.admin:
             self.admin = AdminApi(
                 own.admin,
-                Parts(
+                AdminContext(
                     self.core, tenants, table, self._pool, self.status, self.ask_to_leave, self.fleet, calls
                 ),
             )
@@ -224,7 +224,7 @@
         backends = self._backends(own)
         assert self._shares is not None
         folder, old = (own.admin.state_dir, own.admin.state_file) if own.admin else ("", "")
-        kept = tenant_store.opened(
+        kept = tenant_store.open_store(
             Path(folder) if folder else None,
             Path(old) if old else None,
             own.tenants,
@@ -232,11 +232,15 @@
             backends,
         )
         if own.admin and own.admin.durable_keys:
-            log = tenant_store.opened_keys(Path(folder))
-            for number, line in enumerate(log.live()):
-                self.core.keys.restore(line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest))
+            log = tenant_store.open_key_log(Path(folder))
+            for number, line in enumerate(log.unexpired()):
+                self.core.keys.restore(
+                    line.idempotency_key, EARLIER + number, line.expires_us, bytes.fromhex(line.body_digest)
+                )
             self.core.deduplication.key_log, self._key_log = log, log
-        found = [(tenant, TenantState(state)) for tenant, state in kept.tenants(own.class_names, backends)]
+        found = [
+            (tenant, TenantState(state)) for tenant, state in kept.checked_tenants(own.class_names, backends)
+        ]
         tenants = TenantRegistry(found, own.class_names, self._pool.runner, self.core, self._shares, backends)
         return tenants, kept, None
 
@@ -248,8 +252,9 @@
         from reelusher.fleet.replication.replica_store import ReplicaError
         from reelusher.fleet.replication.service import Replication
         from reelusher.fleet.replication.sqlite_replica import SqliteReplica
-        from reelusher.tenancy.registry import TenantRegistry, reason
+        from reelusher.tenancy.cached_registry import CachedTenantRegistry
         from reelusher.tenancy.replicated import ReplicatedTable
+        from reelusher.tenancy.tenant_source import unreadable_reason
 
         told, backends = own.replication, self._backends(own)
         assert told is not None
@@ -259,12 +264,12 @@
                 Path(told.store),
                 own.fleet.name if own.fleet else "",
                 told.control,
-                lambda name, value: reason(name, value, own.class_names, backends),
+                lambda name, value: unreadable_reason(name, value, own.class_names, backends),
             )
         except ReplicaError as error:
             raise ConfigError("replication.copy", str(error)) from None
-        tenants = TenantRegistry(
-            (), own.class_names, self._pool.runner, self.core, self._shares, backends, copy
+        tenants = CachedTenantRegistry(
+            own.class_names, self._pool.runner, self.core, self._shares, backends, copy
         )
         place = self.fleet.live()[0].place if self.fleet else ""
         replica = Replica(
@@ -287,14 +292,14 @@
         table = ReplicatedTable(replication, own.class_names, backends, self.counters)
 
         def changed(names: list[str]) -> None:
-            tenants.changed(names)
-            table.noticed(names)
+            tenants.rows_changed(names)
+            table.report_overlaps(names)
 
         copy.on_change = changed
-        tenants.filling = replication.is_bootstrapping
+        tenants.is_bootstrapping = replication.is_bootstrapping
         calls = ReplicatedTenantApi(self.core, tenants, table, self.fleet, self._spread("calls"))
         if self.fleet:
-            self.fleet.serve[ChangeRequest] = calls.carried
+            self.fleet.serve[ChangeRequest] = calls.handle_forwarded
         self._tenants = tenants
         return tenants, table, calls
 
@@ -337,9 +342,9 @@
 
                 kept += service.DESCRIPTORS
             if own.replication:
-                from reelusher.admin import replicated_api
+                from reelusher.admin import fleet_client
 
-                kept += COPY_FILES + replicated_api.MOST_SENT + 1  # and the one that pulls
+                kept += COPY_FILES + fleet_client.MAX_FORWARDED_CALLS + 1  # and the one that pulls
         return max(self.config.sockets - kept, LEAST_CONNECTIONS)
 
     def _most_ajp(self) -> int:
