--- a/reelusher/fleet/replication/positions.py
+++ b/reelusher/fleet/replication/positions.py
@@ -1,7 +1,7 @@
 """Partitions, terms, positions and version vectors.
 
 A tenant's name belongs to the partition of one of the control members, by rendezvous hashing (Thaler and
-Ravishankar 1998). A term is `round * 8 + the place of its leader` among the sorted control members, as
+Ravishankar 1998). A term is `round * 8 + the ordinal of its leader` among the sorted control members, as
 ballots are numbered: two take-overs that don't know of each other can't begin one term, and every position
 names its leader. A version vector has a replica's position in each partition.
 """
@@ -82,12 +82,12 @@
     partitions = sorted_control(control)
     if len(packed) != 1 + 2 * len(partitions) or packed[0] != control_digest(control):
         return None
-    return {partition: position_at(packed, place) for place, partition in enumerate(partitions)}
+    return {partition: position_at(packed, ordinal) for ordinal, partition in enumerate(partitions)}
 
 
-def position_at(packed: Sequence[int], place: int) -> Position:
-    """Return the position in the partition at a place of the sorted control list."""
-    return Position(packed[1 + 2 * place], packed[2 + 2 * place])
+def position_at(packed: Sequence[int], ordinal: int) -> Position:
+    """Return the position in the partition at an ordinal of the sorted control list."""
+    return Position(packed[1 + 2 * ordinal], packed[2 + 2 * ordinal])
 
 
 def shared_through_index(first: Sequence[Base], second: Sequence[Base]) -> float:
--- a/reelusher/fleet/replication/pull_scheduler.py
+++ b/reelusher/fleet/replication/pull_scheduler.py
@@ -111,8 +111,8 @@
         return ""
 
     def _record_claims(self, vector: Sequence[int], now: float) -> None:
-        for place, partition in enumerate(self._positions.control):
-            position = position_at(vector, place)
+        for ordinal, partition in enumerate(self._positions.control):
+            position = position_at(vector, ordinal)
             claim = self._claims.get(partition)
             if claim is None or position >= claim.position or now - claim.heard_s > CLAIM_TTL_S:
                 self._claims[partition] = Claim(position, now)
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -208,7 +208,7 @@
                 return
             bootstrapping = segment.more or state.cursor >= 0 or refilled
             result.changed_names += self.store.apply(
-                partition, segment.entries, state, refilled, trail=not bootstrapping
+                partition, segment.entries, state, refilled, audited=not bootstrapping
             )
             self.positions.update(partition, state)
         result.segments += 1
@@ -270,11 +270,11 @@
         segments: list[LogSegment] = []
         order = list(enumerate(self.control))
         self._random.shuffle(order)  # so that a partition with many entries does not starve the others
-        for place, partition in order:
+        for ordinal, partition in order:
             if bytes_left <= 0:
                 break
-            position = position_at(request.vector, place)
-            covered = request.covered[place] if place < len(request.covered) else position.log_index
+            position = position_at(request.vector, ordinal)
+            covered = request.covered[ordinal] if ordinal < len(request.covered) else position.log_index
             for segment in self._segments(partition, position, covered, bytes_left):
                 bytes_left -= sum(entry.size for entry in segment.entries)
                 segments.append(segment)
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -61,14 +61,14 @@
         partition: str,
         entries: Sequence[LogEntry],
         state: PartitionState,
-        drop: bool = False,
+        drop_older: bool = False,
         durable: bool = False,
-        trail: bool = True,
+        audited: bool = True,
     ) -> list[str]:
         """Write the entries that are newer than the rows of their names, and the state.
 
-        `drop`: delete rows of older generations, a refill is complete. `durable`: synced before it returns.
-        `trail`: add the entries to the audit trail. Return the names that changed.
+        `drop_older`: delete rows of older generations, a refill is complete. `durable`: synced before it
+        returns. `audited`: add the entries to the audit trail. Return the names that changed.
         """
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
@@ -146,9 +146,9 @@
         partition: str,
         entries: Sequence[LogEntry],
         state: PartitionState,
-        drop: bool = False,
+        drop_older: bool = False,
         durable: bool = False,
-        trail: bool = True,
+        audited: bool = True,
     ) -> list[str]:
         """Write entries and the state."""
         rows = self._partitions.setdefault(partition, _PartitionRows(state))
@@ -160,7 +160,7 @@
                 names.append(entry.name)
             elif entry.index == before.entry.index:
                 before.generation = state.generation
-        if drop:
+        if drop_older:
             names += self._drop_older(rows, state.generation)
         rows.state = state
         return names
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -166,19 +166,19 @@
         partition: str,
         entries: Sequence[LogEntry],
         state: PartitionState,
-        drop: bool = False,
+        drop_older: bool = False,
         durable: bool = False,
-        trail: bool = True,
+        audited: bool = True,
     ) -> list[str]:
         """Write entries and the state; see `ReplicaStore`."""
         with self._transaction(durable) as (conn, writer):
             partition_id = self._partitions.ids[partition]
             names = writer.apply(
-                entries, SegmentContext(partition_id, state.generation, self._wall_ms(), trail)
+                entries, SegmentContext(partition_id, state.generation, self._wall_ms(), audited)
             )
-            if drop:
+            if drop_older:
                 names += writer.drop_older(partition_id, state.generation)
-            if trail:
+            if audited:
                 writer.trim_history()
             elif entries:
                 integrity.restart_recheck(conn)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -54,13 +54,13 @@
 
 
 def live(fleet: Replicas, name: str) -> dict[str, tuple[int, str]]:
-    return fleet.live(name)
+    return fleet.live_rows(name)
 
 
-def all_alike(fleet: Replicas) -> bool:
+def replicas_equal(fleet: Replicas) -> bool:
     return (
-        all(live(fleet, name) == live(fleet, "c1") for name in fleet.all)
-        and len({tuple(one.announce()) for one in fleet.all.values()}) == 1
+        all(live(fleet, name) == live(fleet, "c1") for name in fleet.replicas)
+        and len({tuple(one.announce()) for one in fleet.replicas.values()}) == 1
     )
 
 
@@ -81,7 +81,7 @@
 # Names, streams, vectors
 
 
-def test_names_are_spread_evenly_and_a_list_that_grows_takes_its_part_of_each() -> None:
+def test_partition_of_spreads_names_evenly_and_moves_few_when_control_grows() -> None:
     control = ["a", "b", "c"]
     names = [f"tenant-{number}" for number in range(3000)]
     before = [partition_of(name, control) for name in names]
@@ -92,14 +92,16 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 1 << 40), st.integers(0, 1 << 40)), min_size=2, max_size=2))
-def test_a_vector_is_read_as_packed_and_one_of_another_list_is_not(told: list[tuple[int, int]]) -> None:
+def test_unpack_restores_a_packed_vector_and_rejects_another_control_list(
+    told: list[tuple[int, int]],
+) -> None:
     vector = {name: Position(*one) for name, one in zip(CONTROL, told, strict=True)}
     assert unpack(pack(vector, CONTROL), CONTROL) == vector
     assert unpack(pack(vector, CONTROL), ("c1", "c3")) is None
     assert control_digest(CONTROL) == control_digest(CONTROL[::-1]) < 1 << 32
 
 
-def test_an_epoch_tells_its_holder_and_two_that_take_over_at_once_begin_two() -> None:
+def test_term_names_its_leader_and_concurrent_take_overs_begin_different_terms() -> None:
     begun = first_term("c2", CONTROL)
     assert leader_of(begun, CONTROL) == "c2"
     one, other = (next_term(begun, name, CONTROL) for name in CONTROL)
@@ -119,14 +121,14 @@
         ([(17, 5), (24, 7)], [(17, 5), (25, 6)], 6),
     ],
 )
-def test_histories_are_one_up_to_where_the_first_of_them_leaves(first: Any, second: Any, upto: float) -> None:
+def test_histories_are_shared_up_to_the_first_different_base(first: Any, second: Any, upto: float) -> None:
     assert shared_through_index(first, second) == shared_through_index(second, first) == upto
 
 
 # Exchanges
 
 
-def test_a_change_gets_from_its_writer_to_all_and_several_come_with_one_pull(folder: Path | None) -> None:
+def test_changes_reach_all_replicas_and_share_a_pull(folder: Path | None) -> None:
     fleet = Replicas(3, folder)
     for name in C1[:3] + C2[:2]:
         fleet.change(name)
@@ -134,70 +136,70 @@
     assert taken is not None
     assert (taken.entries, sorted(taken.changed_names)) == (3, sorted(C1[:3]))
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert len(live(fleet, "n3")) == 5
 
 
-def test_two_nodes_pull_from_each_other(folder: Path | None) -> None:
+def test_two_replicas_pull_from_each_other(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.change(C2[0])
     fleet.pull("n1", "c1")
     fleet.pull("n2", "c2")
-    one, other = fleet.ask("n1", "n2"), fleet.ask("n2", "n1")
+    one, other = fleet.request_entries("n1", "n2"), fleet.request_entries("n2", "n1")
     assert one is not None
     assert other is not None
-    fleet.all["n1"].apply_reply(*one, fleet.now)
-    fleet.all["n2"].apply_reply(*other, fleet.now)
+    fleet.replicas["n1"].apply_reply(*one, fleet.now)
+    fleet.replicas["n2"].apply_reply(*other, fleet.now)
     assert live(fleet, "n1") == live(fleet, "n2")
     assert len(live(fleet, "n1")) == 2
 
 
 @pytest.mark.parametrize("first", ["n1", "n2"])
-def test_a_removal_and_an_addition_of_one_name_that_cross_end_as_the_writer_made_them(
+def test_removal_and_addition_of_one_name_converge_to_the_leaders_order(
     folder: Path | None, first: str
 ) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.settle()
     fleet.change(C1[0], "")
-    removed = fleet.ask("n1", "c1")
+    removed = fleet.request_entries("n1", "c1")
     fleet.change(C1[0])
-    added = fleet.ask("n2", "c1")
+    added = fleet.request_entries("n2", "c1")
     assert removed is not None
     assert added is not None
     for name in sorted(("n1", "n2"), key=lambda name: name != first):
-        fleet.all[name].apply_reply(*{"n1": removed, "n2": added}[name], fleet.now)
+        fleet.replicas[name].apply_reply(*{"n1": removed, "n2": added}[name], fleet.now)
     assert not live(fleet, "n1")
     assert live(fleet, "n2")
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert live(fleet, "n1") == {C1[0]: (3, "active")}
 
 
-def test_a_reply_that_is_cut_leaves_no_trace_and_one_that_comes_late_is_not_taken(
+def test_late_reply_is_not_applied(
     folder: Path | None,
 ) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
-    asked = fleet.ask("n1", "c1")
+    asked = fleet.request_entries("n1", "c1")
     assert asked is not None
-    replica = fleet.all["n1"]
+    replica = fleet.replicas["n1"]
     replica.pulls.failed(asked[0], fleet.now)
     assert replica.pulls.next_due_s() > fleet.now
     assert replica.apply_reply(*asked, fleet.now).segments == 0
     assert not live(fleet, "n1")
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
-def test_a_pull_that_never_ends_is_given_up_and_another_member_asked(folder: Path | None) -> None:
+def test_pull_that_times_out_is_retried_at_another_member(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.pull("n2", "c1")
-    replica = fleet.all["n1"]
+    replica = fleet.replicas["n1"]
     for name in ("c1", "n2"):
-        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+        replica.pulls.observe(name, "", list(fleet.replicas[name].announce()), fleet.now)
     first = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert first is not None
     assert replica.pulls.next_pull(fleet.now + 1) is None
@@ -208,7 +210,7 @@
     assert second.address != first.address
 
 
-def test_a_pull_follows_soon_after_hearing_with_jitter_and_own_zone_first() -> None:
+def test_pull_follows_an_announcement_with_jitter_and_prefers_the_own_zone() -> None:
     due = set()
     for seed in range(20):
         replica = Replica("n", CONTROL, MemoryReplicaStore(), Random(seed), "near")
@@ -224,20 +226,20 @@
     assert 5 + PULL_DELAY_S[0] <= min(due) <= max(due) <= 5 + PULL_DELAY_S[1]
 
 
-def test_of_several_that_are_ahead_the_one_ahead_most_is_asked_and_a_later_epoch_is_further() -> None:
+def test_pull_goes_to_the_member_furthest_ahead() -> None:
     fleet = Replicas(4, None)
     for number, name in enumerate(("n2", "n3")):
         for _ in range(1 + 2 * number):
             fleet.change(C1[0])
         fleet.pull(name, "c1")
-    replica = fleet.all["n1"]
+    replica = fleet.replicas["n1"]
     for name in ("n2", "n3", "n2"):
-        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+        replica.pulls.observe(name, "", list(fleet.replicas[name].announce()), fleet.now)
     pull = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert pull is not None
     assert pull.address == "n3"
     replica.pulls.failed(pull, fleet.now)
-    told = list(fleet.all["n2"].announce())
+    told = list(fleet.replicas["n2"].announce())
     told[1] += 8  # a later term
     replica.pulls.observe("n4", "", told, fleet.now)
     pull = replica.pulls.next_pull(fleet.now + 10)
@@ -252,78 +254,78 @@
         (1000, 0.8 * 3.5 / BOOTSTRAP_SEGMENTS_PER_S, 1.2 * 4.5 / BOOTSTRAP_SEGMENTS_PER_S),
     ],
 )
-def test_the_next_pull_waits_for_the_bytes_of_the_last_and_not_for_its_streams(
+def test_interval_between_pulls_follows_bytes_not_partitions(
     rows: int, least_s: float, most_s: float
 ) -> None:
     """Six streams with a change each made six pieces, and a wait of 1.2 s as after six full ones."""
     control = tuple(f"c{number}" for number in range(1, 7))
     fleet = Replicas(1, None, control)
-    for stream in control:
-        for name in names_of(stream, rows, control):
+    for partition in control:
+        for name in names_of(partition, rows, control):
             fleet.change(name, more="x" * 300)
-        fleet.pull("c1", stream)
-    found = fleet.ask("n1", "c1")
+        fleet.pull("c1", partition)
+    found = fleet.request_entries("n1", "c1")
     assert found is not None
     pull, reply = found
     fleet.change(names_of("c1", rows + 1, control)[-1])
-    replica = fleet.all["n1"]
-    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), fleet.now)
+    replica = fleet.replicas["n1"]
+    replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), fleet.now)
     assert len(reply.segments) == 6 if rows == 1 else len(reply.segments) >= 4
     replica.apply_reply(pull, reply, fleet.now)
     assert least_s <= replica.pulls.next_due_s() - fleet.now <= most_s
 
 
-def test_nobody_is_asked_who_is_level_behind_or_of_another_list(folder: Path | None) -> None:
+def test_no_pull_from_members_that_are_not_ahead_or_of_another_control_list(folder: Path | None) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
-    writer = fleet.all["c1"]
-    assert writer.pulls.observe("n1", "", list(fleet.all["n1"].announce()), fleet.now) == ""
+    writer = fleet.replicas["c1"]
+    assert writer.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now) == ""
     assert writer.pulls.observe("n1", "", list(writer.announce()), fleet.now) == ""
     other = Replica("c1", ("c1", "c3"), MemoryReplicaStore(), Random(1))
     other.accept("c1", "c1", entry(names_of("c1", 1, ("c1", "c3"))[0]))
-    assert fleet.all["n1"].pulls.observe("x", "", list(other.announce()), fleet.now) == "control"
-    assert fleet.all["n1"].pulls.observe("x", "", [1, 2], fleet.now) == "control"
-    assert all(one.pulls.next_due_s() == float("inf") for one in (writer, fleet.all["n1"]))
+    assert fleet.replicas["n1"].pulls.observe("x", "", list(other.announce()), fleet.now) == "control"
+    assert fleet.replicas["n1"].pulls.observe("x", "", [1, 2], fleet.now) == "control"
+    assert all(one.pulls.next_due_s() == float("inf") for one in (writer, fleet.replicas["n1"]))
     told = other.announce()
     assert writer.answer(EntriesRequest("x", told[0], list(told)), fleet.now) == EntriesReply([])
 
 
-def test_who_has_given_enough_of_late_sends_on_to_others_that_have_it(folder: Path | None) -> None:
+def test_member_at_its_limit_names_alternatives(folder: Path | None) -> None:
     fleet = Replicas(4, folder)
     fleet.change(C1[0])
     for name in ("n2", "n3"):
         fleet.pull(name, "c1")
-        fleet.all["c1"].pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
-    writer, asker = fleet.all["c1"], fleet.all["n1"]
+        fleet.replicas["c1"].pulls.observe(name, "", list(fleet.replicas[name].announce()), fleet.now)
+    writer, puller = fleet.replicas["c1"], fleet.replicas["n1"]
     request = EntriesRequest("n4", writer.announce()[0], [writer.announce()[0], 0, 0, 0, 0])
     while writer.answer(request, fleet.now).segments:
         pass
-    replica_heard = asker.pulls.observe("c1", "", list(writer.announce()), fleet.now)
+    replica_heard = puller.pulls.observe("c1", "", list(writer.announce()), fleet.now)
     assert replica_heard == ""
-    pull = asker.pulls.next_pull(asker.pulls.next_due_s())
+    pull = puller.pulls.next_pull(puller.pulls.next_due_s())
     assert pull is not None
     reply = writer.answer(pull.request, fleet.now)
     assert not reply.segments
     assert set(reply.alternatives) == {"n2", "n3"}
-    assert asker.apply_reply(pull, reply, fleet.now).segments == 0
-    second = asker.pulls.next_pull(asker.pulls.next_due_s())
+    assert puller.apply_reply(pull, reply, fleet.now).segments == 0
+    second = puller.pulls.next_pull(puller.pulls.next_due_s())
     assert second is not None
     assert second.address in ("n2", "n3")
     assert writer.answer(pull.request, fleet.now + 1).segments
 
 
-def test_pieces_and_replies_are_bounded_and_no_stream_waits_for_another(folder: Path | None) -> None:
+def test_segments_and_replies_are_bounded_and_no_partition_starves(folder: Path | None) -> None:
     fleet = Replicas(1, folder)
     for name in C1 + C2:
         fleet.change(name, pad="x" * 20_000)
-    asked = fleet.ask("n1", "c1")
+    asked = fleet.request_entries("n1", "c1")
     assert asked is not None
-    pieces = asked[1].segments
-    assert sum(one.size for each in pieces for one in each.entries) <= MAX_REPLY_BYTES + 48_000
-    assert all(sum(one.size for one in each.entries) <= MAX_SEGMENT_BYTES for each in pieces)
+    segments = asked[1].segments
+    assert sum(one.size for each in segments for one in each.entries) <= MAX_REPLY_BYTES + 48_000
+    assert all(sum(one.size for one in each.entries) <= MAX_SEGMENT_BYTES for each in segments)
     assert len(msgspec.msgpack.encode(asked[1])) < 1 << 19
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert len(live(fleet, "n1")) == 80
 
 
@@ -354,11 +356,11 @@
         bad("epoch", entries=[LogEntry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
     ],
 )
-def test_what_can_not_be_true_is_refused_whole(folder: Path | None, more: dict[str, Any], word: str) -> None:
+def test_invalid_segment_is_rejected_whole(folder: Path | None, more: dict[str, Any], word: str) -> None:
     fleet = Replicas(1, folder)
-    replica = fleet.all["n1"]
+    replica = fleet.replicas["n1"]
     fleet.change(C1[0])
-    asked = fleet.ask("n1", "c1")
+    asked = fleet.request_entries("n1", "c1")
     assert asked is not None
     good: dict[str, Any] = {
         "since": 0,
@@ -376,27 +378,27 @@
     )
 
 
-def test_one_that_gives_what_is_bad_is_left_alone_for_a_while_and_others_are_asked(
+def test_sender_of_an_invalid_segment_is_avoided_for_a_while(
     folder: Path | None,
 ) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.pull("n2", "c1")
-    replica = fleet.all["n1"]
-    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), fleet.now)
+    replica = fleet.replicas["n1"]
+    replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), fleet.now)
     pull = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert pull is not None
     replica.apply_reply(
         pull, EntriesReply([make_segment(replica.states["c1"], [entry(C2[0], 1)])]), fleet.now
     )
     for name in ("c1", "n2"):
-        replica.pulls.observe(name, "", list(fleet.all[name].announce()), fleet.now)
+        replica.pulls.observe(name, "", list(fleet.replicas[name].announce()), fleet.now)
     second = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert second is not None
     assert second.address == "n2"
 
 
-def test_a_copy_that_can_not_be_written_takes_nothing_and_tries_again_later() -> None:
+def test_failed_store_applies_nothing_and_retries_later() -> None:
     class Full(MemoryReplicaStore):
         full = True
 
@@ -409,14 +411,14 @@
     fleet.add("n1", Full())
     fleet.change(C1[0])
     taken = fleet.pull("n1", "c1")
-    replica = fleet.all["n1"]
+    replica = fleet.replicas["n1"]
     assert taken is not None
     assert "full" in taken.store_error
     assert not live(fleet, "n1")
     assert fleet.now < replica.pulls.next_due_s() < fleet.now + 5
     Full.full = False
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
 @pytest.mark.parametrize(
@@ -429,11 +431,11 @@
         LogEntry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
     ],
 )
-def test_what_no_other_member_would_take_is_not_numbered(made: LogEntry) -> None:
+def test_change_that_others_would_reject_gets_no_index(made: LogEntry) -> None:
     fleet = Replicas(0)
     with pytest.raises(ValueError, match=r"stream|length|>="):
-        fleet.all["c1"].accept("c1", "c1", made)
-    assert fleet.all["c1"].states["c1"].index == 0
+        fleet.replicas["c1"].accept("c1", "c1", made)
+    assert fleet.replicas["c1"].states["c1"].index == 0
 
 
 # Tombstones, refills
@@ -447,41 +449,41 @@
     fleet.change(C1[1], "")
     fleet.settle("c1", "c2", "n2", "n3")
     for name in ("c1", "c2", "n2", "n3"):
-        for stream in CONTROL:
-            fleet.rows[name].collect(stream, 1, spare=0)
+        for partition in CONTROL:
+            fleet.stores[name].collect(partition, 1, spare=0)
         fleet.restart(name)
-    assert fleet.all["c1"].states["c1"].horizon == 6
+    assert fleet.replicas["c1"].states["c1"].horizon == 6
     fleet.change(C1[2], pad="newer")
 
 
-def test_who_missed_a_removal_that_is_forgotten_is_refilled_and_drops_that_row_and_no_other(
+def test_replica_that_missed_a_collected_tombstone_is_refilled(
     folder: Path | None,
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     before = live(fleet, "n1")
-    asked = fleet.ask("n1", "c1")
+    asked = fleet.request_entries("n1", "c1")
     assert asked is not None
     assert asked[1].segments[0].since == 0
-    taken = fleet.all["n1"].apply_reply(*asked, fleet.now)
+    taken = fleet.replicas["n1"].apply_reply(*asked, fleet.now)
     assert taken.refills == ["c1"]
     assert set(before) - set(live(fleet, "n1")) == {C1[1]}
     assert C1[1] in taken.changed_names
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert len(live(fleet, "n1")) == 4
 
 
-def test_a_refill_serves_the_old_rows_and_announces_the_old_position_until_its_end(
+def test_refill_serves_old_rows_and_announces_the_old_position_until_its_end(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
-    before, told = set(live(fleet, "n1")), list(fleet.all["n1"].announce())
+    before, told = set(live(fleet, "n1")), list(fleet.replicas["n1"].announce())
     steps = 0
-    while fleet.all["n1"].announce() == told:
+    while fleet.replicas["n1"].announce() == told:
         assert set(live(fleet, "n1")) == before
         fleet.settle("n2", "c1", most=30)
         assert fleet.pull("n1", ("c1", "n2")[steps % 2]) is not None
@@ -489,10 +491,10 @@
         steps += 1
     assert steps == 4
     assert set(live(fleet, "n1")) == before - {C1[1]}
-    assert fleet.all["n1"].states["c1"].cursor == -1
+    assert fleet.replicas["n1"].states["c1"].cursor == -1
 
 
-def test_a_fresh_node_that_is_filled_by_several_is_not_begun_anew_by_what_they_forget(
+def test_bootstrap_from_several_members_is_not_restarted_by_their_collection(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
@@ -502,17 +504,17 @@
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.add("n4")
     seen = []
-    for giver in ("c1", "n2", "n3", "c1", "n2"):
-        taken = fleet.pull("n4", giver)
+    for sender in ("c1", "n2", "n3", "c1", "n2"):
+        taken = fleet.pull("n4", sender)
         seen.append((taken.entries, taken.refills) if taken else None)
-        fleet.change(C1[3], pad=giver)  # while it is filled
+        fleet.change(C1[3], pad=sender)  # while it is filled
         fleet.restart("n4")  # and it goes on from where it was
     fleet.settle()
     assert seen[:4] == [(1, [])] * 4
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
-def test_a_row_whose_removal_is_forgotten_does_not_come_back_by_one_that_was_filled_later(
+def test_removed_row_does_not_return_from_a_later_bootstrap(
     folder: Path | None,
 ) -> None:
     fleet = Replicas(3, folder)
@@ -525,7 +527,7 @@
     assert live(fleet, "n1") == live(fleet, "c1")
 
 
-def test_a_fill_remembers_how_far_the_least_of_its_givers_was(
+def test_bootstrap_keeps_the_lowest_covered_index_of_its_senders(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What an early giver did not know to be removed is found out, though a later one knew more."""
@@ -540,8 +542,8 @@
     fleet.pull("n4", "n1")
     fleet.pull("n4", "c1")
     assert set(live(fleet, "n4")) == {C1[0], C1[2]}
-    assert fleet.all["n4"].states["c1"].covered == 5
-    fleet.all["c1"].store.collect("c1", 1, spare=0)
+    assert fleet.replicas["n4"].states["c1"].covered == 5
+    fleet.replicas["c1"].store.collect("c1", 1, spare=0)
     fleet.restart("c1")
     taken = fleet.pull("n4", "c1")
     assert taken is not None
@@ -551,21 +553,21 @@
     assert C1[0] not in live(fleet, "n4")
 
 
-def test_a_refill_goes_on_to_the_furthest_of_its_givers_so_that_no_row_is_missing_between(
+def test_refill_continues_to_the_furthest_goal_of_its_senders(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
     removed_while_away(fleet)
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
-    for giver in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 is one behind
-        fleet.pull("n1", giver)
+    for sender in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 is one behind
+        fleet.pull("n1", sender)
         assert C1[2] in live(fleet, "n1")
-    assert fleet.all["n1"].states["c1"].cursor == -1
+    assert fleet.replicas["n1"].states["c1"].cursor == -1
     assert live(fleet, "n1") == live(fleet, "c1")
 
 
-def test_who_is_refilled_gives_nothing_of_that_stream(
+def test_replica_being_refilled_sends_no_segments_of_that_partition(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
@@ -574,16 +576,16 @@
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n1", "c1")
-    assert fleet.all["n1"].states["c1"].cursor > 0
+    assert fleet.replicas["n1"].states["c1"].cursor > 0
     for _ in range(3):
         taken = fleet.pull("n4", "n1")
         assert taken is not None
         assert taken.segments == 0
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
-def test_one_whose_tombstones_are_gone_takes_nothing_of_one_that_never_had_them(
+def test_no_segments_between_replicas_with_and_without_collected_tombstones(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
@@ -592,16 +594,16 @@
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n4", "c1")
-    assert fleet.all["n4"].states["c1"].horizon == 6
+    assert fleet.replicas["n4"].states["c1"].horizon == 6
     taken = fleet.pull("n4", "n1")
     assert taken is not None
     assert taken.faults == ["stale"]
     assert set(live(fleet, "n4")) == {C1[0]}
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
-def test_what_is_collected_is_old_and_not_among_the_newest_numbers() -> None:
+def test_only_old_tombstones_before_the_newest_indexes_are_collected() -> None:
     rows = MemoryReplicaStore(lambda: 50)
     replica = Replica("c1", CONTROL, rows, Random(1))
     for name in C1[:4]:
@@ -615,26 +617,26 @@
 # Take-over
 
 
-def test_a_take_over_is_heard_and_the_old_holder_writes_no_more(folder: Path | None) -> None:
+def test_old_leader_stops_writing_after_a_take_over(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.settle()
-    position = fleet.all["c2"].begin_term("c1", "c2")
+    position = fleet.replicas["c2"].begin_term("c1", "c2")
     assert leader_of(position.term, CONTROL) == "c2"
     assert position.log_index == 1
     fleet.change(C1[1], by="c2")
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     with pytest.raises(NotLeaderError, match="c2 writes"):
         fleet.change(C1[2])
     assert live(fleet, "n2") == {C1[0]: (1, "active"), C1[1]: (2, "active")}
 
 
-def test_what_the_old_holder_took_past_the_take_over_is_kept_aside_and_told_of(folder: Path | None) -> None:
+def test_old_leaders_changes_past_the_take_over_are_set_aside_as_divergent(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.settle()
-    fleet.all["c2"].begin_term("c1", "c2")
+    fleet.replicas["c2"].begin_term("c1", "c2")
     fleet.change(C1[1])  # the old holder is cut off and has not heard
     fleet.change(C1[0], pad="lost")
     fleet.pull("n1", "c1")
@@ -645,42 +647,42 @@
         "n1": {"c1": 2},
     }
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (2, "active")}
-    assert sorted(fleet.orphans("n1")) == sorted([(C1[1], 2), (C1[0], 3)])
+    assert sorted(fleet.divergent_rows("n1")) == sorted([(C1[1], 2), (C1[0], 3)])
 
 
-def test_two_take_overs_that_cross_end_in_the_later_epoch_for_all(folder: Path | None) -> None:
+def test_concurrent_take_overs_converge_to_the_later_term(folder: Path | None) -> None:
     fleet = Replicas(3, folder)
     fleet.change(C1[0])
     fleet.settle()
-    one, other = (fleet.all[name].begin_term("c1", name) for name in CONTROL)
+    one, other = (fleet.replicas[name].begin_term("c1", name) for name in CONTROL)
     assert one != other
     fleet.change(C1[1], by="c1")
     fleet.change(C1[2], by="c2")
     fleet.pull("n1", "c1")
     fleet.pull("n2", "c2")
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
     assert set(live(fleet, "n1")) == {C1[0], C1[2]}
 
 
-def test_who_lags_behind_a_take_over_goes_on_without_a_refill(folder: Path | None) -> None:
+def test_replica_behind_a_take_over_continues_without_a_refill(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     for name in C1[:3]:
         fleet.change(name)
         fleet.pull("c2", "c1")
         if name == C1[0]:
             fleet.pull("n1", "c1")
-    fleet.all["c2"].begin_term("c1", "c2")
+    fleet.replicas["c2"].begin_term("c1", "c2")
     taken = fleet.pull("n1", "c2")
     assert taken is not None
     assert (taken.entries, taken.divergent, taken.refills) == (2, {}, [])
     fleet.settle()
-    assert all_alike(fleet)
+    assert replicas_equal(fleet)
 
 
-def test_rows_left_out_for_newer_ones_that_a_take_over_loses_are_found_again(
+def test_rows_superseded_by_entries_lost_in_a_take_over_are_restored(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What a giver left out as superseded is the newest there is, once its superseder is of no history."""
@@ -694,14 +696,14 @@
     for _ in range(2):
         fleet.pull("n1", "c1")  # 1 and 3, no 2
     assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
-    fleet.all["c2"].begin_term("c1", "c2")
+    fleet.replicas["c2"].begin_term("c1", "c2")
     fleet.settle("n1", "n2", "c2")
     assert (
         live(fleet, "n1") == live(fleet, "c2") == {name: (at + 1, "active") for at, name in enumerate(C1[:4])}
     )
 
 
-def test_a_refill_after_a_take_over_does_not_end_before_the_position_that_it_serves(
+def test_refill_after_a_take_over_reaches_the_position_it_serves(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(2, folder)
@@ -715,11 +717,11 @@
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n1", "c1")
     fleet.pull("n1", "c1")
-    state = fleet.all["n1"].states["c1"]
+    state = fleet.replicas["n1"].states["c1"]
     assert (state.index, state.goal) == (3, 5)
-    fleet.all["c2"].begin_term("c1", "c2")
+    fleet.replicas["c2"].begin_term("c1", "c2")
     fleet.pull("n2", "c2")
-    assert fleet.all["n2"].states["c1"].index == 2
+    assert fleet.replicas["n2"].states["c1"].index == 2
     for _ in range(4):
         fleet.pull("n1", "n2")
     fleet.settle("n1", "n2", "c2")
@@ -727,7 +729,7 @@
     assert len(live(fleet, "n1")) == 4
 
 
-def test_who_has_not_all_that_it_began_to_pull_does_not_take_over_unless_forced(
+def test_incomplete_replica_takes_over_only_if_forced(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(1, folder)
@@ -737,19 +739,19 @@
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("c2", "c1")
     with pytest.raises(NotLeaderError, match="refilled"):
-        fleet.all["c2"].begin_term("c1", "c2")
-    assert fleet.all["c2"].begin_term("c1", "c2", force=True).log_index == 1
+        fleet.replicas["c2"].begin_term("c1", "c2")
+    assert fleet.replicas["c2"].begin_term("c1", "c2", force=True).log_index == 1
 
 
-def test_a_holder_that_hears_of_numbers_past_its_own_can_tell(folder: Path | None) -> None:
+def test_leader_knows_claims_past_its_own_position(folder: Path | None) -> None:
     fleet = Replicas(2, folder)
     fleet.change(C1[0])
     fleet.change(C1[1])
     fleet.settle()
     fleet.add("c1")  # an older copy was put back
-    writer = fleet.all["c1"]
+    writer = fleet.replicas["c1"]
     assert writer.pulls.claimed("c1", fleet.now) is None
-    writer.pulls.observe("n1", "", list(fleet.all["n1"].announce()), fleet.now)
+    writer.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now)
     assert writer.pulls.claimed("c1", fleet.now) == (first_term("c1", CONTROL), 2)
     assert writer.pulls.claimed("c2", fleet.now) is None
     fleet.settle("c1", "n1")
@@ -818,7 +820,7 @@
 
 
 @pytest.mark.parametrize(("changes", "loss"), [(1, 0.0), (20, 0.0), (1, 0.1)])
-def test_a_change_is_with_all_but_one_in_a_thousand_of_3600_in_8_s(changes: int, loss: float) -> None:
+def test_change_reaches_999_of_1000_replicas_of_3600_within_8_s(changes: int, loss: float) -> None:
     had_s, given = spread(3600, 1, changes, loss)
     assert len(had_s) == 3600
     assert had_s[int(3600 * 0.999)] < 8.0
@@ -841,46 +843,46 @@
 
 def play(fleet: Replicas, steps: list[tuple[Any, ...]]) -> dict[str, tuple[int, bool]]:
     """Make steps; return what was acknowledged last of each name: its number, and whether it was removed."""
-    members, names = list(fleet.all), C1[:3] + C2[:3]
+    members, names = list(fleet.replicas), C1[:3] + C2[:3]
     acknowledged: dict[str, tuple[int, bool]] = {}
     given: set[tuple[str, int, int]] = set()
     for what, first, second in steps:
-        before = {name: unpack(one.announce(), CONTROL) for name, one in fleet.all.items()}
+        before = {name: unpack(one.announce(), CONTROL) for name, one in fleet.replicas.items()}
         if what == "change":
             name = names[first]
-            holders = [one for one in CONTROL if fleet.all[one].leads(partition_of(name, CONTROL), one)]
-            for holder in holders:
+            holders = [one for one in CONTROL if fleet.replicas[one].leads(partition_of(name, CONTROL), one)]
+            for leader in holders:
                 with contextlib.suppress(NotLeaderError):
-                    made = fleet.change(name, "active" if second else "", holder)
+                    made = fleet.change(name, "active" if second else "", leader)
                     acknowledged[name] = made.index, not second
                     assert (partition_of(name, CONTROL), made.term, made.index) not in given
                     given.add((partition_of(name, CONTROL), made.term, made.index))
         elif what == "take-over":
-            stream = CONTROL[second]
+            partition = CONTROL[second]
             with contextlib.suppress(NotLeaderError):
-                fleet.all[CONTROL[first]].begin_term(stream, CONTROL[first])
+                fleet.replicas[CONTROL[first]].begin_term(partition, CONTROL[first])
         elif what == "collect":
-            for stream in CONTROL:
-                if fleet.all[members[first]].states[stream].cursor < 0:
-                    fleet.rows[members[first]].collect(stream, 1, spare=0)
+            for partition in CONTROL:
+                if fleet.replicas[members[first]].states[partition].cursor < 0:
+                    fleet.stores[members[first]].collect(partition, 1, spare=0)
             fleet.restart(members[first])
         elif what == "restart":
             fleet.restart(members[first])
         elif first != second:
-            asked = fleet.ask(members[first], members[second])
+            asked = fleet.request_entries(members[first], members[second])
             if asked is not None and what == "cut":
-                fleet.all[members[first]].pulls.failed(asked[0], fleet.now)
+                fleet.replicas[members[first]].pulls.failed(asked[0], fleet.now)
             elif asked is not None:
-                fleet.all[members[first]].apply_reply(*asked, fleet.now)
+                fleet.replicas[members[first]].apply_reply(*asked, fleet.now)
                 if what == "twice":
-                    fleet.all[members[first]].pulls.in_flight = asked[0]
-                    fleet.all[members[first]].apply_reply(*asked, fleet.now)
-        for name, one in fleet.all.items():
+                    fleet.replicas[members[first]].pulls.in_flight = asked[0]
+                    fleet.replicas[members[first]].apply_reply(*asked, fleet.now)
+        for name, one in fleet.replicas.items():
             after = unpack(one.announce(), CONTROL)
             told = before[name]
             assert after is not None
             assert told is not None
-            assert all(after[stream] >= told[stream] for stream in CONTROL)
+            assert all(after[partition] >= told[partition] for partition in CONTROL)
     return acknowledged
 
 
@@ -899,7 +901,7 @@
     with small_fleet(most, files) as fleet:
         acknowledged = play(fleet, steps)
         fleet.settle()
-        assert all_alike(fleet)
+        assert replicas_equal(fleet)
         kept = live(fleet, "n3")
         assert {name: number for name, (number, removed) in acknowledged.items() if not removed} == {
             name: number for name, (number, _) in kept.items()
@@ -909,7 +911,7 @@
 @pytest.mark.parametrize("most", [1, 300, MAX_SEGMENT_BYTES])
 @given(steps=st.lists(STEP, max_size=60))
 @settings(max_examples=150, deadline=None)
-def test_whatever_the_order_all_end_with_the_same_rows_and_nothing_acknowledged_is_lost(
+def test_replicas_converge_in_any_order_without_losing_acknowledged_changes(
     most: int, steps: list[tuple[Any, ...]]
 ) -> None:
     holds_whatever_the_order(most, False, steps)
@@ -917,20 +919,20 @@
 
 @given(steps=st.lists(STEP, max_size=40))
 @settings(max_examples=15, deadline=None)
-def test_the_same_with_a_file_each(steps: list[tuple[Any, ...]]) -> None:
+def test_sqlite_replicas_converge_in_any_order(steps: list[tuple[Any, ...]]) -> None:
     holds_whatever_the_order(300, True, steps)
 
 
 @pytest.mark.parametrize("most", [1, MAX_SEGMENT_BYTES])
 @given(steps=st.lists(st.one_of(STEP, TAKE_OVERS), max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_all_end_with_the_same_rows_after_take_overs_too(most: int, steps: list[tuple[Any, ...]]) -> None:
+def test_replicas_converge_after_take_overs(most: int, steps: list[tuple[Any, ...]]) -> None:
     ends_alike(most, False, steps)
 
 
 @given(steps=st.lists(st.one_of(STEP, TAKE_OVERS), max_size=40))
 @settings(max_examples=15, deadline=None)
-def test_the_same_after_take_overs_with_a_file_each(steps: list[tuple[Any, ...]]) -> None:
+def test_sqlite_replicas_converge_after_take_overs(steps: list[tuple[Any, ...]]) -> None:
     ends_alike(300, True, steps)
 
 
@@ -938,4 +940,4 @@
     with small_fleet(most, files) as fleet:
         play(fleet, steps)
         fleet.settle()
-        assert all_alike(fleet)
+        assert replicas_equal(fleet)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -44,8 +44,8 @@
         return self.now
 
 
-def writer_of(fleet: Replicas, clock: Clock, name: str = "c1") -> Leadership:
-    return Leadership(fleet.all[name], Counters(), clock)
+def leadership_of(fleet: Replicas, clock: Clock, name: str = "c1") -> Leadership:
+    return Leadership(fleet.replicas[name], Counters(), clock)
 
 
 @pytest.mark.parametrize(
@@ -61,55 +61,53 @@
         (5, 0, SETTLE_S, True),
     ],
 )
-def test_nothing_is_accepted_before_others_were_heard(
+def test_no_change_is_accepted_before_others_were_observed(
     others: int, heard: int, since_s: float, may: bool
 ) -> None:
     fleet, clock = Replicas(0), Clock()
-    writer = writer_of(fleet, clock)
+    leadership = leadership_of(fleet, clock)
     for number in range(heard):
-        writer.observe(f"n{number}")
-        writer.observe(f"n{number}")
+        leadership.observe(f"n{number}")
+        leadership.observe(f"n{number}")
     clock.now += since_s
-    writer.tick(others, False)
+    leadership.tick(others, False)
     if may:
-        assert writer.accept("c1", entry(C1[0])).index == 1
+        assert leadership.accept("c1", entry(C1[0])).index == 1
     else:
         with pytest.raises(NotLeaderError, match="not heard"):
-            writer.accept("c1", entry(C1[0]))
+            leadership.accept("c1", entry(C1[0]))
         with pytest.raises(NotLeaderError, match="not heard"):
-            writer.take_over("c2")
+            leadership.take_over("c2")
 
 
-def test_without_a_fleet_it_writes_at_once_and_tells_of_each_change() -> None:
+def test_lone_leader_writes_at_once_and_reports_each_change() -> None:
     told: list[tuple[str, Position, float]] = []
-    writer = Leadership(
-        Replicas(0).all["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True
+    leadership = Leadership(
+        Replicas(0).replicas["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True
     )
-    made = writer.accept("c1", entry(C1[0]))
+    made = leadership.accept("c1", entry(C1[0]))
     assert told == [("c1", (made.term, 1), 7.0)]
     with pytest.raises(NotLeaderError, match="c2 writes"):
-        writer.accept("c2", entry(C2[0]))
+        leadership.accept("c2", entry(C2[0]))
 
 
-def test_of_two_live_members_of_one_name_neither_writes() -> None:
+def test_two_live_members_of_one_name_do_not_write() -> None:
     fleet, clock = Replicas(0), Clock()
-    writer = writer_of(fleet, clock)
-    writer.observe("n1")
-    writer.tick(1, True)
+    leadership = leadership_of(fleet, clock)
+    leadership.observe("n1")
+    leadership.tick(1, True)
     with pytest.raises(NotLeaderError, match="another live member"):
-        writer.accept("c1", entry(C1[0]))
-    writer.tick(1, False)
-    assert writer.accept("c1", entry(C1[0])).index == 1
+        leadership.accept("c1", entry(C1[0]))
+    leadership.tick(1, False)
+    assert leadership.accept("c1", entry(C1[0])).index == 1
 
 
 @pytest.mark.parametrize("kept", [0, 2])
-def test_a_holder_with_an_older_copy_pulls_its_own_changes_back_and_begins_a_term(
-    tmp_path: Path, kept: int
-) -> None:
+def test_leader_with_an_older_file_pulls_its_changes_and_begins_a_term(tmp_path: Path, kept: int) -> None:
     fleet, clock = Replicas(2, tmp_path), Clock()
     for name in C1[:kept]:
         fleet.change(name)
-    older = fleet.rows["c1"]
+    older = fleet.stores["c1"]
     assert isinstance(older, SqliteReplica)
     older.close()
     backup = {path: path.read_bytes() for path in tmp_path.glob("c1-*.db*")}
@@ -123,62 +121,62 @@
     for path, data in backup.items():
         path.write_bytes(data)
     fleet.restart("c1")
-    assert fleet.all["c1"].states.get("c1")
-    assert fleet.all["c1"].states["c1"].index == kept
-    writer = writer_of(fleet, clock)
-    told = list(fleet.all["n1"].announce())
-    fleet.all["c1"].pulls.observe("n1", "", told, clock.now)
-    writer.observe("n1")
-    writer.tick(1, False)
+    assert fleet.replicas["c1"].states.get("c1")
+    assert fleet.replicas["c1"].states["c1"].index == kept
+    leadership = leadership_of(fleet, clock)
+    told = list(fleet.replicas["n1"].announce())
+    fleet.replicas["c1"].pulls.observe("n1", "", told, clock.now)
+    leadership.observe("n1")
+    leadership.tick(1, False)
     with pytest.raises(NotLeaderError, match=r"others have stream c1 up to 8.5"):
-        writer.accept("c1", entry(C1[9]))
+        leadership.accept("c1", entry(C1[9]))
     for _ in range(10):
         if not fleet.pull("c1", "n1"):
             break
     fleet.restart("c1")  # what it knows of that outlives a restart
-    writer = writer_of(fleet, clock)
-    writer.observe("n1")
-    writer.tick(1, False)
+    leadership = leadership_of(fleet, clock)
+    leadership.observe("n1")
+    leadership.tick(1, False)
     with pytest.raises(NotLeaderError, match="older one"):
-        writer.accept("c1", entry(C1[9]))
+        leadership.accept("c1", entry(C1[9]))
     clock.now += RESTORE_QUIET_S + 0.1
-    writer.tick(1, False)
-    made = writer.accept("c1", entry(C1[9]))
+    leadership.tick(1, False)
+    made = leadership.accept("c1", entry(C1[9]))
     assert (made.term, made.index) == (16, 6)
     fleet.settle()
-    assert fleet.live("n1") == fleet.live("c1")
-    assert len(fleet.live("n1")) == 6
+    assert fleet.live_rows("n1") == fleet.live_rows("c1")
+    assert len(fleet.live_rows("n1")) == 6
     fleet.close()
 
 
-def test_changes_that_only_one_that_was_away_had_end_as_its_orphans(tmp_path: Path) -> None:
+def test_changes_that_only_an_absent_member_had_become_divergent_rows(tmp_path: Path) -> None:
     fleet, clock = Replicas(2, tmp_path), Clock()
     fleet.change(C1[0])
     fleet.settle()
     fleet.change(C1[1])
     fleet.pull("n2", "c1")  # and then n2 is away, and c1's machine lost
     fleet.add("c1")
-    writer = writer_of(fleet, clock)
-    writer.observe("n1")
-    writer.tick(1, False)
+    leadership = leadership_of(fleet, clock)
+    leadership.observe("n1")
+    leadership.tick(1, False)
     fleet.pull("c1", "n1")
     for _ in range(2):
-        writer.tick(1, False)
+        leadership.tick(1, False)
         clock.now += CLAIM_TTL_S
-    made = writer.accept("c1", entry(C1[2]))
+    made = leadership.accept("c1", entry(C1[2]))
     assert (made.term, made.index) == (16, 2)
     fleet.settle()
-    assert fleet.orphans("n2") == [(C1[1], 2)]
+    assert fleet.divergent_rows("n2") == [(C1[1], 2)]
     assert (
-        fleet.live("n2")
-        == fleet.live("n1")
-        == fleet.live("c1")
+        fleet.live_rows("n2")
+        == fleet.live_rows("n1")
+        == fleet.live_rows("c1")
         == {C1[0]: (1, "active"), C1[2]: (2, "active")}
     )
     fleet.close()
 
 
-def test_a_term_begins_only_once_nobody_has_told_of_more_for_a_while(tmp_path: Path) -> None:
+def test_new_term_begins_only_after_a_quiet_time(tmp_path: Path) -> None:
     fleet, clock = Replicas(2, tmp_path), Clock()
     for name in C1[:3]:
         fleet.change(name)
@@ -186,65 +184,63 @@
         if name == C1[1]:
             fleet.pull("n2", "c1")
     fleet.add("c1")
-    writer = writer_of(fleet, clock)
-    writer.observe("n2")
-    writer.tick(1, False)
+    leadership = leadership_of(fleet, clock)
+    leadership.observe("n2")
+    leadership.tick(1, False)
     fleet.pull("c1", "n2")
-    writer.tick(1, False)
+    leadership.tick(1, False)
     for _ in range(3):
         clock.now += RESTORE_QUIET_S - 1
-        fleet.all["c1"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
-        writer.tick(1, False)
+        fleet.replicas["c1"].pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), clock.now)
+        leadership.tick(1, False)
     fleet.pull("c1", "n1")
-    assert fleet.all["c1"].states["c1"].index == 3
-    writer.tick(1, False)
+    assert fleet.replicas["c1"].states["c1"].index == 3
+    leadership.tick(1, False)
     clock.now += RESTORE_QUIET_S - 0.1
-    writer.tick(1, False)
+    leadership.tick(1, False)
     with pytest.raises(NotLeaderError, match="older one"):
-        writer.accept("c1", entry(C1[3]))
+        leadership.accept("c1", entry(C1[3]))
     clock.now += 0.2
-    writer.tick(1, False)
-    assert writer.accept("c1", entry(C1[3])).index == 4
+    leadership.tick(1, False)
+    assert leadership.accept("c1", entry(C1[3])).index == 4
     fleet.close()
 
 
-def test_a_claim_that_nobody_makes_good_stops_counting() -> None:
+def test_claim_without_entries_expires() -> None:
     fleet, clock = Replicas(1), Clock()
-    writer = writer_of(fleet, clock)
-    writer.observe("n1")
-    writer.tick(1, False)
-    false = list(fleet.all["n1"].announce())
+    leadership = leadership_of(fleet, clock)
+    leadership.observe("n1")
+    leadership.tick(1, False)
+    false = list(fleet.replicas["n1"].announce())
     false[2] = 99
-    fleet.all["c1"].pulls.observe("n1", "", false, clock.now)
+    fleet.replicas["c1"].pulls.observe("n1", "", false, clock.now)
     with pytest.raises(NotLeaderError, match="others have"):
-        writer.accept("c1", entry(C1[0]))
+        leadership.accept("c1", entry(C1[0]))
     clock.now += CLAIM_TTL_S + 0.1
-    assert writer.accept("c1", entry(C1[0])).index == 1
+    assert leadership.accept("c1", entry(C1[0])).index == 1
 
 
-def test_a_take_over_waits_for_what_others_have_unless_it_is_forced() -> None:
+def test_take_over_needs_what_others_have_unless_forced() -> None:
     fleet, clock = Replicas(1), Clock()
     fleet.change(C1[0])
     fleet.settle()
     fleet.change(C1[1])
     fleet.pull("n1", "c1")
-    writer = writer_of(fleet, clock, "c2")
-    writer.observe("n1")
-    writer.tick(1, False)
-    fleet.all["c2"].pulls.observe("n1", "", list(fleet.all["n1"].announce()), clock.now)
+    leadership = leadership_of(fleet, clock, "c2")
+    leadership.observe("n1")
+    leadership.tick(1, False)
+    fleet.replicas["c2"].pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), clock.now)
     with pytest.raises(NotLeaderError, match="others have stream c1"):
-        writer.take_over("c1")
+        leadership.take_over("c1")
     fleet.pull("c2", "n1")
-    assert writer.take_over("c1") == (17, 2)
-    assert writer.leads("c1")
-    other = writer_of(fleet, clock, "c1")
+    assert leadership.take_over("c1") == (17, 2)
+    assert leadership.leads("c1")
+    other = leadership_of(fleet, clock, "c1")
     assert other.take_over("c1", force=True) == (16, 2)
 
 
 @pytest.mark.parametrize("killed_after", ["check", "disk", "first pull", "answer"])
-def test_a_writer_killed_between_accept_and_answer_never_gives_a_number_twice(
-    tmp_path: Path, killed_after: str
-) -> None:
+def test_killed_leader_never_gives_an_index_twice(tmp_path: Path, killed_after: str) -> None:
     fleet = Replicas(2, tmp_path)
     fleet.change(C1[0])
     fleet.settle()
@@ -259,8 +255,8 @@
     again = fleet.change(C1[2])
     assert again.index == (2 if killed_after == "check" else 3)
     fleet.settle()
-    assert fleet.live("n2") == fleet.live("c1") == fleet.live("n1")
-    assert not acknowledged or C1[1] in fleet.live("n2")
+    assert fleet.live_rows("n2") == fleet.live_rows("c1") == fleet.live_rows("n1")
+    assert not acknowledged or C1[1] in fleet.live_rows("n2")
     fleet.close()
 
 
@@ -271,17 +267,17 @@
     return [Update(name, name, "", "", 1, MemberState.ALIVE) for name in names]
 
 
-def test_the_census_counts_who_was_heard_to_have_a_change_and_names_the_slowest() -> None:
+def test_progress_counts_members_with_a_change_and_names_the_slowest() -> None:
     fleet = Replicas(3)
-    census = ReplicationProgress(fleet.all["c1"], "c1")
+    progress = ReplicationProgress(fleet.replicas["c1"], "c1")
     members = live("c1", "c2", "n1", "n2", "n3")
     made = fleet.change(C1[0])
-    census.record_change("c1", Position(made.term, 1), 10.0)
+    progress.record_change("c1", Position(made.term, 1), 10.0)
     for name in ("n1", "n2"):
         fleet.pull(name, "c1")
-        census.observe(name, list(fleet.all[name].announce()), 11.0)
-    census.observe("n3", list(fleet.all["n3"].announce()), 12.0)
-    (told,) = census.report(members, 13.0)
+        progress.observe(name, list(fleet.replicas[name].announce()), 11.0)
+    progress.observe("n3", list(fleet.replicas["n3"].announce()), 12.0)
+    (told,) = progress.report(members, 13.0)
     assert (told["stream"], told["position"], told["members"], told["have"], told["everywhere"]) == (
         "c1",
         "8.1",
@@ -295,72 +291,72 @@
     ]
     fleet.settle()
     for name in ("c2", "n3"):
-        census.observe(name, list(fleet.all[name].announce()), 14.0)
-    assert census.is_due(15.0)
-    census.tick(members, 15.0)
-    (told,) = census.report(members, 18.0)
+        progress.observe(name, list(fleet.replicas[name].announce()), 14.0)
+    assert progress.is_due(15.0)
+    progress.tick(members, 15.0)
+    (told,) = progress.report(members, 18.0)
     assert told["have"] == 4
     assert told["slowest"] == []
     assert told["everywhere"] == {"position": "8.1", "since_s": 3.0, "took_s": 5.0}
-    assert not census.is_due(20.0)
+    assert not progress.is_due(20.0)
 
 
-def test_members_not_known_to_have_a_change_are_called_paced_and_those_heard_longest_ago_first() -> None:
+def test_lagging_members_are_called_paced_and_least_recently_heard_first() -> None:
     fleet = Replicas(0)
-    census = ReplicationProgress(fleet.all["c1"], "c1")
+    progress = ReplicationProgress(fleet.replicas["c1"], "c1")
     places = [f"n{number}" for number in range(300)]
     members = live("c1", *places)
     made = fleet.change(C1[0])
-    census.record_change("c1", Position(made.term, 1), 100.0)
-    old = list(fleet.all["c2"].announce())
+    progress.record_change("c1", Position(made.term, 1), 100.0)
+    old = list(fleet.replicas["c2"].announce())
     for at, place in enumerate(places):
-        census.observe(place, old, 50.0 + at / 10)
-    assert census.tick(members, 100.0 + replication_progress.GRACE_S - 0.1) == []
-    first = census.tick(members, 110.0)
+        progress.observe(place, old, 50.0 + at / 10)
+    assert progress.tick(members, 100.0 + replication_progress.GRACE_S - 0.1) == []
+    first = progress.tick(members, 110.0)
     assert first == places[:10]
-    assert census.tick(members, 110.15) == places[10:11]
-    total = sum(len(census.tick(members, 110.0 + step)) for step in range(1, 21))
+    assert progress.tick(members, 110.15) == places[10:11]
+    total = sum(len(progress.tick(members, 110.0 + step)) for step in range(1, 21))
     assert 190 <= total <= 20 * replication_progress.CALLS_PER_S + 1
-    census.report(members, 140.0)
-    quick = census.tick(members, 141.0)
+    progress.report(members, 140.0)
+    quick = progress.tick(members, 141.0)
     never = places[11 + total :]
     assert len(quick) == replication_progress.QUICK_CALLS_PER_S
     assert quick[: len(never)] == never
     for place in places:
-        census.observe(place, list(fleet.all["c1"].announce()), 142.0)
-    assert census.tick(members, 143.0) == []
+        progress.observe(place, list(fleet.replicas["c1"].announce()), 142.0)
+    assert progress.tick(members, 143.0) == []
 
 
-def test_whoever_waits_for_copies_is_told_as_soon_as_so_many_have_them_and_calls_go_out_at_once() -> None:
+def test_wait_for_copies_returns_as_soon_as_enough_members_have_them() -> None:
     fleet = Replicas(2)
-    census = ReplicationProgress(fleet.all["c1"], "c1")
+    progress = ReplicationProgress(fleet.replicas["c1"], "c1")
     made = fleet.change(C1[0])
     position = Position(made.term, made.index)
-    assert census.wait("c1", position, 1, 0.01) == 0
+    assert progress.wait("c1", position, 1, 0.01) == 0
     got: list[int] = []
-    waiter = threading.Thread(target=lambda: got.append(census.wait("c1", position, 2, 10.0)))
+    waiter = threading.Thread(target=lambda: got.append(progress.wait("c1", position, 2, 10.0)))
     waiter.start()
-    assert soon(lambda: census.is_due(0.0))
-    assert set(census.tick(live("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
+    assert soon(lambda: progress.is_due(0.0))
+    assert set(progress.tick(live("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
     fleet.settle()
-    census.observe("n1", list(fleet.all["n1"].announce()), 1.0)
-    census.observe("x", [1, 2, 3], 1.0)
+    progress.observe("n1", list(fleet.replicas["n1"].announce()), 1.0)
+    progress.observe("x", [1, 2, 3], 1.0)
     assert not got
-    census.observe("n2", list(fleet.all["n2"].announce()), 1.0)
+    progress.observe("n2", list(fleet.replicas["n2"].announce()), 1.0)
     waiter.join(5)
     assert got == [2]
 
 
-def test_the_census_is_bounded_and_forgets_who_is_gone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_progress_is_bounded_and_forgets_members_that_left(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replication_progress, "MAX_MEMBERS", 5)
     fleet = Replicas(0)
-    census = ReplicationProgress(fleet.all["c1"], "c1")
+    progress = ReplicationProgress(fleet.replicas["c1"], "c1")
     for number in range(9):
-        census.observe(f"n{number}", list(fleet.all["c2"].announce()), float(number))
-    assert len(census._vectors) == 5
-    assert len({id(one) for one in census._vectors.values()}) == 1
-    census.tick(live("c1", "n8"), 10.0)
-    assert set(census._vectors) == {"n8"}
+        progress.observe(f"n{number}", list(fleet.replicas["c2"].announce()), float(number))
+    assert len(progress._vectors) == 5
+    assert len({id(one) for one in progress._vectors.values()}) == 1
+    progress.tick(live("c1", "n8"), 10.0)
+    assert set(progress._vectors) == {"n8"}
 
 
 # On loopback
@@ -407,19 +403,19 @@
         node.close()
 
 
-def writes(node: Node, stream: str, made: LogEntry, within_s: float = 8.0) -> LogEntry:
+def writes(node: Node, partition: str, made: LogEntry, within_s: float = 8.0) -> LogEntry:
     """Have a node accept a change as soon as it may."""
     until = time.monotonic() + within_s
     while True:
         try:
-            return node.replication.leadership.accept(stream, made)
+            return node.replication.leadership.accept(partition, made)
         except NotLeaderError:
             if time.monotonic() > until:
                 raise
             time.sleep(0.05)
 
 
-def test_changes_get_about_over_sockets_and_the_holder_knows_who_has_them(start: Start) -> None:
+def test_changes_replicate_over_sockets_and_the_leader_tracks_progress(start: Start) -> None:
     c1 = start("c1")
     others = [start("c2", c1), start("n1", c1), start("n2", c1)]
     made = writes(c1, "c1", entry(C1[0]))
@@ -438,7 +434,7 @@
     assert pulls < 25  # several changes come with one
 
 
-def test_a_large_entry_and_a_fill_from_nothing_get_through(start: Start) -> None:
+def test_large_entry_and_bootstrap_over_sockets(start: Start) -> None:
     c1 = start("c1")
     n1 = start("n1", c1)
     large = LogEntry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MAX_TENANT_BYTES - 20) + b'"}')
@@ -456,7 +452,7 @@
     assert row.tenant == large.tenant
 
 
-def test_a_damaged_copy_of_a_node_is_renewed_and_filled_while_it_runs(
+def test_damaged_store_of_a_running_node_is_recreated_and_refilled(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
@@ -479,7 +475,7 @@
     assert soon(lambda: n1.replica.announce() == c1.replica.announce())
 
 
-def test_a_holder_whose_copy_is_damaged_writes_only_after_an_order(
+def test_leader_with_a_damaged_store_writes_only_after_a_take_over(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
@@ -501,13 +497,13 @@
     assert n1.counters.snapshot().get("replication.orphans", 0) == 0
 
 
-def test_a_node_with_nobody_there_serves_and_a_holder_writes_alone(start: Start) -> None:
+def test_lone_node_serves_and_lone_leader_writes(start: Start) -> None:
     c1 = start("c1")
     assert writes(c1, "c1", entry(C1[0]), ALONE_SETTLE_S + 3).index == 1
     assert c1.copy.match(f"{C1[0]}.example", "/") is not None
 
 
-def test_a_node_is_filling_until_it_has_what_it_heard_of_and_alone_for_a_bounded_time(
+def test_node_is_bootstrapping_until_it_has_what_others_announced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class Deaf:
@@ -517,20 +513,20 @@
     replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
     node = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
     assert node.is_bootstrapping()  # nobody was heard yet
-    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
     assert not node.is_bootstrapping()  # nobody has anything
     fleet.change(C1[0])
-    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
     assert not node.is_bootstrapping()  # the first change is no fill
     for number in range(replica_module.BOOTSTRAP_MIN_CHANGES):
         fleet.change(C1[0], pad=number)
-    replica.pulls.observe("c1", "", list(fleet.all["c1"].announce()), now)
+    replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
     assert node.is_bootstrapping()
     pull = replica.pulls.next_pull(now + 1)
     assert pull is not None
-    replica.apply_reply(pull, fleet.all["c1"].answer(pull.request, now), now + 1)
+    replica.apply_reply(pull, fleet.replicas["c1"].answer(pull.request, now), now + 1)
     assert not node.is_bootstrapping()
-    assert replica.announce() == fleet.all["c1"].announce()
+    assert replica.announce() == fleet.replicas["c1"].announce()
     replica = Replica("n3", CONTROL, MemoryReplicaStore(), Random(1))
     alone = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
     assert alone.is_bootstrapping()
@@ -540,7 +536,7 @@
     assert not single.is_bootstrapping()
 
 
-def test_a_copy_that_can_not_be_read_gives_nothing_and_is_told_of() -> None:
+def test_unreadable_store_sends_nothing_and_is_reported() -> None:
     class Broke(MemoryReplicaStore):
         def read_batch(self, partition: str, since: int, max_bytes: int = 0) -> None:
             raise ReplicaError("disk I/O error")
--- a/tests/test_sqlite_replica.py
+++ b/tests/test_sqlite_replica.py
@@ -93,12 +93,12 @@
                 entries.append(entry(C1[name], number, "active" if live else ""))
             history += entries
             state = replace(state, index=number, covered=number, goal=number)
-            made = [rows.apply("c1", entries, state, trail=second) for rows in (memory, kept)]
+            made = [rows.apply("c1", entries, state, audited=second) for rows in (memory, kept)]
         elif what == "again":
             made = [rows.apply("c1", history[first : first + 3], state) for rows in (memory, kept)]
         elif what == "refill":
             state = replace(state, generation=state.generation + 1)
-            made = [sorted(rows.apply("c1", [], state, drop=first)) for rows in (memory, kept)]
+            made = [sorted(rows.apply("c1", [], state, drop_older=first)) for rows in (memory, kept)]
         elif what == "orphan" and memory.states():
             state = replace(state, generation=state.generation + 1)
             made = [rows.set_aside_divergent("c1", first, state) for rows in (memory, kept)]
@@ -379,7 +379,7 @@
     assert not store.recheck("one", 4)
     assert store.unreadable_count() == 4
     assert store.count() == 9
-    put(store, entry("t9", 10, backend="v"), trail=False)  # from a refill: not checked yet
+    put(store, entry("t9", 10, backend="v"), audited=False)  # from a refill: not checked yet
     assert not unserved(store, "t9.example")
     while store.recheck("one", 4):
         pass
