--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -35,8 +35,8 @@
         body = {
             "own": table.own_name,
             "control": list(table.replica.control),
-            "tenants": table.copy.count(),
-            "guaranteed": table.copy.guaranteed(),
+            "tenants": table.store.count(),
+            "guaranteed": table.store.guaranteed(),
             "streams": self._partitions(),
             "unreadable": self._unreadable(),
             "orphans": self._orphans(call.integer("after", 0, MAX_ORPHAN_NUMBER)),
@@ -57,7 +57,7 @@
         self, partition: str, addresses: dict[str, list[str]], counted: dict[str, Any] | None
     ) -> dict[str, Any]:
         table = self._table
-        state, leader = table.replica.states[partition], table.holder(partition)
+        state, leader = table.replica.states[partition], table.leader(partition)
         return {
             "stream": partition,
             "holder": leader,
@@ -75,13 +75,13 @@
         """Return which members have the newest changes, as their leaders have counted it."""
         table = self._table
         counted: list[dict[str, Any]] = table.replication.progress_report()
-        leaders = {table.holder(partition) for partition in table.replica.control} - {table.own_name}
+        leaders = {table.leader(partition) for partition in table.replica.control} - {table.own_name}
         for leader in sorted(leaders & {member.name for member in self._fleet.live()}):
             counted += self._fleet.query(leader, COUNTED_TARGET, [])
         return counted
 
     def _unreadable(self) -> dict[str, Any]:
-        replica = self._table.copy
+        replica = self._table.store
         rows = [{"name": name, "why": reason} for name, reason in replica.unreadable(MAX_LISTED_ROWS)]
         return {"count": replica.unreadable_count(), "tenants": rows}
 
@@ -96,7 +96,7 @@
                 "at_ms": row["at_ms"],
                 "state": row["state"],
             }
-            for row in self._table.copy.divergent_rows(after, MAX_LISTED_ROWS)
+            for row in self._table.store.divergent_rows(after, MAX_LISTED_ROWS)
         ]
 
     # Change of leader
@@ -107,7 +107,7 @@
         force = self._check_take_over(call)
         position = table.position(partition)
         ahead = self._position_ahead(partition)
-        leader = table.holder(partition)
+        leader = table.leader(partition)
         found = {
             "stream": partition,
             "holder": leader,
@@ -136,13 +136,13 @@
         if own not in table.replica.control:
             raise ApiError(409, f"{own!r} writes nothing: call one of {members}")
         force = call.boolean("force")
-        if table.holder(partition) == own and not table.replica.states[partition].lost:
+        if table.leader(partition) == own and not table.replica.states[partition].lost:
             raise ApiError(409, f"{own!r} writes stream {partition!r} already")
         self._fleet.sole_address(own)
         return force
 
     def _has_other_live_leader(self, partition: str) -> bool:
-        leader = self._table.holder(partition)
+        leader = self._table.leader(partition)
         return leader != self._table.own_name and self._fleet.is_live(leader)
 
     def _position_ahead(self, partition: str) -> Position | None:
@@ -154,7 +154,7 @@
 
     def _leader_position(self, partition: str) -> Position | None:
         """Return the position that the leader of a partition reports; None where it does not answer."""
-        found = self._fleet.query(self._table.holder(partition), POSITIONS_TARGET, {}).get(partition)
+        found = self._fleet.query(self._table.leader(partition), POSITIONS_TARGET, {}).get(partition)
         return None if found is None else Position(*found)
 
     def _start_term(self, partition: str, force: bool, actor: str, ahead: str) -> Position:
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -133,7 +133,7 @@
     # Calls between nodes
 
     def _leader_of(self, call: ApiCall) -> str:
-        return self._replicated.holder(self._replicated.partition_of(_tenant_name(call)))
+        return self._replicated.leader(self._replicated.partition_of(_tenant_name(call)))
 
     def _leader_handler(self, route: Route) -> Handler:
         """Return a handler that makes a change here, or forwards it to the leader."""
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -50,6 +50,7 @@
 from reelusher.fleet.replication.pull_scheduler import Pull, PullScheduler
 from reelusher.fleet.replication.replica_store import PartitionState, ReplicaError, ReplicaStore, SegmentBatch
 from reelusher.fleet.replication.segments import advance, find_fault
+from reelusher.pacing.token_bucket import TokenBucket
 
 SENT_BYTES_LIMIT = 20 * MAX_SEGMENT_BYTES, 40 * MAX_SEGMENT_BYTES  # per second, and in a burst
 SENT_REPLIES_LIMIT = 50.0, 50.0  # per second, and in a burst
@@ -57,24 +58,6 @@
 TOMBSTONE_TTL_S = 7 * 86_400.0
 
 
-class TokenBucket:
-    """So much a second, and so much at once."""
-
-    def __init__(self, bounds: tuple[float, float], now: float = 0.0) -> None:
-        self._per_s, self._most = bounds
-        self._left, self._at_s = self._most, now
-
-    def left(self, now: float) -> float:
-        """Return how much may be taken."""
-        self._left = min(self._most, self._left + max(0.0, now - self._at_s) * self._per_s)
-        self._at_s = max(now, self._at_s)
-        return self._left
-
-    def take(self, much: float) -> None:
-        """Take so much; it may be more than was left, which is then paid off first."""
-        self._left -= much
-
-
 @dataclass(slots=True)
 class PullResult:
     """What a reply changed."""
@@ -112,8 +95,8 @@
         self._random = random
         self._write_lock = threading.RLock()  # held round each transaction
         self._limits_lock = threading.Lock()
-        self._sent_bytes = TokenBucket(SENT_BYTES_LIMIT, now)
-        self._sent_replies = TokenBucket(SENT_REPLIES_LIMIT, now)
+        self._sent_bytes = TokenBucket(*SENT_BYTES_LIMIT, now)
+        self._sent_replies = TokenBucket(*SENT_REPLIES_LIMIT, now)
         self.positions = ReplicaPositions(control)
         self.pulls = PullScheduler(own_address, self.positions, random, zone)
         self.reload()
@@ -284,10 +267,7 @@
 
     def _admits_reply(self, now: float) -> bool:
         with self._limits_lock:
-            if self._sent_bytes.left(now) <= 0 or self._sent_replies.left(now) < 1:
-                return False
-            self._sent_replies.take(1)
-            return True
+            return self._sent_bytes.available(now) > 0 and self._sent_replies.try_take(now)
 
     def _segments(
         self, partition: str, position: Position, covered: int, max_bytes: int
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -12,7 +12,8 @@
 
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.replication.positions import Position
-from reelusher.fleet.replication.replica import Replica, TokenBucket
+from reelusher.fleet.replication.replica import Replica
+from reelusher.pacing.token_bucket import TokenBucket
 
 MAX_MEMBERS = 4096
 GRACE_S = 3.0  # after a change, in which nearly all members pull and announce it by themselves
@@ -57,8 +58,8 @@
         }
         self._fully_replicated: dict[str, FullyReplicated] = {}
         self._waiting: list[Waiter] = []
-        self._calls = TokenBucket((CALLS_PER_S, CALLS_PER_S))
-        self._quick_calls = TokenBucket((QUICK_CALLS_PER_S, QUICK_CALLS_PER_S))
+        self._calls = TokenBucket(CALLS_PER_S, CALLS_PER_S)
+        self._quick_calls = TokenBucket(QUICK_CALLS_PER_S, QUICK_CALLS_PER_S)
         self._quick_until_s = self._checked_s = 0.0
         self._called_s: dict[str, float] = {}  # by address
 
@@ -142,7 +143,7 @@
             }
             behind.sort(key=self._last_contact_s)
         limit = self._quick_calls if now < self._quick_until_s else self._calls
-        called += behind[: max(0, int(limit.left(now)))]
+        called += behind[: max(0, int(limit.available(now)))]
         called = list(dict.fromkeys(called))
         limit.take(len(called))
         self._called_s |= dict.fromkeys(called, now)
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -105,50 +105,50 @@
         counters: Counters,
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        self.replication, self.copy = replication, replication.store
+        self.replication, self.store = replication, replication.store
         self.replica = replication.replica
         self.own_name = self.replica.own_name
         self._class_names, self._backends = class_names, backends
         self._counters, self._wall_ms = counters, wall_ms
         self._lock = threading.RLock()
 
-    # Who writes what
+    # Partitions and leaders
 
     def partition_of(self, name: str) -> str:
-        """Return the stream that a tenant's name belongs to."""
+        """Return the partition that a tenant's name belongs to."""
         return partition_of(name, self.replica.control)
 
-    def holder(self, stream: str) -> str:
-        """Return the name of the member that writes a stream, as far as is known here."""
-        return leader_of(self.replica.states[stream].term, self.replica.control)
+    def leader(self, partition: str) -> str:
+        """Return the name of the member that leads a partition, as far as is known here."""
+        return leader_of(self.replica.states[partition].term, self.replica.control)
 
-    def position(self, stream: str) -> Position:
-        """Return how far this node is in a stream."""
-        state = self.replica.states[stream]
+    def position(self, partition: str) -> Position:
+        """Return the position of this node in a partition."""
+        state = self.replica.states[partition]
         return Position(state.term, state.index)
 
-    def position_ahead(self, stream: str) -> Position | None:
-        """Return how far somebody was heard to be of late, where that is further than this node."""
-        return self.replica.pulls.claimed(stream, time.monotonic())
+    def position_ahead(self, partition: str) -> Position | None:
+        """Return the furthest position announced lately, where it is past this node's."""
+        return self.replica.pulls.claimed(partition, time.monotonic())
 
     # Reads, from this node's replica
 
     def get(self, name: str) -> ReplicatedTenant | None:
         """Return the current version of a tenant."""
-        row = self.copy.get(name)
+        row = self.store.get(name)
         return None if row is None else read_tenant_row(row)
 
     def page(self, after: str, limit: int) -> list[ReplicatedTenant]:
         """Return at most `limit` tenants whose names come after one, in the order of their names."""
-        return [read_tenant_row(row) for row in self.copy.page(after, limit)]
+        return [read_tenant_row(row) for row in self.store.page(after, limit)]
 
     def created_by(self, idempotency_key: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key created."""
-        return self.copy.key(idempotency_key)
+        return self.store.key(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return at most `limit` changes with a number above one, in the order of their arrival here."""
-        return [read_audit_entry(change) for change in self.copy.audit(after, limit)]
+        return [read_audit_entry(change) for change in self.store.audit(after, limit)]
 
     # Validation
 
@@ -164,7 +164,7 @@
         held = _guarantee(before.tenant) if before else 0.0
         if (
             tenant.share.guarantee > held
-            and self.copy.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
+            and self.store.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
         ):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
         try:
@@ -175,16 +175,19 @@
             raise ConfigError(tenant.name, f"at most {MAX_TENANT_BYTES} bytes of JSON are wanted, not {size}")
         return tenant
 
-    def with_overlaps(self, kept: ReplicatedTenant) -> ReplicatedTenant:
+    def with_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
         """Return a tenant with its overlaps with others."""
-        lost: list[Overlap] = []
-        won: list[Overlap] = []
-        own, prefix = str(kept.tenant["name"]), str(kept.tenant.get("prefix", "/"))
-        for host in kept.tenant.get("hosts") or [""]:
-            for other in self.copy.sharing(str(host), prefix)[:MAX_OVERLAPS]:
+        shadowed_by: list[Overlap] = []
+        shadows: list[Overlap] = []
+        own, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
+        for host in version.tenant.get("hosts") or [""]:
+            for other in self.store.sharing(str(host), prefix)[:MAX_OVERLAPS]:
                 if other != own:
-                    (lost if other < own else won).append(Overlap(str(host) or "*", other))
-        return replace(kept, shadowed_by=tuple(lost[:MAX_OVERLAPS]), shadows=tuple(won[:MAX_OVERLAPS]))
+                    overlaps = shadowed_by if other < own else shadows
+                    overlaps.append(Overlap(str(host) or "*", other))
+        return replace(
+            version, shadowed_by=tuple(shadowed_by[:MAX_OVERLAPS]), shadows=tuple(shadows[:MAX_OVERLAPS])
+        )
 
     # Changes, by the leader only
 
@@ -216,7 +219,7 @@
         elif before is not None:
             tenant = before.tenant
         data = b"" if tenant is None else msgspec.json.encode(tenant)
-        made = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
+        after = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
         wanted = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
         try:
             entry = self.replication.leadership.accept(self.partition_of(name), wanted)
@@ -224,10 +227,10 @@
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
             raise JournalError(str(error)) from None
-        if made is None:
+        if after is None:
             return None
-        self._log_overlaps(made)
-        return replace(made, version=f"{entry.term}.{entry.index}")
+        self._log_overlaps(after)
+        return replace(after, version=f"{entry.term}.{entry.index}")
 
     def report_overlaps(self, names: Sequence[str]) -> None:
         """Log overlaps of changed rows of other leaders with rows of partitions that this node leads.
@@ -237,39 +240,43 @@
         if self.own_name not in self.replica.control or len(names) > MAX_CHECKED_CHANGES:
             return
         for name in names:
-            if self.holder(self.partition_of(name)) == self.own_name:
+            if self.leader(self.partition_of(name)) == self.own_name:
                 continue  # logged when the change was made
             with suppress(ReplicaError):
-                kept = self.get(name)
-                made = self.with_overlaps(kept) if kept is not None else None
-                if made is not None:
-                    self._log_overlaps(
-                        replace(
-                            made, shadowed_by=self._own(made.shadowed_by), shadows=self._own(made.shadows)
-                        )
-                    )
+                version = self.get(name)
+                if version is not None:
+                    self._log_overlaps(self._with_own_overlaps(version))
+
+    def _with_own_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
+        """Return a tenant with its overlaps with those of partitions that this node leads."""
+        version = self.with_overlaps(version)
+        return replace(
+            version, shadowed_by=self._own(version.shadowed_by), shadows=self._own(version.shadows)
+        )
 
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
-        return tuple(one for one in overlaps if self.holder(self.partition_of(one.tenant)) == self.own_name)
+        return tuple(one for one in overlaps if self.leader(self.partition_of(one.tenant)) == self.own_name)
 
-    def _log_overlaps(self, made: ReplicatedTenant) -> None:
-        name = str(made.tenant["name"])
-        for winner, loser, host in (
-            *((one.tenant, name, one.host) for one in made.shadowed_by),
-            *((name, one.tenant, one.host) for one in made.shadows),
-        ):
-            self._counters.warn(
-                "replication.shadowed", "replication: {} gets what {} names too: {}", winner, loser, host
-            )
+    def _log_overlaps(self, version: ReplicatedTenant) -> None:
+        name = str(version.tenant["name"])
+        for overlap in version.shadowed_by:
+            self._log_overlap(overlap.tenant, name, overlap.host)
+        for overlap in version.shadows:
+            self._log_overlap(name, overlap.tenant, overlap.host)
+
+    def _log_overlap(self, winner: str, loser: str, host: str) -> None:
+        self._counters.warn(
+            "replication.shadowed", "replication: {} gets requests that {} names too: {}", winner, loser, host
+        )
 
-    def take_over(self, stream: str, force: bool) -> Position:
+    def take_over(self, partition: str, force: bool) -> Position:
         """Start a term of a partition with this member as its leader.
 
         Raises `TableBusyError` and `JournalError`.
         """
         with self.exclusive():
             try:
-                return self.replication.leadership.take_over(stream, force)
+                return self.replication.leadership.take_over(partition, force)
             except NotLeaderError as error:
                 raise TableBusyError(str(error)) from None
             except ReplicaError as error:
