--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -9,7 +9,7 @@
 from reelusher.admin.calls import ApiCall, ApiError, Reply, Route
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
+from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
 from reelusher.fleet.replication.messages import MAX_CHANGE_BYTES, ChangeReply, ChangeRequest
 from reelusher.tenancy.replicated import MAX_ACTOR_LENGTH
 
@@ -28,7 +28,9 @@
     def live(self) -> list[Update]:
         """Return the live members, this one first."""
 
-    def ask_once(self, place: str, request: Any, kind: type[ChangeReply], within_s: float) -> ChangeReply:
+    def request_once(
+        self, address: str, request: Any, reply_type: type[ChangeReply], timeout_s: float
+    ) -> ChangeReply:
         """Call a member. Raises `MemberUnreachableError` if nothing was sent, and `NoReplyError`."""
 
 
@@ -60,7 +62,7 @@
         Raises `ApiError` where several have the name: two that number changes of one partition would make
         two tables of one.
         """
-        addresses = [member.place for member in self.live() if member.name == name]
+        addresses = [member.address for member in self.live() if member.name == name]
         if len(addresses) > 1:
             raise self.retry_later(f"{len(addresses)} live members are named {name!r}: nothing was changed")
         return addresses[0] if addresses else ""
@@ -68,9 +70,9 @@
     def query(self, name: str, target: str, default: Any) -> Any:
         """Return what a member answers to a query about its state, or a default if it does not answer."""
         assert self._fleet is not None
-        request = ChangeRequest(self.live()[0].place, "GET", target, {})
+        request = ChangeRequest(self.live()[0].address, "GET", target, {})
         try:
-            reply = self._fleet.ask_once(self.sole_address(name), request, ChangeReply, QUERY_TIMEOUT_S)
+            reply = self._fleet.request_once(self.sole_address(name), request, ChangeReply, QUERY_TIMEOUT_S)
         except (MemberUnreachableError, NoReplyError):
             return default
         return json.loads(reply.value) if reply.status == 200 else default
@@ -88,7 +90,7 @@
             raise self.retry_later("too many calls are on their way to other members: nothing was changed")
         try:
             timeout_s = FORWARD_TIMEOUT_S + (COPIES_TIMEOUT_S if "copies" in call.query else 0.0)
-            reply = self._fleet.ask_once(address, request, ChangeReply, timeout_s)
+            reply = self._fleet.request_once(address, request, ChangeReply, timeout_s)
         except MemberUnreachableError:
             self._counters.add("replication.holder_away")
             raise self.retry_later(
@@ -115,5 +117,5 @@
             raise ApiError(413, "it is too long to be carried to the member that makes the change")
         headers = {name: call.headers[name] for name in FORWARDED_HEADERS if name in call.headers}
         return ChangeRequest(
-            self.live()[0].place, route.method, target, headers, body, call.actor[:MAX_ACTOR_LENGTH]
+            self.live()[0].address, route.method, target, headers, body, call.actor[:MAX_ACTOR_LENGTH]
         )
--- a/reelusher/fleet/replication/messages.py
+++ b/reelusher/fleet/replication/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from reelusher.fleet.membership.messages import Name, Number, Place
+from reelusher.fleet.membership.messages import Address, Name, Number
 
 MAX_SEGMENT_BYTES = 1 << 16  # of the entries; a single entry may exceed it
 MAX_TENANT_BYTES = 48 << 10  # of JSON
@@ -59,7 +59,7 @@
 class EntriesRequest(msgspec.Struct, array_like=True, frozen=True, tag="entries"):
     """Requests the entries past the positions of the sender."""
 
-    sender: Place
+    sender: Address
     control_digest: Number  # see `positions.control_digest`
     vector: Vector
     covered: Annotated[
@@ -71,13 +71,13 @@
     """Segments, or, where the sender has reached its limits, addresses of members to ask instead."""
 
     segments: Annotated[list[LogSegment], msgspec.Meta(max_length=MAX_CONTROL_MEMBERS)]
-    alternatives: Annotated[list[Place], msgspec.Meta(max_length=MAX_ALTERNATIVES)] = []
+    alternatives: Annotated[list[Address], msgspec.Meta(max_length=MAX_ALTERNATIVES)] = []
 
 
 class ChangeRequest(msgspec.Struct, array_like=True, frozen=True, tag="change"):
     """A call of the administration API, forwarded to the leader of the partition that it changes."""
 
-    sender: Place
+    sender: Address
     method: Annotated[str, msgspec.Meta(max_length=16)]
     target: Annotated[str, msgspec.Meta(max_length=4096)]  # path and query
     headers: Annotated[dict[str, str], msgspec.Meta(max_length=64)]
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -133,7 +133,7 @@
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
         """Return the addresses of members to call now; `live` are all live ones."""
         self._checked_s = now
-        addresses = [member.place for member in live if member.place != self._replica.own_address]
+        addresses = [member.address for member in live if member.address != self._replica.own_address]
         with self._changed:
             self._forget_all_but(addresses)
             behind = self._find_behind(addresses, now)
@@ -188,7 +188,7 @@
     def report(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
         """Return, for each partition that this member leads, who has its newest change."""
         self.poll_quickly(now)
-        others = [member for member in live if member.place != self._replica.own_address]
+        others = [member for member in live if member.address != self._replica.own_address]
         with self._changed:
             return [
                 self._partition_report(partition, position, others, now)
@@ -198,8 +198,8 @@
     def _partition_report(
         self, partition: str, position: Position, others: Sequence[Update], now: float
     ) -> dict[str, object]:
-        lacking = [member for member in others if not self._has(member.place, partition, position)]
-        lacking.sort(key=lambda member: self._announced_s.get(member.place, 0.0))
+        lacking = [member for member in others if not self._has(member.address, partition, position)]
+        lacking.sort(key=lambda member: self._announced_s.get(member.address, 0.0))
         made_s = dict(self._made_s[partition]).get(position)
         return {
             "stream": partition,
@@ -222,11 +222,11 @@
         }
 
     def _member_report(self, member: Update, partition: str, now: float) -> dict[str, object]:
-        vector, at = self._vectors.get(member.place), self._offsets[partition]
-        announced_s = self._announced_s.get(member.place)
+        vector, at = self._vectors.get(member.address), self._offsets[partition]
+        announced_s = self._announced_s.get(member.address)
         return {
             "name": member.name,
-            "address": member.place,
+            "address": member.address,
             "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
             "heard_s": None if announced_s is None else round(now - announced_s, 1),
         }
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -38,19 +38,21 @@
 class Fleet(Protocol):
     """What is needed of membership."""
 
-    serve: dict[type, Callable[[Any], Any]]
+    handlers: dict[type, Callable[[Any], Any]]
 
     def live(self) -> list[Update]:
         """Return the live members, this one first."""
 
-    def ride(self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]) -> None:
+    def piggyback(
+        self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]
+    ) -> None:
         """Have each datagram carry a vector, and tell of those that come."""
 
-    def call(self, places: Sequence[str]) -> None:
-        """Ping members, which are heard by their answers."""
+    def ping(self, addresses: Sequence[str]) -> None:
+        """Ping members, whose answers carry their vectors."""
 
-    def ask(self, place: str, request: Any, kind: type[T]) -> T | None:
-        """Ask a member; None where it does not answer."""
+    def request(self, address: str, request: Any, reply_type: type[T]) -> T | None:
+        """Return the reply of a member; None where it does not reply."""
 
 
 class Replication:
@@ -85,7 +87,7 @@
         self._check_due_s = now + random.uniform(0.01, 1.0) * CHECK_INTERVAL_S[0]
         self._recreate_due_s = self._recheck_due_s = 0.0
         if fleet is not None:
-            fleet.serve[EntriesRequest] = self._answer
+            fleet.handlers[EntriesRequest] = self._answer
 
     # From any thread
 
@@ -94,7 +96,7 @@
         if self.store.damage_at_open:
             self._log_damage(self.store.damage_at_open)
         if self._fleet is not None:
-            self._fleet.ride(self.replica.announce, self._observe)
+            self._fleet.piggyback(self.replica.announce, self._observe)
             spawn("replication", self._run_pulls)
         spawn("replication-upkeep", self._run_maintenance)
 
@@ -177,7 +179,7 @@
 
     def _pull(self, pull: Pull) -> None:
         assert self._fleet is not None
-        reply = self._fleet.ask(pull.address, pull.request, EntriesReply)
+        reply = self._fleet.request(pull.address, pull.request, EntriesReply)
         now = time.monotonic()
         if reply is None:
             self._counters.add("replication.pulls_failed")
@@ -241,7 +243,7 @@
             return
         if now - self._zones_read_s >= ZONES_TTL_S:
             self._zones_read_s = now
-            self._zones = {member.place: member.zone for member in self._live_members()}
+            self._zones = {member.address: member.zone for member in self._live_members()}
         if self.progress is not None:
             self._maintain_leadership(self.progress, now)
         if now >= self._recheck_due_s and not self.is_bootstrapping():
@@ -259,7 +261,7 @@
         same_name = sum(member.name == own_name for member in live)
         self.leadership.tick(max(0, len(live) - 1), same_name > 1)
         if self._fleet is not None and progress.is_due(now):
-            self._fleet.call(progress.tick(live, now))
+            self._fleet.ping(progress.tick(live, now))
 
     def _collect_tombstones(self) -> None:
         before_ms = time.time_ns() // 1_000_000 - int(TOMBSTONE_TTL_S * 1000)
