--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -10,7 +10,7 @@
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
-from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
+from reelusher.fleet.replication.messages import MAX_CHANGE_BYTES, ChangeReply, ChangeRequest
 from reelusher.tenancy.replicated import MAX_ACTOR_LENGTH
 
 COPIES_TIMEOUT_S = 5.0  # for other members to receive a change
@@ -113,7 +113,7 @@
         action = route.resource.removeprefix("tenants")
         target = f"/v1/tenants{name}{action}?{urlencode(call.query)}"
         body = b"" if call.body is None else json.dumps(call.body).encode()
-        if len(target) > MAX_TARGET_LENGTH or len(body) > MOST_CHANGE:
+        if len(target) > MAX_TARGET_LENGTH or len(body) > MAX_CHANGE_BYTES:
             raise ApiError(413, "it is too long to be carried to the member that makes the change")
         headers = {name: call.headers[name] for name in FORWARDED_HEADERS if name in call.headers}
         return ChangeRequest(
--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -7,7 +7,7 @@
 from reelusher.admin.calls import ApiCall, ApiError, Handler, Reply, Route
 from reelusher.admin.fleet_client import FleetClient
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.replica import Position
+from reelusher.fleet.replication.positions import Position
 from reelusher.tenancy.replicated import ReplicatedTable, TableBusyError, format_position
 
 MAX_LISTED_ROWS = 100  # unreadable and divergent rows in one reply
@@ -35,8 +35,8 @@
         body = {
             "own": table.own_name,
             "control": list(table.replica.control),
-            "tenants": table.copy.count(),
-            "guaranteed": table.copy.guaranteed(),
+            "tenants": table.store.count(),
+            "guaranteed": table.store.guaranteed(),
             "streams": self._partitions(),
             "unreadable": self._unreadable(),
             "orphans": self._orphans(call.integer("after", 0, MAX_ORPHAN_NUMBER)),
@@ -57,7 +57,7 @@
         self, partition: str, addresses: dict[str, list[str]], counted: dict[str, Any] | None
     ) -> dict[str, Any]:
         table = self._table
-        state, leader = table.replica.states[partition], table.holder(partition)
+        state, leader = table.replica.states[partition], table.leader(partition)
         return {
             "stream": partition,
             "holder": leader,
@@ -66,7 +66,7 @@
             "heard_of": _format_optional(table.position_ahead(partition)),
             "refilling": state.cursor >= 0,
             "lost": state.lost,
-            "put_back": state.put_back,
+            "put_back": state.restored,
             "counted": counted,
             "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases],
         }
@@ -74,14 +74,14 @@
     def _counted(self) -> list[dict[str, Any]]:
         """Return which members have the newest changes, as their leaders have counted it."""
         table = self._table
-        counted: list[dict[str, Any]] = table.replication.changes()
-        leaders = {table.holder(partition) for partition in table.replica.control} - {table.own_name}
+        counted: list[dict[str, Any]] = table.replication.progress_report()
+        leaders = {table.leader(partition) for partition in table.replica.control} - {table.own_name}
         for leader in sorted(leaders & {member.name for member in self._fleet.live()}):
             counted += self._fleet.query(leader, COUNTED_TARGET, [])
         return counted
 
     def _unreadable(self) -> dict[str, Any]:
-        replica = self._table.copy
+        replica = self._table.store
         rows = [{"name": name, "why": reason} for name, reason in replica.unreadable(MAX_LISTED_ROWS)]
         return {"count": replica.unreadable_count(), "tenants": rows}
 
@@ -96,7 +96,7 @@
                 "at_ms": row["at_ms"],
                 "state": row["state"],
             }
-            for row in self._table.copy.orphans(after, MAX_LISTED_ROWS)
+            for row in self._table.store.divergent_rows(after, MAX_LISTED_ROWS)
         ]
 
     # Change of leader
@@ -107,7 +107,7 @@
         force = self._check_take_over(call)
         position = table.position(partition)
         ahead = self._position_ahead(partition)
-        leader = table.holder(partition)
+        leader = table.leader(partition)
         found = {
             "stream": partition,
             "holder": leader,
@@ -136,13 +136,13 @@
         if own not in table.replica.control:
             raise ApiError(409, f"{own!r} writes nothing: call one of {members}")
         force = call.boolean("force")
-        if table.holder(partition) == own and not table.replica.states[partition].lost:
+        if table.leader(partition) == own and not table.replica.states[partition].lost:
             raise ApiError(409, f"{own!r} writes stream {partition!r} already")
         self._fleet.sole_address(own)
         return force
 
     def _has_other_live_leader(self, partition: str) -> bool:
-        leader = self._table.holder(partition)
+        leader = self._table.leader(partition)
         return leader != self._table.own_name and self._fleet.is_live(leader)
 
     def _position_ahead(self, partition: str) -> Position | None:
@@ -154,7 +154,7 @@
 
     def _leader_position(self, partition: str) -> Position | None:
         """Return the position that the leader of a partition reports; None where it does not answer."""
-        found = self._fleet.query(self._table.holder(partition), POSITIONS_TARGET, {}).get(partition)
+        found = self._fleet.query(self._table.leader(partition), POSITIONS_TARGET, {}).get(partition)
         return None if found is None else Position(*found)
 
     def _start_term(self, partition: str, force: bool, actor: str, ahead: str) -> Position:
@@ -182,4 +182,4 @@
     """Return how many changes follow a position; None where that is unknown."""
     if ahead is None:
         return 0
-    return ahead.number - position.number if ahead.epoch == position.epoch else None
+    return ahead.log_index - position.log_index if ahead.term == position.term else None
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -118,9 +118,9 @@
 
     def _wait_for_copies(self, call: ApiCall, copies: int, reply: Reply) -> None:
         """Raise `ApiError` unless so many other members have the change within the time-out."""
-        partition = self._replicated.stream_of(_tenant_name(call))
+        partition = self._replicated.partition_of(_tenant_name(call))
         position = self._replicated.position(partition)
-        count = self._replicated.replication.wait(partition, position, copies, COPIES_TIMEOUT_S)
+        count = self._replicated.replication.wait_for_copies(partition, position, copies, COPIES_TIMEOUT_S)
         if count < copies:
             raise ApiError(
                 504,
@@ -133,7 +133,7 @@
     # Calls between nodes
 
     def _leader_of(self, call: ApiCall) -> str:
-        return self._replicated.holder(self._replicated.stream_of(_tenant_name(call)))
+        return self._replicated.leader(self._replicated.partition_of(_tenant_name(call)))
 
     def _leader_handler(self, route: Route) -> Handler:
         """Return a handler that makes a change here, or forwards it to the leader."""
@@ -184,7 +184,7 @@
             partitions = self._replicated.replica.control
             return Reply(200, {partition: self._replicated.position(partition) for partition in partitions})
         if path == COUNTED_TARGET:
-            return Reply(200, self._replicated.replication.changes())
+            return Reply(200, self._replicated.replication.progress_report())
         resource, name = _forwarded_resource(path)
         route = Route(request.method, resource, bool(name))
         if route not in self._local_changes:
--- a/reelusher/assembly/replication.py
+++ b/reelusher/assembly/replication.py
@@ -45,7 +45,7 @@
         table.report_overlaps(names)
 
     store.on_change = on_change
-    registry.is_bootstrapping = service.filling
+    registry.is_bootstrapping = service.is_bootstrapping
     api = ReplicatedTenantApi(parts.core, registry, table, parts.fleet, parts.random_for("calls"))
     if parts.fleet:
         parts.fleet.handlers[ChangeRequest] = api.handle_forwarded
@@ -58,7 +58,7 @@
 ) -> SqliteReplica:
     try:
         return SqliteReplica(
-            Path(replication.copy),
+            Path(replication.store),
             operator.fleet.name if operator.fleet else "",
             replication.control,
             lambda name, value: unreadable_reason(name, value, operator.class_names, backends),
--- a/reelusher/config/operator/file.py
+++ b/reelusher/config/operator/file.py
@@ -57,11 +57,11 @@
     if tenants:
         raise ConfigError("tenants", "with [replication] they are added through the administration API")
     if admin and admin.state_file:
-        raise ConfigError("admin.state_file", f"with [replication] tenants are kept in {replication.copy}")
+        raise ConfigError("admin.state_file", f"with [replication] tenants are kept in {replication.store}")
     if admin and admin.durable_keys:
         raise ConfigError("admin.durable_keys", "keys over a restart are not kept with [replication] so far")
     if admin and admin.state_dir:
-        raise ConfigError("admin.state_dir", f"with [replication] tenants are kept in {replication.copy}")
+        raise ConfigError("admin.state_dir", f"with [replication] tenants are kept in {replication.store}")
 
 
 def parse(value: Any, class_names: tuple[str, ...] = (), has_runtime: bool = False) -> Operator:
--- a/reelusher/config/operator/fleet.py
+++ b/reelusher/config/operator/fleet.py
@@ -29,7 +29,7 @@
 class Replication:
     """The table of tenants that all nodes of a fleet have a copy of."""
 
-    copy: str  # file of this node's copy
+    store: str  # file of this node's replica
     control: tuple[str, ...]  # names of the members that write it, the same list on every node
 
 
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -16,8 +16,9 @@
 from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.config.operator.tenants import Tenant, read_tenant
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.messages import MOST_TENANT, LogEntry
-from reelusher.fleet.replication.replica import NotLeaderError, Position, holder_of, stream_of
+from reelusher.fleet.replication.messages import MAX_TENANT_BYTES, LogEntry
+from reelusher.fleet.replication.positions import Position, leader_of, partition_of
+from reelusher.fleet.replication.replica import NotLeaderError
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
 from reelusher.fleet.replication.sqlite_replica import ReplicaAuditEntry, ReplicaRow
@@ -62,13 +63,13 @@
 
 def format_position(position: Position) -> str:
     """Return a position as text."""
-    return f"{position.epoch}.{position.number}"
+    return f"{position.term}.{position.log_index}"
 
 
 def read_tenant_row(row: ReplicaRow) -> ReplicatedTenant:
     """Return the tenant of a row of the replica."""
     return ReplicatedTenant(
-        _tenant(row.name, row.tenant), row.state, f"{row.epoch}.{row.revision}", row.unreadable
+        _tenant(row.name, row.tenant), row.state, f"{row.term}.{row.index}", row.unreadable
     )
 
 
@@ -104,50 +105,50 @@
         counters: Counters,
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        self.replication, self.copy = replication, replication.copy
+        self.replication, self.store = replication, replication.store
         self.replica = replication.replica
         self.own_name = self.replica.own_name
         self._class_names, self._backends = class_names, backends
         self._counters, self._wall_ms = counters, wall_ms
         self._lock = threading.RLock()
 
-    # Who writes what
+    # Partitions and leaders
 
-    def stream_of(self, name: str) -> str:
-        """Return the stream that a tenant's name belongs to."""
-        return stream_of(name, self.replica.control)
+    def partition_of(self, name: str) -> str:
+        """Return the partition that a tenant's name belongs to."""
+        return partition_of(name, self.replica.control)
 
-    def holder(self, stream: str) -> str:
-        """Return the name of the member that writes a stream, as far as is known here."""
-        return holder_of(self.replica.states[stream].epoch, self.replica.control)
+    def leader(self, partition: str) -> str:
+        """Return the name of the member that leads a partition, as far as is known here."""
+        return leader_of(self.replica.states[partition].term, self.replica.control)
 
-    def position(self, stream: str) -> Position:
-        """Return how far this node is in a stream."""
-        state = self.replica.states[stream]
-        return Position(state.epoch, state.number)
+    def position(self, partition: str) -> Position:
+        """Return the position of this node in a partition."""
+        state = self.replica.states[partition]
+        return Position(state.term, state.index)
 
-    def position_ahead(self, stream: str) -> Position | None:
-        """Return how far somebody was heard to be of late, where that is further than this node."""
-        return self.replica.claimed(stream, time.monotonic())
+    def position_ahead(self, partition: str) -> Position | None:
+        """Return the furthest position announced lately, where it is past this node's."""
+        return self.replica.pulls.claimed(partition, time.monotonic())
 
     # Reads, from this node's replica
 
     def get(self, name: str) -> ReplicatedTenant | None:
         """Return the current version of a tenant."""
-        row = self.copy.get(name)
+        row = self.store.get(name)
         return None if row is None else read_tenant_row(row)
 
     def page(self, after: str, limit: int) -> list[ReplicatedTenant]:
         """Return at most `limit` tenants whose names come after one, in the order of their names."""
-        return [read_tenant_row(row) for row in self.copy.page(after, limit)]
+        return [read_tenant_row(row) for row in self.store.page(after, limit)]
 
     def created_by(self, idempotency_key: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key created."""
-        return self.copy.key(idempotency_key)
+        return self.store.key(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return at most `limit` changes with a number above one, in the order of their arrival here."""
-        return [read_audit_entry(change) for change in self.copy.audit(after, limit)]
+        return [read_audit_entry(change) for change in self.store.audit(after, limit)]
 
     # Validation
 
@@ -163,15 +164,15 @@
         held = _guarantee(before.tenant) if before else 0.0
         if (
             tenant.share.guarantee > held
-            and self.copy.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
+            and self.store.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
         ):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
         try:
             size = len(msgspec.json.encode(tenant.to_json()))
         except UnicodeEncodeError as error:  # a lone surrogate
             raise ConfigError(tenant.name, f"it is no Unicode: {error}") from None
-        if size > MOST_TENANT:
-            raise ConfigError(tenant.name, f"at most {MOST_TENANT} bytes of JSON are wanted, not {size}")
+        if size > MAX_TENANT_BYTES:
+            raise ConfigError(tenant.name, f"at most {MAX_TENANT_BYTES} bytes of JSON are wanted, not {size}")
         return tenant
 
     def with_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
@@ -180,7 +181,7 @@
         shadows: list[Overlap] = []
         own, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
         for host in version.tenant.get("hosts") or [""]:
-            for other in self.copy.sharing(str(host), prefix)[:MAX_OVERLAPS]:
+            for other in self.store.sharing(str(host), prefix)[:MAX_OVERLAPS]:
                 if other != own:
                     overlaps = shadowed_by if other < own else shadows
                     overlaps.append(Overlap(str(host) or "*", other))
@@ -221,7 +222,7 @@
         after = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
         wanted = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
         try:
-            entry = self.replication.writer.accept(self.stream_of(name), wanted)
+            entry = self.replication.leadership.accept(self.partition_of(name), wanted)
         except NotLeaderError as error:
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
@@ -229,7 +230,7 @@
         if after is None:
             return None
         self._log_overlaps(after)
-        return replace(after, version=f"{entry.epoch}.{entry.number}")
+        return replace(after, version=f"{entry.term}.{entry.index}")
 
     def report_overlaps(self, names: Sequence[str]) -> None:
         """Log overlaps of changed rows of other leaders with rows of partitions that this node leads.
@@ -239,7 +240,7 @@
         if self.own_name not in self.replica.control or len(names) > MAX_CHECKED_CHANGES:
             return
         for name in names:
-            if self.holder(self.stream_of(name)) == self.own_name:
+            if self.leader(self.partition_of(name)) == self.own_name:
                 continue  # logged when the change was made
             with suppress(ReplicaError):
                 version = self.get(name)
@@ -254,7 +255,7 @@
         )
 
     def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
-        return tuple(one for one in overlaps if self.holder(self.stream_of(one.tenant)) == self.own_name)
+        return tuple(one for one in overlaps if self.leader(self.partition_of(one.tenant)) == self.own_name)
 
     def _log_overlaps(self, version: ReplicatedTenant) -> None:
         name = str(version.tenant["name"])
@@ -268,14 +269,14 @@
             "replication.shadowed", "replication: {} gets requests that {} names too: {}", winner, loser, host
         )
 
-    def take_over(self, stream: str, force: bool) -> Position:
+    def take_over(self, partition: str, force: bool) -> Position:
         """Start a term of a partition with this member as its leader.
 
         Raises `TableBusyError` and `JournalError`.
         """
         with self.exclusive():
             try:
-                return self.replication.writer.take_over(stream, force)
+                return self.replication.leadership.take_over(partition, force)
             except NotLeaderError as error:
                 raise TableBusyError(str(error)) from None
             except ReplicaError as error:
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -28,7 +28,8 @@
 from reelusher.config.operator.file import parse
 from reelusher.fleet.replication import leadership, service
 from reelusher.fleet.replication.messages import ChangeReply, ChangeRequest, LogEntry
-from reelusher.fleet.replication.replica import Replica, stream_of
+from reelusher.fleet.replication.positions import partition_of
+from reelusher.fleet.replication.replica import Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.frontends.ajp.frontend import AjpFrontend
@@ -134,9 +135,14 @@
 
     def refusal(self, at: str) -> str:
         """Return why a control member makes no changes at present."""
-        own = self.replication(at).writer
+        own = self.replication(at).leadership
         return next(
-            (why for stream in own.replica.control if own.holds(stream) and (why := own.refusal(stream))), ""
+            (
+                why
+                for stream in own.replica.control
+                if own.leads(stream) and (why := own.write_refusal(stream))
+            ),
+            "",
         )
 
     def positions(self, at: str) -> list[int]:
@@ -147,9 +153,9 @@
         """Stop the pulls of a node, or resume them."""
         replica = self.replica(at)
         if stop:
-            replica.next_pull = lambda now: None  # type: ignore[method-assign]
+            replica.pulls.next_pull = lambda now: None  # type: ignore[method-assign]
         else:
-            del replica.next_pull
+            del replica.pulls.next_pull
 
     def catches_up(self, first: str, second: str) -> bool:
         """Wait until two nodes have the same positions; return whether they do in time."""
@@ -179,8 +185,8 @@
     """Return nodes that soon know whether they lead, and stop them at the end."""
     made = Nodes(folder)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leadership, "ALONE_S", 0.1)
-        patch.setattr(service, "LOOK_S", 0.05)
+        patch.setattr(leadership, "ALONE_SETTLE_S", 0.1)
+        patch.setattr(service, "MAINTENANCE_INTERVAL_S", 0.05)
         yield made
         for name in list(made.all):
             made.stop(name)
@@ -294,7 +300,7 @@
 def test_change_is_answered_after_it_is_durable(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     replica, durable, asked = nodes.replica("c2"), threading.Event(), threading.Event()
-    apply = replica.rows.apply
+    apply = replica.store.apply
 
     def slow(*arguments: Any, **named: Any) -> list[str]:
         assert named["durable"]
@@ -302,7 +308,7 @@
         durable.wait(10)
         return apply(*arguments, **named)
 
-    replica.rows.apply = slow  # type: ignore[method-assign]
+    replica.store.apply = slow  # type: ignore[method-assign]
     answers: list[ApiReply] = []
     caller = threading.Thread(
         target=lambda: answers.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
@@ -321,24 +327,24 @@
 def test_change_that_the_disk_rejects_is_not_made_and_the_next_gets_its_number(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
     replica = nodes.replica("c2")
-    apply, before = replica.rows.apply, nodes.positions("c2")
+    apply, before = replica.store.apply, nodes.positions("c2")
 
     def full(*arguments: Any, **named: Any) -> list[str]:
         raise ReplicaError("the disk is full")
 
-    replica.rows.apply = full  # type: ignore[method-assign]
+    replica.store.apply = full  # type: ignore[method-assign]
     status, value, _ = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))
     assert status == 507
     assert "the disk is full" in value["error"]
     assert nodes.positions("c2") == before
-    replica.rows.apply = apply  # type: ignore[method-assign]
+    replica.store.apply = apply  # type: ignore[method-assign]
     assert nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))[2]["etag"] == '"9.1"'
 
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
 def test_member_with_an_unreadable_replica_answers_503_and_changes_nothing(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
-    copy, before = nodes.replication("c2").copy, nodes.positions("c2")
+    copy, before = nodes.replication("c2").store, nodes.positions("c2")
 
     def broken(name: str) -> None:
         raise ReplicaError("no connection is free")
@@ -519,7 +525,7 @@
     assert (status, value["begins"], value["lost"]) == (200, "16.2", 1)
     for at in ("c1", "n1"):
         nodes.stop_pulls(at, False)
-    assert soon(lambda: nodes.table("n1").holder("c2") == "c1")
+    assert soon(lambda: nodes.table("n1").leader("c2") == "c1")
     status, _, headers = nodes.call("n1", "POST", "/v1/tenants?copies=1", tenant(C2[3]))
     assert (status, headers["etag"]) == (201, '"16.3"')
     nodes.start("c2")
@@ -538,7 +544,7 @@
     assert nodes.catches_up("c2", "c1")
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["holder"], value["holder_lives"], value["begins"]) == (200, "c1", True, "25.5")
-    assert soon(lambda: nodes.table("c1").holder("c2") == "c2")
+    assert soon(lambda: nodes.table("c1").leader("c2") == "c2")
 
 
 # Nodes of another kind
@@ -693,7 +699,9 @@
     for number, name in enumerate((C1[0], C2[0]), 1):
         data = json.dumps(tenant(name)).encode()
         replica.accept(
-            stream_of(name, CONTROL), stream_of(name, CONTROL), LogEntry(0, name, number, "x", "active", data)
+            partition_of(name, CONTROL),
+            partition_of(name, CONTROL),
+            LogEntry(0, name, number, "x", "active", data),
         )
     copy.close()
     ajp, admin, away = ("{}:{}".format(*place) for place in free_addresses(3))
@@ -736,7 +744,7 @@
     worker.close(["listener"])
     kept = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
     assert kept.count() == 2
-    assert not kept.put_aside
+    assert not kept.quarantined_files
     kept.close()
 
 
@@ -764,12 +772,12 @@
                     assert status == 201
                     tags[name] = headers["etag"]
         copy = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
-        rows = {row.name: f'"{row.epoch}.{row.revision}"' for row in copy.page("", 10_000)}
+        rows = {row.name: f'"{row.term}.{row.index}"' for row in copy.page("", 10_000)}
         copy.close()
         assert tags.items() <= rows.items()
         assert len(rows) - len(tags) <= round_ + 1
         assert len(set(rows.values())) == len(rows)
-        assert not copy.put_aside
+        assert not copy.quarantined_files
     assert len(tags) > 10
 
 
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -331,7 +331,7 @@
             number += 1
             state = rows[one.name][1].value if one.name in rows else ""
             data = json.dumps(one.to_json()).encode() if state else b""
-            copy.changed(
+            copy.notify_changed(
                 copy.apply(
                     "c1",
                     [Row(number, one.name, 0, "me", state, data)],
