--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -96,7 +96,7 @@
                 while data := sock.recv(1 << 16):
                     for message in decoder.feed(data):
                         sock.sendall(self._answer(message))
-                        if not message.keeps_open:
+                        if not message.keep_alive:
                             return
             except http1.MalformedHttpError as error:
                 self._context.core.counters.add("admin.malformed")
--- a/reelusher/backends/ajp/connection.py
+++ b/reelusher/backends/ajp/connection.py
@@ -20,7 +20,7 @@
     def __init__(self, config: Worker) -> None:
         """Connect; raise OSError where that fails."""
         self.sock = connect((config.host, config.port), config.connect_timeout_ms / 1000)
-        self._packets = ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET)
+        self._packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
         self._replies: list[ajp13.Reply] = []
 
     def reply(self) -> ajp13.Reply:
--- a/reelusher/backends/ajp/exchange.py
+++ b/reelusher/backends/ajp/exchange.py
@@ -10,7 +10,7 @@
 
 HOP_BY_HOP = frozenset({"connection", "keep-alive", "transfer-encoding", "upgrade", "proxy-connection", "te"})
 SESSION_ROUTE = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
-BODY_PIECE_BYTES = ajp13.DEFAULT_PACKET - ajp13.BODY_OVERHEAD
+BODY_PIECE_BYTES = ajp13.DEFAULT_PACKET_BYTES - ajp13.BODY_OVERHEAD
 
 
 class Response(NamedTuple):
@@ -21,7 +21,11 @@
 
 
 def exchange(
-    connection: WorkerConnection, secret: str, forward: ajp13.Forward, body: bytes, max_response_bytes: int
+    connection: WorkerConnection,
+    secret: str,
+    forward: ajp13.ForwardedRequest,
+    body: bytes,
+    max_response_bytes: int,
 ) -> Response:
     """Send a request and read its response; raise OSError, ValueError or `MalformedError`."""
     if secret:
@@ -33,7 +37,7 @@
     response_body = bytearray()
     while True:
         match connection.reply():
-            case ajp13.BodyWanted(size):
+            case ajp13.BodyRequest(size):
                 piece = body[sent_bytes : sent_bytes + min(size, BODY_PIECE_BYTES)]
                 sent_bytes += len(piece)
                 connection.sock.sendall(ajp13.write_body(piece))
@@ -56,12 +60,12 @@
     return Result(body, head.status, headers)
 
 
-def forwarded_request(request: IncomingRequest, class_name: str) -> ajp13.Forward:
+def forwarded_request(request: IncomingRequest, class_name: str) -> ajp13.ForwardedRequest:
     """Return a request as it is forwarded: with the length of its body, which is known by now."""
     original = request.backend_data
-    if not isinstance(original, ajp13.Forward):
+    if not isinstance(original, ajp13.ForwardedRequest):
         headers = [("content-type", "application/octet-stream")]
-        original = ajp13.Forward("POST", f"/{class_name}", headers=headers)
+        original = ajp13.ForwardedRequest("POST", f"/{class_name}", headers=headers)
     headers = [
         (name, value)
         for name, value in original.headers
@@ -70,7 +74,7 @@
     if request.body or original.header("content-length") is not None:
         headers.append(("content-length", str(len(request.body))))
     attributes = {name: value for name, value in original.attributes.items() if name != "secret"}
-    return ajp13.Forward(
+    return ajp13.ForwardedRequest(
         original.method,
         original.uri,
         original.protocol,
@@ -81,12 +85,12 @@
         original.is_ssl,
         headers,
         attributes,
-        list(original.named),
+        list(original.named_attributes),
         original.ssl_key_size,
     )
 
 
-def session_route(forward: ajp13.Forward) -> str:
+def session_route(forward: ajp13.ForwardedRequest) -> str:
     """Return the route of the session that a request carries, or nothing."""
     for text in (forward.uri, *(value for name, value in forward.headers if name == "cookie")):
         found = SESSION_ROUTE.search(text)
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -203,7 +203,7 @@
         worker: PooledWorker,
         connection: WorkerConnection,
         request: IncomingRequest,
-        forward: ajp13.Forward,
+        forward: ajp13.ForwardedRequest,
     ) -> RunResult:
         """Send the request and read the response. From here on it may have run."""
         reuse = False
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -134,7 +134,7 @@
             del self._busy[call]
             connection.current = None
             if connection.send_buffer is not None:
-                connection.send_buffer.send(lines.vault_unask(call))
+                connection.send_buffer.send(lines.encode_cancel(call))
             connection.end()
 
     # With the lock held
@@ -187,7 +187,7 @@
 
     def _send(self, connection: DownstreamConnection, send_buffer: SendBuffer, pending: PendingCall) -> None:
         remaining_ms = max((pending.until_us - self._clock.now()) // 1000, 1)
-        if not send_buffer.send(lines.vault_ask(pending.call, remaining_ms, pending.body)):
+        if not send_buffer.send(lines.encode_call(pending.call, remaining_ms, pending.body)):
             # nothing was sent, so it never ran: it goes out on the next connection
             connection.end()
             connection.current = None
@@ -258,7 +258,7 @@
             self._finish_unsent(pending, Outcome.UNREACHABLE)
 
     def _read(self, connection: DownstreamConnection, sock: socket.socket) -> None:
-        decoder = lines.VaultReplies()
+        decoder = lines.DownstreamReplyDecoder()
         try:
             while data := sock.recv(READ_BYTES):
                 for reply in decoder.feed(data):
@@ -270,13 +270,13 @@
         except OSError as error:
             logger.debug("downstream: {}", error)
 
-    def _on_reply(self, connection: DownstreamConnection, reply: lines.VaultReply) -> None:
-        outcome = OUTCOMES.get(reply.word)
+    def _on_reply(self, connection: DownstreamConnection, reply: lines.DownstreamReply) -> None:
+        outcome = OUTCOMES.get(reply.status)
         if outcome is None:
-            raise MalformedError(f"an unknown reply {reply.word!r}")
+            raise MalformedError(f"an unknown reply {reply.status!r}")
         with self._lock:
             current = connection.current
-            if current is None or current.call != reply.call:  # a duplicate, or one to no call
+            if current is None or current.call != reply.run_id:  # a duplicate, or one to no call
                 self._counters.add("vault.stray_reply")
                 return
             connection.current = None
@@ -285,4 +285,4 @@
             if not connection.ended:
                 self._idle.append(connection)
             self._start_waiting()
-        self._post(CallFinished(reply.call, current.ticket, outcome, reply.body))
+        self._post(CallFinished(reply.run_id, current.ticket, outcome, reply.body))
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -136,7 +136,7 @@
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self._command("start", request.run_id, service=class_name, blob=lines.blob(request.body))
+        self._command("start", request.run_id, service=class_name, blob=lines.encode_body(request.body))
 
     def stop(self, call: str) -> None:
         """Stop a run."""
@@ -148,7 +148,7 @@
 
     def deliver_reply(self, call: str, body: bytes) -> None:
         """Deliver the reply to a call."""
-        self._command("give", call, blob=lines.blob(body))
+        self._command("give", call, blob=lines.encode_body(body))
 
     def skip_call(self, call: str, serial: int) -> None:
         """Resume a run without its call."""
@@ -160,10 +160,10 @@
             if not self._ready or self._send_buffer is None:
                 return False
             self._sent.mark(cookie)
-            return self._send_buffer.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
+            return self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
     def _command(self, name: str, call: str, **more: Any) -> None:
-        line = lines.json_line({"msg": name, "call": call, **more})
+        line = lines.encode_json_line({"msg": name, "call": call, **more})
         with self._lock:
             self._sent.add(call, line)
             if self._ready and self._send_buffer is not None:
@@ -204,7 +204,7 @@
                 self._send_buffer, self._link_count = send_buffer, self._link_count + 1
                 if self._next is not None or self._closed:
                     send_buffer.close()
-            send_buffer.send(lines.json_line({"msg": "sync", "serial": self._serial}))
+            send_buffer.send(lines.encode_json_line({"msg": "sync", "serial": self._serial}))
             self._read(sock)
             with self._lock:
                 self._ready, self._send_buffer, self._linked_address = False, None, None
@@ -223,7 +223,7 @@
 
     def _read(self, sock: socket.socket) -> None:
         """Read notices until the link ends."""
-        decoder = lines.JsonLines()
+        decoder = lines.JsonLineDecoder()
         try:
             while data := sock.recv(READ_BYTES):
                 for message in decoder.feed(data):
@@ -273,7 +273,7 @@
         with self._lock:
             if self._send_buffer is not None:
                 cookie = f"sync{self._link_count}"
-                self._send_buffer.send(lines.json_line({"msg": "gauges", "cookie": cookie}))
+                self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
     def _resend(self) -> None:
         """Send again what may have been lost; all missed notices are read."""
@@ -303,13 +303,13 @@
     def _on_end(self, message: dict[str, Any]) -> None:
         call, outcome = str(message["call"]), OUTCOMES[message["how"]]
         self._acknowledge(call)
-        result = Result(lines.unblob(message.get("blob", ""))) if outcome is Outcome.OK else None
+        result = Result(lines.decode_body(message.get("blob", ""))) if outcome is Outcome.OK else None
         self._post(RunFinished(call, outcome, int(float(message.get("duration", 0)) * 1000), result))
 
     def _on_wants(self, message: dict[str, Any]) -> None:
         call = str(message["call"])
         self._acknowledge(call)
-        self._post(CallRequested(call, int(message["serial"]), lines.unblob(message.get("blob", ""))))
+        self._post(CallRequested(call, int(message["serial"]), lines.decode_body(message.get("blob", ""))))
 
     def _on_nack(self, message: dict[str, Any]) -> None:
         call, name = str(message.get("call", "")), message.get("how")
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -142,7 +142,7 @@
                     raise RegistryUnavailableError(
                         answer.start[1], _seconds(answer.headers.get("retry-after", ""))
                     )
-                if not answer.keeps_open:
+                if not answer.keep_alive:
                     self._disconnect()
                 return
         raise OSError("closed before the answer")
--- a/reelusher/codecs/ajp13.py
+++ b/reelusher/codecs/ajp13.py
@@ -1,6 +1,6 @@
 """AJP13: packets, forwarded requests and responses, both ways, as Apache's modules and Tomcat speak them.
 
-A web server's packets begin with 0x1234, a container's with "AB". Everything here is bytes in, values out.
+Packets of a web server start with 0x1234, those of a container with "AB".
 """
 
 import struct
@@ -12,10 +12,11 @@
 TO_CONTAINER, TO_SERVER = b"\x12\x34", b"AB"
 FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10  # to the container
 BODY_CHUNK, HEADERS, END, GET_BODY, CPONG = 3, 4, 5, 6, 9  # to the server
-DEFAULT_PACKET, MOST_PACKET = 8192, 65536
-BODY_OVERHEAD = 6  # of a packet that carries a piece of a request's body: magic, length, its own length
-CHUNK_OVERHEAD = 8  # of one that carries a piece of a response's body
-MOST_HEADERS = 128
+DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES = 8192, 65536
+HEADER_BYTES = 4  # of a packet: magic and length
+BODY_OVERHEAD = 6  # bytes of a packet beside the part of a request's body: magic, length, length of the part
+CHUNK_OVERHEAD = 8  # bytes of a packet beside the part of a response's body
+MAX_HEADERS = 128
 NULL = 0xFFFF
 
 METHODS = dict(
@@ -108,16 +109,21 @@
 }
 ATTRIBUTE_CODES = {name: code for code, name in ATTRIBUTES.items()}
 NAMED_ATTRIBUTE, KEY_SIZE, LAST_ATTRIBUTE = 0x0A, 0x0B, 0xFF
-NEVER_SENT = {0x01: "context", 0x02: "servlet_path"}  # in the protocol, but no module of Apache sends them
-KNOWN_NAMES = frozenset({"AJP_REMOTE_PORT", "AJP_LOCAL_ADDR", "AJP_SSL_PROTOCOL", "JK_LB_ACTIVATION"})
+FORBIDDEN_ATTRIBUTES = {
+    0x01: "context",
+    0x02: "servlet_path",
+}  # in the protocol, but sent by no module of Apache
+DEFAULT_ALLOWED_ATTRIBUTES = frozenset(
+    {"AJP_REMOTE_PORT", "AJP_LOCAL_ADDR", "AJP_SSL_PROTOCOL", "JK_LB_ACTIVATION"}
+)
 
 
 class ForbiddenAttributeError(CodecError):
-    """A well-formed request that is refused whatever it asks for: an attribute that no web server sends."""
+    """A well-formed request with an attribute that no web server sends; it is rejected."""
 
 
 @dataclass(slots=True)
-class Forward:
+class ForwardedRequest:
     """A request as a web server forwards it. Header names are in lower case."""
 
     method: str = "GET"
@@ -130,7 +136,7 @@
     is_ssl: bool = False
     headers: list[tuple[str, str]] = field(default_factory=list)
     attributes: dict[str, str] = field(default_factory=dict)
-    named: list[tuple[str, str]] = field(default_factory=list)  # further attributes, by their own names
+    named_attributes: list[tuple[str, str]] = field(default_factory=list)  # further attributes, by name
     ssl_key_size: int | None = None
 
     def header(self, name: str) -> str | None:
@@ -138,7 +144,7 @@
         return next((value for key, value in self.headers if key == name), None)
 
     def body_size(self) -> int | None:
-        """Return how much body follows; None: not told, it has to be asked for."""
+        """Return the bytes of the body that follows; None: unknown, it has to be requested."""
         text = self.header("content-length")
         if text is None:
             return None if "chunked" in (self.header("transfer-encoding") or "").lower() else 0
@@ -147,23 +153,23 @@
         return int(text)
 
 
-class Packets:
+class PacketDecoder:
     """Splits a stream into packets."""
 
-    def __init__(self, magic: bytes, most: int = DEFAULT_PACKET) -> None:
+    def __init__(self, magic: bytes, max_packet_bytes: int = DEFAULT_PACKET_BYTES) -> None:
         self._magic = magic
-        self._most = most - 4
+        self._max_payload_bytes = max_packet_bytes - HEADER_BYTES
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take more bytes and yield the payloads that are whole by now."""
+        """Add received bytes and yield the payloads that are complete. Raises `MalformedError`."""
         self._buffer += data
         while len(self._buffer) >= 4:
             if self._buffer[:2] != self._magic:
                 raise MalformedError("a packet that does not begin as AJP13 packets do")
             size = self._buffer[2] << 8 | self._buffer[3]
-            if size > self._most:
-                raise MalformedError(f"a packet of {size} bytes, {self._most} at most")
+            if size > self._max_payload_bytes:
+                raise MalformedError(f"a packet of {size} bytes, {self._max_payload_bytes} at most")
             if len(self._buffer) < 4 + size:
                 return
             payload = bytes(self._buffer[4 : 4 + size])
@@ -172,14 +178,14 @@
 
 
 class Reader:
-    """Takes values off a payload."""
+    """Reads values from a payload. Each method raises `MalformedError` where it ends too soon."""
 
     def __init__(self, payload: bytes) -> None:
         self._data = payload
         self._at = 0
 
-    def take(self, size: int) -> bytes:
-        """Take so many bytes."""
+    def take_bytes(self, size: int) -> bytes:
+        """Read so many bytes."""
         end = self._at + size
         if end > len(self._data):
             raise MalformedError("a packet that ends too soon")
@@ -188,26 +194,26 @@
         return data
 
     def byte(self) -> int:
-        """Take a byte."""
-        return self.take(1)[0]
+        """Read a byte."""
+        return self.take_bytes(1)[0]
 
-    def word(self) -> int:
-        """Take an integer of two bytes."""
-        data = self.take(2)
+    def uint16(self) -> int:
+        """Read an unsigned integer of two bytes."""
+        data = self.take_bytes(2)
         return data[0] << 8 | data[1]
 
-    def maybe(self) -> str | None:
-        """Take a string that may be null."""
-        size = self.word()
+    def nullable_text(self) -> str | None:
+        """Read a string that may be null."""
+        size = self.uint16()
         return None if size == NULL else self._text(size)
 
     def text(self) -> str:
-        """Take a string; null counts as empty."""
-        return self.maybe() or ""
+        """Read a string; null counts as empty."""
+        return self.nullable_text() or ""
 
     def header(self, codes: dict[int, str]) -> str:
-        """Take a header's name: a code of two bytes, or a string."""
-        size = self.word()
+        """Read a header's name: a code of two bytes, or a string."""
+        size = self.uint16()
         if size & 0xFF00 != 0xA000:
             return self._text(size)
         if size not in codes:
@@ -215,15 +221,15 @@
         return codes[size]
 
     def _text(self, size: int) -> str:
-        data = self.take(size + 1)
+        data = self.take_bytes(size + 1)
         if data[-1]:
             raise MalformedError("a string without its closing zero")
         return data[:-1].decode("latin-1")
 
 
 def packet(magic: bytes, payload: bytes) -> bytes:
-    """Wrap a payload."""
-    if len(payload) > MOST_PACKET - 4:
+    """Encode a packet with this payload. Raises ValueError where it is too long."""
+    if len(payload) > MAX_PACKET_BYTES - HEADER_BYTES:
         raise ValueError("too long for an AJP13 packet")
     return magic + struct.pack(">H", len(payload)) + payload
 
@@ -242,60 +248,63 @@
     return (_string(name) if code is None else struct.pack(">H", code)) + _string(value)
 
 
-def read_forward(payload: bytes, allowed: frozenset[str] = KNOWN_NAMES) -> Forward:
-    """Read a forwarded request, type byte included."""
+def read_forward(payload: bytes, allowed: frozenset[str] = DEFAULT_ALLOWED_ATTRIBUTES) -> ForwardedRequest:
+    """Decode a forwarded request, type byte included.
+
+    Raises `MalformedError`, and `ForbiddenAttributeError` for a named attribute that is not allowed.
+    """
     reader = Reader(payload)
     if reader.byte() != FORWARD:
         raise MalformedError("not a forwarded request")
     code = reader.byte()
-    made = Forward(
+    request = ForwardedRequest(
         METHODS.get(code, ""),
         protocol=reader.text(),
         uri=reader.text(),
         remote_addr=reader.text(),
-        remote_host=reader.maybe(),
+        remote_host=reader.nullable_text(),
         server_name=reader.text(),
-        server_port=reader.word(),
+        server_port=reader.uint16(),
         is_ssl=bool(reader.byte()),
     )
-    count = reader.word()
-    if count > MOST_HEADERS:
-        raise MalformedError(f"{count} headers, {MOST_HEADERS} at most")
-    made.headers = [(reader.header(REQUEST_HEADERS).lower(), reader.text()) for _ in range(count)]
-    if sum(name == "content-length" for name, _ in made.headers) > 1:
+    count = reader.uint16()
+    if count > MAX_HEADERS:
+        raise MalformedError(f"{count} headers, {MAX_HEADERS} at most")
+    request.headers = [(reader.header(REQUEST_HEADERS).lower(), reader.text()) for _ in range(count)]
+    if sum(name == "content-length" for name, _ in request.headers) > 1:
         raise MalformedError("two content-lengths")
-    refused = _read_attributes(reader, made, allowed)
+    forbidden = _read_attributes(reader, request, allowed)
     if code == STORED_METHOD:
-        made.method = made.attributes.get("stored_method", "")
-    if not made.method:
+        request.method = request.attributes.get("stored_method", "")
+    if not request.method:
         raise MalformedError(f"an unknown method {code}")
-    if refused:
-        raise ForbiddenAttributeError(f"the attribute {refused} is not one that web servers send")
-    return made
+    if forbidden:
+        raise ForbiddenAttributeError(f"the attribute {forbidden} is not one that web servers send")
+    return request
 
 
-def _read_attributes(reader: Reader, made: Forward, allowed: frozenset[str]) -> str:
-    """Read the attributes; return the name of one that is refused."""
-    refused = ""
+def _read_attributes(reader: Reader, request: ForwardedRequest, allowed: frozenset[str]) -> str:
+    """Read the attributes; return the name of a forbidden one, if there is any."""
+    forbidden = ""
     while (code := reader.byte()) != LAST_ATTRIBUTE:
         if code in ATTRIBUTES:
-            made.attributes[ATTRIBUTES[code]] = reader.text()
+            request.attributes[ATTRIBUTES[code]] = reader.text()
         elif code == KEY_SIZE:
-            made.ssl_key_size = reader.word()
+            request.ssl_key_size = reader.uint16()
         elif code == NAMED_ATTRIBUTE:
             name, value = reader.text(), reader.text()
-            made.named.append((name, value))
-            refused = refused or ("" if name in allowed else name)
-        elif code in NEVER_SENT:
+            request.named_attributes.append((name, value))
+            forbidden = forbidden or ("" if name in allowed else name)
+        elif code in FORBIDDEN_ATTRIBUTES:
             reader.text()
-            refused = refused or NEVER_SENT[code]
+            forbidden = forbidden or FORBIDDEN_ATTRIBUTES[code]
         else:
             raise MalformedError(f"an unknown attribute {code:#04x}")
-    return refused
+    return forbidden
 
 
-def write_forward(request: Forward) -> bytes:
-    """Write a forwarded request as a packet."""
+def write_forward(request: ForwardedRequest) -> bytes:
+    """Encode a forwarded request as a packet."""
     code = METHOD_CODES.get(request.method, STORED_METHOD)
     attributes = dict(request.attributes)
     if code == STORED_METHOD:
@@ -315,7 +324,7 @@
     for name, value in attributes.items():
         out.append(ATTRIBUTE_CODES[name])
         out += _string(value)
-    for name, value in request.named:
+    for name, value in request.named_attributes:
         out += bytes([NAMED_ATTRIBUTE]) + _string(name) + _string(value)
     if request.ssl_key_size is not None:
         out += struct.pack(">BH", KEY_SIZE, request.ssl_key_size)
@@ -324,15 +333,15 @@
 
 
 def read_body(payload: bytes) -> bytes:
-    """Read a piece of a request's body; an empty one ends it."""
+    """Decode a part of a request's body; an empty one ends it."""
     if not payload:
         return b""
     reader = Reader(payload)
-    return reader.take(reader.word())
+    return reader.take_bytes(reader.uint16())
 
 
 def write_body(data: bytes) -> bytes:
-    """Write a piece of a request's body; an empty one ends it."""
+    """Encode a part of a request's body; an empty one ends it."""
     return packet(TO_CONTAINER, struct.pack(">H", len(data)) + data if data else b"")
 
 
@@ -347,7 +356,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseBody:
-    """A piece of a response's body."""
+    """A part of a response's body."""
 
     data: bytes
 
@@ -360,8 +369,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BodyWanted:
-    """The container asks for so much more of the request's body."""
+class BodyRequest:
+    """The container requests up to `size` further bytes of the request's body."""
 
     size: int
 
@@ -371,32 +380,32 @@
     """The answer to a ping."""
 
 
-Reply = ResponseHead | ResponseBody | ResponseEnd | BodyWanted | Pong
+Reply = ResponseHead | ResponseBody | ResponseEnd | BodyRequest | Pong
 
 
 def read_reply(payload: bytes) -> Reply:
-    """Read what a container sends."""
+    """Decode a packet of a container. Raises `MalformedError`."""
     reader = Reader(payload)
     kind = reader.byte()
     if kind == HEADERS:
-        status, reason, count = reader.word(), reader.text(), reader.word()
-        if count > MOST_HEADERS:
-            raise MalformedError(f"{count} headers, {MOST_HEADERS} at most")
+        status, reason, count = reader.uint16(), reader.text(), reader.uint16()
+        if count > MAX_HEADERS:
+            raise MalformedError(f"{count} headers, {MAX_HEADERS} at most")
         headers = tuple((reader.header(RESPONSE_HEADERS), reader.text()) for _ in range(count))
         return ResponseHead(status, reason, headers)
     if kind == BODY_CHUNK:
-        return ResponseBody(reader.take(reader.word()))
+        return ResponseBody(reader.take_bytes(reader.uint16()))
     if kind == END:
         return ResponseEnd(bool(reader.byte()))
     if kind == GET_BODY:
-        return BodyWanted(reader.word())
+        return BodyRequest(reader.uint16())
     if kind == CPONG:
         return Pong()
     raise MalformedError(f"an unknown packet type {kind}")
 
 
 def write_reply(reply: Reply) -> bytes:
-    """Write what a container sends as a packet."""
+    """Encode a packet of a container."""
     match reply:
         case ResponseHead(status, reason, headers):
             out = struct.pack(">BH", HEADERS, status) + _string(reason) + struct.pack(">H", len(headers))
@@ -405,16 +414,18 @@
             out = struct.pack(">BH", BODY_CHUNK, len(data)) + data + b"\0"
         case ResponseEnd(reuse):
             out = bytes([END, reuse])
-        case BodyWanted(size):
+        case BodyRequest(size):
             out = struct.pack(">BH", GET_BODY, size)
         case Pong():
             out = bytes([CPONG])
     return packet(TO_SERVER, out)
 
 
-def write_response(head: ResponseHead, body: bytes, reuse: bool, most: int = DEFAULT_PACKET) -> bytes:
-    """Write a whole response: head, body in pieces that fit packets, end."""
-    size = most - CHUNK_OVERHEAD
-    pieces = [ResponseBody(body[at : at + size]) for at in range(0, len(body), size)]
-    replies: list[Reply] = [head, *pieces, ResponseEnd(reuse)]
+def write_response(
+    head: ResponseHead, body: bytes, reuse: bool, max_packet_bytes: int = DEFAULT_PACKET_BYTES
+) -> bytes:
+    """Encode a complete response: head, body in parts that fit packets, end."""
+    size = max_packet_bytes - CHUNK_OVERHEAD
+    parts = [ResponseBody(body[at : at + size]) for at in range(0, len(body), size)]
+    replies: list[Reply] = [head, *parts, ResponseEnd(reuse)]
     return b"".join(map(write_reply, replies))
--- a/reelusher/codecs/http1.py
+++ b/reelusher/codecs/http1.py
@@ -1,13 +1,13 @@
-"""HTTP/1.1, as much as the catalog and the administration API need: messages with counted bodies."""
+"""HTTP/1.1, as much as the service registry and the administration API need: messages with counted bodies."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from reelusher.codecs.errors import MalformedError
 
-MOST_HEAD = 1 << 14
-MOST_BODY = 1 << 20
-MOST_HEADERS = 100
+MAX_HEAD_BYTES = 1 << 14  # of start line and headers
+MAX_BODY_BYTES = 1 << 20
+MAX_HEADERS = 100
 REASONS = {
     200: "OK",
     201: "Created",
@@ -31,7 +31,7 @@
 
 
 class MalformedHttpError(MalformedError):
-    """The bytes are not HTTP/1.1, or pass a limit; `status` says what a server answers to that."""
+    """The bytes are not HTTP/1.1, or exceed a limit; `status` is what a server answers."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -47,22 +47,22 @@
     body: bytes = b""
 
     @property
-    def keeps_open(self) -> bool:
-        """Tell whether the connection may carry another message after this one."""
+    def keep_alive(self) -> bool:
+        """Return whether the connection may carry another message after this one."""
         return self.headers.get("connection", "").lower() != "close" and "HTTP/1.0" not in self.start
 
 
 class Decoder:
     """Splits a stream into messages."""
 
-    def __init__(self, most_body: int = MOST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self._buffer = bytearray()
-        self._most_body = most_body
+        self._max_body_bytes = max_body_bytes
         self._head: Message | None = None
         self._size = 0
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Take more bytes and yield the messages that are whole by now."""
+        """Add received bytes and yield the messages that are complete. Raises `MalformedHttpError`."""
         self._buffer += data
         while True:
             if self._head is None and not self._read_head():
@@ -77,8 +77,8 @@
 
     def _read_head(self) -> bool:
         end = self._buffer.find(b"\r\n\r\n")
-        if max(end, len(self._buffer) if end < 0 else 0) > MOST_HEAD:
-            raise MalformedHttpError(f"a head of more than {MOST_HEAD} bytes", 431)
+        if max(end, len(self._buffer) if end < 0 else 0) > MAX_HEAD_BYTES:
+            raise MalformedHttpError(f"a head of more than {MAX_HEAD_BYTES} bytes", 431)
         if end < 0:
             return False
         lines = bytes(self._buffer[:end]).decode("latin-1").split("\r\n")
@@ -96,14 +96,14 @@
         text = message.headers.get("content-length", "0")
         if not (text.isascii() and text.isdigit()):
             raise MalformedHttpError("a content-length that is no number")
-        if len(text) > 12 or int(text) > self._most_body:
-            raise MalformedHttpError(f"a body of more than {self._most_body} bytes", 413)
+        if len(text) > 12 or int(text) > self._max_body_bytes:
+            raise MalformedHttpError(f"a body of more than {self._max_body_bytes} bytes", 413)
         return int(text)
 
 
 def _headers(lines: list[str]) -> dict[str, str]:
-    if len(lines) > MOST_HEADERS:
-        raise MalformedHttpError(f"more than {MOST_HEADERS} headers", 431)
+    if len(lines) > MAX_HEADERS:
+        raise MalformedHttpError(f"more than {MAX_HEADERS} headers", 431)
     found: dict[str, str] = {}
     for line in lines:
         name, colon, value = line.partition(":")
@@ -116,16 +116,16 @@
 
 
 def request(method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> bytes:
-    """Write a request."""
-    return _write(f"{method} {path} HTTP/1.1", {**(headers or {}), "Content-Length": str(len(body))}, body)
+    """Encode a request."""
+    return _encode(f"{method} {path} HTTP/1.1", {**(headers or {}), "Content-Length": str(len(body))}, body)
 
 
 def response(status: int, body: bytes = b"", headers: dict[str, str] | None = None) -> bytes:
-    """Write a response."""
+    """Encode a response."""
     line = f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}"
-    return _write(line, {**(headers or {}), "Content-Length": str(len(body))}, body)
+    return _encode(line, {**(headers or {}), "Content-Length": str(len(body))}, body)
 
 
-def _write(line: str, headers: dict[str, str], body: bytes) -> bytes:
+def _encode(line: str, headers: dict[str, str], body: bytes) -> bytes:
     head = [line, *(f"{name}: {value}" for name, value in headers.items())]
     return "\r\n".join(head).encode("latin-1") + b"\r\n\r\n" + body
--- a/reelusher/codecs/lines.py
+++ b/reelusher/codecs/lines.py
@@ -1,4 +1,7 @@
-"""Splitting a stream into lines, and the two line protocols: JSON objects and the vault's replies."""
+"""The two line protocols: JSON objects of the runtime, calls and replies of the downstream service.
+
+On the wire the downstream service is the vault, a call is `ask`, a cancellation `unask`.
+"""
 
 import base64
 import binascii
@@ -9,27 +12,28 @@
 
 from reelusher.codecs.errors import MalformedError
 
-MOST_LINE = 1 << 20
-MOST_REPLY = 1 << 18
-MOST_REPLY_LINE = 256  # of the line that begins a reply
+MAX_LINE_BYTES = 1 << 20  # of a JSON object
+MAX_REPLY_BYTES = 1 << 18  # of the body of a reply
+MAX_REPLY_LINE_BYTES = 256  # of the line that starts a reply
+WITH_BODY = "yes"  # the status that a counted body follows
 
 
-class JsonLines:
+class JsonLineDecoder:
     """Decodes one JSON object a line."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[dict[str, Any]]:
-        """Take more bytes and yield the objects that are whole by now."""
+        """Add received bytes and yield the objects that are complete. Raises `MalformedError`."""
         self._buffer += data
         while (end := self._buffer.find(b"\n")) >= 0:
             line = bytes(self._buffer[:end])
             del self._buffer[: end + 1]
             if line.strip():
                 yield self._object(line)
-        if len(self._buffer) > MOST_LINE:
-            raise MalformedError(f"a line of more than {MOST_LINE} bytes")
+        if len(self._buffer) > MAX_LINE_BYTES:
+            raise MalformedError(f"a line of more than {MAX_LINE_BYTES} bytes")
 
     @staticmethod
     def _object(line: bytes) -> dict[str, Any]:
@@ -42,18 +46,18 @@
         return value
 
 
-def json_line(message: dict[str, Any]) -> bytes:
-    """Write one object as a line."""
+def encode_json_line(message: dict[str, Any]) -> bytes:
+    """Encode an object as a line."""
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
-def blob(data: bytes) -> str:
-    """Write bytes for a JSON line."""
+def encode_body(data: bytes) -> str:
+    """Encode bytes as base64 for a JSON line."""
     return base64.b64encode(data).decode()
 
 
-def unblob(text: Any) -> bytes:
-    """Read bytes from a JSON line."""
+def decode_body(text: Any) -> bytes:
+    """Decode base64 from a JSON line. Raises `MalformedError`."""
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, TypeError, ValueError):
@@ -61,36 +65,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class VaultReply:
-    """A line from the vault; the body is there with `yes`."""
+class DownstreamReply:
+    """A reply to a downstream call; it has a body where the call succeeded."""
 
-    call: str
-    word: str
+    run_id: str
+    status: str
     body: bytes = b""
 
 
-class VaultReplies:
-    """Decodes the vault's replies: lines, with a counted body after `yes`."""
+class DownstreamReplyDecoder:
+    """Decodes replies: lines, with a counted body after the status `yes`."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
-    def feed(self, data: bytes) -> Iterator[VaultReply]:
-        """Take more bytes and yield the replies that are whole by now."""
+    def feed(self, data: bytes) -> Iterator[DownstreamReply]:
+        """Add received bytes and yield the replies that are complete. Raises `MalformedError`."""
         self._buffer += data
         while (end := self._buffer.find(b"\r\n")) >= 0:
-            if end > MOST_REPLY_LINE:
+            if end > MAX_REPLY_LINE_BYTES:
                 break
             words = bytes(self._buffer[:end]).decode("latin-1").split(" ")
-            if len(words) == 2 and words[1] != "yes":
+            if len(words) == 2 and words[1] != WITH_BODY:
                 del self._buffer[: end + 2]
-                yield VaultReply(words[0], words[1])
+                yield DownstreamReply(words[0], words[1])
                 continue
             if len(words) != 3 or not words[2].isascii() or not words[2].isdigit() or len(words[2]) > 9:
                 raise MalformedError("a reply that is not ID WORD or ID WORD LENGTH")
             size = int(words[2])
-            if size > MOST_REPLY:
-                raise MalformedError(f"a reply of {size} bytes, {MOST_REPLY} at most")
+            if size > MAX_REPLY_BYTES:
+                raise MalformedError(f"a reply of {size} bytes, {MAX_REPLY_BYTES} at most")
             stop = end + 2 + size
             if len(self._buffer) < stop + 2:
                 return
@@ -98,16 +102,16 @@
                 raise MalformedError("a reply longer than it says")
             body = bytes(self._buffer[end + 2 : stop])
             del self._buffer[: stop + 2]
-            yield VaultReply(words[0], words[1], body)
-        if len(self._buffer) > MOST_REPLY_LINE:
-            raise MalformedError(f"a line of more than {MOST_REPLY_LINE} bytes")
+            yield DownstreamReply(words[0], words[1], body)
+        if len(self._buffer) > MAX_REPLY_LINE_BYTES:
+            raise MalformedError(f"a line of more than {MAX_REPLY_LINE_BYTES} bytes")
 
 
-def vault_ask(call: str, wait_ms: int, body: bytes) -> bytes:
-    """Write a call."""
-    return f"ask {call} {wait_ms} {len(body)}\r\n".encode() + body + b"\r\n"
+def encode_call(run_id: str, timeout_ms: int, body: bytes) -> bytes:
+    """Encode a call for a run, which is abandoned after `timeout_ms`."""
+    return f"ask {run_id} {timeout_ms} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
-def vault_unask(call: str) -> bytes:
-    """Write that a call is given up."""
-    return f"unask {call}\r\n".encode()
+def encode_cancel(run_id: str) -> bytes:
+    """Encode the cancellation of a run's call."""
+    return f"unask {run_id}\r\n".encode()
--- a/reelusher/codecs/msgpack.py
+++ b/reelusher/codecs/msgpack.py
@@ -1,7 +1,7 @@
 """MessagePack, as much as MessagePack-RPC needs: nil, booleans, numbers, strings, binaries, arrays, maps.
 
-`Decoder` is fed bytes as they come and yields whole values. Lengths past the limits are refused from the
-header alone, before anything of that size is read or allocated.
+`Decoder` is fed bytes as they arrive and yields complete values. Lengths above the limits are rejected from
+the header alone, before anything of that size is read or allocated.
 """
 
 import struct
@@ -10,14 +10,14 @@
 
 from reelusher.codecs.errors import MalformedError
 
-MOST_BYTES = 1 << 16  # of one string or binary
-MOST_ITEMS = 256  # of one array or map
-MOST_DEPTH = 8
-MOST_FRAME = 1 << 18  # of one whole value
+MAX_BYTES = 1 << 16  # of one string or binary
+MAX_ITEMS = 256  # of one array or map
+MAX_DEPTH = 8
+MAX_FRAME_BYTES = 1 << 18  # of one complete value
 
 
 class _IncompleteValueError(Exception):
-    """The value is not whole yet."""
+    """The value is not complete yet."""
 
 
 _FIXED = {
@@ -48,77 +48,77 @@
 _CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
-class _Open:
+class _OpenContainer:
     """An array or a map whose items are still being read."""
 
-    __slots__ = ("is_map", "items", "left")
+    __slots__ = ("is_map", "items", "remaining")
 
     def __init__(self, left: int, is_map: bool) -> None:
-        self.left = 2 * left if is_map else left  # values still to come
+        self.remaining = 2 * left if is_map else left  # values still to come
         self.items: list[Any] = []
         self.is_map = is_map
 
-    def closed(self) -> Any:
-        """Return it as a value."""
+    def value(self) -> Any:
+        """Return the complete container."""
         return dict(zip(self.items[::2], self.items[1::2], strict=True)) if self.is_map else self.items
 
 
 class Decoder:
     """Splits a stream into values. What has been read of a value is not read again when more bytes come."""
 
-    def __init__(self, most_frame: int = MOST_FRAME) -> None:
-        self._most_frame = most_frame
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self._max_frame_bytes = max_frame_bytes
         self._buffer = bytearray()
         self._at = 0
         self._frame = 0  # bytes read of the value that is open
-        self._open: list[_Open] = []
+        self._open: list[_OpenContainer] = []
 
     @property
     def partial(self) -> bool:
-        """Tell whether a value has begun and is not whole."""
+        """Return whether a value has started and is not complete."""
         return bool(self._buffer or self._open)
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """Take more bytes and yield the values that are whole by now."""
+        """Add received bytes and yield the values that are complete. Raises `MalformedError`."""
         self._buffer += data
         self._at = 0
         try:
             while self._at < len(self._buffer):
-                begun = self._at
+                started_at = self._at
                 try:
                     value = self._item()
                 except _IncompleteValueError:
-                    self._at = begun
+                    self._at = started_at
                     break
                 finally:
-                    self._frame += self._at - begun
-                if self._frame > self._most_frame:
-                    raise MalformedError(f"a value of more than {self._most_frame} bytes")
-                if not isinstance(value, _Open):
-                    value = self._placed(value)
-                if not isinstance(value, _Open):
+                    self._frame += self._at - started_at
+                if self._frame > self._max_frame_bytes:
+                    raise MalformedError(f"a value of more than {self._max_frame_bytes} bytes")
+                if not isinstance(value, _OpenContainer):
+                    value = self._append(value)
+                if not isinstance(value, _OpenContainer):
                     self._frame = 0
                     yield value
         finally:
             del self._buffer[: self._at]
             self._at = 0
-        if self._frame + len(self._buffer) > self._most_frame:
-            raise MalformedError(f"a value of more than {self._most_frame} bytes")
+        if self._frame + len(self._buffer) > self._max_frame_bytes:
+            raise MalformedError(f"a value of more than {self._max_frame_bytes} bytes")
 
-    def _placed(self, value: Any) -> Any:
-        """Put a value into what is open; return the outermost once it is whole, else what is still open."""
+    def _append(self, value: Any) -> Any:
+        """Append a value to the open container; return the outermost once complete, else the open one."""
         while self._open:
             top = self._open[-1]
-            if top.is_map and top.left % 2 == 0 and not isinstance(value, (str, int, bytes)):
+            if top.is_map and top.remaining % 2 == 0 and not isinstance(value, (str, int, bytes)):
                 raise MalformedError("a map key that is neither a string nor a number")
             top.items.append(value)
-            top.left -= 1
-            if top.left:
+            top.remaining -= 1
+            if top.remaining:
                 return top
-            value = self._open.pop().closed()
+            value = self._open.pop().value()
         return value
 
-    def _take(self, size: int) -> bytes:
+    def _take_bytes(self, size: int) -> bytes:
         end = self._at + size
         if end > len(self._buffer):
             raise _IncompleteValueError
@@ -157,7 +157,7 @@
         length = self._number(code)
         if code >= 0xDC:
             return self._opened(length, is_map=code >= 0xDE)
-        return self._text(length) if code >= 0xD9 else self._take(self._checked(length, MOST_BYTES))
+        return self._text(length) if code >= 0xD9 else self._take_bytes(self._checked(length, MAX_BYTES))
 
     @staticmethod
     def _checked(length: int, most: int) -> int:
@@ -167,16 +167,16 @@
 
     def _text(self, length: int) -> str:
         try:
-            return self._take(self._checked(length, MOST_BYTES)).decode()
+            return self._take_bytes(self._checked(length, MAX_BYTES)).decode()
         except UnicodeDecodeError:
             raise MalformedError("a string that is not UTF-8") from None
 
     def _opened(self, length: int, is_map: bool) -> Any:
-        if len(self._open) >= MOST_DEPTH:
-            raise MalformedError(f"nested more than {MOST_DEPTH} deep")
-        opened = _Open(self._checked(length, MOST_ITEMS), is_map)
+        if len(self._open) >= MAX_DEPTH:
+            raise MalformedError(f"nested more than {MAX_DEPTH} deep")
+        opened = _OpenContainer(self._checked(length, MAX_ITEMS), is_map)
         if not length:
-            return opened.closed()
+            return opened.value()
         self._open.append(opened)
         return opened
 
--- a/reelusher/config/operator/ajp.py
+++ b/reelusher/config/operator/ajp.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from reelusher.codecs.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
+from reelusher.codecs.ajp13 import DEFAULT_ALLOWED_ATTRIBUTES, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES
 from reelusher.config.checked_table import Address, CheckedTable, ConfigError
 from reelusher.config.operator.checks import is_loopback
 
@@ -36,12 +36,12 @@
     made = Ajp(
         listen=table.address("listen"),
         secret=table.text("secret", " ").strip(),
-        packet_size=table.whole("packet_size", DEFAULT_PACKET, DEFAULT_PACKET, MOST_PACKET),
+        packet_size=table.whole("packet_size", DEFAULT_PACKET_BYTES, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES),
         max_body_kb=table.whole("max_body_kb", 64, 1, 65536),
         max_response_kb=table.whole("max_response_kb", 1024, 1, 65536),
         max_connections=table.whole("max_connections", 400, 1, 10_000),
         idle_ms=table.whole("idle_ms", 60_000, 100),
-        allowed_attributes=KNOWN_NAMES | set(table.texts("allowed_attributes", ())),
+        allowed_attributes=DEFAULT_ALLOWED_ATTRIBUTES | set(table.texts("allowed_attributes", ())),
     )
     if not made.secret and not is_loopback(made.listen[0]):
         raise ConfigError(table.path("secret"), "required when listening beyond loopback")
--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -21,7 +21,7 @@
 
     def __init__(self, sock: socket.socket, max_packet_bytes: int) -> None:
         self.sock = sock
-        self._packets = ajp13.Packets(ajp13.TO_CONTAINER, max_packet_bytes)
+        self._packets = ajp13.PacketDecoder(ajp13.TO_CONTAINER, max_packet_bytes)
         self._received: Iterator[bytes] = iter(())
 
     def next(self) -> bytes | None:
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -192,7 +192,7 @@
 
     # Requests
 
-    def _answer(self, stream: PacketStream, forward: ajp13.Forward) -> Answer:
+    def _answer(self, stream: PacketStream, forward: ajp13.ForwardedRequest) -> Answer:
         """Return the answer to a request; raise `RequestError` where it can't reach the core."""
         self._check_secret(forward)
         if self._schedule is not None and time.monotonic() >= self._schedule.reject_s:
@@ -213,13 +213,13 @@
         self._core.counters.add_for(tenant.name, answer.verdict.value)
         return answer
 
-    def _check_secret(self, forward: ajp13.Forward) -> None:
+    def _check_secret(self, forward: ajp13.ForwardedRequest) -> None:
         secret = forward.attributes.get("secret", "")
         if self._config.secret and not hmac.compare_digest(secret.encode(), self._config.secret.encode()):
             raise RequestError(403, "the secret is missing or wrong", closes=True)
 
     @contextmanager
-    def _matched(self, forward: ajp13.Forward) -> Iterator[Match]:
+    def _matched(self, forward: ajp13.ForwardedRequest) -> Iterator[Match]:
         """Resolve the tenant and class of a request, which is to be submitted within the context."""
         path = forward.uri.partition(";")[0]
         with self._tenants.pinned_match(forward.method, forward.server_name, path) as match:
@@ -228,7 +228,12 @@
             yield match
 
     def _submit(
-        self, stream: PacketStream, forward: ajp13.Forward, match: Match, body: bytes, received_us: int
+        self,
+        stream: PacketStream,
+        forward: ajp13.ForwardedRequest,
+        match: Match,
+        body: bytes,
+        received_us: int,
     ) -> "queue.SimpleQueue[Answer] | None":
         """Post a request to the core; return where its answer comes, None where its tenant has too many."""
         key, tenant = self._mapper.idempotency_key(forward, match), match.tenant
--- a/reelusher/frontends/ajp/request_mapping.py
+++ b/reelusher/frontends/ajp/request_mapping.py
@@ -60,7 +60,7 @@
         """Return the class of a request, by position in the settings."""
         return self._class_indexes[match.class_name]
 
-    def idempotency_key(self, forward: ajp13.Forward, match: Match) -> str:
+    def idempotency_key(self, forward: ajp13.ForwardedRequest, match: Match) -> str:
         """Return the key that a request carries; raise `RequestError` where its class needs one."""
         key = forward.header(match.tenant.key_header) or ""
         idempotency = self._core.settings.classes[self.class_index(match)].idempotency
@@ -72,7 +72,7 @@
 
     def request(
         self,
-        forward: ajp13.Forward,
+        forward: ajp13.ForwardedRequest,
         match: Match,
         key: str,
         body: bytes,
@@ -95,7 +95,7 @@
             backend_data=forward,
         )
 
-    def read_body(self, stream: PacketStream, forward: ajp13.Forward) -> bytes:
+    def read_body(self, stream: PacketStream, forward: ajp13.ForwardedRequest) -> bytes:
         """Read the body: with a known length the first piece comes unasked, further ones are requested."""
         size, max_bytes = forward.body_size(), self._config.max_body_kb * 1024
         if size is not None and size > max_bytes:
@@ -122,7 +122,7 @@
     def _request_piece(self, stream: PacketStream, remaining_bytes: int | None) -> None:
         piece = self._config.packet_size - ajp13.BODY_OVERHEAD
         wanted = piece if remaining_bytes is None else min(piece, remaining_bytes)
-        stream.sock.sendall(ajp13.write_reply(ajp13.BodyWanted(wanted)))
+        stream.sock.sendall(ajp13.write_reply(ajp13.BodyRequest(wanted)))
 
 
 def _read_piece(stream: PacketStream) -> bytes:
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -114,7 +114,9 @@
 def ask(target: site.Address, rate: float, seconds: float, hosts: Sequence[str], seed: int) -> dict[str, Any]:
     """Play a client in a process of its own and return what it saw; raise where requests failed."""
     requests = [
-        ajp13.write_forward(ajp13.Forward("GET", "/visits/1", server_name=host, remote_addr="127.0.0.1"))
+        ajp13.write_forward(
+            ajp13.ForwardedRequest("GET", "/visits/1", server_name=host, remote_addr="127.0.0.1")
+        )
         for host in hosts
     ]
     ours, theirs = _processes.Pipe()
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -94,7 +94,7 @@
     def __init__(self, stray: Callable[[], None]) -> None:
         self.stray = stray
         self.transport: asyncio.Transport | None = None
-        self.packets = ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET)
+        self.packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
         self.answer: asyncio.Future[tuple[int, bytes, bool]] | None = None
         self.status, self.body = 0, b""
 
@@ -174,7 +174,7 @@
         line.stray = stray
         try:
             status, body, reuse = await line.ask(
-                ajp13.write_forward(ajp13.Forward(uri="/look", server_name=host)), most_s
+                ajp13.write_forward(ajp13.ForwardedRequest(uri="/look", server_name=host)), most_s
             )
         except NoAnswerError:
             self.end(line)
@@ -213,6 +213,6 @@
         with contextlib.suppress(OSError):
             writer.write(
                 ajp13.write_response(
-                    ajp13.ResponseHead(200, "OK", headers), self.name, True, ajp13.DEFAULT_PACKET
+                    ajp13.ResponseHead(200, "OK", headers), self.name, True, ajp13.DEFAULT_PACKET_BYTES
                 )
             )
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -133,7 +133,7 @@
     def notice(self, **fields: Any) -> None:
         """Say something that counts also over a broken link."""
         self.serial += 1
-        line = lines.json_line({**fields, "serial": self.serial})
+        line = lines.encode_json_line({**fields, "serial": self.serial})
         self.notices.append((self.serial, line))
         if self.link is not None:
             self.link.write(line)
@@ -141,19 +141,21 @@
     def ended(self, job: Job) -> None:
         """Tell the end of a run."""
         took_ms = (self.runtime.line.time() - job.began_s) * 1000
-        self.notice(msg="end", call=job.call, how="ok", duration=took_ms, blob=lines.blob(result_of(job)))
+        self.notice(
+            msg="end", call=job.call, how="ok", duration=took_ms, blob=lines.encode_body(result_of(job))
+        )
 
     def wants(self, job: Job, ms: float) -> None:
         """Tell that a run waits for its call."""
         self.waiting[job.call] = ms
-        self.notice(msg="wants", call=job.call, blob=lines.blob(job.body))
+        self.notice(msg="wants", call=job.call, blob=lines.encode_body(job.body))
 
 
 class RuntimeWire(Wire):
     """A link of a node to its runtime."""
 
     def __init__(self, host: RuntimeHost) -> None:
-        self.host, self.decoder = host, lines.JsonLines()
+        self.host, self.decoder = host, lines.JsonLineDecoder()
 
     def take(self, data: bytes) -> None:
         host = self.host
@@ -163,18 +165,18 @@
                 case "sync":
                     host.link = self
                     up_ms = (host.runtime.line.time() - host.runtime.began_s) * 1000
-                    self.write(lines.json_line({"msg": "ready", "how": "warm", "duration": up_ms}))
+                    self.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": up_ms}))
                     for serial, line in host.notices:
                         if serial > message["serial"]:
                             self.write(line)
                 case "gauges":
                     self.write(
-                        lines.json_line(
+                        lines.encode_json_line(
                             {"msg": "load", "cookie": message["cookie"], "stats": host.runtime.gauges()}
                         )
                     )
                 case "start":
-                    host.runtime.start(call, message["service"], lines.unblob(message["blob"]))
+                    host.runtime.start(call, message["service"], lines.decode_body(message["blob"]))
                 case "give" | "omit" if call in host.waiting:
                     host.runtime.go_on(call, host.waiting.pop(call), message["msg"] == "omit")
 
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -35,7 +35,7 @@
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        self.packets = ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET)
+        self.packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
 
     async def ask(self, data: bytes) -> tuple[int, bool]:
         """Send a request; return the status of its answer, and whether the connection may be used again."""
@@ -122,7 +122,7 @@
     def written(self, key: int) -> bytes:
         """Write a request."""
         caller = self.caller
-        forward = ajp13.Forward(caller.method, caller.path, server_name=caller.host)
+        forward = ajp13.ForwardedRequest(caller.method, caller.path, server_name=caller.host)
         if caller.keyed:
             forward.headers.append(("x-request-key", f"{caller.name}-{self.plan.seed}-{key}"))
         if not caller.body_bytes:
@@ -141,7 +141,7 @@
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer one connection's requests until it closes."""
-        packets = ajp13.Packets(ajp13.TO_CONTAINER, ajp13.MOST_PACKET)
+        packets = ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES)
         missing = 0
         # a run that is over cancels what still waits here, and asyncio would print each of those
         with contextlib.suppress(OSError, MalformedError, asyncio.CancelledError):
@@ -165,7 +165,9 @@
         self.done += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", "2"))
         writer.write(
-            ajp13.write_response(ajp13.ResponseHead(200, "OK", headers), b"ok", True, ajp13.DEFAULT_PACKET)
+            ajp13.write_response(
+                ajp13.ResponseHead(200, "OK", headers), b"ok", True, ajp13.DEFAULT_PACKET_BYTES
+            )
         )
 
 
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -715,7 +715,7 @@
         def connects() -> bool:
             assert made.poll() is None, (tmp_path / "log").read_text()
             with contextlib.suppress(ConnectionRefusedError):
-                web.dial("ajp", ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), web.note)
+                web.dial("ajp", ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES), web.note)
                 return True
             return False
 
--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -12,7 +12,7 @@
 
 from golden.recordings import load
 from reelusher.backends.runtime import RuntimeLink
-from reelusher.codecs.lines import JsonLines
+from reelusher.codecs.lines import JsonLineDecoder
 from reelusher.core.counters import Counters
 from reelusher.core.messages import IncomingRequest
 
@@ -92,7 +92,7 @@
     stand_in = parties.Runtime({})
     link = RuntimeLink(stand_in.address, lambda message: None, Counters(), Random(1))
     data = bytearray()
-    stand_in.codec = lambda: (Recorder(JsonLines(), data), stand_in.note)  # type: ignore[method-assign]
+    stand_in.codec = lambda: (Recorder(JsonLineDecoder(), data), stand_in.note)  # type: ignore[method-assign]
     link.connect()
     assert soon(lambda: link.up)
     request = IncomingRequest("00000000000000aa", 0, b"body \x01", 0, lambda answer: None)
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -183,20 +183,22 @@
         self.last = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return lines.JsonLines(), self.note
+        return lines.JsonLineDecoder(), self.note
 
     def note(self, message: Any) -> str | None:
         word = message["msg"]
         if word == "sync":
             if self.ready:
-                self.write(lines.json_line({"msg": "ready", "how": "warm", "duration": 5}))
+                self.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": 5}))
             return f"sync {message['serial']}"
         if word == "start" and self.at_once:
             self.send(["end", message["call"], "ok", "r"])
         if word == "gauges":
             if self.gauges or message["cookie"].startswith("sync"):
                 stats = self.world.get("stats", [0.2, 1, 0.1, 3])
-                self.write(lines.json_line({"msg": "load", "cookie": message["cookie"], "stats": stats}))
+                self.write(
+                    lines.encode_json_line({"msg": "load", "cookie": message["cookie"], "stats": stats})
+                )
             return None
         body = base64.b64decode(message.get("blob", "")).decode()
         return " ".join(str(x) for x in (word, message["call"], message.get("service", ""), body) if x)
@@ -214,13 +216,13 @@
         else:
             call, *more = (self.names.get(part[1:], part) if part.startswith("$") else part for part in rest)
             self.serial += 1
-            blob = lines.blob(sized(more[-1])) if more else ""
+            blob = lines.encode_body(sized(more[-1])) if more else ""
             message = {"msg": word, "serial": self.serial, "call": call, "blob": blob}
             if word == "end":
                 message |= {"how": more[0], "duration": 12.5}
             if word == "nack":
                 message = {"msg": word, "how": more[0], "call": call}
-            self.last = lines.json_line(message)
+            self.last = lines.encode_json_line(message)
             self.write(self.last)
 
 
@@ -268,7 +270,10 @@
     def send(self, words: Words) -> None:
         plain, given = options(words)
         sock = self.dial(
-            "ajp", ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), self.note, given.pop("source", "")
+            "ajp",
+            ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES),
+            self.note,
+            given.pop("source", ""),
         )
         if plain[0] in ("cping", "shutdown"):
             code = ajp13.CPING if plain[0] == "cping" else ajp13.SHUTDOWN
@@ -281,7 +286,7 @@
             sock.sendall(ajp13.write_body(sized(given["body"]) if "body" in given else b""))
             return
         body = sized(given.pop("body", ""))
-        forward = ajp13.Forward(plain[0], plain[1], server_name=given.pop("host", "localhost"))
+        forward = ajp13.ForwardedRequest(plain[0], plain[1], server_name=given.pop("host", "localhost"))
         if "key" in given:
             forward.headers.append(("x-request-key", given["key"]))
         if "cookie" in given:
@@ -293,7 +298,7 @@
         if "secret" in given:
             forward.attributes["secret"] = given["secret"]
         if "attribute" in given:
-            forward.named.append((given["attribute"], "x"))
+            forward.named_attributes.append((given["attribute"], "x"))
         pieces = [body[at : at + 8186] for at in range(0, len(body), 8186)]
         self.pieces = pieces[1:]  # before the request goes out: what asks for them is read by another thread
         sock.sendall(ajp13.write_forward(forward))
@@ -312,7 +317,7 @@
                 text = self.body.decode().strip()
                 text = text if len(text) < 40 else f"{len(text)}*{text[0]}"
                 return f"{self.head.status} {text or '-'} reuse={int(reuse)} retry={wait}"
-            case ajp13.BodyWanted():
+            case ajp13.BodyRequest():
                 if not self.pieces:
                     return "wants body"
                 assert self.sock is not None
@@ -325,11 +330,11 @@
 class Container(Server):
     """An AJP worker: answers CPing, `expect POST /visits BODY`, `send 200 BODY`."""
 
-    forward: ajp13.Forward | None = None
+    forward: ajp13.ForwardedRequest | None = None
     body = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return ajp13.Packets(ajp13.TO_CONTAINER, ajp13.MOST_PACKET), self.note
+        return ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES), self.note
 
     def note(self, payload: bytes) -> str | None:
         if payload[:1] == bytes([ajp13.CPING]) and len(payload) == 1:
@@ -342,7 +347,7 @@
         size = self.forward.body_size() or 0
         if len(self.body) < size:
             if self.body:
-                self.write(ajp13.write_reply(ajp13.BodyWanted(8186)))
+                self.write(ajp13.write_reply(ajp13.BodyRequest(8186)))
             return None
         forward, self.forward = self.forward, None
         text = self.body.decode()
--- a/tests/starved.py
+++ b/tests/starved.py
@@ -83,7 +83,7 @@
             message = json.loads(line)
             match message["msg"]:
                 case "sync":
-                    writer.write(lines.json_line({"msg": "ready", "how": "warm", "duration": 60000}))
+                    writer.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": 60000}))
                 case "gauges":
                     now = time.monotonic()
                     self.busy = [span for span in self.busy if span[1] > now - 0.5]
@@ -91,7 +91,7 @@
                         min(now, end) - max(begin, now - 0.5) for begin, end in self.busy if begin < now
                     )
                     writer.write(
-                        lines.json_line(
+                        lines.encode_json_line(
                             {
                                 "msg": "load",
                                 "cookie": message["cookie"],
@@ -122,14 +122,14 @@
         self.serial += 1
         if not writer.is_closing():
             writer.write(
-                lines.json_line(
+                lines.encode_json_line(
                     {
                         "msg": "end",
                         "serial": self.serial,
                         "call": call,
                         "how": "ok",
                         "duration": self.load.work_ms,
-                        "blob": lines.blob(body.encode()),
+                        "blob": lines.encode_body(body.encode()),
                     }
                 )
             )
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -801,7 +801,7 @@
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
     registry = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
-    listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET, 64, 64, 10, 60_000, frozenset())
+    listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET_BYTES, 64, 64, 10, 60_000, frozenset())
     front = AjpFrontend(core, listens, registry)
     rows.put(make_tenant("a"))
     rows.put(make_tenant("b", "i"))
@@ -811,8 +811,8 @@
         with socket.create_connection(front.address, WAIT_S) as sock:
 
             def status(host: str) -> int:
-                sock.sendall(ajp13.write_forward(ajp13.Forward("GET", "/x", server_name=host)))
-                packets, found = ajp13.Packets(ajp13.TO_SERVER, ajp13.MOST_PACKET), 0
+                sock.sendall(ajp13.write_forward(ajp13.ForwardedRequest("GET", "/x", server_name=host)))
+                packets, found = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES), 0
                 while True:
                     for payload in packets.feed(sock.recv(1 << 16)):
                         match ajp13.read_reply(payload):
--- a/tests/test_live_changes.py
+++ b/tests/test_live_changes.py
@@ -157,7 +157,7 @@
 
 
 def test_a_caller_notes_more_than_one_answer_and_an_answer_that_stays_out() -> None:
-    whole = ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"w1", True, ajp13.DEFAULT_PACKET)
+    whole = ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"w1", True, ajp13.DEFAULT_PACKET_BYTES)
     strays: list[str] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -105,9 +105,9 @@
 
 def test_a_forwarded_request_is_read_and_written_as_apache_does() -> None:
     data = ajp_packet(AJP_REQUEST)
-    (payload,) = ajp13.Packets(ajp13.TO_CONTAINER).feed(data)
+    (payload,) = ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(data)
     request = ajp13.read_forward(payload)
-    assert request == ajp13.Forward(
+    assert request == ajp13.ForwardedRequest(
         "GET",
         "/days",
         "HTTP/1.1",
@@ -133,14 +133,14 @@
         (ajp13.ResponseBody(b"abc"), "4142 0007 03 0003 616263 00"),
         (ajp13.ResponseEnd(True), "4142 0002 05 01"),
         (ajp13.ResponseEnd(False), "4142 0002 05 00"),
-        (ajp13.BodyWanted(8186), "4142 0003 06 1ffa"),
+        (ajp13.BodyRequest(8186), "4142 0003 06 1ffa"),
         (ajp13.Pong(), "4142 0001 09"),
     ],
 )
 def test_replies_of_a_container(reply: ajp13.Reply, text: str) -> None:
     data = bytes.fromhex(text)
     assert ajp13.write_reply(reply) == data
-    (payload,) = ajp13.Packets(ajp13.TO_SERVER).feed(data)
+    (payload,) = ajp13.PacketDecoder(ajp13.TO_SERVER).feed(data)
     assert ajp13.read_reply(payload) == reply
 
 
@@ -153,18 +153,20 @@
 
 def test_a_response_is_cut_into_packets_that_fit() -> None:
     data = ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"x" * 20_000, True)
-    replies = [ajp13.read_reply(payload) for payload in ajp13.Packets(ajp13.TO_SERVER).feed(data)]
+    replies = [ajp13.read_reply(payload) for payload in ajp13.PacketDecoder(ajp13.TO_SERVER).feed(data)]
     assert [len(r.data) for r in replies if isinstance(r, ajp13.ResponseBody)] == [8184, 8184, 3632]
 
 
 def test_a_method_without_a_code_travels_as_an_attribute() -> None:
-    (payload,) = ajp13.Packets(ajp13.TO_CONTAINER).feed(ajp13.write_forward(ajp13.Forward("PATCH")))
+    (payload,) = ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(
+        ajp13.write_forward(ajp13.ForwardedRequest("PATCH"))
+    )
     assert payload[1] == ajp13.STORED_METHOD
     assert ajp13.read_forward(payload).method == "PATCH"
 
 
 def forward_with(attributes: str) -> bytes:
-    (payload,) = ajp13.Packets(ajp13.TO_CONTAINER).feed(ajp13.write_forward(ajp13.Forward()))
+    (payload,) = ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(ajp13.write_forward(ajp13.ForwardedRequest()))
     return payload[:-1] + bytes.fromhex(attributes)
 
 
@@ -185,8 +187,8 @@
 @pytest.mark.parametrize("lengths", [("1", "2"), ("-1",), ("1x",)])
 def test_lengths_that_could_be_read_in_two_ways_are_malformed(lengths: tuple[str, ...]) -> None:
     headers = [("content-length", length) for length in lengths]
-    data = ajp13.write_forward(ajp13.Forward(headers=headers))
-    (payload,) = ajp13.Packets(ajp13.TO_CONTAINER).feed(data)
+    data = ajp13.write_forward(ajp13.ForwardedRequest(headers=headers))
+    (payload,) = ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(data)
     with pytest.raises(MalformedError):
         ajp13.read_forward(payload).body_size()
 
@@ -194,7 +196,7 @@
 @pytest.mark.parametrize("data", ["4142000101", "1234ffff", "0000"])
 def test_packets_of_the_wrong_kind_or_size_are_refused_from_their_header(data: str) -> None:
     with pytest.raises(MalformedError):
-        list(ajp13.Packets(ajp13.TO_CONTAINER).feed(bytes.fromhex(data) + b"\0\0"))
+        list(ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(bytes.fromhex(data) + b"\0\0"))
 
 
 @pytest.mark.parametrize(
@@ -207,17 +209,17 @@
         (http1.Decoder, b"GET / HTTP/1.1\r\nContent-Length: 9999999999\r\n\r\n"),
         (http1.Decoder, b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"),
         (http1.Decoder, b"x" * 20_000),
-        (lines.JsonLines, b"[1]\n"),
-        (lines.JsonLines, b"{\n"),
-        (lines.JsonLines, b"x" * (1 << 20) + b"x"),
-        (lines.VaultReplies, b"one\r\n"),
-        (lines.VaultReplies, b"a yes -1\r\n"),
-        (lines.VaultReplies, b"a yes x\r\n"),
-        (lines.VaultReplies, b"a yes\r\n"),
-        (lines.VaultReplies, b"x" * 300),
-        (lines.VaultReplies, b"\xff\xfe\r\n"),
-        (lines.VaultReplies, b"a yes 999999999\r\n"),
-        (lines.VaultReplies, b"a yes 1\r\nab\r\n"),
+        (lines.JsonLineDecoder, b"[1]\n"),
+        (lines.JsonLineDecoder, b"{\n"),
+        (lines.JsonLineDecoder, b"x" * (1 << 20) + b"x"),
+        (lines.DownstreamReplyDecoder, b"one\r\n"),
+        (lines.DownstreamReplyDecoder, b"a yes -1\r\n"),
+        (lines.DownstreamReplyDecoder, b"a yes x\r\n"),
+        (lines.DownstreamReplyDecoder, b"a yes\r\n"),
+        (lines.DownstreamReplyDecoder, b"x" * 300),
+        (lines.DownstreamReplyDecoder, b"\xff\xfe\r\n"),
+        (lines.DownstreamReplyDecoder, b"a yes 999999999\r\n"),
+        (lines.DownstreamReplyDecoder, b"a yes 1\r\nab\r\n"),
     ],
 )
 def test_malformed_lines_and_messages_are_refused(make: Callable[[], Any], data: bytes) -> None:
@@ -230,21 +232,21 @@
 
 def test_a_report_and_a_call_are_written_as_the_protocol_says() -> None:
     assert http1.request("PUT", "/catalog/register/n3", b'{"status":"passing"}', {"Host": "h"}) == REPORT
-    assert lines.vault_ask("9b1f", 250, b"ab") == b"ask 9b1f 250 2\r\nab\r\n"
-    assert lines.vault_unask("9b1f") == b"unask 9b1f\r\n"
-    assert lines.json_line({"msg": "sync", "serial": 0}) == b'{"msg":"sync","serial":0}\n'
-    assert lines.unblob(lines.blob(b"\0\xff")) == b"\0\xff"
+    assert lines.encode_call("9b1f", 250, b"ab") == b"ask 9b1f 250 2\r\nab\r\n"
+    assert lines.encode_cancel("9b1f") == b"unask 9b1f\r\n"
+    assert lines.encode_json_line({"msg": "sync", "serial": 0}) == b'{"msg":"sync","serial":0}\n'
+    assert lines.decode_body(lines.encode_body(b"\0\xff")) == b"\0\xff"
     with pytest.raises(MalformedError):
-        lines.unblob("no base64!")
+        lines.decode_body("no base64!")
 
 
 STREAMS: list[tuple[Callable[[], Any], bytes]] = [
     (msgpack.Decoder, b"".join(msgpack.pack(value) for value, _ in VALUES)),
-    (lines.JsonLines, b'{"a":1}\n\n{"b":"x"}\n'),
-    (lines.VaultReplies, b"a yes 3\r\n\r\nx\r\nb notnow\r\n"),
+    (lines.JsonLineDecoder, b'{"a":1}\n\n{"b":"x"}\n'),
+    (lines.DownstreamReplyDecoder, b"a yes 3\r\n\r\nx\r\nb notnow\r\n"),
     (http1.Decoder, REPORT + b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n"),
     (
-        lambda: ajp13.Packets(ajp13.TO_SERVER),
+        lambda: ajp13.PacketDecoder(ajp13.TO_SERVER),
         ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"x" * 99, True),
     ),
 ]
