--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -169,8 +169,8 @@
 
     def _activate(self, call: ApiCall) -> Reply:
         table = CheckedTable(call.body)
-        table.only("activation")
-        activation = table.word("activation", ACTIVATIONS)
+        table.reject_unknown_keys("activation")
+        activation = table.choice("activation", ACTIVATIONS)
         if not self._context.core.run_on_loop(lambda: self._context.workers.activate(call.name, activation)):
             raise ApiError(404, f"no worker is named {call.name!r}")
         return self._worker(call)
--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -7,7 +7,7 @@
 
 
 class ConfigError(Exception):
-    """A key is missing or wrong; the text begins with its path."""
+    """A key is missing or has an unusable value; the text starts with its path."""
 
     def __init__(self, key: str, why: str) -> None:
         super().__init__(f"{key}: {why}")
@@ -15,7 +15,7 @@
 
 
 class CheckedTable:
-    """A table of the configuration, with the path that leads to it."""
+    """A table of the configuration and its path. All reading methods raise `ConfigError`."""
 
     def __init__(self, value: Any, path: str = "") -> None:
         if not isinstance(value, Mapping):
@@ -31,40 +31,40 @@
         return self._value.get(key) is not None
 
     @property
-    def empty(self) -> bool:
-        """Tell whether nothing stands in it."""
+    def is_empty(self) -> bool:
+        """Return whether the table has no keys."""
         return not self._value
 
     def raw(self, key: str) -> Any:
-        """Return what stands under a key that must be there."""
+        """Return the value of a required key."""
         if key not in self:
             raise ConfigError(self.path(key), "missing")
         return self._value[key]
 
-    def only(self, *known: str) -> None:
-        """Refuse keys that nothing reads: most are typing errors."""
+    def reject_unknown_keys(self, *known: str) -> None:
+        """Raise `ConfigError` for a key that nothing reads: most are typing errors."""
         for key in self._value:
             if key not in known:
                 raise ConfigError(self.path(str(key)), "unknown key")
 
-    def _wrong(self, key: str, wanted: str) -> ConfigError:
+    def _error(self, key: str, wanted: str) -> ConfigError:
         return ConfigError(self.path(key), f"{wanted} is wanted, not {self._value[key]!r:.60}")
 
-    def text(self, key: str, default: str | None = None) -> str:
+    def string(self, key: str, default: str | None = None) -> str:
         """Read a string that is not empty."""
         if default is not None and key not in self:
             return default
         value = self.raw(key)
         if not isinstance(value, str) or not value:
-            raise self._wrong(key, "a string")
+            raise self._error(key, "a string")
         return value
 
-    def word(self, key: str, words: Collection[str], default: str | None = None) -> str:
-        """Read one of some words."""
-        value = self.text(key, default)
-        if value not in words:
-            told = sorted(words) if isinstance(words, Set) else words
-            raise self._wrong(key, "one of " + ", ".join(told))
+    def choice(self, key: str, choices: Collection[str], default: str | None = None) -> str:
+        """Read one of several strings."""
+        value = self.string(key, default)
+        if value not in choices:
+            listed = sorted(choices) if isinstance(choices, Set) else choices
+            raise self._error(key, "one of " + ", ".join(listed))
         return value
 
     def number(
@@ -76,30 +76,30 @@
         value = self.raw(key)
         if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
             bounds = f"at least {least:g}" if most == float("inf") else f"from {least:g} to {most:g}"
-            raise self._wrong(key, f"a number {bounds}")
+            raise self._error(key, f"a number {bounds}")
         return float(value)
 
-    def whole(self, key: str, default: int | None = None, least: int = 0, most: int = 1 << 53) -> int:
+    def integer(self, key: str, default: int | None = None, least: int = 0, most: int = 1 << 53) -> int:
         """Read a whole number within bounds."""
         value = self.number(key, default, least, most)
         if value != int(value):
-            raise self._wrong(key, "a whole number")
+            raise self._error(key, "a whole number")
         return int(value)
 
-    def flag(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, default: bool) -> bool:
         """Read true or false."""
         value = self._value.get(key, default)
         if not isinstance(value, bool):
-            raise self._wrong(key, "true or false")
+            raise self._error(key, "true or false")
         return value
 
-    def texts(self, key: str, default: Sequence[str] | None = None) -> tuple[str, ...]:
+    def strings(self, key: str, default: Sequence[str] | None = None) -> tuple[str, ...]:
         """Read a list of strings."""
         if default is not None and key not in self:
             return tuple(default)
         value = self.raw(key)
         if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
-            raise self._wrong(key, "a list of strings")
+            raise self._error(key, "a list of strings")
         return tuple(value)
 
     def table(self, key: str) -> "CheckedTable":
@@ -110,8 +110,8 @@
         """Read a list of tables; an absent one is empty."""
         value = self._value.get(key, [])
         if not isinstance(value, list):
-            raise self._wrong(key, "a list of tables")
-        return [CheckedTable(item, f"{self.path(key)}[{place}]") for place, item in enumerate(value)]
+            raise self._error(key, "a list of tables")
+        return [CheckedTable(item, f"{self.path(key)}[{index}]") for index, item in enumerate(value)]
 
     def address(self, key: str) -> Address:
         """Read HOST:PORT."""
@@ -119,7 +119,7 @@
 
 
 def address_of(value: Any, key: str) -> Address:
-    """Read HOST:PORT."""
+    """Return an address from HOST:PORT. Raises `ConfigError` that names the key."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ConfigError(key, f"HOST:PORT is wanted, not {value!r:.60}")
--- a/reelusher/config/operator/admin.py
+++ b/reelusher/config/operator/admin.py
@@ -29,17 +29,17 @@
 
 def read_admin(table: CheckedTable) -> Admin:
     """Check the section `admin`. Raises `ConfigError`."""
-    table.only("listen", "token", "tokens", "state_file", "state_dir", "durable_keys")
-    old = table.text("state_file", " ").strip()
+    table.reject_unknown_keys("listen", "token", "tokens", "state_file", "state_dir", "durable_keys")
+    old = table.string("state_file", " ").strip()
     tokens = tuple(map(_read_token, table.tables("tokens")))
     require_distinct(table.path("tokens"), [token.name for token in tokens])
     made = Admin(
         table.address("listen"),
-        table.text("token", "" if tokens else None),
+        table.string("token", "" if tokens else None),
         tokens,
         old,
-        table.flag("durable_keys", False),
-        table.text("state_dir", old + ".d" if old else " ").strip(),
+        table.boolean("durable_keys", False),
+        table.string("state_dir", old + ".d" if old else " ").strip(),
     )
     if made.durable_keys and not made.state_dir:
         raise ConfigError(table.path("durable_keys"), "state_dir is needed for them")
@@ -51,8 +51,8 @@
 
 
 def _read_token(table: CheckedTable) -> Token:
-    table.only("name", "sha256", "tenant")
-    made = Token(table.text("name"), table.text("sha256").lower(), table.text("tenant", " ").strip())
+    table.reject_unknown_keys("name", "sha256", "tenant")
+    made = Token(table.string("name"), table.string("sha256").lower(), table.string("tenant", " ").strip())
     if len(made.sha256) != 64 or set(made.sha256) - set("0123456789abcdef"):
         raise ConfigError(table.path("sha256"), "64 hexadecimal digits are wanted")
     return made
--- a/reelusher/config/operator/ajp.py
+++ b/reelusher/config/operator/ajp.py
@@ -23,7 +23,7 @@
 
 def read_ajp(table: CheckedTable) -> Ajp:
     """Check the section `ajp`. Raises `ConfigError`."""
-    table.only(
+    table.reject_unknown_keys(
         "listen",
         "secret",
         "packet_size",
@@ -35,13 +35,15 @@
     )
     made = Ajp(
         listen=table.address("listen"),
-        secret=table.text("secret", " ").strip(),
-        packet_size=table.whole("packet_size", DEFAULT_PACKET_BYTES, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES),
-        max_body_kb=table.whole("max_body_kb", 64, 1, 65536),
-        max_response_kb=table.whole("max_response_kb", 1024, 1, 65536),
-        max_connections=table.whole("max_connections", 400, 1, 10_000),
-        idle_ms=table.whole("idle_ms", 60_000, 100),
-        allowed_attributes=DEFAULT_ALLOWED_ATTRIBUTES | set(table.texts("allowed_attributes", ())),
+        secret=table.string("secret", " ").strip(),
+        packet_size=table.integer(
+            "packet_size", DEFAULT_PACKET_BYTES, DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES
+        ),
+        max_body_kb=table.integer("max_body_kb", 64, 1, 65536),
+        max_response_kb=table.integer("max_response_kb", 1024, 1, 65536),
+        max_connections=table.integer("max_connections", 400, 1, 10_000),
+        idle_ms=table.integer("idle_ms", 60_000, 100),
+        allowed_attributes=DEFAULT_ALLOWED_ATTRIBUTES | set(table.strings("allowed_attributes", ())),
     )
     if not made.secret and not is_loopback(made.listen[0]):
         raise ConfigError(table.path("secret"), "required when listening beyond loopback")
--- a/reelusher/config/operator/classes.py
+++ b/reelusher/config/operator/classes.py
@@ -17,26 +17,29 @@
     """Check `classes` and `capacity`; return no settings where there is no class. Raises `ConfigError`."""
     entries, names, classes = table.tables("classes"), [], []
     for entry in entries:
-        entry.only("name", "deadline_ms", "aim_ms", "worth", "late_share", "effect", "window_ms")
-        effect = EFFECTS[entry.word("effect", list(EFFECTS), "safe")]
-        names.append(entry.text("name"))
+        entry.reject_unknown_keys(
+            "name", "deadline_ms", "aim_ms", "worth", "late_share", "effect", "window_ms"
+        )
+        effect = EFFECTS[entry.choice("effect", list(EFFECTS), "safe")]
+        names.append(entry.string("name"))
         if names[-1] in names[:-1]:
             raise ConfigError(entry.path("name"), "two classes have this name")
         keyed = effect is Idempotency.IDEMPOTENCY_KEY
         classes.append(
             RequestClass(
-                deadline_us=entry.whole("deadline_ms", least=1) * 1000,
-                latency_objective_us=entry.whole("aim_ms", 0) * 1000,
+                deadline_us=entry.integer("deadline_ms", least=1) * 1000,
+                latency_objective_us=entry.integer("aim_ms", 0) * 1000,
                 priority_weight=entry.number("worth", 1.0, 0.0, 1e6),
                 late_value_fraction=entry.number("late_share", 0.0, 0.0, 1.0),
                 idempotency=effect,
-                idempotency_window_us=entry.whole("window_ms", None if keyed else 0, least=int(keyed)) * 1000,
+                idempotency_window_us=entry.integer("window_ms", None if keyed else 0, least=int(keyed))
+                * 1000,
             )
         )
     if not classes:
         return None, ()
     part = table.table("capacity")
-    part.only(
+    part.reject_unknown_keys(
         "cores",
         "memory_kb",
         "run_factor",
@@ -48,17 +51,17 @@
     )
     return Settings(
         classes=classes,
-        cores=part.whole("cores", 4, 1, 1024),
+        cores=part.integer("cores", 4, 1, 1024),
         memory_kb=part.number("memory_kb", 65_536.0, 1),
         running_memory_factor=part.number("run_factor", 4.0, 1.0),
         max_runnable_per_core=part.number("crowd_per_core", 6.0, 1.0),
         runnable_window_us=2_000_000,
         initial_speed=1.0,
         warm_up_us=0,
-        drain_grace_us=part.whole("drain_grace_ms", 2500) * 1000,
+        drain_grace_us=part.integer("drain_grace_ms", 2500) * 1000,
         answer_slack_us=80_000,
         tick_us=5_000,
         key_entry_kb=part.number("entry_kb", 16.0),
-        idle_timeout_us=part.whole("idle_ms", 60_000) * 1000,
-        max_retry_after_us=part.whole("retry_after_ms", 10_000) * 1000,
+        idle_timeout_us=part.integer("idle_ms", 60_000) * 1000,
+        max_retry_after_us=part.integer("retry_after_ms", 10_000) * 1000,
     ), tuple(names)
--- a/reelusher/config/operator/file.py
+++ b/reelusher/config/operator/file.py
@@ -70,9 +70,9 @@
     The class names are the platform's, which take precedence over the file's own.
     """
     table = CheckedTable(value)
-    table.only(*SECTIONS)
+    table.reject_unknown_keys(*SECTIONS)
     node = table.table("node")
-    node.only("name", "seed", "stop_ms", "memory_mb", "sockets")
+    node.reject_unknown_keys("name", "seed", "stop_ms", "memory_mb", "sockets")
     settings, own_names = read_settings(table)
     names = class_names or own_names
     if not names:
@@ -84,11 +84,11 @@
     if replication:
         _require_no_other_tenants(replication, admin, tenants)
     return Operator(
-        name=node.text("name", "reelusher"),
-        seed=seed_of(node.text("seed", "1"), "node.seed"),
-        stop_ms=node.whole("stop_ms", 10_000, least=100),
+        name=node.string("name", "reelusher"),
+        seed=seed_of(node.string("seed", "1"), "node.seed"),
+        stop_ms=node.integer("stop_ms", 10_000, least=100),
         memory_mb=node.number("memory_mb", 192.0, 16),
-        sockets=node.whole("sockets", 1024, 64, 1 << 20),
+        sockets=node.integer("sockets", 1024, 64, 1 << 20),
         ajp=read_ajp(table.table("ajp")) if "ajp" in table else None,
         admin=admin,
         fleet=read_fleet(table.table("fleet")) if "fleet" in table else None,
--- a/reelusher/config/operator/fleet.py
+++ b/reelusher/config/operator/fleet.py
@@ -35,10 +35,10 @@
 
 def read_fleet(table: CheckedTable) -> Fleet:
     """Check the section `fleet`. Raises `ConfigError`."""
-    table.only("name", "listen", "advertise", "seeds", "zone", "region", "secret_file")
+    table.reject_unknown_keys("name", "listen", "advertise", "seeds", "zone", "region", "secret_file")
     listen = _ip(table.address("listen"), table.path("listen"))
     labels = [
-        table.text(key, default).strip()
+        table.string(key, default).strip()
         for key, default in (("name", "reelusher"), ("zone", " "), ("region", " "))
     ]
     for key, label in zip(("name", "zone", "region"), labels, strict=True):
@@ -47,15 +47,15 @@
     advertise = _ip(table.address("advertise"), table.path("advertise")) if "advertise" in table else listen
     seeds = tuple(
         _ip(address_of(seed, f"{table.path('seeds')}[{index}]"), f"{table.path('seeds')}[{index}]")
-        for index, seed in enumerate(table.texts("seeds", ()))
+        for index, seed in enumerate(table.strings("seeds", ()))
     )
-    return Fleet(labels[0], listen, advertise, seeds, labels[1], labels[2], table.text("secret_file"))
+    return Fleet(labels[0], listen, advertise, seeds, labels[1], labels[2], table.string("secret_file"))
 
 
 def read_replication(table: CheckedTable) -> Replication:
     """Check the section `replication`. Raises `ConfigError`."""
-    table.only("copy", "control")
-    made = Replication(table.text("copy"), table.texts("control"))
+    table.reject_unknown_keys("copy", "control")
+    made = Replication(table.string("copy"), table.strings("control"))
     if not 1 <= len(made.control) <= MAX_CONTROL_MEMBERS:
         raise ConfigError(table.path("control"), f"1 to {MAX_CONTROL_MEMBERS} names are wanted")
     for index, name in enumerate(made.control):
--- a/reelusher/config/operator/tenants.py
+++ b/reelusher/config/operator/tenants.py
@@ -77,7 +77,7 @@
 
 def read_tenant(table: CheckedTable, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
     """Check a tenant, from the operator's file or the administration API. Raises `ConfigError`."""
-    table.only(
+    table.reject_unknown_keys(
         "name",
         "backend",
         "hosts",
@@ -91,21 +91,23 @@
     )
     routes = []
     for route in table.tables("routes"):
-        route.only("method", "path", "class")
+        route.reject_unknown_keys("method", "path", "class")
         routes.append(
-            Route(route.text("method", "*").upper(), _path(route, "path"), route.word("class", class_names))
+            Route(
+                route.string("method", "*").upper(), _path(route, "path"), route.choice("class", class_names)
+            )
         )
-    name = table.text("name")
+    name = table.string("name")
     if len(name) > 64 or not all(char.isalnum() or char in "-_." for char in name):
         raise ConfigError(table.path("name"), "1 to 64 letters, digits, dots, dashes, underlines are wanted")
     return Tenant(
         name=name,
-        backend=table.word("backend", backends),
-        hosts=tuple(host.lower() for host in table.texts("hosts", ())),
+        backend=table.choice("backend", backends),
+        hosts=tuple(host.lower() for host in table.strings("hosts", ())),
         prefix=_path(table, "prefix"),
-        key_header=table.text("key_header", "X-Request-Key").lower(),
-        default_class=table.word("default_class", class_names) if "default_class" in table else "",
-        max_open=table.whole("max_open", 0),
+        key_header=table.string("key_header", "X-Request-Key").lower(),
+        default_class=table.choice("default_class", class_names) if "default_class" in table else "",
+        max_open=table.integer("max_open", 0),
         held_kb=table.number("held_kb", 16.0, 0.0, 1e6),
         routes=tuple(routes),
         share=_read_quota(table.table("share"), class_names),
@@ -113,9 +115,9 @@
 
 
 def _read_quota(table: CheckedTable, class_names: tuple[str, ...]) -> QuotaSettings:
-    if table.empty:  # as of most of many tenants
+    if table.is_empty:  # as of most of many tenants
         return STANDARD_QUOTA
-    table.only(
+    table.reject_unknown_keys(
         "weight",
         "guarantee",
         "ceiling",
@@ -128,17 +130,17 @@
         "classes",
     )
     classes = table.table("classes")
-    classes.only(*class_names)
+    classes.reject_unknown_keys(*class_names)
     return QuotaSettings(
         weight=table.number("weight", 1.0, 0.001, 1e6),
         guarantee=table.number("guarantee", 0.0, 0.0, 1.0),
         ceiling=table.number("ceiling", 1.0, 0.001, 1.0),
-        burst_ms=table.whole("burst_ms", 200, 0, 3_600_000),
-        held=table.whole("held", 0),
-        running=table.whole("running", 0),
+        burst_ms=table.integer("burst_ms", 200, 0, 3_600_000),
+        held=table.integer("held", 0),
+        running=table.integer("running", 0),
         memory_kb=table.number("memory_kb", 0.0),
-        keys=table.whole("keys", 0),
-        connections=table.whole("connections", 0),
+        keys=table.integer("keys", 0),
+        connections=table.integer("connections", 0),
         classes=tuple(
             (name, classes.number(name, None, 0.001, 1e6)) for name in class_names if name in classes
         ),
@@ -146,7 +148,7 @@
 
 
 def _path(table: CheckedTable, key: str) -> str:
-    path = table.text(key, "/")
+    path = table.string(key, "/")
     if not path.startswith("/"):
         raise ConfigError(table.path(key), "a path begins with /")
     return path
--- a/reelusher/config/operator/workers.py
+++ b/reelusher/config/operator/workers.py
@@ -38,7 +38,7 @@
 
 def read_worker(table: CheckedTable) -> Worker:
     """Check an entry of `workers`. Raises `ConfigError`."""
-    table.only(
+    table.reject_unknown_keys(
         "name",
         "host",
         "port",
@@ -52,33 +52,33 @@
         "recover_ms",
         "activation",
     )
-    name = table.text("name")
+    name = table.string("name")
     if name == RUNTIME:
         raise ConfigError(table.path("name"), f"{RUNTIME} names the platform's runtime")
     return Worker(
         name=name,
-        host=table.text("host", "127.0.0.1"),
-        port=table.whole("port", 8009, 1, 65535),
-        secret=table.text("secret", " ").strip(),
-        route=table.text("route", name),
-        factor=table.whole("factor", 1, 1, 1000),
-        connections=table.whole("connections", 32, 1, 1000),
-        connect_timeout_ms=table.whole("connect_timeout_ms", 1000, 1),
-        cping_timeout_ms=table.whole("cping_timeout_ms", 1000),
-        reply_timeout_ms=table.whole("reply_timeout_ms", 30_000, 1),
-        recover_ms=table.whole("recover_ms", 10_000),
-        activation=table.word("activation", ACTIVATIONS, "active"),
+        host=table.string("host", "127.0.0.1"),
+        port=table.integer("port", 8009, 1, 65535),
+        secret=table.string("secret", " ").strip(),
+        route=table.string("route", name),
+        factor=table.integer("factor", 1, 1, 1000),
+        connections=table.integer("connections", 32, 1, 1000),
+        connect_timeout_ms=table.integer("connect_timeout_ms", 1000, 1),
+        cping_timeout_ms=table.integer("cping_timeout_ms", 1000),
+        reply_timeout_ms=table.integer("reply_timeout_ms", 30_000, 1),
+        recover_ms=table.integer("recover_ms", 10_000),
+        activation=table.choice("activation", ACTIVATIONS, "active"),
     )
 
 
 def read_balancer(table: CheckedTable) -> Balancer:
     """Check an entry of `balancers`. Raises `ConfigError`."""
-    table.only("name", "members", "sticky", "method")
+    table.reject_unknown_keys("name", "members", "sticky", "method")
     return Balancer(
-        table.text("name"),
-        table.texts("members"),
-        table.flag("sticky", True),
-        table.word("method", ("requests", "busyness"), "requests"),
+        table.string("name"),
+        table.strings("members"),
+        table.boolean("sticky", True),
+        table.choice("method", ("requests", "busyness"), "requests"),
     )
 
 
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -83,7 +83,7 @@
     settings, gauges, names = _settings(table.raw("settings"))
     listen, operator = environ.get("PROXY_LISTEN"), environ.get("PROXY_OPERATOR")
     return Platform(
-        name=environ.get("PROXY_NAME") or table.text("name"),
+        name=environ.get("PROXY_NAME") or table.string("name"),
         listen=address_of(listen, "PROXY_LISTEN") if listen else table.address("listen"),
         runtime=table.address("runtime"),
         directory=table.address("directory") if "directory" in table else None,
@@ -93,12 +93,12 @@
         else table.address("operator")
         if "operator" in table
         else None,
-        seed=seed_of(table.text("seed", "0"), "seed"),
-        stop_ms=table.whole("stop_ms", 3000, least=100),
+        seed=seed_of(table.string("seed", "0"), "seed"),
+        stop_ms=table.integer("stop_ms", 3000, least=100),
         limits=Limits(
             limits.number("cores", 1.0, least=0.01),
             limits.number("memory_mb", 192.0, least=16),
-            limits.whole("sockets", 1024, least=32),
+            limits.integer("sockets", 1024, least=32),
         ),
         settings=settings,
         gauges=gauges,
--- a/reelusher/importer/__main__.py
+++ b/reelusher/importer/__main__.py
@@ -12,7 +12,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Read files, write TOML to standard output and what was left out to standard error."""
+    """Read files, write TOML to standard output and omissions to standard error."""
     parser = argparse.ArgumentParser("reelusher.importer", description="Write an operator's file.")
     parser.add_argument("--workers", action="append", default=[], metavar="FILE", help="a workers.properties")
     parser.add_argument("--httpd", action="append", default=[], metavar="FILE", help="an Apache file")
@@ -29,9 +29,9 @@
     except (OSError, UnicodeDecodeError) as error:
         print(f"importer: {error}", file=sys.stderr)
         return 2
-    made.leave_unmounted()
-    for left in made.left:
-        print(left, file=sys.stderr)
+    made.add_unmounted_omissions()
+    for omission in made.omissions:
+        print(omission, file=sys.stderr)
     text = made.to_toml(given.listen)
     try:
         parse(tomllib.loads(text))
@@ -40,7 +40,7 @@
         sys.stdout.write(text)
         return 1
     sys.stdout.write(text)
-    return 1 if made.left and given.strict else 0
+    return 1 if made.omissions and given.strict else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/importer/httpd.py
+++ b/reelusher/importer/httpd.py
@@ -46,26 +46,26 @@
         }
 
     def read(self, text: str) -> None:
-        """Read the whole text."""
-        held, since = "", 0
+        """Read all directives."""
+        continued, started_at = "", 0
         for number, line in enumerate(text.splitlines(), 1):
-            since = since or number
+            started_at = started_at or number
             if line.rstrip().endswith("\\"):
-                held += line.rstrip()[:-1] + " "
+                continued += line.rstrip()[:-1] + " "
                 continue
-            self._line, since = since, 0
-            whole, held = (held + line).strip(), ""
-            if whole and not whole.startswith("#"):
-                self._directive(whole)
-        if held.strip():
-            self._line = since
-            self._directive(held.strip())
+            self._line, started_at = started_at, 0
+            directive, continued = (continued + line).strip(), ""
+            if directive and not directive.startswith("#"):
+                self._directive(directive)
+        if continued.strip():
+            self._line = started_at
+            self._directive(continued.strip())
         for name in [name for name, made in self._into.balancers.items() if not made["members"]]:
-            self._leave(f"balancer {name} has no member that could be carried over")
+            self._omit(f"balancer {name} has no member that could be carried over")
             del self._into.balancers[name]
 
-    def _leave(self, why: str) -> None:
-        self._into.leave(self._file, self._line, why)
+    def _omit(self, why: str) -> None:
+        self._into.add_omission(self._file, self._line, why)
 
     def _directive(self, line: str) -> None:
         if line.startswith("<"):
@@ -77,13 +77,13 @@
         try:
             words = shlex.split(rest)
         except ValueError as error:
-            self._leave(f"{name}: {error}")
+            self._omit(f"{name}: {error}")
             return
         react = self._known.get(name.lower())
         if react is not None:
             react(words)
         elif name.lower() not in PASSED_ON and name.lower().startswith(("proxy", "jk", "balancer")):
-            self._leave(f"{name} has no counterpart")
+            self._omit(f"{name} has no counterpart")
 
     def _block(self, line: str) -> None:
         words = line.strip("<>").replace('"', "").split()
@@ -93,7 +93,7 @@
         elif words and words[0].lower() == "/proxy":
             self._balancer = ""
         elif words and words[0].lower() in ("location", "virtualhost", "proxymatch", "locationmatch"):
-            self._leave(f"{line}: what stands in such a block is read as if it stood outside")
+            self._omit(f"{line}: what stands in such a block is read as if it stood outside")
 
     def _open(self, name: str) -> dict[str, Any]:
         return self._into.balancers.setdefault(name, {"name": name, "members": [], "sticky": False})
@@ -103,7 +103,7 @@
         if words and words[0].startswith("balancer://"):
             name, words = _balancer_name(words[0]), words[1:]
         if not name or not words:
-            self._leave("BalancerMember: no balancer or no member is named")
+            self._omit("BalancerMember: no balancer or no member is named")
             return
         worker = self._worker(words[0], words[1:])
         if worker:
@@ -115,13 +115,13 @@
         try:
             port = parts.port or 8009
         except ValueError:
-            self._leave(f"{url}: the port is no number")
+            self._omit(f"{url}: the port is no number")
             return ""
         if parts.scheme != "ajp" or not parts.hostname:
-            self._leave(f"{url}: only ajp:// has a counterpart")
+            self._omit(f"{url}: only ajp:// has a counterpart")
             return ""
         if parts.path.strip("/"):
-            self._leave(f"{url}: the path {parts.path} is dropped, paths are forwarded unchanged")
+            self._omit(f"{url}: the path {parts.path} is dropped, paths are forwarded unchanged")
         name = f"{parts.hostname}-{port}"
         made: dict[str, Any] = {"name": name, "host": parts.hostname, "port": port}
         for key, value in self._pairs(words):
@@ -132,12 +132,12 @@
                 try:
                     made[ours] = convert(value)
                 except ValueError:
-                    self._leave(f"{key}={value} is no value that can be read")
+                    self._omit(f"{key}={value} is no value that can be read")
             else:
-                self._leave(f"{url}: {key}={value} has no counterpart")
+                self._omit(f"{url}: {key}={value} has no counterpart")
         earlier = self._into.workers.setdefault(name, made)
         if earlier != made:
-            self._leave(f"{url}: described before in another way, which stands")
+            self._omit(f"{url}: described before in another way, which stands")
         return name
 
     def _status(self, value: str, made: dict[str, Any]) -> None:
@@ -145,7 +145,7 @@
             if flag in ACTIVATIONS:
                 made["activation"] = ACTIVATIONS[flag]
             else:
-                self._leave(f"status={value}: the flag {flag} has no counterpart")
+                self._omit(f"status={value}: the flag {flag} has no counterpart")
 
     def _pairs(self, words: list[str]) -> list[tuple[str, str]]:
         found = []
@@ -154,7 +154,7 @@
             if equals:
                 found.append((key.lower(), value))
             else:
-                self._leave(f"{word}: not of the form KEY=VALUE")
+                self._omit(f"{word}: not of the form KEY=VALUE")
         return found
 
     def _set(self, words: list[str]) -> None:
@@ -162,7 +162,7 @@
         if words and words[0].startswith("balancer://"):
             name, words = _balancer_name(words[0]), words[1:]
         if not name:
-            self._leave("ProxySet: outside a balancer it has no counterpart")
+            self._omit("ProxySet: outside a balancer it has no counterpart")
             return
         self._parameters(name, words)
 
@@ -172,20 +172,20 @@
             if key == "stickysession":
                 made["sticky"] = True
                 if not value.upper().startswith("JSESSIONID"):
-                    self._leave(f"stickysession={value}: sessions are known by JSESSIONID only")
+                    self._omit(f"stickysession={value}: sessions are known by JSESSIONID only")
             elif key == "lbmethod" and value in METHODS:
                 made["method"] = METHODS[value]
             else:
-                self._leave(f"{key}={value} has no counterpart")
+                self._omit(f"{key}={value} has no counterpart")
 
     def _pass(self, words: list[str]) -> None:
         if len(words) < 2 or not words[0].startswith("/"):
-            self._leave("ProxyPass: a path and a target are needed here")
+            self._omit("ProxyPass: a path and a target are needed here")
             return
         path, target, words = words[0].rstrip("/") or "/", words[1], words[2:]
         parts = urlsplit(target)
         if target == "!":
-            self._leave(f"ProxyPass {path} !: paths that are left out have no counterpart")
+            self._omit(f"ProxyPass {path} !: paths that are left out have no counterpart")
         elif parts.scheme == "balancer":
             name = _balancer_name(target)
             self._rewrites(path, parts.path)
@@ -197,22 +197,22 @@
             if worker:
                 self._into.mount(path, worker, self._file, self._line)
         else:
-            self._leave(f"ProxyPass {path}: only balancer:// and ajp:// have a counterpart")
+            self._omit(f"ProxyPass {path}: only balancer:// and ajp:// have a counterpart")
 
     def _rewrites(self, path: str, target: str) -> None:
         if (target.rstrip("/") or "/") != path:
-            self._leave(f"ProxyPass {path} to {target or '/'}: paths are forwarded unchanged")
+            self._omit(f"ProxyPass {path} to {target or '/'}: paths are forwarded unchanged")
 
     def _mount(self, words: list[str]) -> None:
         if len(words) != 2 or not words[0].startswith("/"):
-            self._leave("JkMount: a path and a worker are needed here")
+            self._omit("JkMount: a path and a worker are needed here")
             return
         path, name = words
         prefix = path.removesuffix("*").rstrip("|/") or "/"
         if "*" in prefix or "?" in prefix:
-            self._leave(f"JkMount {path}: only a * at the end has a counterpart")
+            self._omit(f"JkMount {path}: only a * at the end has a counterpart")
         elif name not in self._into.workers and name not in self._into.balancers:
-            self._leave(f"JkMount {path}: no worker is named {name}")
+            self._omit(f"JkMount {path}: no worker is named {name}")
         else:
             self._into.mount(prefix, name, self._file, self._line)
 
--- a/reelusher/importer/jk.py
+++ b/reelusher/importer/jk.py
@@ -57,12 +57,12 @@
     """Read a workers.properties."""
     listed, sections = _sections(text, file, into)
     if not listed:
-        into.leave(file, 1, "worker.list names no worker")
+        into.add_omission(file, 1, "worker.list names no worker")
     wanted = [name for name, _ in listed]
-    into.listed += [(name, file, line) for name, line in listed]
+    into.listed_backends += [(name, file, line) for name, line in listed]
     for name, line in listed:
         if name not in sections:
-            into.leave(file, line, f"worker.list names {name}, which nothing describes")
+            into.add_omission(file, line, f"worker.list names {name}, which nothing describes")
             continue
         section = _resolved(sections[name], sections, file, into)
         kind = section.values.pop("type", ("ajp13", line))
@@ -71,12 +71,12 @@
         elif kind[0] == "lb":
             _balancer(section, sections, file, into)
         else:
-            into.leave(file, kind[1], f"worker {name}: the type {kind[0]} has no counterpart")
+            into.add_omission(file, kind[1], f"worker {name}: the type {kind[0]} has no counterpart")
     used = {member for balancer in into.balancers.values() for member in balancer["members"]}
     for name, section in sections.items():
         if name not in used and name not in wanted and not _is_template(name, sections):
             line = min(line for _, line in section.values.values())
-            into.leave(file, line, f"worker {name} is neither in worker.list nor in a balancer")
+            into.add_omission(file, line, f"worker {name} is neither in worker.list nor in a balancer")
 
 
 def _sections(text: str, file: str, into: Imported) -> tuple[list[tuple[str, int]], dict[str, Section]]:
@@ -87,17 +87,17 @@
         key, equals, value = line.partition("=")
         key, value = key.strip(), MACRO.sub(lambda m: macros.get(m.group(1), m.group(0)), value.strip())
         if not equals:
-            into.leave(file, number, "not of the form KEY=VALUE")
+            into.add_omission(file, number, "not of the form KEY=VALUE")
         elif not key.startswith("worker."):
             macros[key] = value
         elif key == "worker.list":
             listed += [(name, number) for name in re.split(r"[,\s]+", value) if name]
         elif key == "worker.maintain":
-            into.leave(file, number, "worker.maintain: workers are looked after with each request")
+            into.add_omission(file, number, "worker.maintain: workers are looked after with each request")
         else:
             name, dot, what = key.removeprefix("worker.").rpartition(".")
             if not dot:
-                into.leave(file, number, f"{key}: no worker or no property is named")
+                into.add_omission(file, number, f"{key}: no worker or no property is named")
             else:
                 sections.setdefault(name, Section(name)).values[what] = (value, number)
     return listed, sections
@@ -133,7 +133,7 @@
         value, line = at.values["reference"]
         name = value.removeprefix("worker.")
         if name not in sections or name in seen or len(seen) > MOST_REFERENCES:
-            into.leave(file, line, f"worker {section.name}: the reference {value} leads nowhere")
+            into.add_omission(file, line, f"worker {section.name}: the reference {value} leads nowhere")
             break
         seen.add(name)
         at = sections[name]
@@ -146,16 +146,20 @@
     made: dict[str, Value] = {"name": section.name}
     for what, (value, line) in section.values.items():
         if what not in WORKER:
-            into.leave(file, line, f"worker {section.name}: {what} has no counterpart")
+            into.add_omission(file, line, f"worker {section.name}: {what} has no counterpart")
             continue
         key, convert = WORKER[what]
         try:
             read_as = convert(value)
         except (ValueError, KeyError):
-            into.leave(file, line, f"worker {section.name}: {what}={value} is no value that can be read")
+            into.add_omission(
+                file, line, f"worker {section.name}: {what}={value} is no value that can be read"
+            )
             continue
         if read_as == 0 and key in ZERO_MEANS_DEFAULT:
-            into.leave(file, line, f"worker {section.name}: {what}=0 means no limit; the default stands")
+            into.add_omission(
+                file, line, f"worker {section.name}: {what}=0 means no limit; the default stands"
+            )
         else:
             made[key] = read_as
     return made
@@ -167,12 +171,14 @@
         if what in ("balance_workers", "balanced_workers"):
             for name in (name for name in re.split(r"[,\s]+", value) if name):
                 if name not in sections:
-                    into.leave(file, line, f"balancer {section.name}: nothing describes its worker {name}")
+                    into.add_omission(
+                        file, line, f"balancer {section.name}: nothing describes its worker {name}"
+                    )
                     continue
                 member = _resolved(sections[name], sections, file, into)
                 kind, at = member.values.pop("type", ("ajp13", line))
                 if kind not in AJP_TYPES:
-                    into.leave(file, at, f"worker {name}: the type {kind} has no counterpart")
+                    into.add_omission(file, at, f"worker {name}: the type {kind} has no counterpart")
                     continue
                 if name not in into.workers:
                     into.workers[name] = _worker(member, file, into)
@@ -182,11 +188,11 @@
         elif what == "method" and value[:1].lower() in METHODS:
             made["method"] = METHODS[value[:1].lower()]
         else:
-            into.leave(file, line, f"balancer {section.name}: {what}={value} has no counterpart")
+            into.add_omission(file, line, f"balancer {section.name}: {what}={value} has no counterpart")
     if made["members"]:
         into.balancers[section.name] = made
     else:
-        into.leave(
+        into.add_omission(
             file,
             min(line for _, line in section.values.values()),
             f"balancer {section.name} has no worker that could be carried over",
--- a/reelusher/importer/model.py
+++ b/reelusher/importer/model.py
@@ -1,4 +1,4 @@
-"""What an import gathers, and how it is written as an operator's file."""
+"""The result of an import, and how it is written as an operator's file."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -11,49 +11,51 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
-    """Something that could not be carried over."""
+class Omission:
+    """A setting that has no counterpart and was left out."""
 
     file: str
     line: int
-    why: str
+    reason: str
 
     def __str__(self) -> str:
-        return f"{self.file}:{self.line}: {self.why}"
+        return f"{self.file}:{self.line}: {self.reason}"
 
 
 @dataclass(slots=True)
 class Imported:
-    """Workers, balancers and tenants by name, as the operator's file writes them, and what was left out."""
+    """Workers, balancers and tenants by name, as the operator's file writes them, and omissions."""
 
     workers: dict[str, dict[str, Any]] = field(default_factory=dict)
     balancers: dict[str, dict[str, Any]] = field(default_factory=dict)
     tenants: dict[str, dict[str, Any]] = field(default_factory=dict)
-    left: list[Left] = field(default_factory=list)
-    listed: list[tuple[str, str, int]] = field(default_factory=list)  # backends meant for requests, and where
+    omissions: list[Omission] = field(default_factory=list)
+    listed_backends: list[tuple[str, str, int]] = field(default_factory=list)  # name, file, line
 
-    def leave(self, file: str, line: int, why: str) -> None:
-        """Note what could not be carried over."""
-        self.left.append(Left(file, line, why))
+    def add_omission(self, file: str, line: int, why: str) -> None:
+        """Record a setting that has no counterpart."""
+        self.omissions.append(Omission(file, line, why))
 
     def mount(self, prefix: str, backend: str, file: str, line: int) -> None:
-        """Give the requests below a path to a backend, as a tenant of their own."""
+        """Map the requests under a path to a backend, as a tenant."""
         name = prefix.strip("/").replace("/", "-") or "root"
         name = "".join(char if char.isalnum() or char in "-_." else "-" for char in name)[:64]
         if name in self.tenants:
-            self.leave(file, line, f"the path {prefix} is taken by an earlier line")
+            self.add_omission(file, line, f"the path {prefix} is taken by an earlier line")
             return
         self.tenants[name] = {"name": name, "prefix": prefix, "backend": backend, "default_class": "request"}
 
-    def leave_unmounted(self) -> None:
-        """Note the backends that no path leads to: they get no requests until a tenant names them."""
+    def add_unmounted_omissions(self) -> None:
+        """Record backends without a path: they get no requests until a tenant names them."""
         mounted = {tenant["backend"] for tenant in self.tenants.values()}
-        for name, file, line in self.listed:
+        for name, file, line in self.listed_backends:
             if name not in mounted and (name in self.workers or name in self.balancers):
-                self.leave(file, line, f"{name}: no JkMount or ProxyPass leads to it, so no tenant names it")
+                self.add_omission(
+                    file, line, f"{name}: no JkMount or ProxyPass leads to it, so no tenant names it"
+                )
 
     def to_toml(self, listen: str = "127.0.0.1:8009") -> str:
-        """Write an operator's file."""
+        """Return the text of an operator's file."""
         return HEAD + tomli_w.dumps(
             {
                 "ajp": {"listen": listen},
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -219,14 +219,14 @@
 
 
 def _fault(table: CheckedTable, selector: Selector) -> Fault:
-    table.only("kind", "at_s", "for_s", "of", "to", "one_way", "ms", "part")
-    kind = table.word("kind", (*LINK, *PROCESS, *SERVICE, "surge"))
+    table.reject_unknown_keys("kind", "at_s", "for_s", "of", "to", "one_way", "ms", "part")
+    kind = table.choice("kind", (*LINK, *PROCESS, *SERVICE, "surge"))
     of: frozenset[str] = frozenset()
     to: frozenset[str] = frozenset()
     if kind != "surge":
-        of = selector.settle(table.text("of"), table.path("of"))
+        of = selector.settle(table.string("of"), table.path("of"))
     if kind in LINK:
-        to = selector.settle(table.text("to", "others"), table.path("to"), of)
+        to = selector.settle(table.string("to", "others"), table.path("to"), of)
     if kind in PROCESS and not of <= set(selector.nodes):
         raise ConfigError(table.path("of"), f"{kind} is a fault of nodes")
     if kind in SERVICE and not all(party.startswith(SERVICE[kind]) for party in of):
@@ -238,7 +238,7 @@
         table.number("for_s", 0.0),
         of,
         to,
-        table.flag("one_way", False),
+        table.boolean("one_way", False),
         table.number("ms", 0.0) if kind not in ("delay", "late") else table.number("ms"),
         table.number("part", None, 0.001, 100.0) if needs_part else 0.0,
     )
@@ -247,12 +247,12 @@
 def _filled(made: type[T], table: CheckedTable) -> T:
     """Read a table as what its fields say."""
     kinds = get_type_hints(made)
-    table.only(*kinds)
+    table.reject_unknown_keys(*kinds)
     readers: dict[Any, Callable[..., Any]] = {
         float: table.number,
-        int: table.whole,
-        bool: table.flag,
-        str: table.text,
+        int: table.integer,
+        bool: table.boolean,
+        str: table.string,
     }
     values = {
         one.name: readers[kinds[one.name]](
@@ -280,11 +280,11 @@
 def parse(value: Any) -> Plan:
     """Check a plan."""
     table = CheckedTable(value)
-    table.only("run", "zones", "classes", "nodes", "list", "below", "callers", "faults")
+    table.reject_unknown_keys("run", "zones", "classes", "nodes", "list", "below", "callers", "faults")
     zones = tuple(_filled(Zone, entry) for entry in table.tables("zones"))
     kinds = tuple(_filled(Kind, entry) for entry in table.tables("classes"))
     for entry in table.tables("classes"):
-        entry.word("effect", tuple(EFFECTS), "safe")
+        entry.choice("effect", tuple(EFFECTS), "safe")
     if not kinds:
         raise ConfigError("classes", "at least one is needed")
     if len({zone.name for zone in zones}) != len(zones) or not sum(zone.nodes for zone in zones):
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -60,7 +60,7 @@
 
 
 def _caller(table: CheckedTable, seconds: float) -> Caller:
-    table.only(
+    table.reject_unknown_keys(
         "name",
         "host",
         "rate",
@@ -79,16 +79,16 @@
         "ends_s",
     )
     return Caller(
-        name=table.text("name"),
-        host=table.text("host", table.text("name")),
+        name=table.string("name"),
+        host=table.string("host", table.string("name")),
         rate=table.number("rate", None, 0.001, 100_000),
-        method=table.text("method", "GET"),
-        path=table.text("path", "/"),
-        body_bytes=table.whole("body_bytes", 0, 0, 8186),
-        keyed=table.flag("keyed", False),
+        method=table.string("method", "GET"),
+        path=table.string("path", "/"),
+        body_bytes=table.integer("body_bytes", 0, 0, 8186),
+        keyed=table.boolean("keyed", False),
         repeats=table.number("repeats", 0.0, 0.0, 1.0),
-        connections=table.whole("connections", 32, 1, 10_000),
-        keeps=table.flag("keeps", True),
+        connections=table.integer("connections", 32, 1, 10_000),
+        keeps=table.boolean("keeps", True),
         retries=table.number("retries", 0.0, 0.0, 0.99),
         retry_ms=table.number("retry_ms", 50.0, 1.0),
         aim_ms=table.number("aim_ms", 500.0, 1.0),
@@ -101,17 +101,17 @@
 def parse(value: Any) -> Plan:
     """Check a plan."""
     table = CheckedTable(value)
-    table.only("run", "callers", "workers")
+    table.reject_unknown_keys("run", "callers", "workers")
     run = table.table("run")
-    run.only("target", "seconds", "warm_up_s", "seed")
+    run.reject_unknown_keys("target", "seconds", "warm_up_s", "seed")
     seconds = run.number("seconds", 20.0, 0.1, 3600)
     workers = []
     for entry in table.tables("workers"):
-        entry.only("listen", "slots", "service_ms")
+        entry.reject_unknown_keys("listen", "slots", "service_ms")
         workers.append(
             Worker(
                 _loopback(entry, "listen"),
-                entry.whole("slots", 4, 1, 10_000),
+                entry.integer("slots", 4, 1, 10_000),
                 entry.number("service_ms", 100.0, 0.0, 600_000),
             )
         )
@@ -122,7 +122,7 @@
         _loopback(run, "target"),
         seconds,
         run.number("warm_up_s", 1.0),
-        run.whole("seed", 1),
+        run.integer("seed", 1),
         callers,
         tuple(workers),
     )
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -43,7 +43,7 @@
     page = (ROOT / "docs" / "configuration.md").read_text()
     sources = sorted((ROOT / "reelusher" / "config" / "operator").glob("*.py"))
     text = "\n".join(source.read_text() for source in sources)
-    keys = set(calls(text, "text", "whole", "number", "flag", "word", "address", "texts"))
+    keys = set(calls(text, "string", "integer", "number", "boolean", "choice", "address", "strings"))
     assert len(keys) > 30
     assert sorted(key for key in keys if key not in page) == []
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -294,11 +294,11 @@
         "alone": {"name": "alone", "host": "127.0.0.1", "reply_timeout_ms": 2000},
     }
     assert made.balancers == {"lb": {"name": "lb", "members": ["n1", "n2"], "sticky": False}}
-    assert sorted(map(str, made.left)) == sorted(JK_LEFT)
+    assert sorted(map(str, made.omissions)) == sorted(JK_LEFT)
     httpd.read("JkMount /a/* lb\n", "h", made)
-    made.left.clear()
-    made.leave_unmounted()
-    assert list(map(str, made.left)) == [
+    made.omissions.clear()
+    made.add_unmounted_omissions()
+    assert list(map(str, made.omissions)) == [
         "w:3: alone: no JkMount or ProxyPass leads to it, so no tenant names it"
     ]
 
@@ -359,7 +359,7 @@
         "old": "/old",
         "jk": "/jk",
     }
-    assert list(map(str, made.left)) == HTTPD_LEFT
+    assert list(map(str, made.omissions)) == HTTPD_LEFT
     own = parse_operator(tomllib.loads(made.to_toml()))
     assert [balancer.method for balancer in own.balancers] == ["busyness"]
     path = tmp_path / "httpd.conf"
