--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -38,8 +38,10 @@
 SEND_TIMEOUT_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
 READ_TIMEOUT_S = 10.0  # a piece of a body that was requested has come within this
 DRAIN_POLL_S = 0.2  # requests that cross the end of a drain are still read for this long
-MAX_TURNED_AWAY = 8  # connections past the limit that are read out at once; more are closed as they are
-DESCRIPTORS = MAX_TURNED_AWAY + 2  # the listener, and one that is closed at once
+MAX_REJECTED_CONNECTIONS = (
+    8  # connections past the limit that are read out at once; more are closed as they are
+)
+DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # the listener, and one that is closed at once
 MAX_ANSWER_S = 3600.0  # longer than any answer takes: the core answers by the due time
 
 
@@ -54,7 +56,7 @@
         self._connections = ConnectionTable(config.max_connections)
         self._in_flight: Counter[str] = Counter()  # requests, by tenant
         self._lock = threading.Lock()  # of the requests in flight
-        self._turning_away = threading.BoundedSemaphore(MAX_TURNED_AWAY)
+        self._rejected_connections = threading.BoundedSemaphore(MAX_REJECTED_CONNECTIONS)
         self._draining = self._closed = False
         self._schedule: DrainSchedule | None = None  # of a drain
         self._observation: DrainObservation | None = None
@@ -115,7 +117,7 @@
                 eviction.host,
             )
         if not added:
-            self._turn_away(sock)
+            self._reject_connection(sock)
             return
         try:
             self._serve_requests(sock)
@@ -129,15 +131,15 @@
             self._connections.remove(sock)
             sock.close()
 
-    def _turn_away(self, sock: socket.socket) -> None:
+    def _reject_connection(self, sock: socket.socket) -> None:
         """Close a connection past the limit, after what it has sent by now."""
         self._core.counters.add("ajp.too_many_connections")
         with sock:
-            if self._turning_away.acquire(blocking=False):
+            if self._rejected_connections.acquire(blocking=False):
                 try:
                     shut_and_discard(sock)
                 finally:
-                    self._turning_away.release()
+                    self._rejected_connections.release()
 
     def _serve_requests(self, sock: socket.socket) -> None:
         stream = PacketStream(sock, self._config.packet_size)
--- a/reelusher/policy/settings.py
+++ b/reelusher/policy/settings.py
@@ -102,6 +102,7 @@
             self.tick_us,
             self.abandoned_call_us,
         )
+        # the texts name the keys of the files that settings are read from
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if not all(math.isfinite(amount) and amount > 0 for amount in amounts):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -333,7 +333,7 @@
     counters = world["node"].node.parts.counters
     try:
         assert soon(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
-        assert len(closing) <= ajp_frontend.MAX_TURNED_AWAY
+        assert len(closing) <= ajp_frontend.MAX_REJECTED_CONNECTIONS
     finally:
         hold.set()
         for web in webs:
