--- a/reelusher/assembly/descriptors.py
+++ b/reelusher/assembly/descriptors.py
@@ -1,11 +1,16 @@
 """The budget of file descriptors: what each part of a node may open, and what remains for callers."""
 
+from typing import TYPE_CHECKING
+
 from reelusher.backends import downstream_client, runtime, service_registry
 from reelusher.config import Config
-from reelusher.config.operator.file import Operator
 from reelusher.config.platform_config import Platform
 from reelusher.frontends.rpc import frontend as rpc_frontend
 
+if TYPE_CHECKING:
+    from reelusher.config.operator.file import Operator
+
+
 PROCESS_DESCRIPTORS = 16  # standard streams, files that are read or written for a moment, and a margin
 UPGRADE_DESCRIPTORS = 4  # of the process registry and the key locks
 STATE_DESCRIPTORS = 8  # of the journals of tenants and keys
@@ -46,7 +51,7 @@
     return reserved
 
 
-def _reserved_for_operator(operator: Operator) -> int:
+def _reserved_for_operator(operator: "Operator") -> int:
     reserved = sum(worker.connections for worker in operator.workers)
     if operator.ajp:
         from reelusher.frontends.ajp import frontend as ajp_frontend
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -17,7 +17,6 @@
 from reelusher.backends.runtime import RuntimeLink
 from reelusher.backends.service_registry import ServiceRegistry
 from reelusher.config import PLATFORM_TENANT, Config
-from reelusher.config.operator.file import Operator
 from reelusher.config.platform_config import Platform
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
@@ -30,6 +29,7 @@
 
 if TYPE_CHECKING:
     from reelusher.admin.api import AdminApi
+    from reelusher.config.operator.file import Operator
     from reelusher.fleet.membership.service import Membership
     from reelusher.fleet.replication.service import Replication
     from reelusher.fleet.warm_start.client import WarmStartClient
@@ -136,7 +136,7 @@
     def _memory_bytes(self, fraction: float) -> int:
         return int(self._config.memory_mb * fraction * BYTES_PER_MB)
 
-    def _build_worker_pool(self, operator: Operator | None) -> WorkerPool:
+    def _build_worker_pool(self, operator: "Operator | None") -> WorkerPool:
         ajp = operator.ajp if operator else None
         return WorkerPool(
             operator.workers if operator else (),
--- a/reelusher/backends/ajp/connection.py
+++ b/reelusher/backends/ajp/connection.py
@@ -1,12 +1,16 @@
 """A connection to an AJP worker."""
 
 import select
+from typing import TYPE_CHECKING
 
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator.workers import Worker
 from reelusher.net.sockets import connect
 
+if TYPE_CHECKING:
+    from reelusher.config.operator.workers import Worker
+
+
 READ_BYTES = 1 << 16
 
 
@@ -17,7 +21,7 @@
 class WorkerConnection:
     """One connection; it carries one request at a time."""
 
-    def __init__(self, config: Worker) -> None:
+    def __init__(self, config: "Worker") -> None:
         """Connect; raise OSError where that fails."""
         self.sock = connect((config.host, config.port), config.connect_timeout_ms / 1000)
         self._packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
--- a/reelusher/backends/ajp/worker.py
+++ b/reelusher/backends/ajp/worker.py
@@ -3,20 +3,23 @@
 import threading
 import time
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from reelusher.backends.ajp.connection import WorkerConnection, WorkerUnreachableError
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator.workers import Worker
 from reelusher.pacing.backoff import Backoff
 
+if TYPE_CHECKING:
+    from reelusher.config.operator.workers import Worker
+
+
 MAX_RECOVERY_FACTOR = 4  # times `recover_ms`: the longest time between two probes of an unreachable worker
 
 
 class PooledWorker:
     """A worker and its state in this node."""
 
-    def __init__(self, config: Worker, random: Random) -> None:
+    def __init__(self, config: "Worker", random: Random) -> None:
         """`random` spreads the probes."""
         self.config = config
         recover_s = config.recover_ms / 1000
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 from random import Random
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from loguru import logger
 
@@ -19,11 +19,14 @@
 from reelusher.backends.ajp.worker import PooledWorker
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.operator.workers import Balancer, Worker
 from reelusher.core.counters import Counters
 from reelusher.core.messages import GaugesReceived, IncomingRequest, Message, Result, RunFinished, Runner
 from reelusher.policy.events import Outcome
 
+if TYPE_CHECKING:
+    from reelusher.config.operator.workers import Balancer, Worker
+
+
 MAX_THREADS = 256
 
 
@@ -39,8 +42,8 @@
 
     def __init__(
         self,
-        workers: tuple[Worker, ...],
-        balancers: tuple[Balancer, ...],
+        workers: "tuple[Worker, ...]",
+        balancers: "tuple[Balancer, ...]",
         cores: int,
         post: Callable[[Message], None],
         counters: Counters,
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -194,7 +194,7 @@
                         raise OSError(f"{place} closed within an exchange")
                     came += data
             _, reply = member.seal.open(bytes(came[4:]), StateReply, MAX_STATE_BYTES)
-            known |= {said.place: said for said in reply.updates}
+            known |= {said.address: said for said in reply.updates}
         for member in self.members.values():
             for said in known.values():
                 if said.address != member.place:
