--- a/reelusher/policy/controller.py
+++ b/reelusher/policy/controller.py
@@ -297,19 +297,19 @@
 
     def _start_held(self) -> None:
         """Start held requests, the highest priority first, while concurrency and memory allow."""
-        held = self.in_flight.held
         running = len(self.in_flight.running)
         at_calls = len(self.in_flight.awaiting_call) + len(self.in_flight.calling)
         most = int(self.concurrency.ceiling(self.now_us)) - at_calls - running
         slots = min(int(self.concurrency.limit) - running, most)
         scheduler = self._scheduler
-        if slots + (scheduler.borrowable_runs() if scheduler else 0) <= 0 or most <= 0:
+        borrowable = scheduler.borrowable_runs() if scheduler else 0
+        if slots + borrowable <= 0 or most <= 0:
             return
-        order = sorted(held.values(), key=self._start_order())
+        order = sorted(self.in_flight.held.values(), key=self._start_order())
         if scheduler is None:
             self._start_in_order(order[:slots])
         else:
-            self._start_by_tenant(scheduler, order, slots, most)
+            self._start_by_tenant(scheduler, order, slots, borrowable, most)
 
     def _start_order(self) -> Callable[[InFlightRequest], tuple[bool, float, int]]:
         """Return the sort key of held requests: those that can meet their objective, by priority, first."""
@@ -327,10 +327,14 @@
             self._run(in_flight)
 
     def _start_by_tenant(
-        self, scheduler: TenantScheduler, order: list[InFlightRequest], slots: int, most: int
+        self,
+        scheduler: TenantScheduler,
+        order: list[InFlightRequest],
+        slots: int,
+        borrowable: int,
+        most: int,
     ) -> None:
         """Start what tenants are entitled to; `slots` may be exceeded by what long runs lend, `most` not."""
-        borrowable = scheduler.borrowable_runs()
         for in_flight in scheduler.order(order, self.now_us):
             if not self._has_memory_to_run(in_flight) or slots + borrowable <= 0 or most <= 0:
                 break
