--- a/reelusher/__main__.py
+++ b/reelusher/__main__.py
@@ -9,7 +9,7 @@
 if __name__ == "__main__":
     # before the rest is imported, which takes the longest part of a start: not even a SIGHUP then may end it
     watch = SignalWatch((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
-    from reelusher.server import main
+    from reelusher.node import main
 
     status = main(watch)
     sys.stderr.flush()
--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -13,14 +13,15 @@
 
 from reelusher.admin import openapi
 from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, refusing
-from reelusher.backends.workers import Pool
+from reelusher.backends.ajp.worker_pool import Pool
 from reelusher.codecs import http1
+from reelusher.config.checked_table import Table
 from reelusher.config.operator import ACTIVATIONS, Admin, Token
-from reelusher.config.table import Table
-from reelusher.core.owner import Core
-from reelusher.net import Address, Listener
+from reelusher.core.event_loop import Core
+from reelusher.net.listener import Listener
+from reelusher.net.sockets import Address
 from reelusher.tenancy.registry import Tenants
-from reelusher.tenancy.store import TenantTable
+from reelusher.tenancy.tenant_store import TenantTable
 
 if TYPE_CHECKING:
     from reelusher.fleet.membership.service import Membership
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -16,14 +16,14 @@
 
 from reelusher.admin.tenant_api import ApiError, Asked, Handler, Reply, TenantApi, etag, refusing
 from reelusher.config.operator import Tenant
-from reelusher.core.owner import Core
+from reelusher.core.event_loop import Core
 from reelusher.fleet.membership.messages import Update
 from reelusher.fleet.membership.service import MemberUnreachableError, NoReplyError
 from reelusher.fleet.replication.messages import MOST_CHANGE, ChangeReply, ChangeRequest
-from reelusher.fleet.replication.rows import ReplicaError
-from reelusher.fleet.replication.streams import Position
-from reelusher.tenancy.durable.state import Standing as Kept
-from reelusher.tenancy.durable.state import shown
+from reelusher.fleet.replication.replica import Position
+from reelusher.fleet.replication.replica_store import ReplicaError
+from reelusher.storage.tenant_state import Standing as Kept
+from reelusher.storage.tenant_state import shown
 from reelusher.tenancy.registry import Tenants
 from reelusher.tenancy.replicated import MOST_WHO, ReplicatedTable, Standing, TableBusyError, told
 
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -11,14 +11,14 @@
 
 from loguru import logger
 
+from reelusher.config.checked_table import ConfigError
 from reelusher.config.operator import Tenant
-from reelusher.config.table import ConfigError
-from reelusher.core.owner import Core
-from reelusher.tenancy.durable.journal import JournalError
-from reelusher.tenancy.durable.state import Kept, Standing, shown
+from reelusher.core.event_loop import Core
+from reelusher.storage.journal import JournalError
+from reelusher.storage.tenant_state import Kept, Standing, shown
 from reelusher.tenancy.lifecycle import DRAIN_US, State, TenantStateError
 from reelusher.tenancy.registry import Tenants
-from reelusher.tenancy.store import TenantTable
+from reelusher.tenancy.tenant_store import TenantTable
 
 MOST_WITHIN_MS = 3_600_000  # a tenant that is removed is gone by then at the latest
 MOST_PAGE = 1000
--- /dev/null
+++ b/reelusher/backends/ajp/__init__.py
@@ -0,0 +1,1 @@
+"""AJP workers behind the node: connections, pools and load balancing."""
--- a/reelusher/backends/workers.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -20,10 +20,10 @@
 from reelusher.codecs.errors import MalformedError
 from reelusher.config.operator import Balancer, Worker
 from reelusher.core.counters import Counters
-from reelusher.core.model import GaugesRead, Message, Request, Result, Runner, RunOver
-from reelusher.interface import Outcome
-from reelusher.net import connect
+from reelusher.core.messages import GaugesReceived, IncomingRequest, Message, Result, RunFinished, Runner
+from reelusher.net.sockets import connect
 from reelusher.pacing.backoff import Backoff
+from reelusher.policy.events import Outcome
 
 HOP_BY_HOP = frozenset({"connection", "keep-alive", "transfer-encoding", "upgrade", "proxy-connection", "te"})
 SESSION = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
@@ -261,7 +261,7 @@
         """Tell the gauges where no runtime does: a request at a worker counts as a busy core."""
         running = sum(member.busy for member in self.members.values())
         busy = min(1.0, running / self._cores)
-        self.post(GaugesRead(cookie, (busy, float(running), 0.0, float(self._connections()))))
+        self.post(GaugesReceived(cookie, (busy, float(running), 0.0, float(self._connections()))))
 
 
 class BalancedRunner:
@@ -277,7 +277,7 @@
 
     # Called by the owner
 
-    def start(self, request: Request, class_name: str) -> None:
+    def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
         self._open[request.call] = None
         self._pool.executor.submit(self._run, request, class_name)
@@ -309,7 +309,7 @@
 
     # In a thread of the pool
 
-    def _run(self, request: Request, class_name: str) -> None:
+    def _run(self, request: IncomingRequest, class_name: str) -> None:
         began = time.monotonic()
         try:
             outcome, result = self._forward(request, class_name)
@@ -320,9 +320,9 @@
         if request.call in self._stopped:
             self._stopped.discard(request.call)
             outcome, result = Outcome.CANCELLED, None
-        self._pool.post(RunOver(request.call, outcome, int((time.monotonic() - began) * 1e6), result))
+        self._pool.post(RunFinished(request.call, outcome, int((time.monotonic() - began) * 1e6), result))
 
-    def _forward(self, request: Request, class_name: str) -> tuple[Outcome, Result | None]:
+    def _forward(self, request: IncomingRequest, class_name: str) -> tuple[Outcome, Result | None]:
         forward = _forward_of(request, class_name)
         route = _route_of(forward) if self._sticky else ""
         tried: set[str] = set()
@@ -344,10 +344,10 @@
             finally:
                 self._pool.release(member)
         self._pool.counters.add("workers.none_left")
-        return Outcome.MOOT, None
+        return Outcome.NOT_STARTED, None
 
     def _exchange(
-        self, member: Member, channel: Channel, forward: ajp13.Forward, request: Request
+        self, member: Member, channel: Channel, forward: ajp13.Forward, request: IncomingRequest
     ) -> tuple[Outcome, Result | None]:
         """Send the request and read the response. From here on it may have run."""
         self._open[request.call] = channel
@@ -406,7 +406,7 @@
                 pass
 
 
-def _forward_of(request: Request, class_name: str) -> ajp13.Forward:
+def _forward_of(request: IncomingRequest, class_name: str) -> ajp13.Forward:
     """Return the request as it is forwarded: its body is known by now, so its length is told."""
     came = request.head
     if not isinstance(came, ajp13.Forward):
--- a/reelusher/backends/vault.py
+++ b/reelusher/backends/downstream_client.py
@@ -10,13 +10,15 @@
 
 from loguru import logger
 
-from reelusher import interface as io
 from reelusher.codecs import lines
 from reelusher.codecs.errors import MalformedError
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
-from reelusher.core.model import CallOver, Message
-from reelusher.net import Address, Outbox, connect, spawn
+from reelusher.core.messages import CallFinished, Message
+from reelusher.net.send_buffer import Outbox
+from reelusher.net.sockets import Address, connect
+from reelusher.net.threads import spawn
+from reelusher.policy.events import Outcome
 
 IDLE_S = 0.05  # one idle for longer is not used again: the vault forgets them, from 0.1 s on as measured, and
 #                resets the next call there; that it never ran can't be told from a reset after it ran
@@ -25,11 +27,11 @@
 MOST_LINES = 24  # connections at once, each with a descriptor
 MOST_SERVED = 500  # calls that one connection remembers, after which it is replaced
 WORDS = {
-    "yes": io.Outcome.OK,
-    "notnow": io.Outcome.REJECTED,
-    "failed": io.Outcome.ERROR,
-    "overdue": io.Outcome.TIMEOUT,
-    "pointless": io.Outcome.REJECTED,
+    "yes": Outcome.OK,
+    "notnow": Outcome.REJECTED,
+    "failed": Outcome.ERROR,
+    "overdue": Outcome.TIMEOUT,
+    "pointless": Outcome.REJECTED,
 }
 
 
@@ -134,7 +136,7 @@
             wanted = self._waiting[0]
             if wanted.until_us - self._clock.now() < 1000:
                 self._waiting.popleft()
-                self._post(CallOver(wanted.call, wanted.ticket, io.Outcome.REJECTED))  # never sent
+                self._post(CallFinished(wanted.call, wanted.ticket, Outcome.REJECTED))  # never sent
                 continue
             line = next((one for one in reversed(self._idle) if one.usable(wanted, self._address)), None)
             if line is None:
@@ -147,7 +149,7 @@
                 except RuntimeError as error:
                     self._counters.warn("vault.no_thread", "vault: no thread for a connection: {}", error)
                     self._waiting.popleft()
-                    self._post(CallOver(wanted.call, wanted.ticket, io.Outcome.UNREACHABLE))  # never sent
+                    self._post(CallFinished(wanted.call, wanted.ticket, Outcome.UNREACHABLE))  # never sent
                     continue
                 self._lines += 1
             else:
@@ -220,7 +222,7 @@
             self._serve_waiting()
         if cut is not None:  # it may have run, so it is not made again
             self._counters.warn("vault.broken", "vault: a connection broke under call {}", cut.call)
-            self._post(CallOver(cut.call, cut.ticket, io.Outcome.CUT_OFF))
+            self._post(CallFinished(cut.call, cut.ticket, Outcome.CONNECTION_LOST))
 
     def _unmade(self, line: Line) -> None:
         """Take back the call of a connection that was not made: it never ran. The lock is held."""
@@ -231,7 +233,7 @@
         if line.address != self._address:
             self._waiting.appendleft(unmade)  # there is another address by now
         else:
-            self._post(CallOver(unmade.call, unmade.ticket, io.Outcome.UNREACHABLE))
+            self._post(CallFinished(unmade.call, unmade.ticket, Outcome.UNREACHABLE))
 
     def _read(self, line: Line, sock: socket.socket) -> None:
         decoder = lines.VaultReplies()
@@ -259,4 +261,4 @@
             if not line.over:
                 self._idle.append(line)
             self._serve_waiting()
-        self._post(CallOver(reply.call, wanted.ticket, outcome, reply.body))
+        self._post(CallFinished(reply.call, wanted.ticket, outcome, reply.body))
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -10,13 +10,23 @@
 
 from loguru import logger
 
-from reelusher import interface as io
 from reelusher.codecs import lines
 from reelusher.codecs.errors import MalformedError
 from reelusher.core.counters import Counters
-from reelusher.core.model import CallWanted, GaugesRead, Message, Request, Result, RunOver, RunsLost
-from reelusher.net import Address, Outbox, connect, spawn
+from reelusher.core.messages import (
+    CallRequested,
+    GaugesReceived,
+    IncomingRequest,
+    Message,
+    Result,
+    RunFinished,
+    RunsLost,
+)
+from reelusher.net.send_buffer import Outbox
+from reelusher.net.sockets import Address, connect
+from reelusher.net.threads import spawn
 from reelusher.pacing.backoff import Backoff
+from reelusher.policy.events import Outcome
 
 BASE_S, CAP_S = 0.02, 0.25  # between tries to connect; the cap is what a restart may cost at most
 LIVED_S = 1.0  # a link that lived for less gets no next one at once
@@ -27,10 +37,10 @@
 LOST_S = 0.06  # a break may take commands along that went out so shortly before: 50 ms, and the way
 RESTART_S = 5.0  # a start later than the known one by this is another start: clocks and pauses blur less
 ENDS = {
-    "ok": io.Outcome.OK,
-    "failed": io.Outcome.ERROR,
-    "halted": io.Outcome.CANCELLED,
-    "void": io.Outcome.MOOT,
+    "ok": Outcome.OK,
+    "failed": Outcome.ERROR,
+    "halted": Outcome.CANCELLED,
+    "void": Outcome.NOT_STARTED,
 }
 
 
@@ -175,7 +185,7 @@
 
     # Commands, called by the owner
 
-    def start(self, request: Request, class_name: str) -> None:
+    def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
         self._command("start", request.call, service=class_name, blob=lines.blob(request.body))
 
@@ -296,7 +306,7 @@
                 serial,
             )
             if isinstance(call := message.get("call"), str):
-                self._post(RunOver(call, io.Outcome.ERROR))
+                self._post(RunFinished(call, Outcome.ERROR))
         if isinstance(serial, int):
             self._serial = serial  # not before it has been taken: a notice that was not is asked for again
 
@@ -334,7 +344,7 @@
             return
         with self._lock:
             self._sent.answered(cookie)
-        self._post(GaugesRead(cookie, tuple(float(value) for value in message["stats"])))
+        self._post(GaugesReceived(cookie, tuple(float(value) for value in message["stats"])))
 
     def _proved(self, call: str) -> None:
         """Note that the runtime has read what was sent for this run."""
@@ -344,17 +354,17 @@
     def _on_end(self, message: dict[str, Any]) -> None:
         call, outcome = str(message["call"]), ENDS[message["how"]]
         self._proved(call)
-        result = Result(lines.unblob(message.get("blob", ""))) if outcome is io.Outcome.OK else None
-        self._post(RunOver(call, outcome, int(float(message.get("duration", 0)) * 1000), result))
+        result = Result(lines.unblob(message.get("blob", ""))) if outcome is Outcome.OK else None
+        self._post(RunFinished(call, outcome, int(float(message.get("duration", 0)) * 1000), result))
 
     def _on_wants(self, message: dict[str, Any]) -> None:
         call = str(message["call"])
         self._proved(call)
-        self._post(CallWanted(call, int(message["serial"]), lines.unblob(message.get("blob", ""))))
+        self._post(CallRequested(call, int(message["serial"]), lines.unblob(message.get("blob", ""))))
 
     def _on_nack(self, message: dict[str, Any]) -> None:
         call, word = str(message.get("call", "")), message.get("how")
         self._counters.warn("runtime.nack", "runtime: the command {} for {} was not carried out", word, call)
         self._proved(call)
         if word == "start":  # nothing was started, and nothing will be
-            self._post(RunOver(call, io.Outcome.MOOT))
+            self._post(RunFinished(call, Outcome.NOT_STARTED))
--- a/reelusher/backends/catalog.py
+++ b/reelusher/backends/service_registry.py
@@ -12,9 +12,10 @@
 
 from reelusher.codecs import http1
 from reelusher.core.counters import Counters
-from reelusher.net import Address, connect, spawn
+from reelusher.net.sockets import Address, connect
+from reelusher.net.threads import spawn
 from reelusher.pacing.backoff import Tries
-from reelusher.pacing.cadence import Cadence, Loss
+from reelusher.pacing.report_schedule import Cadence, Loss
 
 DESCRIPTORS = 1
 PATH = "/catalog/register/"
--- a/reelusher/config/__init__.py
+++ b/reelusher/config/__init__.py
@@ -1,7 +1,7 @@
 """The one place where configuration is read, checked and given defaults. Every error names the faulty key."""
 
+from reelusher.config.checked_table import Address, ConfigError
 from reelusher.config.load import Config, load
-from reelusher.config.table import Address, ConfigError
 
 PLATFORM_TENANT = "platform"  # the tenant whose requests come over the platform's protocol
 
--- a/reelusher/config/load.py
+++ b/reelusher/config/load.py
@@ -4,28 +4,28 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from reelusher import interface as io
-from reelusher.config import operator, platform
-from reelusher.config.table import ConfigError
+from reelusher.config import operator, platform_config
+from reelusher.config.checked_table import ConfigError
+from reelusher.policy.settings import Settings
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
     """All that a node is told: by the platform, by an operator, or by both."""
 
-    platform: platform.Platform | None
+    platform: platform_config.Platform | None
     operator: operator.Operator | None
     name: str
     seed: int
     stop_ms: int
     memory_mb: float
     sockets: int  # descriptors that the process may hold
-    settings: io.Settings
+    settings: Settings
     gauges: list[str]
     class_names: list[str]
 
 
-def merge(told: platform.Platform | None, own: operator.Operator | None) -> Config:
+def merge(told: platform_config.Platform | None, own: operator.Operator | None) -> Config:
     """Let the platform's word stand where both say something."""
     name = told.name if told else own.name if own else ""
     if own and own.replication and not own.fleet and own.replication.control != (name,):
@@ -63,7 +63,7 @@
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
     """Read what the environment points to: PROXY_CONFIG, REELUSHER_OPERATOR, or both."""
-    told = platform.read(environ["PROXY_CONFIG"], environ) if environ.get("PROXY_CONFIG") else None
+    told = platform_config.read(environ["PROXY_CONFIG"], environ) if environ.get("PROXY_CONFIG") else None
     path = environ.get("REELUSHER_OPERATOR")
     names = tuple(told.class_names) if told else ()
     own = operator.read(path, names, told is not None) if path else None
--- a/reelusher/config/operator.py
+++ b/reelusher/config/operator.py
@@ -7,17 +7,22 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher import interface as io
 from reelusher.codecs.ajp13 import DEFAULT_PACKET, KNOWN_NAMES, MOST_PACKET
-from reelusher.config.platform import seed_of
-from reelusher.config.table import Address, ConfigError, Table, address_of
+from reelusher.config.checked_table import Address, ConfigError, Table, address_of
+from reelusher.config.platform_config import seed_of
+from reelusher.policy.settings import Idempotency, RequestClass, Settings
 
 RUNTIME = "runtime"  # the backend of tenants whose requests run on the platform's runtime
 UNIT_BITS = 1074  # every float is a whole multiple of 2 to the power of -1074 (IEEE 754)
 ACTIVATIONS = ("active", "disabled", "stopped")
 LONGEST_LABEL = 64  # characters of a fleet's name, a zone and a region: they go into each datagram
 MOST_CONTROL = 8  # members that write the replicated table: each datagram tells how far each of them is
-GAUGES = ["busy", "runnable", "memory", "connections"]  # that workers report, in this order
+EFFECTS = {  # the values of `effect` in the operator's file
+    "safe": Idempotency.IDEMPOTENT,
+    "keyed": Idempotency.IDEMPOTENCY_KEY,
+    "unsafe": Idempotency.NON_IDEMPOTENT,
+}
+GAUGES = ["busy_fraction", "runnable", "memory_fraction", "connections"]  # that workers report, in order
 
 
 @dataclass(slots=True, frozen=True)
@@ -186,7 +191,7 @@
     workers: tuple[Worker, ...]
     balancers: tuple[Balancer, ...]
     tenants: tuple[Tenant, ...]
-    settings: io.Settings | None  # None: the platform's hold
+    settings: Settings | None  # None: the platform's hold
     class_names: tuple[str, ...]
 
 
@@ -447,23 +452,23 @@
     return path
 
 
-def _read_settings(table: Table) -> tuple[io.Settings | None, tuple[str, ...]]:
+def _read_settings(table: Table) -> tuple[Settings | None, tuple[str, ...]]:
     entries, names, classes = table.tables("classes"), [], []
     for entry in entries:
         entry.only("name", "deadline_ms", "aim_ms", "worth", "late_share", "effect", "window_ms")
-        effect = io.Effect(entry.word("effect", [effect.value for effect in io.Effect], "safe"))
+        effect = EFFECTS[entry.word("effect", list(EFFECTS), "safe")]
         names.append(entry.text("name"))
         if names[-1] in names[:-1]:
             raise ConfigError(entry.path("name"), "two classes have this name")
-        keyed = effect is io.Effect.KEYED
+        keyed = effect is Idempotency.IDEMPOTENCY_KEY
         classes.append(
-            io.RequestClass(
+            RequestClass(
                 deadline_us=entry.whole("deadline_ms", least=1) * 1000,
-                aim_us=entry.whole("aim_ms", 0) * 1000,
-                worth=entry.number("worth", 1.0, 0.0, 1e6),
-                late_share=entry.number("late_share", 0.0, 0.0, 1.0),
-                effect=effect,
-                window_us=entry.whole("window_ms", None if keyed else 0, least=int(keyed)) * 1000,
+                latency_objective_us=entry.whole("aim_ms", 0) * 1000,
+                priority_weight=entry.number("worth", 1.0, 0.0, 1e6),
+                late_value_fraction=entry.number("late_share", 0.0, 0.0, 1.0),
+                idempotency=effect,
+                idempotency_window_us=entry.whole("window_ms", None if keyed else 0, least=int(keyed)) * 1000,
             )
         )
     if not classes:
@@ -479,21 +484,21 @@
         "idle_ms",
         "retry_after_ms",
     )
-    return io.Settings(
+    return Settings(
         classes=classes,
         cores=part.whole("cores", 4, 1, 1024),
         memory_kb=part.number("memory_kb", 65_536.0, 1),
-        run_factor=part.number("run_factor", 4.0, 1.0),
-        crowd_per_core=part.number("crowd_per_core", 6.0, 1.0),
-        crowd_over_us=2_000_000,
-        cold_from=1.0,
-        cold_us=0,
-        grace_us=part.whole("drain_grace_ms", 2500) * 1000,
-        slack_us=80_000,
+        running_memory_factor=part.number("run_factor", 4.0, 1.0),
+        max_runnable_per_core=part.number("crowd_per_core", 6.0, 1.0),
+        runnable_window_us=2_000_000,
+        initial_speed=1.0,
+        warm_up_us=0,
+        drain_grace_us=part.whole("drain_grace_ms", 2500) * 1000,
+        answer_slack_us=80_000,
         tick_us=5_000,
-        entry_kb=part.number("entry_kb", 16.0),
-        idle_us=part.whole("idle_ms", 60_000) * 1000,
-        retry_after_us=part.whole("retry_after_ms", 10_000) * 1000,
+        key_entry_kb=part.number("entry_kb", 16.0),
+        idle_timeout_us=part.whole("idle_ms", 60_000) * 1000,
+        max_retry_after_us=part.whole("retry_after_ms", 10_000) * 1000,
     ), tuple(names)
 
 
--- a/reelusher/config/platform.py
+++ b/reelusher/config/platform_config.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher import interface as io
-from reelusher.config.table import Address, ConfigError, Table, address_of
-from reelusher.settings import SettingsError, settings_from
+from reelusher.config.checked_table import Address, ConfigError, Table, address_of
+from reelusher.config.platform_settings import SettingsError, settings_from
+from reelusher.policy.settings import Settings
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,7 +33,7 @@
     seed: int
     stop_ms: int
     limits: Limits
-    settings: io.Settings
+    settings: Settings
     gauges: list[str]
     class_names: list[str]
     folder: str = ""  # that processes of this node share during an upgrade; empty: there are none
@@ -52,7 +52,7 @@
         raise ConfigError(key, f"a hexadecimal number is wanted, not {text!r:.40}") from None
 
 
-def _settings(value: Any) -> tuple[io.Settings, list[str], list[str]]:
+def _settings(value: Any) -> tuple[Settings, list[str], list[str]]:
     try:
         settings, gauges = settings_from(value)
         names = [str(entry.get("name", place)) for place, entry in enumerate(value["categories"])]
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from enum import Enum
 
-from reelusher.core.model import Request, Runner
+from reelusher.core.messages import IncomingRequest, Runner
 
 
 class Stage(Enum):
@@ -36,7 +36,7 @@
         "wanted",
     )
 
-    def __init__(self, number: int, request: Request, runner: Runner, due_us: int) -> None:
+    def __init__(self, number: int, request: IncomingRequest, runner: Runner, due_us: int) -> None:
         self.id = number
         self.request = request
         self.runner = runner
@@ -69,7 +69,7 @@
     def __contains__(self, number: int) -> bool:
         return number in self._by_id
 
-    def add(self, request: Request, runner: Runner, due_us: int) -> Attempt:
+    def add(self, request: IncomingRequest, runner: Runner, due_us: int) -> Attempt:
         """Take a request in hand."""
         self._last += 1
         attempt = Attempt(self._last, request, runner, due_us)
--- a/reelusher/core/keys.py
+++ b/reelusher/core/idempotency_table.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from reelusher.core.model import Result
+from reelusher.core.messages import Result
 
 Key = tuple[str, int, str]  # tenant, class, key
 
--- a/reelusher/core/model.py
+++ b/reelusher/core/messages.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from reelusher.interface import Outcome
+from reelusher.policy.events import Outcome
 
 
 class Verdict(Enum):
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Request:
+class IncomingRequest:
     """One try of a request as a front read it."""
 
     call: str  # unique in this node's life; names the run towards backends
@@ -59,8 +59,8 @@
 class Runner(Protocol):
     """Runs attempts. Called by the owner only; nothing here may block."""
 
-    def start(self, request: Request, class_name: str) -> None:
-        """Start a run; ends come back as `RunOver`."""
+    def start(self, request: IncomingRequest, class_name: str) -> None:
+        """Start a run; ends come back as `RunFinished`."""
 
     def stop(self, call: str) -> None:
         """Stop a run in the way that the settings name."""
@@ -75,35 +75,35 @@
         """Let a run go on without the call that this notice asked for."""
 
     def ask_gauges(self, cookie: str) -> bool:
-        """Ask for the gauges; they come back as `GaugesRead`. False: nobody is there to be asked."""
+        """Ask for the gauges; they come back as `GaugesReceived`. False: nobody is there to be asked."""
 
 
 class Dependency(Protocol):
     """Carries calls to what lies below. Called by the owner only; nothing here may block."""
 
     def ask(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
-        """Make a call; its end comes back as `CallOver` with this ticket."""
+        """Make a call; its end comes back as `CallFinished` with this ticket."""
 
     def unask(self, call: str, ticket: int) -> None:
         """Give a call up; no reply is wanted any more."""
 
 
 @dataclass(slots=True, frozen=True)
-class Arrived:
+class RequestArrived:
     """A front has read a request."""
 
-    request: Request
+    request: IncomingRequest
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class CallersDisconnected:
     """The callers of these attempts are out of reach; no answer can be delivered."""
 
     calls: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class RunOver:
+class RunFinished:
     """A run has ended: OK (with the result), ERROR, CANCELLED, or MOOT where it never started."""
 
     call: str
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallWanted:
+class CallRequested:
     """A run waits for a call."""
 
     call: str
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CallOver:
+class CallFinished:
     """A call has ended; the body is there when it went well."""
 
     call: str
@@ -132,7 +132,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GaugesRead:
+class GaugesReceived:
     """The gauges, in the order of the settings."""
 
     cookie: str
@@ -147,14 +147,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DrainOrder:
+class DrainRequested:
     """The node is told to leave. A second order may only bring the stop forward."""
 
     stop_us: int  # when the process is stopped, by the node's clock
     told_us: int  # when it was told so, at the earliest
 
 
-class KeyKeeper(Protocol):
+class DurableKeyLog(Protocol):
     """Makes keys durable before what they name is run. Nothing here may block."""
 
     def keep(
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class KeyLockRequest:
     """A key that is to be run by this process and no other of its node. Any thread calls one of the two."""
 
     key: tuple[str, int, str]
@@ -179,10 +179,10 @@
     elsewhere: Callable[["Result | None"], None]  # hears what it came to in another process
 
 
-class KeyClaims(Protocol):
+class KeyLocks(Protocol):
     """Keeps two processes of one node from running the same key. Nothing here may block."""
 
-    def keep(self, claim: Claim) -> None:
+    def keep(self, claim: KeyLockRequest) -> None:
         """Claim a key."""
 
     def ended(self, key: tuple[str, int, str], result: Result | None) -> None:
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class KeyKept:
+class KeyPersisted:
     """The key of an attempt is durable, or could not be made so."""
 
     number: int
@@ -201,7 +201,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class EventLoopTask:
     """Something that is to be done by the owner between batches, with a reply to wait for."""
 
     action: Callable[[], Any]
@@ -209,5 +209,14 @@
 
 
 Message = (
-    Arrived | Left | RunOver | CallWanted | CallOver | GaugesRead | RunsLost | DrainOrder | KeyKept | Ask
+    RequestArrived
+    | CallersDisconnected
+    | RunFinished
+    | CallRequested
+    | CallFinished
+    | GaugesReceived
+    | RunsLost
+    | DrainRequested
+    | KeyPersisted
+    | EventLoopTask
 )
--- a/reelusher/core/figures.py
+++ b/reelusher/core/request_stats.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from typing import Any
 
-from reelusher.core.model import Verdict
+from reelusher.core.messages import Verdict
 
 WORDS = {Verdict.SERVED: "succeeded", Verdict.REFUSED: "declined", Verdict.FAILED: "aborted"}
 
--- a/reelusher/drain/ending.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -10,9 +10,9 @@
 from dataclasses import replace
 from typing import Generic, Protocol, TypeVar
 
-from reelusher.drain.plan import Facts, Stages, Step, cheapest_first, next_step
-from reelusher.net import Outbox
-from reelusher.poller import Poller
+from reelusher.drain.schedule import Facts, Stages, Step, cheapest_first, next_step
+from reelusher.net.poller import Poller
+from reelusher.net.send_buffer import Outbox
 
 LOOK_S = 0.02  # between two looks at what is still owed
 
--- a/reelusher/drain/leave.py
+++ b/reelusher/drain/graceful_shutdown.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from typing import Protocol
 
-from reelusher.drain.plan import Facts, Quiet, Stages, stages
+from reelusher.drain.schedule import Facts, Quiet, Stages, stages
 
 LOOK_S = 0.02
 WORTH_S = 0.02  # a plan that ends earlier by less than that is not worth another order
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -14,9 +14,10 @@
 
 from loguru import logger
 
+from reelusher.config.checked_table import Address, ConfigError, address_of
 from reelusher.config.operator import Fleet
-from reelusher.config.table import Address, ConfigError, address_of
 from reelusher.core.counters import Counters
+from reelusher.fleet.membership.member_table import Change
 from reelusher.fleet.membership.messages import (
     BUCKETS,
     LEAST_SECRET,
@@ -36,8 +37,9 @@
     Update,
 )
 from reelusher.fleet.membership.swim import Said, Swim
-from reelusher.fleet.membership.table import Change
-from reelusher.net import Listener, connect, spawn
+from reelusher.net.listener import Listener
+from reelusher.net.sockets import connect
+from reelusher.net.threads import spawn
 from reelusher.pacing.backoff import Backoff
 
 STATE_S = 2.0  # for one exchange
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -14,8 +14,8 @@
 
 from msgspec.structs import replace
 
+from reelusher.fleet.membership.member_table import Change, Table, bucket_of, mark_of
 from reelusher.fleet.membership.messages import Kind, Message, State, Update, number_size, update_size
-from reelusher.fleet.membership.table import Change, Table, bucket_of, mark_of
 
 PERIOD_S = 0.4  # between probes of one node; each member is probed by someone about that often
 DIRECT_S = 0.15  # until others are asked to probe too, at the least
--- a/reelusher/fleet/replication/writer.py
+++ b/reelusher/fleet/replication/leadership.py
@@ -28,8 +28,8 @@
 
 from reelusher.core.counters import Counters
 from reelusher.fleet.replication.messages import Entry
-from reelusher.fleet.replication.rows import ReplicaError
-from reelusher.fleet.replication.streams import NotLeaderError, Position, Replica
+from reelusher.fleet.replication.replica import NotLeaderError, Position, Replica
+from reelusher.fleet.replication.replica_store import ReplicaError
 
 HEARD = 3  # other members that are heard before anything is accepted, or all there are
 ALONE_S = 5.0  # after a start with nobody else there
--- a/reelusher/fleet/replication/streams.py
+++ b/reelusher/fleet/replication/replica.py
@@ -46,7 +46,7 @@
     Entry,
     Piece,
 )
-from reelusher.fleet.replication.rows import ReplicaError, Rows, StreamState
+from reelusher.fleet.replication.replica_store import ReplicaError, Rows, StreamState
 from reelusher.pacing.backoff import Backoff
 
 FORMAT = 1  # of entries and pieces; members of another do not exchange any
--- a/reelusher/fleet/replication/census.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.streams import Allowance, Position, Replica
+from reelusher.fleet.replication.replica import Allowance, Position, Replica
 
 MOST_MEMBERS = 4096
 GRACE_S = 3.0  # after a change, in which nearly all members have it and are heard by themselves
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -14,12 +14,12 @@
 
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership.messages import Update
-from reelusher.fleet.replication.census import Census
-from reelusher.fleet.replication.copy import LocalCopy
+from reelusher.fleet.replication.leadership import SETTLE_S, Writer
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest
-from reelusher.fleet.replication.rows import ReplicaError
-from reelusher.fleet.replication.streams import KEPT_S, Replica, Taken
-from reelusher.fleet.replication.writer import SETTLE_S, Writer
+from reelusher.fleet.replication.replica import KEPT_S, Replica, Taken
+from reelusher.fleet.replication.replica_store import ReplicaError
+from reelusher.fleet.replication.replication_progress import Census
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
 
 T = TypeVar("T")
 LOOK_S = 1.0  # between rounds of upkeep
--- a/reelusher/fleet/replication/copy.py
+++ b/reelusher/fleet/replication/sqlite_replica.py
@@ -38,8 +38,8 @@
 import msgspec
 
 from reelusher.fleet.replication.messages import MOST_PIECE, Entry
-from reelusher.fleet.replication.rows import SPARE, Given, ReplicaError, StreamState
-from reelusher.fleet.replication.streams import first_epoch, ordered
+from reelusher.fleet.replication.replica import first_epoch, ordered
+from reelusher.fleet.replication.replica_store import SPARE, Given, ReplicaError, StreamState
 
 APPLICATION = 0x7265656C  # what the header says of a copy
 FORMAT = 1
--- /dev/null
+++ b/reelusher/fleet/warm_start/__init__.py
@@ -0,0 +1,1 @@
+"""What a node that has just started learns from warm ones: docs/learning.md."""
--- a/reelusher/fleet/learning/learner.py
+++ b/reelusher/fleet/warm_start/client.py
@@ -8,10 +8,10 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.fleet.learning.facts import DONORS, donors, weighed
 from reelusher.fleet.membership.messages import Fact, FactsReply, FactsRequest
 from reelusher.fleet.membership.service import Membership
-from reelusher.net import spawn
+from reelusher.fleet.warm_start.facts import DONORS, donors, weighed
+from reelusher.net.threads import spawn
 
 JOINED_S = 10.0  # beyond which there is nobody to learn from
 LOOK_S = 0.05
--- /dev/null
+++ b/reelusher/frontends/ajp/__init__.py
@@ -0,0 +1,1 @@
+"""AJP13, the protocol of Apache and mod_jk."""
--- a/reelusher/fronts/ajp.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -15,19 +15,21 @@
 
 from loguru import logger
 
-from reelusher import interface as io
 from reelusher.codecs import ajp13
 from reelusher.codecs.errors import MalformedError
 from reelusher.config.operator import Ajp, Tenant
-from reelusher.core.model import Answer, Arrived, Request, Verdict
-from reelusher.core.owner import Core
-from reelusher.drain.ending import unread_bytes
-from reelusher.drain.leave import LOOK_S
-from reelusher.drain.plan import Facts, Stages
-from reelusher.fronts.platform import subject_of
-from reelusher.net import Address, Listener, spawn
-from reelusher.tenancy.paging import TenantUnavailableError
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import Answer, IncomingRequest, RequestArrived, Verdict
+from reelusher.drain.connection_shutdown import unread_bytes
+from reelusher.drain.graceful_shutdown import LOOK_S
+from reelusher.drain.schedule import Facts, Stages
+from reelusher.frontends.rpc.frontend import subject_of
+from reelusher.net.listener import Listener
+from reelusher.net.sockets import Address
+from reelusher.net.threads import spawn
+from reelusher.policy.settings import Idempotency
 from reelusher.tenancy.registry import Match, Tenants
+from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 SEND_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
 BODY_S = 10.0  # a piece of a body that is asked for has come within this
@@ -38,10 +40,10 @@
 DESCRIPTORS = MOST_TURNED + 2  # the listener, and one that is closed at once
 LONGEST_WAIT_S = 3600.0  # no answer takes as long: the core answers by the due time
 REASONS = {
-    400: "Bad Request",
+    400: "Bad IncomingRequest",
     403: "ForbiddenAttributeError",
     404: "Not Found",
-    408: "Request Timeout",
+    408: "IncomingRequest Timeout",
     413: "Content Too Large",
     500: "Internal Server Error",
     503: "Service Unavailable",
@@ -312,7 +314,10 @@
         """Hand a request to the core and return where its answer comes; None: its tenant has too many."""
         kind = self._kinds[match.class_name]
         key = forward.header(match.tenant.key_header) or ""
-        if self._core.settings.classes[kind].effect is io.Effect.KEYED and not 0 < len(key) <= 128:
+        if (
+            self._core.settings.classes[kind].idempotency is Idempotency.IDEMPOTENCY_KEY
+            and not 0 < len(key) <= 128
+        ):
             raise RejectedRequestError(
                 400, f"requests of {match.class_name} need the header {match.tenant.key_header}"
             )
@@ -328,7 +333,9 @@
             return None
         answers: queue.SimpleQueue[Answer] = queue.SimpleQueue()
         try:
-            self._core.post(Arrived(self._request(forward, match, kind, body, door_us, key, answers.put)))
+            self._core.post(
+                RequestArrived(self._request(forward, match, kind, body, door_us, key, answers.put))
+            )
         except BaseException:
             self._left(tenant)
             raise
@@ -358,8 +365,8 @@
         door_us: int,
         key: str,
         reply: Callable[[Answer], None],
-    ) -> Request:
-        return Request(
+    ) -> IncomingRequest:
+        return IncomingRequest(
             call=f"{self._prefix}{next(self._numbers):x}",
             kind=kind,
             body=body,
--- a/reelusher/fronts/operator.py
+++ b/reelusher/frontends/operations.py
@@ -15,7 +15,8 @@
 
 from reelusher.codecs import http1
 from reelusher.core.counters import Counters
-from reelusher.net import Address, Listener
+from reelusher.net.listener import Listener
+from reelusher.net.sockets import Address
 
 MOST_CALLS, LEAST_CALLS, CALLS_PART = 24, 4, 16  # at once; of few descriptors one in so many
 CALL_S = 6.0  # for a call to come in
--- /dev/null
+++ b/reelusher/frontends/rpc/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's protocol: MessagePack-RPC."""
--- a/reelusher/fronts/platform.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -10,15 +10,17 @@
 from functools import partial
 from typing import Any
 
-from reelusher import interface as io
 from reelusher.codecs import msgpack
 from reelusher.codecs.errors import MalformedError
-from reelusher.core.model import Answer, Arrived, Left, Request, Verdict
-from reelusher.core.owner import Core
-from reelusher.drain.ending import Endings, unread_bytes
-from reelusher.drain.plan import Facts, Stages, Step
-from reelusher.net import Address, Budget, ConnectionResourcesError, Listener, Outbox
-from reelusher.poller import Poller
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import Answer, CallersDisconnected, IncomingRequest, RequestArrived, Verdict
+from reelusher.drain.connection_shutdown import Endings, unread_bytes
+from reelusher.drain.schedule import Facts, Stages, Step
+from reelusher.net.listener import ConnectionResourcesError, Listener
+from reelusher.net.poller import Poller
+from reelusher.net.send_buffer import Budget, Outbox
+from reelusher.net.sockets import Address
+from reelusher.policy.settings import Idempotency
 
 CALL, ANSWER, NOTICE = 0, 1, 2  # of MessagePack-RPC
 MOST_BODY = 2048
@@ -414,7 +416,7 @@
             calls = tuple(name for name in connection.open.values() if name)
         self._release(connection)
         if calls:
-            self._core.post(Left(calls))
+            self._core.post(CallersDisconnected(calls))
 
     def _fail_open(self, connection: Connection) -> None:
         """Answer what is open with an error, then end: who sends such bytes must still not lose an answer.
@@ -433,7 +435,7 @@
             connection.answer(number, ["Error", self._fields(self._core.told.feedback)], None)
         if calls:
             self._core.counters.add("platform.failed_at_the_end", len(calls))
-            self._core.post(Left(tuple(calls.values())))
+            self._core.post(CallersDisconnected(tuple(calls.values())))
 
     def _release(self, connection: Connection) -> None:
         """Let go of a connection."""
@@ -482,8 +484,8 @@
                 self._core.figures.taken()
                 self._core.figures.ended(method, Verdict.REFUSED)
             fields = self._fields(told.feedback)
-            if self._core.settings.retry_after_us:
-                fields["later"] = str(min(LATER_MS, self._core.settings.retry_after_us // 1000))
+            if self._core.settings.max_retry_after_us:
+                fields["later"] = str(min(LATER_MS, self._core.settings.max_retry_after_us // 1000))
             connection.say(number, ["Full", fields], None)
             return
         try:
@@ -503,9 +505,11 @@
             return
         with connection.lock:
             connection.open[number] = request.call
-        self._core.post(Arrived(request))
+        self._core.post(RequestArrived(request))
 
-    def _request(self, connection: Connection, number: int, method: str, params: list[Any]) -> Request:
+    def _request(
+        self, connection: Connection, number: int, method: str, params: list[Any]
+    ) -> IncomingRequest:
         """Check and translate a request."""
         kind = self._kind_of(method)
         match params:
@@ -522,7 +526,7 @@
             raise BadRequestError("txn is missing or malformed")
         if not isinstance(key, str) or not isinstance(item, str) or len(key) > 128 or len(item) > 128:
             raise BadRequestError("unique or item is malformed")
-        if self._core.settings.classes[kind].effect is io.Effect.KEYED and not key:
+        if self._core.settings.classes[kind].idempotency is Idempotency.IDEMPOTENCY_KEY and not key:
             raise BadRequestError("unique is missing")
         number_of(fields, "standing", 0, 1, 0)  # the module ranks by class alone; a bad one is still an error
         ahead_us = self._core.clock.unix_ahead_us()
@@ -535,7 +539,7 @@
             (unix_us + DOOR_AHEAD_US) / 1000,
             unix_us / 1000,
         )
-        return Request(
+        return IncomingRequest(
             call=call,
             kind=kind,
             body=body,
@@ -582,7 +586,7 @@
 
     def _idle_limits(self, count: int) -> tuple[float, float, float]:
         """Return how long one used once may be idle, any other may be, and may stay after `lastCall`."""
-        usual, told = self._core.settings.idle_us, self._core.told.idle_us
+        usual, told = self._core.settings.idle_timeout_us, self._core.told.idle_us
         # callers close idle connections themselves; only an earlier wish, or a dead peer, is for us
         idle_s = (told if 0 < told < usual else 2 * usual) / 1e6 or math.inf
         once_s, leave_s = idle_s, LEAVE_S
--- a/reelusher/lab/__main__.py
+++ b/reelusher/lab/__main__.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.config.table import ConfigError
+from reelusher.config.checked_table import ConfigError
 from reelusher.lab.load import Tally, play
 from reelusher.lab.plan import Plan, read
-from reelusher.tenancy.fairness import jain
+from reelusher.tenancy.rate_limit import jain
 
 COLUMNS = (
     "caller",
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -8,8 +8,8 @@
 from reelusher.codecs import ajp13
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.harness import Figures, Scale, there
-from reelusher.net import connect
-from reelusher.server import Node
+from reelusher.net.sockets import connect
+from reelusher.node import Node
 
 SECONDS = 5.0
 
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from reelusher.fleet.replication.copy import LocalCopy
 from reelusher.fleet.replication.messages import Entry
-from reelusher.fleet.replication.rows import StreamState
-from reelusher.fleet.replication.streams import first_epoch, ordered, stream_of
+from reelusher.fleet.replication.replica import first_epoch, ordered, stream_of
+from reelusher.fleet.replication.replica_store import StreamState
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -20,8 +20,8 @@
 from statistics import median
 from typing import Any
 
-from reelusher.fleet.replication.copy import LocalCopy
 from reelusher.fleet.replication.messages import Entry
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
 from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
 from reelusher.lab.capacity.wires import (
     Callers,
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -30,7 +30,8 @@
 
 from msgspec.structs import replace
 
-from reelusher.config.table import Address, ConfigError, address_of
+from reelusher.config.checked_table import Address, ConfigError, address_of
+from reelusher.fleet.membership.member_table import Table
 from reelusher.fleet.membership.messages import (
     BUCKETS,
     MOST_DATAGRAM,
@@ -49,10 +50,9 @@
     Update,
 )
 from reelusher.fleet.membership.swim import Said, Swim
-from reelusher.fleet.membership.table import Table
 from reelusher.fleet.replication.messages import EntriesReply, EntriesRequest, Entry
-from reelusher.fleet.replication.rows import MemoryRows
-from reelusher.fleet.replication.streams import Pull, Replica, stream_of
+from reelusher.fleet.replication.replica import Pull, Replica, stream_of
+from reelusher.fleet.replication.replica_store import MemoryRows
 from reelusher.lab.fleet.rig import free_port
 
 T = TypeVar("T")
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -18,6 +18,7 @@
 
 import msgspec
 
+from reelusher.fleet.membership.member_table import Table
 from reelusher.fleet.membership.messages import (
     BucketsRequest,
     DigestReply,
@@ -40,10 +41,9 @@
     Allowance,
 )
 from reelusher.fleet.membership.swim import Said, Swim
-from reelusher.fleet.membership.table import Table
 from reelusher.fleet.replication.messages import EntriesReply, Entry
-from reelusher.fleet.replication.rows import MemoryRows
-from reelusher.fleet.replication.streams import NotLeaderError, Pull, Replica, stream_of
+from reelusher.fleet.replication.replica import NotLeaderError, Pull, Replica, stream_of
+from reelusher.fleet.replication.replica_store import MemoryRows
 from reelusher.lab.fleet.virtual import VirtualLine
 
 ZONES, REGIONS = 17, 7
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -6,13 +6,13 @@
 from functools import partial
 from typing import Any
 
-from reelusher import interface as io
 from reelusher.core.counters import Counters
-from reelusher.core.keys import KeyTable
-from reelusher.core.model import Result
+from reelusher.core.idempotency_table import KeyTable
+from reelusher.core.messages import Result
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
-from reelusher.tenancy.shares import Share, Shares
+from reelusher.policy.events import Request
+from reelusher.tenancy.fair_queue import Share, Shares
 
 WINDOW_US, TAIL_US = 22_971_000, 7_700_000
 RESULT_BYTES = 1000
@@ -68,7 +68,7 @@
 
     def asked() -> None:
         for number in range(size):
-            made.arrived(io.Request(number, 0, tenant=number), 0)
+            made.arrived(Request(number, 0, tenant=number), 0)
 
     def count() -> Counters:
         counters = Counters()
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -22,7 +22,7 @@
 from statistics import median
 from typing import Any
 
-from reelusher.fleet.replication.streams import stream_of
+from reelusher.fleet.replication.replica import stream_of
 from reelusher.lab.capacity import fill
 from reelusher.lab.capacity.books import (
     ACTIVE,
--- a/reelusher/lab/capacity/nodes.py
+++ b/reelusher/lab/capacity/nodes.py
@@ -11,7 +11,7 @@
 
 import tomli_w
 
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.census import TOKEN
 from reelusher.lab.fleet.processes import ROOT, deployed
 
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -8,7 +8,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
 from reelusher.lab.fleet.virtual import VirtualLine
-from reelusher.pacing.cadence import LAPSE_S, Cadence, Loss
+from reelusher.pacing.report_schedule import LAPSE_S, Cadence, Loss
 
 ANSWER_S = 0.002  # of the list, on the virtual clock
 SLOT_S = 0.1
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from reelusher.fleet.learning.facts import MOST_FACTS
-from reelusher.fleet.membership.table import MOST_MEMBERS
+from reelusher.fleet.membership.member_table import MOST_MEMBERS
+from reelusher.fleet.warm_start.facts import MOST_FACTS
 from reelusher.lab.capacity.budgets import (
     CONTAINER_MOST,
     LINK_BYTES,
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -17,7 +17,7 @@
 from reelusher.config.operator import parse
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.fleet.processes import deployed
-from reelusher.net import connect
+from reelusher.net.sockets import connect
 
 TOKEN = "a-token-of-the-scale-tests"
 READY_MOST_S = 300.0
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -5,15 +5,15 @@
 from functools import partial
 from pathlib import Path
 
-from reelusher.core.model import Claim, Result
-from reelusher.fleet.learning.facts import MOST_FACTS, weighed
+from reelusher.core.messages import KeyLockRequest, Result
 from reelusher.fleet.membership.messages import MOST_STATE, Fact, FactsReply, Seal
+from reelusher.fleet.warm_start.facts import MOST_FACTS, weighed
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
-from reelusher.tenancy.durable.disk import Folder
-from reelusher.tenancy.store import Store
-from reelusher.upgrade.claims import Claims
+from reelusher.storage.directory import Folder
+from reelusher.tenancy.tenant_store import Store
+from reelusher.upgrade.key_locks import Claims
 
 CHANGES = 50
 
@@ -71,7 +71,9 @@
         made = Claims(Path(name), "hosted-1", lambda: 0)
         began = time.process_time()
         for number in range(size):
-            made._claim(Claim(("tenant-0", 1, f"key-{number}"), 0, 1_000_000, 0, "0" * 32, _kept, _elsewhere))
+            made._claim(
+                KeyLockRequest(("tenant-0", 1, f"key-{number}"), 0, 1_000_000, 0, "0" * 32, _kept, _elsewhere)
+            )
         each = (time.process_time() - began) / size * 1e6
         files = sum(1 for path in next(Path(name).iterdir()).iterdir())
         swept_ms = each_us(made._sweep) / 1000
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -9,18 +9,18 @@
 from random import Random
 from typing import Any
 
-from reelusher.backends.workers import BalancedRunner
+from reelusher.backends.ajp.worker_pool import BalancedRunner
 from reelusher.config.load import Config
 from reelusher.core.counters import Counters
-from reelusher.core.owner import Core
+from reelusher.core.event_loop import Core
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.copy import filled
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
 from reelusher.lab.capacity.request import StandInProcess, rounds
+from reelusher.tenancy.fair_queue import Shares
 from reelusher.tenancy.lifecycle import State
 from reelusher.tenancy.registry import Tenants
-from reelusher.tenancy.shares import Shares
 
 LOOKS, MANY = 50, 2000  # hosts that are asked for in turn
 CHANGES = 20
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -9,7 +9,7 @@
 
 from reelusher.codecs import ajp13, http1
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.census import TOKEN
 from reelusher.lab.load import StandIn
 from reelusher.lab.plan import Worker
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -7,10 +7,10 @@
 from functools import partial
 from random import Random
 
-from reelusher.backends.workers import Pool
+from reelusher.backends.ajp.worker_pool import Pool
 from reelusher.config.operator import Worker, parse
 from reelusher.core.counters import Counters
-from reelusher.core.model import Message
+from reelusher.core.messages import Message
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
--- a/reelusher/lab/fleet/__main__.py
+++ b/reelusher/lab/fleet/__main__.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.config.table import ConfigError
+from reelusher.config.checked_table import ConfigError
 from reelusher.lab.fleet import model
 from reelusher.lab.fleet.account import Account
 from reelusher.lab.fleet.plan import read
--- a/reelusher/lab/fleet/census.py
+++ b/reelusher/lab/fleet/census.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from reelusher.codecs import http1
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 
 TOKEN = "a-token-of-the-rig"
 EVERY_S = 0.2
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -12,9 +12,9 @@
 from statistics import median
 from time import process_time
 
+from reelusher.fleet.membership.member_table import Table
 from reelusher.fleet.membership.messages import Message, Seal, State, Update
 from reelusher.fleet.membership.swim import PERIOD_S, Said, Swim
-from reelusher.fleet.membership.table import Table
 from reelusher.lab.fleet.virtual import VirtualLine
 
 WAY_S = 0.0005, 0.002  # from one member to another
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, TypeVar, get_type_hints
 
-from reelusher.config.table import ConfigError, Table
+from reelusher.config.checked_table import ConfigError, Table
 
 T = TypeVar("T")
 LINK = ("cut", "silent", "reset", "delay", "loss", "duplicate", "reorder")
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.plan import Fault
 
 RETRANSMIT_S = 0.2  # the least time-out of TCP on Linux
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.account import Account
 from reelusher.lab.fleet.census import Census
 from reelusher.lab.fleet.plan import Fault, Plan, check_room
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -10,7 +10,7 @@
 
 from reelusher.codecs import http1, lines, msgpack
 from reelusher.codecs.errors import MalformedError
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.account import Try
 from reelusher.lab.fleet.callers import Caller
 from reelusher.lab.fleet.relay import Link, Net
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import Any
 
+from reelusher.config.checked_table import Address, ConfigError, Table
 from reelusher.config.operator import is_loopback
-from reelusher.config.table import Address, ConfigError, Table
 
 
 @dataclass(slots=True, frozen=True)
--- a/reelusher/poller.py
+++ b/reelusher/net/poller.py
@@ -19,7 +19,7 @@
 from loguru import logger
 
 from reelusher.core.counters import Counters
-from reelusher.net import spawn
+from reelusher.net.threads import spawn
 
 MOST_EVENTS = 128  # sockets that one look finds ready
 MOST_CALLS = 128  # of other threads' wishes before the next look at sockets
--- a/reelusher/server.py
+++ b/reelusher/node.py
@@ -13,38 +13,39 @@
 
 from loguru import logger
 
-from reelusher.backends import catalog, runtime
-from reelusher.backends.catalog import Catalog
+from reelusher.backends import runtime, service_registry
+from reelusher.backends.ajp.worker_pool import BalancedRunner, Pool
+from reelusher.backends.downstream_client import MOST_LINES, Vault
 from reelusher.backends.runtime import RuntimeLink
-from reelusher.backends.vault import MOST_LINES, Vault
-from reelusher.backends.workers import BalancedRunner, Pool
+from reelusher.backends.service_registry import Catalog
 from reelusher.config import PLATFORM_TENANT, Config, ConfigError, load
 from reelusher.config.operator import Operator, backend_names
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
-from reelusher.core.model import DrainOrder, Message, Runner
-from reelusher.core.owner import Core
-from reelusher.core.pace import Pace
-from reelusher.drain.leave import Drained, lead
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import DrainRequested, Message, Runner
+from reelusher.core.scheduling_lag import Pace
+from reelusher.drain.graceful_shutdown import Drained, lead
 from reelusher.drain.signals import LOOK_S, SignalWatch
-from reelusher.fronts import platform
-from reelusher.fronts.platform import PlatformFront
-from reelusher.net import Address, spawn
+from reelusher.frontends.rpc import frontend as rpc_frontend
+from reelusher.frontends.rpc.frontend import PlatformFront
+from reelusher.net.sockets import Address
+from reelusher.net.threads import spawn
 
 if TYPE_CHECKING:
     from reelusher.admin.api import AdminApi
     from reelusher.admin.tenant_api import TenantApi
-    from reelusher.fleet.learning.learner import Learner
     from reelusher.fleet.membership.messages import FactsReply
     from reelusher.fleet.membership.service import Membership
     from reelusher.fleet.replication.service import Replication
-    from reelusher.fronts.operator import OperatorFront
-    from reelusher.tenancy.durable.keys import KeyLog
+    from reelusher.fleet.warm_start.client import Learner
+    from reelusher.frontends.operations import OperatorFront
+    from reelusher.storage.key_log import KeyLog
+    from reelusher.tenancy.fair_queue import Shares
     from reelusher.tenancy.registry import Tenants
-    from reelusher.tenancy.shares import Shares
-    from reelusher.tenancy.store import TenantTable
-    from reelusher.upgrade.claims import Claims
-    from reelusher.upgrade.lives import Lives
+    from reelusher.tenancy.tenant_store import TenantTable
+    from reelusher.upgrade.key_locks import Claims
+    from reelusher.upgrade.process_registry import Lives
 
 SWITCH_S = 0.001  # a thread that waits for the interpreter gets it within this
 RESULTS_PART = 0.25  # part of the node's memory that kept results may take
@@ -158,7 +159,7 @@
             self._set_up(own)
 
     def _second_address(self, address: Address) -> "OperatorFront":
-        from reelusher.fronts.operator import OperatorFront, most_calls
+        from reelusher.frontends.operations import OperatorFront, most_calls
 
         return OperatorFront(
             address,
@@ -171,8 +172,8 @@
 
     def _share(self, name: str, folder: Path) -> None:
         """Take part in upgrades: be known to other processes of this node, and claim keys before they run."""
-        from reelusher.upgrade.claims import Claims
-        from reelusher.upgrade.lives import Lives
+        from reelusher.upgrade.key_locks import Claims
+        from reelusher.upgrade.process_registry import Lives
 
         try:
             self._lives, self._claims = Lives(folder, name), Claims(folder, name)
@@ -184,11 +185,11 @@
     def _set_up(self, own: Operator) -> None:
         """Set up what the operator's file asks for; without one, nothing of it is loaded."""
         from reelusher.admin.api import AdminApi, Parts
-        from reelusher.fronts.ajp import AjpFront
+        from reelusher.frontends.ajp.frontend import AjpFront
 
         if own.fleet:
-            from reelusher.fleet.learning.learner import Learner
             from reelusher.fleet.membership.service import Membership
+            from reelusher.fleet.warm_start.client import Learner
 
             self.fleet = Membership(own.fleet, self.config.name, self._spread("fleet"), self.counters)
             self.fleet.facts = self._facts
@@ -208,14 +209,14 @@
 
     def _own_tenants(self, own: Operator) -> "tuple[Tenants, TenantTable, None]":
         """Return tenants that are this node's only, from its file and its state folder."""
-        from reelusher.tenancy import store
+        from reelusher.tenancy import tenant_store
         from reelusher.tenancy.lifecycle import State
         from reelusher.tenancy.registry import Tenants
 
         backends = self._backends(own)
         assert self._shares is not None
         folder, old = (own.admin.state_dir, own.admin.state_file) if own.admin else ("", "")
-        kept = store.opened(
+        kept = tenant_store.opened(
             Path(folder) if folder else None,
             Path(old) if old else None,
             own.tenants,
@@ -223,7 +224,7 @@
             backends,
         )
         if own.admin and own.admin.durable_keys:
-            log = store.opened_keys(Path(folder))
+            log = tenant_store.opened_keys(Path(folder))
             for number, line in enumerate(log.live()):
                 self.core.keys.remember(
                     line.name, EARLIER + number, line.until_us, bytes.fromhex(line.digest)
@@ -236,11 +237,11 @@
     def _replicated(self, own: Operator) -> "tuple[Tenants, TenantTable, TenantApi]":
         """Return the tenants of the whole fleet, from this node's copy of the replicated table."""
         from reelusher.admin.replicated_api import ReplicatedTenantApi
-        from reelusher.fleet.replication.copy import LocalCopy
         from reelusher.fleet.replication.messages import ChangeRequest
-        from reelusher.fleet.replication.rows import ReplicaError
+        from reelusher.fleet.replication.replica import Replica
+        from reelusher.fleet.replication.replica_store import ReplicaError
         from reelusher.fleet.replication.service import Replication
-        from reelusher.fleet.replication.streams import Replica
+        from reelusher.fleet.replication.sqlite_replica import LocalCopy
         from reelusher.tenancy.registry import Tenants, reason
         from reelusher.tenancy.replicated import ReplicatedTable
 
@@ -301,7 +302,7 @@
         """Return the standing of tenants; the platform has none, and nothing of it is loaded there."""
         if config.operator is None:
             return None
-        from reelusher.tenancy.shares import Shares
+        from reelusher.tenancy.fair_queue import Shares
 
         return Shares(config.settings.cores, config.settings.memory_kb)
 
@@ -309,17 +310,19 @@
         """Return how many descriptors the fronts may spend; the rest is counted up for all else."""
         told, own, kept = self.config.platform, self.config.operator, FILES
         if told:
-            kept += platform.DESCRIPTORS + runtime.DESCRIPTORS + UPGRADE_FILES * bool(told.folder)
-            kept += MOST_LINES * bool(told.vault) + catalog.DESCRIPTORS * bool(told.directory)
+            kept += rpc_frontend.DESCRIPTORS + runtime.DESCRIPTORS + UPGRADE_FILES * bool(told.folder)
+            kept += MOST_LINES * bool(told.vault) + service_registry.DESCRIPTORS * bool(told.directory)
             if told.operator:
-                from reelusher.fronts import operator
+                from reelusher.frontends import operations
 
-                kept += operator.descriptors(self.config.sockets)
+                kept += operations.descriptors(self.config.sockets)
         if own:
             from reelusher.admin import api
-            from reelusher.fronts import ajp
+            from reelusher.frontends.ajp import frontend as ajp_frontend
 
-            kept += sum(worker.connections for worker in own.workers) + ajp.DESCRIPTORS * bool(own.ajp)
+            kept += sum(worker.connections for worker in own.workers) + ajp_frontend.DESCRIPTORS * bool(
+                own.ajp
+            )
             kept += (api.DESCRIPTORS + STATE_FILES) * bool(own.admin)
             if own.fleet:
                 from reelusher.fleet.membership import service
@@ -377,7 +380,7 @@
         """Return what a fresh node may learn here; one that is cold itself would teach it wrong."""
         from reelusher.fleet.membership.messages import Fact, FactsReply
 
-        warm_s = max(WARM_S, self.config.settings.cold_us / 1e6)
+        warm_s = max(WARM_S, self.config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._began < warm_s or self.asked_to_leave.is_set():
             return FactsReply(False, [])
         seen = {**self.core.ask(self.core.seen), **self._pool.seen()}
@@ -525,7 +528,7 @@
         Where another process of this node serves by now, that is no drain: callers are to go there at once.
         """
         self.ask_to_leave()
-        span_s, grace_s = self.config.stop_ms / 1000, self.config.settings.grace_us / 1e6
+        span_s, grace_s = self.config.stop_ms / 1000, self.config.settings.drain_grace_us / 1e6
         if self._lives and self._lives.successor():
             self.core.told.handing_over = True
             longest_us = max(kind.deadline_us for kind in self.config.settings.classes)
@@ -545,7 +548,7 @@
 
     def _order(self, left_s: float, since_s: float) -> None:
         now_us = self._clock.now()
-        self.core.post(DrainOrder(now_us + int(left_s * 1e6), now_us - int(since_s * 1e6)))
+        self.core.post(DrainRequested(now_us + int(left_s * 1e6), now_us - int(since_s * 1e6)))
 
     def _late_s(self) -> float:
         """Return by how many seconds this process is late at present: its poller or its owner."""
--- a/reelusher/pacing/cadence.py
+++ b/reelusher/pacing/report_schedule.py
@@ -8,7 +8,7 @@
 from math import ceil, inf, log
 from random import Random
 
-from reelusher.core.pace import Pace
+from reelusher.core.scheduling_lag import Pace
 from reelusher.pacing.backoff import Backoff, Tries
 
 LAPSE_S = 3.0  # an entry comes off the list so long after its last report: the protocol's figure
--- /dev/null
+++ b/reelusher/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of a node, without I/O: settings and events in, actions out."""
--- /dev/null
+++ b/reelusher/policy/utilization_loop.py
@@ -0,0 +1,58 @@
+"""The control loop on the utilization of the cores.
+
+It follows section 4.2 of Abdelzaher and Bhatti, "Web content adaptation to improve server overload behavior"
+(1999): a PI loop sets G, the fraction of clients whose requests skip optional calls.
+"""
+
+from reelusher.policy.events import Request
+
+TARGET_BUSY_FRACTION = 0.88  # utilization of the cores that the loop steers to
+PROPORTIONAL_GAIN = 0.25  # that one unit of error adds to G at once
+INTEGRAL_GAIN = 0.015  # that one unit of error adds to G each period
+EFFECTIVENESS_DECAY = 0.15  # lost each period in which a full G leaves the cores over their target
+EFFECTIVENESS_RECOVERY = 0.005  # regained each period in which the cores are under the target
+MIN_EFFECTIVENESS = 0.1
+
+HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2^64 over the golden ratio, as in Fibonacci hashing
+HASH_MASK = (1 << 64) - 1
+HASH_RANGE = 1 << 32
+
+
+def client_hash(request: Request) -> float:
+    """Map the client of a request to N in (0, 1], always the same: clients with N <= G are degraded.
+
+    The client is the subject of the request where it is known, else its caller.
+    """
+    x = (request.subject or request.caller + 1) * HASH_MULTIPLIER & HASH_MASK
+    x = (x ^ x >> 32) * HASH_MULTIPLIER & HASH_MASK
+    return ((x ^ x >> 29) % HASH_RANGE + 1) / HASH_RANGE
+
+
+class UtilizationLoop:
+    """Sets G, and how far G is applied: skipping that does not free the cores is in vain."""
+
+    def __init__(self) -> None:
+        self.error_sum = 0.0
+        self.degraded_fraction = 0.0  # G
+        self.effectiveness = 1.0  # weight of G
+
+    def update(self, busy_fraction: float) -> None:
+        """Run the loop once, with the fraction of the cores that is busy. The sum stays inside its clamp."""
+        error = min(max(busy_fraction, 0.0), 1.0) - TARGET_BUSY_FRACTION
+        self.error_sum = min(max(self.error_sum + error, 0.0), 1 / INTEGRAL_GAIN)
+        control = PROPORTIONAL_GAIN * error + INTEGRAL_GAIN * self.error_sum
+        self.degraded_fraction = min(max(control, 0.0), 1.0)
+        if error > 0:
+            decayed = self.effectiveness * (1 - EFFECTIVENESS_DECAY * self.degraded_fraction)
+            self.effectiveness = max(MIN_EFFECTIVENESS, decayed)
+        else:
+            self.effectiveness = min(1.0, self.effectiveness + EFFECTIVENESS_RECOVERY)
+
+    @property
+    def saturated(self) -> bool:
+        """Return whether all clients are degraded."""
+        return self.degraded_fraction >= 1
+
+    def degrades(self, request: Request) -> bool:
+        """Return whether a request gets the degraded reply."""
+        return client_hash(request) <= self.degraded_fraction * self.effectiveness
--- /dev/null
+++ b/reelusher/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The adapter that hosts controllers for the simulator."""
--- a/reelusher/tenancy/durable/journal.py
+++ b/reelusher/storage/journal.py
@@ -17,8 +17,8 @@
 
 from loguru import logger
 
-from reelusher.tenancy.durable.disk import Disk
-from reelusher.tenancy.durable.frames import MAGIC, DamagedFileError, Scan, encode, scan
+from reelusher.storage.directory import Disk
+from reelusher.storage.frames import MAGIC, DamagedFileError, Scan, encode, scan
 
 NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
 FRESH = "snapshot.new"
--- a/reelusher/tenancy/durable/keys.py
+++ b/reelusher/storage/key_log.py
@@ -13,10 +13,10 @@
 import msgspec
 from loguru import logger
 
-from reelusher.core.keys import Key
-from reelusher.net import spawn
-from reelusher.tenancy.durable.disk import Disk
-from reelusher.tenancy.durable.journal import Journal, JournalError
+from reelusher.core.idempotency_table import Key
+from reelusher.net.threads import spawn
+from reelusher.storage.directory import Disk
+from reelusher.storage.journal import Journal, JournalError
 
 MOST_BATCH = 500  # keys in one write
 VERSION = 1
--- a/reelusher/tenancy/shares.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -13,8 +13,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from reelusher import interface as io
-from reelusher.tenancy.fairness import Claim, Gcra, allocate
+from reelusher.policy.events import Request
+from reelusher.policy.tenant_scheduler import HasRequestT
+from reelusher.tenancy.rate_limit import Claim, Gcra, allocate
 
 DEMAND_US = 1_000_000  # time constant of the mean work that comes in
 OVER = 1.05  # times its allocation that a tenant may ask for before it is over its share
@@ -74,7 +75,7 @@
     """A run, and what has been charged for it."""
 
     tenant: int
-    request: io.Request
+    request: Request
     since_us: int
     charged_us: float
 
@@ -243,14 +244,14 @@
 
     # What the module asks and tells
 
-    def arrived(self, request: io.Request, now_us: int) -> None:
+    def request_arrived(self, request: Request, now_us: int) -> None:
         """Count the work that a request asks for, whatever becomes of it: retries press as much."""
         flow = self._flow(request.tenant)
         flow.decay(now_us)
         flow.demand += self._estimate(flow, request) / DEMAND_US
         self._asking[flow.number] = flow
 
-    def full(self, request: io.Request, extra_kb: float, keyed: bool, used_kb: float) -> bool:
+    def exceeds_limit(self, request: Request, extra_kb: float, keyed: bool, used_kb: float) -> bool:
         """Tell whether a bound of its tenant keeps a request out.
 
         Of the memory a tenant may take so many times what is still free (dynamic thresholds: Choudhury and
@@ -266,7 +267,7 @@
         free_kb = max(0.0, self._memory_kb - used_kb)
         return len(self._flows) > 1 and flow.kb + extra_kb > FREE_PART * free_kb
 
-    def chance(self, tenant: int, chance: float) -> float:
+    def rejection_probability(self, tenant: int, chance: float) -> float:
         """Return the likelihood of a random refusal, where the module would have this one for all.
 
         While some are over their share, they alone are refused, and no more of each than the part that it
@@ -276,7 +277,7 @@
             return chance
         return min(chance, self._flow(tenant).excess)
 
-    def moved(self, request: io.Request, held: int, change_kb: float) -> None:
+    def holding_changed(self, request: Request, held: int, change_kb: float) -> None:
         """Count a request that begins (1) or ends (-1) to be held, and the memory that it takes or gives."""
         flow = self._flow(request.tenant)
         flow.held += held
@@ -285,7 +286,7 @@
         if flow.gone:
             self._tidy(flow)
 
-    def keeps(self, request: io.Request, until_us: int, entry_kb: float) -> None:
+    def key_remembered(self, request: Request, until_us: int, entry_kb: float) -> None:
         """Count a kept key."""
         if request.id not in self._keys:
             flow = self._flow(request.tenant)
@@ -294,7 +295,7 @@
             self._keys[request.id] = request.tenant, until_us
             heapq.heappush(self._ends, (until_us, request.id))
 
-    def forgets(self, number: int, entry_kb: float) -> None:
+    def key_forgotten(self, number: int, entry_kb: float) -> None:
         """Count a key no longer."""
         known = self._keys.pop(number, None)
         flow = self._flows.get(known[0]) if known else None
@@ -303,7 +304,7 @@
             flow.kb -= entry_kb
             self._tidy(flow)
 
-    def started(self, request: io.Request, now_us: int) -> None:
+    def run_started(self, request: Request, now_us: int) -> None:
         """Count a run, and charge what it is likely to take."""
         flow = self._flow(request.tenant)
         work = self._estimate(flow, request)
@@ -313,15 +314,17 @@
             self._virtual = start
         flow.finish = start
         if flow.share.class_weights:
-            flow.turn = flow.lanes[request.kind] = max(flow.turn, flow.lanes.get(request.kind, 0.0))
+            flow.turn = flow.lanes[request.class_index] = max(
+                flow.turn, flow.lanes.get(request.class_index, 0.0)
+            )
         flow.running += 1
         if work > LONG_US:  # as runs of this tenant are: its places are others' at once
             flow.long += 1
             self._long += 1
-        flow.charge(work, request.kind, now_us)
+        flow.charge(work, request.class_index, now_us)
         self._runs[request.id] = _Run(flow.number, request, now_us, work)
 
-    def ended(self, request: io.Request, took_us: int, now_us: int) -> None:
+    def run_ended(self, request: Request, took_us: int, now_us: int) -> None:
         """Count a run no longer, and charge what it has taken."""
         run = self._runs.pop(request.id, None)
         flow = self._flows.get(run.tenant) if run else None
@@ -332,16 +335,16 @@
         if not flow.running:
             flow.long, flow.floor_us = 0, 0.0
         if took_us:
-            flow.means.learn(request.kind, took, request.hint_us)
-            self._means.learn(request.kind, took, request.hint_us)
-        flow.charge(took - run.charged_us, request.kind, now_us)
+            flow.means.learn(request.class_index, took, request.expected_work_us)
+            self._means.learn(request.class_index, took, request.expected_work_us)
+        flow.charge(took - run.charged_us, request.class_index, now_us)
         self._tidy(flow)
 
-    def lent(self, tenant: int | None = None) -> int:
+    def borrowable_runs(self, tenant: int | None = None) -> int:
         """Return how many runs of other tenants last so long that their places are this one's to use."""
         return self._long - self._flow(tenant).long if self._long and tenant is not None else self._long
 
-    def order(self, held: Sequence[io.H], now_us: int) -> Iterator[io.H]:
+    def order(self, held: Sequence[HasRequestT], now_us: int) -> Iterator[HasRequestT]:
         """Yield held requests in the order in which tenants are entitled to run them.
 
         `held` comes in the module's order, and so it stays within a tenant (or within a class of one that
@@ -352,10 +355,10 @@
             if self._eligible(self._flow(held[0].request.tenant), now_us):
                 yield held[0]
             return
-        queues: dict[int, dict[int, deque[io.H]]] = {}
+        queues: dict[int, dict[int, deque[HasRequestT]]] = {}
         for one in held:
             number = one.request.tenant
-            lane = one.request.kind if self._flow(number).share.class_weights else -1
+            lane = one.request.class_index if self._flow(number).share.class_weights else -1
             queues.setdefault(number, {}).setdefault(lane, deque()).append(one)
         heap = [(*self._place(self._flow(number), now_us), number) for number in queues]
         heapq.heapify(heap)
@@ -387,7 +390,7 @@
             return 0, flow.reserve.tat_us, flow.finish
         return 1, max(self._virtual, flow.finish), flow.finish
 
-    def period(self, now_us: int) -> None:
+    def period_elapsed(self, now_us: int) -> None:
         """Bring the standing up to date: runs that last, keys that have run out, who is over its share."""
         if self.forgetful:
             self._rest(now_us)
@@ -398,7 +401,7 @@
             owner = self._flows.get(run.tenant)
             lasted = now_us - run.since_us
             if owner is not None and lasted > run.charged_us:
-                owner.charge(lasted - run.charged_us, run.request.kind, now_us)
+                owner.charge(lasted - run.charged_us, run.request.class_index, now_us)
                 run.charged_us = lasted
             if owner is not None:
                 self._asking[owner.number] = owner  # what runs of it counts, though nothing more comes in
@@ -426,7 +429,7 @@
             self._virtual += self._cores * (now_us - self._quiet_us) / max(1.0, self._weights)
         self._quiet_us = None if self._held else now_us
 
-    def expired(self, now_us: int) -> list[int]:
+    def expired_keys(self, now_us: int) -> list[int]:
         """Return the requests whose keys have run out by now, for `forgets`."""
         found = []
         while self._ends and self._ends[0][0] <= now_us:
@@ -451,14 +454,14 @@
             flow.excess = max(0.0, 1 - ADMIT * given / claim.demand) if over else 0.0
             self._any_over = self._any_over or over
 
-    def _estimate(self, flow: _Flow, request: io.Request) -> float:
+    def _estimate(self, flow: _Flow, request: Request) -> float:
         """Work that a request is likely to take, by its tenant's runs of the class, else by anyone's.
 
         It is no less than all that runs of its tenant has lasted by now: a worker that hangs shows in this
         long before the first end of a run could tell.
         """
         for means in (flow.means, self._means):
-            known = means.estimate(request.kind, request.hint_us)
+            known = means.estimate(request.class_index, request.expected_work_us)
             if known is not None:
                 return max(known, flow.floor_us)
-        return max(float(request.hint_us) or FIRST_US, flow.floor_us)
+        return max(float(request.expected_work_us) or FIRST_US, flow.floor_us)
--- a/reelusher/tenancy/readers.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -7,8 +7,8 @@
 from typing import Any, TypeVar
 
 from reelusher.core.counters import Counters
-from reelusher.net import spawn
-from reelusher.tenancy.paging import TenantUnavailableError
+from reelusher.net.threads import spawn
+from reelusher.tenancy.tenant_cache import TenantUnavailableError
 
 T = TypeVar("T")
 READERS = 3  # threads, as many as a copy has connections to read by
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -8,15 +8,15 @@
 from functools import partial
 from typing import Any
 
+from reelusher.config.checked_table import ConfigError, Table
 from reelusher.config.operator import Tenant, read_tenant
-from reelusher.config.table import ConfigError, Table
-from reelusher.core.model import Ask, Runner
-from reelusher.core.owner import Core
+from reelusher.core.event_loop import Core
+from reelusher.core.messages import EventLoopTask, Runner
+from reelusher.tenancy.fair_queue import Share, Shares
 from reelusher.tenancy.index import Index, Leaf, Routes
 from reelusher.tenancy.lifecycle import DRAIN_US, Entry, Lifecycle, State
-from reelusher.tenancy.paging import IDLE_US, Load, Pager, Resident, Row, Source, TenantUnavailableError
-from reelusher.tenancy.readers import WAIT_S, Readers
-from reelusher.tenancy.shares import Share, Shares
+from reelusher.tenancy.reader_pool import WAIT_S, Readers
+from reelusher.tenancy.tenant_cache import IDLE_US, Load, Pager, Resident, Row, Source, TenantUnavailableError
 
 UNREADABLE = ConfigError, ValueError, RecursionError  # that reading a row may raise
 IDLE_LOOK_US = 1_000_000  # between looks which tenants may be let go
@@ -340,7 +340,7 @@
 
     def _post(self, action: Callable[[], None]) -> None:
         """Have the owner do something behind all that is in its queue now."""
-        ask = Ask(action)
+        ask = EventLoopTask(action)
         ask.done.add_done_callback(self._applied)
         self._core.post(ask)
 
@@ -402,7 +402,7 @@
         assert self._pager is not None
         found = self._pager.idle(unused_us)
         if found:
-            self._core.post(Ask(partial(self._let_go, found)))
+            self._core.post(EventLoopTask(partial(self._let_go, found)))
 
     def _let_go(self, found: list[tuple[Resident, int]]) -> None:
         assert self._pager is not None
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
+from reelusher.config.checked_table import ConfigError, Table
 from reelusher.config.operator import Tenant, read_tenant
-from reelusher.config.table import ConfigError, Table
 from reelusher.core.counters import Counters
-from reelusher.fleet.replication.copy import Row
-from reelusher.fleet.replication.copy import Trail as Change
 from reelusher.fleet.replication.messages import MOST_TENANT, Entry
-from reelusher.fleet.replication.rows import ReplicaError
+from reelusher.fleet.replication.replica import NotLeaderError, Position, holder_of, stream_of
+from reelusher.fleet.replication.replica_store import ReplicaError
 from reelusher.fleet.replication.service import Replication
-from reelusher.fleet.replication.streams import NotLeaderError, Position, holder_of, stream_of
-from reelusher.tenancy.durable.journal import JournalError
-from reelusher.tenancy.durable.state import Trail
+from reelusher.fleet.replication.sqlite_replica import Row
+from reelusher.fleet.replication.sqlite_replica import Trail as Change
+from reelusher.storage.journal import JournalError
+from reelusher.storage.tenant_state import Trail
 
 CHANGING_S = 1.0  # that a change waits for another; whoever asked over the fleet waits a little longer
 SHOWN = "state", "shadowed", "shadows", "unreadable"  # beside what makes a tenant
--- a/reelusher/tenancy/store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -14,12 +14,12 @@
 
 from loguru import logger
 
+from reelusher.config.checked_table import ConfigError, Table
 from reelusher.config.operator import Tenant, read_tenant
-from reelusher.config.table import ConfigError, Table
-from reelusher.tenancy.durable.disk import Disk, Folder
-from reelusher.tenancy.durable.journal import Journal, JournalError
-from reelusher.tenancy.durable.keys import KeyLog
-from reelusher.tenancy.durable.state import (
+from reelusher.storage.directory import Disk, Folder
+from reelusher.storage.journal import Journal, JournalError
+from reelusher.storage.key_log import KeyLog
+from reelusher.storage.tenant_state import (
     Change,
     Kept,
     Standing,
--- a/reelusher/upgrade/claims.py
+++ b/reelusher/upgrade/key_locks.py
@@ -21,10 +21,10 @@
 
 from loguru import logger
 
-from reelusher.core.keys import Key
-from reelusher.core.model import Claim, Result
-from reelusher.net import spawn
-from reelusher.upgrade.lives import safe
+from reelusher.core.idempotency_table import Key
+from reelusher.core.messages import KeyLockRequest, Result
+from reelusher.net.threads import spawn
+from reelusher.upgrade.process_registry import safe
 
 LOOK_S = 0.05  # between looks at a claim of another process whose run is not over
 SWEEP_S = 5.0  # between looks for claims whose window is over
@@ -44,14 +44,16 @@
         self._folder.mkdir(mode=0o700, exist_ok=True)
         self._lock = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self._asked: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
-        self._waiting: list[tuple[float, int, Claim]] = []  # claims of others, by when they are looked at
+        self._waiting: list[
+            tuple[float, int, KeyLockRequest]
+        ] = []  # claims of others, by when they are looked at
         self._order = 0
         self._swept_s = time.monotonic()
 
     # Called by the owner
 
-    def keep(self, claim: Claim) -> None:
-        """Claim a key; see `Claim`."""
+    def keep(self, claim: KeyLockRequest) -> None:
+        """Claim a key; see `KeyLockRequest`."""
         self._asked.put(lambda: self._claim(claim))
 
     def ended(self, key: Key, result: Result | None) -> None:
@@ -117,7 +119,7 @@
         fresh.write_text(json.dumps(value, separators=(",", ":")))
         fresh.rename(path)
 
-    def _claim(self, claim: Claim) -> None:
+    def _claim(self, claim: KeyLockRequest) -> None:
         path, found = self._path(claim.key), None
         try:
             with self._alone():
@@ -136,7 +138,7 @@
         else:
             self._found(claim, found)
 
-    def _found(self, claim: Claim, found: dict[str, Any]) -> None:
+    def _found(self, claim: KeyLockRequest, found: dict[str, Any]) -> None:
         """Say what a claim of another process came to, or wait for its end.
 
         Whatever is wrong with it, the try gets its end: one that got none would hold its place for good.
@@ -147,7 +149,7 @@
             logger.error("upgrade: a claim can't be read, its request fails: {}", error)
             claim.elsewhere(None)
 
-    def _tell(self, claim: Claim, found: dict[str, Any]) -> None:
+    def _tell(self, claim: KeyLockRequest, found: dict[str, Any]) -> None:
         if found["digest"] != claim.digest or self._now_us() >= claim.due_us:  # another body, or too late
             claim.elsewhere(None)
         elif found["state"] != RUNS:
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -18,10 +18,10 @@
 from reelusher.config import ConfigError
 from reelusher.config.load import merge
 from reelusher.config.operator import parse as parse_operator
-from reelusher.config.platform import parse as parse_platform
+from reelusher.config.platform_config import parse as parse_platform
 from reelusher.importer.__main__ import main as run_importer
-from reelusher.net import Address
-from reelusher.server import Node
+from reelusher.net.sockets import Address
+from reelusher.node import Node
 
 ROOT = Path(__file__).parent.parent.parent
 OPENAPI, ANSWERS, COUNTERS, ERRORS, IMPORTED = (
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -7,8 +7,8 @@
 import pytest
 
 from golden.recordings import as_json, load
-from reelusher.fleet.learning.facts import donors
 from reelusher.fleet.membership import messages as membership
+from reelusher.fleet.membership.member_table import Table, bucket_of, mark_of
 from reelusher.fleet.membership.messages import (
     Fact,
     FactsReply,
@@ -19,10 +19,9 @@
     State,
     Update,
 )
-from reelusher.fleet.membership.table import Table, bucket_of, mark_of
 from reelusher.fleet.replication import messages as replication
 from reelusher.fleet.replication.messages import Entry, Piece
-from reelusher.fleet.replication.streams import (
+from reelusher.fleet.replication.replica import (
     Position,
     control_digest,
     first_epoch,
@@ -31,6 +30,7 @@
     pack,
     stream_of,
 )
+from reelusher.fleet.warm_start.facts import donors
 
 GOLDEN, AGREEMENTS = "messages.json", "agreements.json"
 SECRET = b"a secret of sixteen or more"
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from reelusher.fleet.replication.copy import LocalCopy
 from reelusher.fleet.replication.messages import EntriesReply, Entry
-from reelusher.fleet.replication.rows import MemoryRows
-from reelusher.fleet.replication.streams import Pull, Replica, Taken, stream_of
+from reelusher.fleet.replication.replica import Pull, Replica, Taken, stream_of
+from reelusher.fleet.replication.replica_store import MemoryRows
+from reelusher.fleet.replication.sqlite_replica import LocalCopy
 
 CONTROL = ("c1", "c2")
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,16 +13,16 @@
 from reelusher.admin.api import AdminApi, Parts
 from reelusher.admin.tenant_api import merged
 from reelusher.config.operator import Admin, ShareOf, Tenant
-from reelusher.core.owner import Core
-from reelusher.tenancy.durable.disk import Folder
-from reelusher.tenancy.store import Store
+from reelusher.core.event_loop import Core
+from reelusher.storage.directory import Folder
+from reelusher.tenancy.tenant_store import Store
 
 ROOT = Path(__file__).parent.parent
 WRITER = """
 import sys
 from pathlib import Path
-from reelusher.tenancy.durable.disk import Folder
-from reelusher.tenancy.store import Store
+from reelusher.storage.directory import Folder
+from reelusher.tenancy.tenant_store import Store
 store = Store(Folder(Path(sys.argv[1])))
 number = len(store.state.tenants)
 print("ready", flush=True)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,9 +22,9 @@
 
 from reelusher.codecs import http1
 from reelusher.config.load import merge
-from reelusher.config.platform import parse as parse_platform
-from reelusher.fronts.platform import PlatformFront
-from reelusher.server import Node
+from reelusher.config.platform_config import parse as parse_platform
+from reelusher.frontends.rpc.frontend import PlatformFront
+from reelusher.node import Node
 
 LIMIT = 160  # descriptors of the process
 FILLED = ("silent", "used once", "half asking")
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -18,7 +18,7 @@
 import pytest
 
 from reelusher.config import ConfigError
-from reelusher.config.table import Address
+from reelusher.config.checked_table import Address
 from reelusher.lab.fleet import model
 from reelusher.lab.fleet.__main__ import main
 from reelusher.lab.fleet.account import Account, Ask
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,6 +20,7 @@
 from reelusher.config.operator import Fleet
 from reelusher.core.counters import Counters
 from reelusher.fleet.membership import service
+from reelusher.fleet.membership.member_table import DEAD_MOST, KEPT_S, MOST_MEMBERS, Table, bucket_of
 from reelusher.fleet.membership.messages import (
     MOST_DATAGRAM,
     MOST_VECTOR,
@@ -38,7 +39,6 @@
 )
 from reelusher.fleet.membership.service import Allowance, Membership, read_secret
 from reelusher.fleet.membership.swim import DIRECT_S, PATIENCE, PERIOD_S, RETURN_S, Swim
-from reelusher.fleet.membership.table import DEAD_MOST, KEPT_S, MOST_MEMBERS, Table, bucket_of
 from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
 
 SECRET = b"a secret of sixteen or more"
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -13,13 +13,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from reelusher.backends.catalog import Catalog, RegistryUnavailableError
-from reelusher.backends.workers import Member, Pool
+from reelusher.backends.ajp.worker_pool import Member, Pool
+from reelusher.backends.service_registry import Catalog, RegistryUnavailableError
 from reelusher.config.operator import parse as parse_operator
 from reelusher.core.counters import Counters
 from reelusher.lab.fleet.virtual import VirtualLine
 from reelusher.pacing.backoff import Backoff, Tries
-from reelusher.pacing.cadence import LAPSE_S, Cadence, Loss
+from reelusher.pacing.report_schedule import LAPSE_S, Cadence, Loss
 
 ANSWER_S = 0.002
 
