--- a/reelusher/core/answers.py
+++ b/reelusher/core/answers.py
@@ -26,13 +26,13 @@
         context.attempts.mark_answered(attempt)
         context.counters.add("answers." + verdict.value)
         context.stats.request_answered(context.class_name_of(attempt), verdict)
-        attempt.request.reply(self._answer(verdict, result, retry_after_us, no_retry))
+        attempt.request.reply(self._build_answer(verdict, result, retry_after_us, no_retry))
 
     def give_untracked(self, request: IncomingRequest, verdict: Verdict) -> None:
         """Answer a request that never became an attempt, so that the controller does not see it."""
         context = self._context
         context.stats.request_answered(context.class_name(request.class_index), verdict)
-        request.reply(self._answer(verdict))
+        request.reply(self._build_answer(verdict))
 
     def drop(self, attempt: Attempt) -> None:
         """Record that an attempt needs no answer any more: its caller has disconnected."""
@@ -40,7 +40,7 @@
         context.attempts.mark_answered(attempt)
         context.stats.request_answered(context.class_name_of(attempt), Verdict.FAILED)
 
-    def _answer(
+    def _build_answer(
         self, verdict: Verdict, result: Result | None = None, retry_after_us: int = 0, no_retry: bool = False
     ) -> Answer:
         return Answer(verdict, result, retry_after_us, no_retry, self._context.notices.advertised_capacity)
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -95,11 +95,11 @@
     def remove(self, attempt: Attempt) -> None:
         """Remove an attempt, if it is still there."""
         if self._by_id.pop(attempt.id, None) is not None:
-            self._decrement(attempt.request.tenant_number)
+            self._decrement_tenant_count(attempt.request.tenant_number)
         if self._by_run_id.get(attempt.request.run_id) is attempt:
             del self._by_run_id[attempt.request.run_id]
 
-    def _decrement(self, tenant_number: int) -> None:
+    def _decrement_tenant_count(self, tenant_number: int) -> None:
         self._count_by_tenant[tenant_number] -= 1
         if not self._count_by_tenant[tenant_number]:
             del self._count_by_tenant[tenant_number]
--- a/reelusher/core/clock.py
+++ b/reelusher/core/clock.py
@@ -3,7 +3,9 @@
 import time
 from collections.abc import Callable
 
-MAX_READ_NS = 1_000_000  # two clocks read further apart are not compared: the thread was preempted meanwhile
+MAX_READ_GAP_NS = (
+    1_000_000  # two clocks read further apart are not compared: the thread was preempted meanwhile
+)
 
 
 class Clock:
@@ -28,6 +30,6 @@
         """Return how many microseconds the system's clock is ahead of this one at present."""
         before_ns = self._monotonic_ns()
         unix_ns = self._unix_ns()
-        if self._monotonic_ns() - before_ns <= MAX_READ_NS:
+        if self._monotonic_ns() - before_ns <= MAX_READ_GAP_NS:
             self._unix_ahead_us = (unix_ns - before_ns - self._offset_ns) // 1000
         return self._unix_ahead_us
--- a/reelusher/core/context.py
+++ b/reelusher/core/context.py
@@ -7,7 +7,7 @@
 from reelusher.core.clock import Clock
 from reelusher.core.counters import Counters
 from reelusher.core.messages import Message
-from reelusher.core.notices import ClientNotices
+from reelusher.core.notices import CallerNotices
 from reelusher.core.request_stats import RequestStats
 from reelusher.core.timers import Timers
 from reelusher.policy.events import Event
@@ -35,13 +35,13 @@
         self.clock = clock
         self.counters = counters
         self.post = post
-        self.notices = ClientNotices(idle_timeout_us=settings.idle_timeout_us)
+        self.notices = CallerNotices(idle_timeout_us=settings.idle_timeout_us)
         self.stats = RequestStats(class_names)
         self.attempts = Attempts()
         self.timers = Timers()
         self.pending_events: list[Event] = []  # for the controller, at the end of the batch
         self.now_us = 0  # of the current batch
-        self._first_index = {name: index for index, name in enumerate(class_names)}
+        self._first_index_by_name = {name: index for index, name in enumerate(class_names)}
 
     def class_name(self, class_index: int) -> str:
         """Return the name of a class by its index."""
@@ -53,7 +53,7 @@
 
     def first_index(self, class_index: int) -> int:
         """Return the first index that the class of this name had; a reload may have added others."""
-        return self._first_index[self.class_names[class_index]]
+        return self._first_index_by_name[self.class_names[class_index]]
 
     def apply_settings(
         self, settings: Settings, gauge_fields: list[str], class_names: list[str]
@@ -68,7 +68,7 @@
         if len(classes) > MAX_CLASSES:
             raise ValueError(f"more than {MAX_CLASSES} classes since the start")
         for index, name in enumerate(names):
-            self._first_index.setdefault(name, index)
+            self._first_index_by_name.setdefault(name, index)
         # whether the machine started cold is a fact of its start, which a later file does not change
         self.settings = replace(settings, classes=classes, cold_start=self.settings.cold_start)
         self.gauge_fields, self.class_names = gauge_fields, names
@@ -83,9 +83,9 @@
     """Append the classes that are new or changed, and return the index of each class of the settings."""
     index_by_name = {}
     for name, request_class in zip(class_names, settings.classes, strict=True):
-        known = list(zip(names, classes, strict=True))
-        if (name, request_class) in known:
-            index_by_name[name] = known.index((name, request_class))
+        existing = list(zip(names, classes, strict=True))
+        if (name, request_class) in existing:
+            index_by_name[name] = existing.index((name, request_class))
             continue
         index_by_name[name] = len(classes)
         classes.append(request_class)
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -80,7 +80,7 @@
                     del totals[name]
             return dict(sorted(totals.items()))
 
-    def warn(self, name: str, line: str, *values: object) -> None:
+    def warn(self, name: str, template: str, *values: object) -> None:
         """Count a warning and log it, unless the same line was logged within the interval.
 
         A line for each bad message would let its sender use up the processor time of the node.
@@ -88,36 +88,36 @@
         now_s = time.monotonic()
         with self._lock:
             self._counts[name] += 1
-            known = self._warnings.get(line)
-            if known is not None and now_s - known.logged_s < WARNING_INTERVAL_S:
-                known.suppressed += 1
-                known.last_value = str(values[-1])[:MAX_LOGGED_CHARACTERS] if values else ""
+            previous = self._warnings.get(template)
+            if previous is not None and now_s - previous.logged_s < WARNING_INTERVAL_S:
+                previous.suppressed += 1
+                previous.last_value = str(values[-1])[:MAX_LOGGED_CHARACTERS] if values else ""
                 return
-            self._warnings[line] = RepeatedWarning(now_s)
-        logger.warning(line, *values)
+            self._warnings[template] = RepeatedWarning(now_s)
+        logger.warning(template, *values)
 
     def log_suppressed(self, now_s: float | None = None) -> None:
         """Log how often each warning was suppressed, once its interval is over."""
         now_s = time.monotonic() if now_s is None else now_s
-        for line, warning in self._take_expired_warnings(now_s):
+        for template, warning in self._take_expired_warnings(now_s):
             if warning.suppressed:
                 logger.warning(
                     "{} more in {:.0f} s like «{}», the last: {}",
                     warning.suppressed,
                     now_s - warning.logged_s,
-                    line,
+                    template,
                     warning.last_value,
                 )
 
     def _take_expired_warnings(self, now_s: float) -> list[tuple[str, RepeatedWarning]]:
         with self._lock:
             expired = [
-                (line, warning)
-                for line, warning in self._warnings.items()
+                (template, warning)
+                for template, warning in self._warnings.items()
                 if now_s - warning.logged_s >= WARNING_INTERVAL_S
             ]
-            for line, _ in expired:
-                del self._warnings[line]
+            for template, _ in expired:
+                del self._warnings[template]
         return expired
 
     def must(self, holds: bool, invariant: str) -> bool:
--- a/reelusher/core/deadline_guard.py
+++ b/reelusher/core/deadline_guard.py
@@ -6,8 +6,8 @@
 from reelusher.core.attempts import Attempt
 from reelusher.core.context import CoreContext
 
-SLOT_US = 10_000  # the guard looks at multiples of this time
-MAX_DELAY_US = 30_000  # after the deadline; the rest of the slack is for the way of the answer
+SLOT_WIDTH_US = 10_000  # the guard looks at multiples of this time
+MAX_CHECK_DELAY_US = 30_000  # after the deadline; the rest of the slack is for the way of the answer
 STOP_MARGIN_US = 150_000  # before the process is stopped, by when all requests are answered
 
 
@@ -26,13 +26,13 @@
     def watch(self, attempt: Attempt, stop_us: int | None) -> None:
         """Look at an attempt after its deadline, or before the process is stopped if that is earlier."""
         context = self._context
-        due_us = attempt.due_us + min(MAX_DELAY_US, context.settings.answer_slack_us // 2)
+        check_us = attempt.due_us + min(MAX_CHECK_DELAY_US, context.settings.answer_slack_us // 2)
         if stop_us is not None:
-            due_us = min(due_us, stop_us - STOP_MARGIN_US)
-        slot = -(-max(due_us, context.now_us) // SLOT_US)  # rounded up
+            check_us = min(check_us, stop_us - STOP_MARGIN_US)
+        slot = -(-max(check_us, context.now_us) // SLOT_WIDTH_US)  # rounded up
         if slot not in self._slots:
             self._slots[slot] = []
-            context.timers.at(slot * SLOT_US, partial(self._check_slot, slot))
+            context.timers.call_at(slot * SLOT_WIDTH_US, partial(self._check_slot, slot))
         self._slots[slot].append(attempt.id)
 
     def _check_slot(self, slot: int) -> None:
--- a/reelusher/core/deduplication.py
+++ b/reelusher/core/deduplication.py
@@ -48,9 +48,9 @@
         """
         return self._table.has_other_body(key, request.received_us, _digest(request))
 
-    def original_of(self, key: IdempotencyKey, request: IncomingRequest) -> int:
+    def original_id_of(self, key: IdempotencyKey, request: IncomingRequest) -> int:
         """Return the id of the attempt that a request repeats, or 0."""
-        return self._table.original(key, request.received_us)
+        return self._table.original_id(key, request.received_us)
 
     def entry_of(self, attempt: Attempt) -> IdempotencyEntry | None:
         """Return the entry of which an attempt is the original."""
@@ -77,7 +77,7 @@
         if attempt is None:
             return
         attempt.state = AttemptState.ATTACHED
-        original_id = self._table.original(self._table_key(attempt.request), attempt.request.received_us)
+        original_id = self._table.original_id(self._table_key(attempt.request), attempt.request.received_us)
         entry = self._table.entry_of(original_id)
         self._context.counters.add("keys.joined")
         if not self._context.counters.must(entry is not None, "a join has an original") or entry is None:
@@ -109,11 +109,11 @@
 
     # Runs of originals
 
-    def must_secure_keys(self) -> bool:
+    def must_lock_or_persist_keys(self) -> bool:
         """Return whether a key must be locked or made durable before its run starts."""
         return self.key_locks is not None or self.key_log is not None
 
-    def secure(self, attempt: Attempt, entry: IdempotencyEntry) -> None:
+    def lock_and_persist(self, attempt: Attempt, entry: IdempotencyEntry) -> None:
         """Lock a key and make it durable; `KeyPersisted` or the end of the run in another process follows."""
         attempt.awaiting_key = True
         unix_ahead_us = self._context.clock.unix_ahead_us()  # other processes and incarnations read Unix time
--- a/reelusher/core/dependency_calls.py
+++ b/reelusher/core/dependency_calls.py
@@ -8,7 +8,7 @@
 from reelusher.policy.actions import Call, SkipCall
 from reelusher.policy.events import CallEnded, CallNeeded, Outcome
 
-CALL_GRACE_US = 60_000  # after the time-out of a call, before it is given up without word of its end
+CALL_END_MARGIN_US = 60_000  # after the time-out of a call, before it is given up without word of its end
 
 
 class DependencyCalls:
@@ -64,7 +64,9 @@
             context.post(CallFinished(run_id, ticket, Outcome.UNREACHABLE))
             return
         self._dependency.call(run_id, ticket, action.until_us, attempt.call_body)
-        context.timers.at(action.until_us + CALL_GRACE_US, partial(self._on_overdue, action.id, ticket))
+        context.timers.call_at(
+            action.until_us + CALL_END_MARGIN_US, partial(self._on_overdue, action.id, ticket)
+        )
 
     def skip(self, action: SkipCall) -> None:
         """Let a run continue without its call."""
--- a/reelusher/core/event_loop.py
+++ b/reelusher/core/event_loop.py
@@ -177,8 +177,8 @@
 
     def apply_warm_start(self, ratio_by_class: dict[str, float], call_duration_us: float) -> None:
         """Start from the times that other nodes have observed; on the event loop thread."""
-        names = enumerate(self.class_names)
-        ratios = {index: ratio_by_class[name] for index, name in names if name in ratio_by_class}
+        indexed_names = enumerate(self.class_names)
+        ratios = {index: ratio_by_class[name] for index, name in indexed_names if name in ratio_by_class}
         self._context.pending_events.append(WarmStartData(ratios, call_duration_us))
 
     def controller_state(self) -> dict[str, float]:
@@ -227,7 +227,7 @@
 
     def call_later(self, delay_us: int, function: Callable[[], None]) -> None:
         """Run a function after a delay; on the event loop thread."""
-        self._context.timers.at(self.clock.now() + delay_us, function)
+        self._context.timers.call_at(self.clock.now() + delay_us, function)
 
     def run(self) -> None:
         """Process batches until `stop`."""
@@ -244,11 +244,11 @@
         self._handle_events([])
         # a random first delay, so that nodes started together on one machine do not all look at once
         delay_us = Random(self._seed).randrange(KEY_EXPIRY_INTERVAL_US)
-        self._context.timers.at(self.now_us + delay_us, self._remove_expired_keys)
+        self._context.timers.call_at(self.now_us + delay_us, self._remove_expired_keys)
 
     def next_timer_us(self) -> int | None:
         """Return when the next timer is due."""
-        return self._context.timers.next_us()
+        return self._context.timers.next_due_us()
 
     def next_batch(self) -> list[Message | None]:
         """Wait for messages or the next timer, and return all queued messages."""
@@ -301,7 +301,7 @@
         context = self._context
         while context.pending_events:
             events, context.pending_events = context.pending_events, []
-            self.requests.forget_new_keys()
+            self.requests.clear_pending_keys()
             self._handle_events(events)
 
     def _handle_events(self, events: list[Event]) -> None:
@@ -325,7 +325,7 @@
     def _remove_expired_keys(self) -> None:
         self.keys.remove_expired(self.now_us, self.attempts.__contains__)
         self.counters.log_suppressed()
-        self._context.timers.at(self.now_us + KEY_EXPIRY_INTERVAL_US, self._remove_expired_keys)
+        self._context.timers.call_at(self.now_us + KEY_EXPIRY_INTERVAL_US, self._remove_expired_keys)
 
 
 def _run_task(message: EventLoopTask) -> None:
--- a/reelusher/core/gauge_ticks.py
+++ b/reelusher/core/gauge_ticks.py
@@ -6,7 +6,7 @@
 from reelusher.policy.events import Gauges, Tick
 
 GAUGES_TIMEOUT_US = 50_000  # after which a tick goes without gauges
-REARM_US = 100_000  # until the next tick, when a fault has lost the timer of the controller
+REARM_DELAY_US = 100_000  # until the next tick, when a fault has lost the timer of the controller
 
 
 class GaugeTicks:
@@ -24,20 +24,20 @@
         """Set a timer of the controller."""
         self.pending += 1
         due_us = self._context.now_us + action.delay_us
-        self._context.timers.at(due_us, lambda: self._request_gauges(action.label))
+        self._context.timers.call_at(due_us, lambda: self._request_gauges(action.label))
 
     def rearm_if_lost(self) -> None:
         """Set the one timer of the controller again, if a fault has lost it."""
         if not self.pending:
-            self.set_timer(SetTimer(REARM_US, 0))
+            self.set_timer(SetTimer(REARM_DELAY_US, 0))
 
     def on_gauges(self, message: GaugesReceived) -> None:
         """Let the tick that waits for these gauges follow."""
         label = self._label_by_cookie.pop(message.cookie, None)
         if label is None:
             return
-        fields = zip(self._context.gauge_fields, message.values, strict=False)
-        self._tick(label, Gauges(**{name: value for name, value in fields if name}))
+        readings = zip(self._context.gauge_fields, message.values, strict=False)
+        self._tick(label, Gauges(**{name: value for name, value in readings if name}))
 
     def _request_gauges(self, label: int) -> None:
         self._last_cookie += 1
@@ -47,7 +47,7 @@
             return
         self._label_by_cookie[cookie] = label
         timeout_us = self._context.now_us + GAUGES_TIMEOUT_US
-        self._context.timers.at(timeout_us, lambda: self._on_gauges_timeout(cookie))
+        self._context.timers.call_at(timeout_us, lambda: self._on_gauges_timeout(cookie))
 
     def _on_gauges_timeout(self, cookie: str) -> None:
         label = self._label_by_cookie.pop(cookie, None)
--- a/reelusher/core/idempotency_table.py
+++ b/reelusher/core/idempotency_table.py
@@ -32,22 +32,24 @@
         self._retention_us = retention_us
         self._max_result_bytes = max_result_bytes
         self._result_bytes = 0  # of all stored results
-        self._results: dict[str, dict[int, IdempotencyEntry]] = {}  # by tenant and original, oldest first
+        self._entries_with_result: dict[
+            str, dict[int, IdempotencyEntry]
+        ] = {}  # by tenant and original, oldest first
         self._result_bytes_by_tenant: dict[str, int] = {}
         self._by_key: dict[IdempotencyKey, IdempotencyEntry] = {}
-        self._by_original: dict[int, IdempotencyEntry] = {}
+        self._by_original_id: dict[int, IdempotencyEntry] = {}
 
     def __len__(self) -> int:
-        return len(self._by_original)
+        return len(self._by_original_id)
 
     def __iter__(self) -> Iterator[IdempotencyEntry]:
-        return iter(self._by_original.values())
+        return iter(self._by_original_id.values())
 
     def extend_retention(self, retention_us: int) -> None:
         """Keep expired entries for at least this time: a class has a longer deadline now."""
         self._retention_us = max(self._retention_us, retention_us)
 
-    def original(self, key: IdempotencyKey, received_us: int) -> int:
+    def original_id(self, key: IdempotencyKey, received_us: int) -> int:
         """Return the id of the original that a request received at that time repeats, or 0."""
         entry = self._by_key.get(key)
         return entry.original_id if entry and received_us <= entry.expires_us else 0
@@ -59,21 +61,21 @@
 
     def entry_of(self, original_id: int) -> IdempotencyEntry | None:
         """Return the entry of an original."""
-        return self._by_original.get(original_id)
+        return self._by_original_id.get(original_id)
 
     def put(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes = b"") -> None:
         """Add an entry, or renew that of its original; a newer original takes the key over."""
-        entry = self._by_original.get(original_id)
+        entry = self._by_original_id.get(original_id)
         if entry:
             entry.expires_us = expires_us
             return
         entry = IdempotencyEntry(key, original_id, expires_us, digest)
-        self._by_key[key] = self._by_original[original_id] = entry
+        self._by_key[key] = self._by_original_id[original_id] = entry
 
     def restore(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes) -> None:
         """Add the entry of an earlier incarnation of the node: it may have run, and its result is unknown."""
         self.put(key, original_id, expires_us, digest)
-        self._by_original[original_id].finished = True
+        self._by_original_id[original_id].finished = True
 
     def store_result(self, entry: IdempotencyEntry, result: Result | None) -> int:
         """Store the result of an original; return the number of older results dropped to make space.
@@ -84,7 +86,7 @@
         entry.finished, entry.result = True, result
         if result is not None:
             tenant = entry.key.tenant
-            self._results.setdefault(tenant, {})[entry.original_id] = entry
+            self._entries_with_result.setdefault(tenant, {})[entry.original_id] = entry
             self._add_bytes(tenant, len(result.body))
         dropped = 0
         while self._result_bytes > self._max_result_bytes:
@@ -99,7 +101,7 @@
         """Return the oldest result, without attached retries, of the tenant with the most bytes."""
         by_tenant = self._result_bytes_by_tenant
         for tenant in sorted(by_tenant, key=by_tenant.__getitem__, reverse=True):
-            for entry in self._results[tenant].values():
+            for entry in self._entries_with_result[tenant].values():
                 if not entry.attached:
                     return entry
         return None
@@ -107,20 +109,20 @@
     def _drop_result(self, entry: IdempotencyEntry) -> None:
         if entry.result is None:
             return
-        tenant, size = entry.key.tenant, len(entry.result.body)
+        tenant, size_bytes = entry.key.tenant, len(entry.result.body)
         entry.result = None
-        del self._results[tenant][entry.original_id]
-        self._add_bytes(tenant, -size)
-        if not self._results[tenant]:
-            del self._results[tenant], self._result_bytes_by_tenant[tenant]
+        del self._entries_with_result[tenant][entry.original_id]
+        self._add_bytes(tenant, -size_bytes)
+        if not self._entries_with_result[tenant]:
+            del self._entries_with_result[tenant], self._result_bytes_by_tenant[tenant]
 
-    def _add_bytes(self, tenant: str, size: int) -> None:
-        self._result_bytes += size
-        self._result_bytes_by_tenant[tenant] = self._result_bytes_by_tenant.get(tenant, 0) + size
+    def _add_bytes(self, tenant: str, size_bytes: int) -> None:
+        self._result_bytes += size_bytes
+        self._result_bytes_by_tenant[tenant] = self._result_bytes_by_tenant.get(tenant, 0) + size_bytes
 
     def remove(self, original_id: int) -> None:
         """Remove the entry of an original, if there is one."""
-        entry = self._by_original.pop(original_id, None)
+        entry = self._by_original_id.pop(original_id, None)
         if entry is None:
             return
         self._drop_result(entry)
--- a/reelusher/core/notices.py
+++ b/reelusher/core/notices.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True)
-class ClientNotices:
+class CallerNotices:
     """What callers are told at present. Written by the event loop thread, read by front ends."""
 
     healthy: bool = True  # according to the controller
--- a/reelusher/core/request_lifecycle.py
+++ b/reelusher/core/request_lifecycle.py
@@ -46,7 +46,7 @@
         self._default_runner = default_runner
         self._flush = flush
         self._guard = DeadlineGuard(context, self._on_overdue)
-        self._new_keys: set[IdempotencyKey] = set()  # of requests whose events are pending
+        self._pending_keys: set[IdempotencyKey] = set()  # of requests whose events are pending
         self._grace_end_us: int | None = None  # requests that reach the machine later are not run
         self.runners: dict[str, Runner] = {}  # of tenants that have their own
         self.stop_us: int | None = None  # when the process is stopped, once it drains
@@ -64,7 +64,7 @@
         request, context = message.request, self._context
         context.counters.add("requests.read")
         context.stats.request_read()
-        verdict = self._verdict_without_key(request)
+        verdict = self._early_verdict(request)
         if verdict is not None:
             self._answers.give_untracked(request, verdict)
             return
@@ -79,9 +79,9 @@
                 )
                 self._answers.give_untracked(request, Verdict.FAILED)
                 return
-        self._add(request, self._deduplication.original_of(key, request) if key is not None else 0)
+        self._add_attempt(request, self._deduplication.original_id_of(key, request) if key is not None else 0)
 
-    def _verdict_without_key(self, request: IncomingRequest) -> Verdict | None:
+    def _early_verdict(self, request: IncomingRequest) -> Verdict | None:
         """Return the verdict on a request that must not become an attempt, or None."""
         context = self._context
         if context.attempts.by_run_id(request.run_id):  # two runs with one id can't be told apart
@@ -101,15 +101,15 @@
 
     def _flush_earlier_attempts(self, key: IdempotencyKey) -> None:
         """Let the controller decide on attempts with the same key first, if they came in the same batch."""
-        if key in self._new_keys:
+        if key in self._pending_keys:
             self._flush()
-        self._new_keys.add(key)
+        self._pending_keys.add(key)
 
-    def forget_new_keys(self) -> None:
+    def clear_pending_keys(self) -> None:
         """Forget the keys of requests that the controller now decides on."""
-        self._new_keys.clear()
+        self._pending_keys.clear()
 
-    def _add(self, request: IncomingRequest, original_id: int) -> None:
+    def _add_attempt(self, request: IncomingRequest, original_id: int) -> None:
         context = self._context
         deadline_us = context.settings.classes[request.class_index].deadline_us
         due_us = max(context.now_us, request.received_us + deadline_us)
@@ -156,10 +156,10 @@
         if not self._may_start(attempt, entry):
             return
         attempt.state, attempt.started = AttemptState.RUNNING, True
-        if entry is not None and self._deduplication.must_secure_keys():
-            self._deduplication.secure(attempt, entry)
+        if entry is not None and self._deduplication.must_lock_or_persist_keys():
+            self._deduplication.lock_and_persist(attempt, entry)
         else:
-            self._start(attempt)
+            self._start_run(attempt)
 
     def _may_start(self, attempt: Attempt, entry: IdempotencyEntry | None) -> bool:
         """Return whether the invariants of a start hold."""
@@ -173,7 +173,7 @@
         in_time = self._grace_end_us is None or request.received_us <= self._grace_end_us
         return counters.must(in_time, "a drain runs nothing that came after the grace")
 
-    def _start(self, attempt: Attempt) -> None:
+    def _start_run(self, attempt: Attempt) -> None:
         self._context.counters.add("runs.started")
         self._context.stats.run_started()
         attempt.runner.start(attempt.request, self._context.class_name_of(attempt))
@@ -186,7 +186,7 @@
         # a key that was not secured may be held by another process, so it is not released later
         attempt.awaiting_key = not message.succeeded
         if message.succeeded and not attempt.answered:
-            self._start(attempt)
+            self._start_run(attempt)
             return
         if message.succeeded:
             self._deduplication.withdraw_key(attempt)
--- a/reelusher/core/request_stats.py
+++ b/reelusher/core/request_stats.py
@@ -6,7 +6,7 @@
 
 from reelusher.core.messages import Verdict
 
-REPORTED_VERDICTS = {Verdict.SERVED: "succeeded", Verdict.REJECTED: "declined", Verdict.FAILED: "aborted"}
+FIELD_BY_VERDICT = {Verdict.SERVED: "succeeded", Verdict.REJECTED: "declined", Verdict.FAILED: "aborted"}
 
 
 class RequestStats:
@@ -14,7 +14,7 @@
 
     def __init__(self, class_names: list[str]) -> None:
         self._lock = threading.Lock()
-        self._answers: dict[str, Counter[str]] = {name: Counter() for name in REPORTED_VERDICTS.values()}
+        self._answers: dict[str, Counter[str]] = {name: Counter() for name in FIELD_BY_VERDICT.values()}
         self._requests_read = 0
         self._requests_answered = 0
         self._runs_started = 0
@@ -37,7 +37,7 @@
         """Count a final answer."""
         with self._lock:
             self._requests_answered += 1
-            self._answers[REPORTED_VERDICTS[verdict]][class_name] += 1
+            self._answers[FIELD_BY_VERDICT[verdict]][class_name] += 1
 
     def run_started(self) -> None:
         """Count a run that was handed to its runner."""
--- a/reelusher/core/timers.py
+++ b/reelusher/core/timers.py
@@ -12,18 +12,18 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []  # due time, sequence number, callback
         self._sequence = count()
 
-    def at(self, due_us: int, callback: Callable[[], None]) -> None:
+    def call_at(self, due_us: int, callback: Callable[[], None]) -> None:
         """Set a timer. It can't be cancelled: the callback checks whether it still applies."""
         heapq.heappush(self._heap, (due_us, next(self._sequence), callback))
 
-    def next_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
         """Return when the next timer is due."""
         return self._heap[0][0] if self._heap else None
 
-    def run_due(self, now_us: int, run: Callable[[Callable[[], None]], None]) -> None:
-        """Pass each due callback to `run`; timers that callbacks set wait for the next call."""
+    def run_due(self, now_us: int, run_callback: Callable[[Callable[[], None]], None]) -> None:
+        """Pass each due callback to `run_callback`; timers that callbacks set wait for the next call."""
         due = []
         while self._heap and self._heap[0][0] <= now_us:
             due.append(heapq.heappop(self._heap)[2])
         for callback in due:
-            run(callback)
+            run_callback(callback)
--- a/tests/core/test_idempotency_table.py
+++ b/tests/core/test_idempotency_table.py
@@ -8,15 +8,15 @@
     table = IdempotencyTable(retention_us=100)
     key = IdempotencyKey("t", 0, "k")
     table.put(key, 7, expires_us=50)
-    assert table.original(key, 50) == 7
-    assert table.original(key, 51) == 0
+    assert table.original_id(key, 50) == 7
+    assert table.original_id(key, 51) == 0
     table.remove_expired(140, lambda original_id: False)
-    assert table.original(key, 40) == 7  # read long after the entry expired, but received before
+    assert table.original_id(key, 40) == 7  # read long after the entry expired, but received before
     table.remove_expired(151, lambda original_id: True)
     assert len(table) == 1  # its original is still open
     table.remove_expired(151, lambda original_id: False)
     assert len(table) == 0
-    assert table.original(key, 40) == 0
+    assert table.original_id(key, 40) == 0
 
 
 def test_newer_original_takes_a_key_over_and_keeps_it_when_the_older_is_removed() -> None:
@@ -25,7 +25,7 @@
     table.put(key, 1, 10)
     table.put(key, 2, 90)
     table.remove(1)
-    assert table.original(key, 50) == 2
+    assert table.original_id(key, 50) == 2
 
 
 def test_stored_results_stay_within_their_memory_and_the_oldest_are_dropped_first() -> None:
