--- a/reelusher/core/deduplication.py
+++ b/reelusher/core/deduplication.py
@@ -1,4 +1,8 @@
-"""Deduplication of retries by idempotency key: originals, attached retries, persistence and locks of keys."""
+"""Deduplication of retries by idempotency key.
+
+The first attempt with a key is the original. Its run serves all retries, which stay attached to it until it
+ends. Keys can be locked against other processes of the node and made durable before their runs start.
+"""
 
 from hashlib import blake2b
 
@@ -25,54 +29,54 @@
 
 
 class Deduplication:
-    """Runs a request with an idempotency key once, whichever of its attempts arrives first."""
+    """Ensures that a request with an idempotency key runs at most once over all its attempts."""
 
     def __init__(self, context: CoreContext, answers: Answers, table: IdempotencyTable) -> None:
         self._context = context
         self._answers = answers
         self._table = table
-        self.key_log: DurableKeyLog | None = None  # makes keys durable, if configured
-        self.key_locks: KeyLocks | None = None  # excludes other processes of this node, if configured
+        self.key_log: DurableKeyLog | None = None  # makes keys durable; None if not configured
+        self.key_locks: KeyLocks | None = None  # locks keys against other processes of this node
 
     def key_of(self, request: IncomingRequest) -> IdempotencyKey | None:
-        """Return the idempotency key of a request, or None if it has none that counts."""
+        """Return the idempotency key of a request; None if it has none or its class does not use keys."""
         request_class = self._context.settings.classes[request.class_index]
         if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY or not request.idempotency_key:
             return None
         return self._table_key(request)
 
     def has_other_body(self, key: IdempotencyKey, request: IncomingRequest) -> bool:
-        """Return whether the key belongs to a request with another body.
+        """Return whether the key was first used by a request with another body.
 
         A caller that knows the key but not the body must not receive the result of the original.
         """
         return self._table.has_other_body(key, request.received_us, _digest(request))
 
     def original_id_of(self, key: IdempotencyKey, request: IncomingRequest) -> int:
-        """Return the id of the attempt that a request repeats, or 0."""
+        """Return the id of the original attempt that a request retries, or 0 if there is none."""
         return self._table.original_id(key, request.received_us)
 
     def entry_of(self, attempt: Attempt) -> IdempotencyEntry | None:
-        """Return the entry of which an attempt is the original."""
+        """Return the table entry whose original is this attempt; None if it is no original."""
         return self._table.entry_of(attempt.id)
 
     # Actions of the controller
 
     def remember_key(self, action: RememberKey) -> None:
-        """Add the key of an attempt to the table."""
+        """Add the key of an attempt to the table, with this attempt as the original."""
         attempt = self._context.attempts.get(action.id)
         if attempt and attempt.request.idempotency_key:
             key, expires_us = self._table_key(attempt.request), self._context.now_us + action.ttl_us
             self._table.put(key, action.id, expires_us, _digest(attempt.request))
 
     def forget_key(self, action: ForgetKey) -> None:
-        """Remove the key of an attempt that never ran."""
+        """Remove the key of an original that never ran; retries attached to it fail."""
         if self._table.entry_of(action.id):
             self.finish_attached(action.id)
             self._table.remove(action.id)
 
     def attach(self, action: AttachToOriginal) -> None:
-        """Let an attempt wait for the result of its original."""
+        """Attach an attempt to its original, or answer it at once if the original has finished."""
         attempt = self._context.attempts.get(action.id)
         if attempt is None:
             return
@@ -90,7 +94,7 @@
     # Attached retries
 
     def finish_attached(self, original_id: int) -> None:
-        """Answer the attempts attached to an original: with its result, or as failed if it has none."""
+        """Answer the attempts attached to an original with its result, or as failed if it has none."""
         entry = self._table.entry_of(original_id)
         if entry is None:
             return
@@ -114,9 +118,12 @@
         return self.key_locks is not None or self.key_log is not None
 
     def lock_and_persist(self, attempt: Attempt, entry: IdempotencyEntry) -> None:
-        """Lock a key and make it durable; `KeyPersisted` or the end of the run in another process follows."""
+        """Lock a key and make it durable before the run of its original starts.
+
+        The outcome arrives as a message: `KeyPersisted`, or `RunFinished` if another process has run the key.
+        """
         attempt.awaiting_key = True
-        unix_ahead_us = self._context.clock.unix_ahead_us()  # other processes and incarnations read Unix time
+        unix_ahead_us = self._context.clock.unix_ahead_us()  # other processes and incarnations use Unix time
         if self.key_locks is None:
             self._persist(attempt.id, entry, unix_ahead_us)
         else:
@@ -148,7 +155,7 @@
         )
 
     def _persist(self, attempt_id: int, entry: IdempotencyEntry, unix_ahead_us: int) -> None:
-        """Make a key durable, if that is configured. Any thread may call this."""
+        """Make a key durable if that is configured, and post `KeyPersisted`. Any thread may call this."""
         post = self._context.post
         if self.key_log is None:
             post(KeyPersisted(attempt_id, True))
@@ -161,17 +168,17 @@
         )
 
     def withdraw_key(self, attempt: Attempt) -> None:
-        """Withdraw a durable key whose run was not started after all."""
+        """Withdraw a durable key whose run was never started."""
         entry = self.entry_of(attempt)
         if self.key_log is not None and entry is not None:
             self.key_log.forget(entry.key)
 
     def record_end(self, attempt: Attempt, message: RunFinished) -> None:
-        """Store the result of an original, before its answer is given."""
+        """Store the result of an original and publish it to other processes, before the answer is given."""
         entry = self.entry_of(attempt)
         if entry is None:
             return
-        if self.key_locks is not None and not attempt.awaiting_key:  # it ran in this process
+        if self.key_locks is not None and not attempt.awaiting_key:  # this process holds the lock
             self._unlock(self.key_locks, entry, message)
         dropped = self._table.store_result(entry, message.result)
         if dropped:
@@ -184,7 +191,7 @@
             key_locks.complete(entry.key, message.result)
 
     def finish_original(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Answer the retries of an original that has ended, and forget its key if it never ran."""
+        """Answer the retries of an original that has ended, and remove its key if it never ran."""
         if self.entry_of(attempt) is None:
             return
         self.finish_attached(attempt.id)
@@ -192,11 +199,11 @@
             self._table.remove(attempt.id)
 
     def _table_key(self, request: IncomingRequest) -> IdempotencyKey:
-        # a class that a reload has changed has another index, and its keys stay those of the first one
+        # a reload gives a changed class a new index; keys keep the first index so that retries still match
         class_index = self._context.first_index(request.class_index)
         return IdempotencyKey(request.tenant, class_index, request.idempotency_key)
 
 
 def _digest(request: IncomingRequest) -> bytes:
-    """Return a digest of the body; the class is part of the key."""
+    """Return a digest of the body. It need not cover the class, which is part of the key."""
     return blake2b(request.body, digest_size=DIGEST_BYTES).digest()
--- a/reelusher/core/idempotency_table.py
+++ b/reelusher/core/idempotency_table.py
@@ -10,31 +10,31 @@
 
 @dataclass(slots=True)
 class IdempotencyEntry:
-    """A key and its original, the attempt whose run serves all retries."""
+    """A key and its original, which is the attempt whose run serves all retries."""
 
     key: IdempotencyKey
     original_id: int
     expires_us: int
-    digest: bytes = b""  # of the body, which all retries share
-    finished: bool = False  # the run of the original has ended, or will never start
-    result: Result | None = None  # of a run that succeeded
-    attached: list[int] = field(default_factory=list)  # ids of attempts that wait for the result
+    digest: bytes = b""  # digest of the body, which must be the same in all retries
+    finished: bool = False  # whether the run of the original has ended or will never start
+    result: Result | None = None  # result of a successful run; None if there is none or it was dropped
+    attached: list[int] = field(default_factory=list)  # ids of the retries that wait for the result
 
 
 class IdempotencyTable:
     """Entries by key and by the id of their original.
 
-    An entry names the original of each retry that reached the machine before the entry expired, however late
-    the retry is read. So an expired entry stays for `retention_us`, longer than any retry goes unread.
+    An entry applies to each retry that reached the machine before the entry expired, even if the retry is
+    read later. An expired entry is therefore kept for `retention_us`, which is longer than any retry stays
+    unread. The table is not thread-safe.
     """
 
     def __init__(self, retention_us: int, max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES) -> None:
         self._retention_us = retention_us
         self._max_result_bytes = max_result_bytes
-        self._result_bytes = 0  # of all stored results
-        self._entries_with_result: dict[
-            str, dict[int, IdempotencyEntry]
-        ] = {}  # by tenant and original, oldest first
+        self._result_bytes = 0  # sum of the body sizes of all stored results
+        # entries that have a result, by tenant and id of the original, oldest result first
+        self._entries_with_result: dict[str, dict[int, IdempotencyEntry]] = {}
         self._result_bytes_by_tenant: dict[str, int] = {}
         self._by_key: dict[IdempotencyKey, IdempotencyEntry] = {}
         self._by_original_id: dict[int, IdempotencyEntry] = {}
@@ -46,25 +46,25 @@
         return iter(self._by_original_id.values())
 
     def extend_retention(self, retention_us: int) -> None:
-        """Keep expired entries for at least this time: a class has a longer deadline now."""
+        """Keep expired entries for at least this long, as a reload may have lengthened a deadline."""
         self._retention_us = max(self._retention_us, retention_us)
 
     def original_id(self, key: IdempotencyKey, received_us: int) -> int:
-        """Return the id of the original that a request received at that time repeats, or 0."""
+        """Return the id of the original that a request received at this time retries, or 0."""
         entry = self._by_key.get(key)
         return entry.original_id if entry and received_us <= entry.expires_us else 0
 
     def has_other_body(self, key: IdempotencyKey, received_us: int, digest: bytes) -> bool:
-        """Return whether the key of a request received at that time belongs to another body."""
+        """Return whether the key of a request received at this time was first used with another body."""
         entry = self._by_key.get(key)
         return entry is not None and received_us <= entry.expires_us and entry.digest != digest
 
     def entry_of(self, original_id: int) -> IdempotencyEntry | None:
-        """Return the entry of an original."""
+        """Return the entry of an original, if there is one."""
         return self._by_original_id.get(original_id)
 
     def put(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes = b"") -> None:
-        """Add an entry, or renew that of its original; a newer original takes the key over."""
+        """Add an entry, or renew the entry of this original. A newer original takes over the key."""
         entry = self._by_original_id.get(original_id)
         if entry:
             entry.expires_us = expires_us
@@ -73,15 +73,19 @@
         self._by_key[key] = self._by_original_id[original_id] = entry
 
     def restore(self, key: IdempotencyKey, original_id: int, expires_us: int, digest: bytes) -> None:
-        """Add the entry of an earlier incarnation of the node: it may have run, and its result is unknown."""
+        """Add an entry from an earlier incarnation of the node; it may have run, and its result is unknown.
+
+        Retries of such a request fail and never run again.
+        """
         self.put(key, original_id, expires_us, digest)
         self._by_original_id[original_id].finished = True
 
     def store_result(self, entry: IdempotencyEntry, result: Result | None) -> int:
-        """Store the result of an original; return the number of older results dropped to make space.
+        """Store the result of an original and return the number of results dropped to make space.
 
-        An entry without its result still names its original: a retry fails, and never runs again. The tenant
-        with the most bytes loses its results first, so that a flood of one tenant displaces only its own.
+        An entry whose result was dropped is kept, so that a retry fails and never runs again. The oldest
+        results of the tenant with the most bytes are dropped first, so that a flood of requests from one
+        tenant displaces only its own results.
         """
         entry.finished, entry.result = True, result
         if result is not None:
@@ -98,7 +102,11 @@
         return dropped
 
     def _next_to_drop(self) -> IdempotencyEntry | None:
-        """Return the oldest result, without attached retries, of the tenant with the most bytes."""
+        """Return the entry whose result is to be dropped next, if there is one.
+
+        This is the oldest entry without attached retries of the tenant that stores the most bytes. If all
+        entries of that tenant have attached retries, the tenant with the next most bytes is tried.
+        """
         by_tenant = self._result_bytes_by_tenant
         for tenant in sorted(by_tenant, key=by_tenant.__getitem__, reverse=True):
             for entry in self._entries_with_result[tenant].values():
@@ -130,7 +138,10 @@
             del self._by_key[entry.key]
 
     def remove_expired(self, now_us: int, is_open: Callable[[int], bool]) -> None:
-        """Remove the entries that no retry can reach any more, unless their original is still open."""
+        """Remove entries that no unread retry can still match.
+
+        Entries with attached retries are kept, and so are those whose original is open by `is_open`.
+        """
         expired = [
             entry.original_id
             for entry in self
--- a/reelusher/core/request_lifecycle.py
+++ b/reelusher/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: arrival, run, answer, and what ends it early."""
+"""The life cycle of a request: arrival, run, answer, and early ends by a disconnect, drain or deadline."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,10 @@
 
 
 class RequestLifecycle:
-    """Carries attempts from arrival to answer, as the controller decides and runners report."""
+    """Moves attempts from arrival to answer, driven by actions of the controller and reports of the runners.
+
+    All methods must be called on the event loop thread.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,11 @@
         default_runner: Runner,
         flush: Callable[[], None],
     ) -> None:
-        """`flush` hands the pending events to the controller at once."""
+        """Initialize without open requests.
+
+        `default_runner` runs the requests of tenants without a runner of their own. `flush` passes the
+        pending events to the controller at once.
+        """
         self._context = context
         self._answers = answers
         self._deduplication = deduplication
@@ -46,21 +53,24 @@
         self._default_runner = default_runner
         self._flush = flush
         self._guard = DeadlineGuard(context, self._on_overdue)
-        self._pending_keys: set[IdempotencyKey] = set()  # of requests whose events are pending
-        self._grace_end_us: int | None = None  # requests that reach the machine later are not run
-        self.runners: dict[str, Runner] = {}  # of tenants that have their own
-        self.stop_us: int | None = None  # when the process is stopped, once it drains
-        self.admits_tenant: Callable[[int], bool] | None = None  # by tenant number; None admits all
-        self.last_success_s: dict[str, float] = {}  # of runs, by class name, Unix time
+        # keys of the requests whose arrival the controller has not processed yet
+        self._pending_keys: set[IdempotencyKey] = set()
+        # end of the grace period of a drain: requests that reach the machine later are not run
+        self._grace_end_us: int | None = None
+        self.runners: dict[str, Runner] = {}  # by name of the tenant, for tenants that have their own runner
+        self.stop_us: int | None = None  # when the process will be stopped; None until it drains
+        # returns whether the tenant with this number may send requests; None admits all tenants
+        self.admits_tenant: Callable[[int], bool] | None = None
+        self.last_success_s: dict[str, float] = {}  # Unix time of the last successful run, by class name
 
     def runner_of(self, tenant: str) -> Runner:
-        """Return the runner of a tenant."""
+        """Return the runner that executes the requests of a tenant."""
         return self.runners.get(tenant, self._default_runner)
 
     # Arrivals
 
     def on_request_arrived(self, message: RequestArrived) -> None:
-        """Hand a request to the controller, or answer it at once."""
+        """Pass a request to the controller, or answer it at once if it must not become an attempt."""
         request, context = message.request, self._context
         context.counters.add("requests.read")
         context.stats.request_read()
@@ -74,7 +84,7 @@
             if self._deduplication.has_other_body(key, request):
                 context.counters.warn(
                     "requests.key_taken",
-                    "request rejected: its idempotency key came with another body: {}",
+                    "request failed: its idempotency key was used with another body: {}",
                     request.run_id,
                 )
                 self._answers.give_untracked(request, Verdict.FAILED)
@@ -82,14 +92,14 @@
         self._add_attempt(request, self._deduplication.original_id_of(key, request) if key is not None else 0)
 
     def _early_verdict(self, request: IncomingRequest) -> Verdict | None:
-        """Return the verdict on a request that must not become an attempt, or None."""
+        """Return the verdict on a request that must not become an attempt; None if it may become one."""
         context = self._context
-        if context.attempts.by_run_id(request.run_id):  # two runs with one id can't be told apart
+        if context.attempts.by_run_id(request.run_id):  # two runs with the same id can't be told apart
             context.counters.warn(
-                "requests.name_taken", "request rejected: run id {} is in use already", request.run_id
+                "requests.name_taken", "request failed: run id {} is in use already", request.run_id
             )
             return Verdict.FAILED
-        if not self._admits_tenant_of(request):  # suspended or removed after the front end had looked
+        if not self._admits_tenant_of(request):  # suspended or removed after the front end checked it
             context.counters.add("requests.tenant_gone")
             return Verdict.REJECTED
         return None
@@ -100,13 +110,13 @@
         return self.admits_tenant(request.tenant_number)
 
     def _flush_earlier_attempts(self, key: IdempotencyKey) -> None:
-        """Let the controller decide on attempts with the same key first, if they came in the same batch."""
+        """Let the controller first decide on an attempt with the same key that arrived in the same batch."""
         if key in self._pending_keys:
             self._flush()
         self._pending_keys.add(key)
 
     def clear_pending_keys(self) -> None:
-        """Forget the keys of requests that the controller now decides on."""
+        """Forget the keys of pending requests; called when their events are passed to the controller."""
         self._pending_keys.clear()
 
     def _add_attempt(self, request: IncomingRequest, original_id: int) -> None:
@@ -131,7 +141,7 @@
         )
 
     def on_callers_disconnected(self, message: CallersDisconnected) -> None:
-        """Drop the answers to callers that can't receive them."""
+        """Drop the answers to attempts whose callers have disconnected."""
         for run_id in message.run_ids:
             attempt = self._context.attempts.by_run_id(run_id)
             if attempt and not attempt.answered:
@@ -162,7 +172,11 @@
             self._start_run(attempt)
 
     def _may_start(self, attempt: Attempt, entry: IdempotencyEntry | None) -> bool:
-        """Return whether the invariants of a start hold."""
+        """Check the invariants that must hold before a run starts, and return whether they do.
+
+        An attempt with an idempotency key must be the original of its table entry, and a draining node must
+        not run a request that was received after the grace period.
+        """
         request, counters = attempt.request, self._context.counters
         request_class = self._context.settings.classes[request.class_index]
         keyed = request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and request.idempotency_key
@@ -179,11 +193,14 @@
         attempt.runner.start(attempt.request, self._context.class_name_of(attempt))
 
     def on_key_persisted(self, message: KeyPersisted) -> None:
-        """Start a run whose key is secured, unless it has been answered meanwhile: then it never ran."""
+        """Start a run whose key is locked and durable.
+
+        If that failed, or if the attempt has been answered meanwhile, the run never starts.
+        """
         attempt = self._context.attempts.get(message.attempt_id)
         if attempt is None or not attempt.awaiting_key:
             return
-        # a key that was not secured may be held by another process, so it is not released later
+        # after a failure another process may hold the lock; awaiting_key stays set so that the lock is kept
         attempt.awaiting_key = not message.succeeded
         if message.succeeded and not attempt.answered:
             self._start_run(attempt)
@@ -193,7 +210,7 @@
         self.on_run_finished(RunFinished(attempt.request.run_id, Outcome.NOT_STARTED))
 
     def preempt(self, action: Preempt) -> None:
-        """Stop a run; one that is not answered may be resumed."""
+        """Stop a run; it may be resumed later unless its attempt has been answered."""
         attempt = self._context.attempts.get(action.id)
         if attempt and attempt.state is AttemptState.RUNNING and not attempt.awaiting_key:
             if not attempt.answered:
@@ -201,7 +218,7 @@
             attempt.runner.stop(attempt.request.run_id)
 
     def on_run_finished(self, message: RunFinished) -> None:
-        """Answer an attempt whose run has ended, and the retries attached to it."""
+        """Answer an attempt whose run has ended, and all retries attached to it."""
         context = self._context
         attempt = context.attempts.by_run_id(message.run_id)
         if attempt is None or not attempt.started:
@@ -227,7 +244,7 @@
             self._answers.give(attempt, Verdict.FAILED)
 
     def on_runs_lost(self, message: RunsLost) -> None:
-        """Fail the runs of a runner that has restarted."""
+        """End the runs of a restarted runner as failed, since their ends will never be reported."""
         for attempt in self._context.attempts:
             if attempt.runner is message.runner and attempt.started and not attempt.awaiting_key:
                 self.on_run_finished(RunFinished(attempt.request.run_id, Outcome.ERROR))
@@ -246,16 +263,16 @@
         self._release(attempt)
 
     def fail(self, action: FailRequest) -> None:
-        """Answer an attempt as failed."""
+        """Answer an attempt as failed, if it has no answer yet; its run may still be in progress."""
         attempt = self._context.attempts.get(action.id)
         if attempt and not attempt.answered:
             self._answers.give(attempt, Verdict.FAILED)
             self._release(attempt)
 
     def end_tenant_requests(self, tenant_number: int) -> None:
-        """Answer all requests of a tenant now.
+        """Answer all open requests of a tenant now.
 
-        Runs continue to their end, and their keys stay: a retry must still find that they ran.
+        Runs continue to their end and their keys are kept, so that a retry does not run again.
         """
         for attempt in self._context.attempts:
             if attempt.request.tenant_number == tenant_number and not attempt.answered:
@@ -264,7 +281,10 @@
         self._flush()
 
     def on_drain(self, message: DrainRequested) -> None:
-        """Make everything due before the stop; a later order may only bring the stop forward."""
+        """Start to drain: every open request becomes due before the stop.
+
+        A repeated drain request can only move the stop to an earlier time.
+        """
         context = self._context
         if self.stop_us is not None and message.stop_us >= self.stop_us:
             return
@@ -278,7 +298,7 @@
         context.pending_events.append(Drain(time_left_us, elapsed_us))
 
     def _on_overdue(self, attempt: Attempt) -> None:
-        """Answer an attempt that the controller has not answered in time."""
+        """Answer an attempt as failed that the controller has not answered in time."""
         self._context.counters.warn(
             "answers.by_guard",
             "request {} was due with no answer: answered as failed",
@@ -287,17 +307,20 @@
         self._answer_early(attempt, Verdict.FAILED)
 
     def _answer_early(self, attempt: Attempt, verdict: Verdict) -> None:
-        """Answer an attempt without a decision of the controller, which is told afterwards."""
+        """Answer an attempt without a decision of the controller, and notify the controller afterwards."""
         self._answers.give(attempt, verdict)
         self._report_disconnected(attempt)
 
     def _report_disconnected(self, attempt: Attempt) -> None:
-        """Tell the controller that nobody waits for an attempt any more."""
+        """Report to the controller that no caller waits for an attempt any more."""
         self._context.pending_events.append(ClientDisconnected(attempt.id))
         self._release(attempt)
 
     def _release(self, attempt: Attempt) -> None:
-        """Remove an answered attempt, unless its run is still to end."""
+        """Remove an answered attempt, or cancel its current call if its run has started.
+
+        An attempt whose run has started is removed when the run ends.
+        """
         if not attempt.started:
             self._context.attempts.remove(attempt)
             self._deduplication.finish_attached(attempt.id)
