--- a/reelusher/core/__init__.py
+++ b/reelusher/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core of the node: the event loop and what it keeps about requests, free of any wire protocol."""
+"""The core of the node: the event loop and the state of requests, independent of any wire protocol."""
--- a/reelusher/core/answers.py
+++ b/reelusher/core/answers.py
@@ -1,4 +1,4 @@
-"""Answers: each request gets exactly one, unless its caller has disconnected."""
+"""Final answers: each request gets exactly one, unless its caller has disconnected."""
 
 from reelusher.core.attempts import Attempt
 from reelusher.core.context import CoreContext
@@ -6,7 +6,7 @@
 
 
 class Answers:
-    """Gives the final answers of the node and counts them."""
+    """Sends the final answers to callers and counts them, on the event loop thread only."""
 
     def __init__(self, context: CoreContext) -> None:
         self._context = context
@@ -19,7 +19,7 @@
         retry_after_us: int = 0,
         no_retry: bool = False,
     ) -> None:
-        """Give the one final answer to an attempt."""
+        """Give an attempt its final answer. A second answer violates an invariant and is not sent."""
         context = self._context
         if not context.counters.must(not attempt.answered, "one answer a request"):
             return
@@ -29,13 +29,13 @@
         attempt.request.reply(self._build_answer(verdict, result, retry_after_us, no_retry))
 
     def give_untracked(self, request: IncomingRequest, verdict: Verdict) -> None:
-        """Answer a request that never became an attempt, so that the controller does not see it."""
+        """Answer a request that does not become an attempt and is not reported to the controller."""
         context = self._context
         context.stats.request_answered(context.class_name(request.class_index), verdict)
         request.reply(self._build_answer(verdict))
 
     def drop(self, attempt: Attempt) -> None:
-        """Record that an attempt needs no answer any more: its caller has disconnected."""
+        """Record that the caller of an attempt has disconnected. The statistics count it as failed."""
         context = self._context
         context.attempts.mark_answered(attempt)
         context.stats.request_answered(context.class_name_of(attempt), Verdict.FAILED)
--- a/reelusher/core/attempts.py
+++ b/reelusher/core/attempts.py
@@ -1,4 +1,4 @@
-"""The open attempts: one for each request read, until it is answered and its run has ended."""
+"""The open attempts. An attempt is open until it is answered and its run, if there is one, has ended."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -8,9 +8,9 @@
 
 
 class AttemptState(Enum):
-    """The state of an attempt."""
+    """The state of an attempt in its life cycle."""
 
-    HELD = "held"
+    HELD = "held"  # it waits for a decision of the controller
     RUNNING = "running"
     AWAITING_CALL = "at_call"  # its run waits for a decision on a call
     CALLING = "calling"  # its run waits for the reply to a call
@@ -19,7 +19,7 @@
 
 
 class Attempt:
-    """An open attempt."""
+    """An open attempt, with the state of its run and of the latest call of its run."""
 
     __slots__ = (
         "answered",
@@ -41,14 +41,14 @@
         self.request = request
         self.runner = runner
         self.state = AttemptState.HELD
-        self.answered = False  # no answer is due any more
-        self.started = False
+        self.answered = False  # it has its answer, or its caller has disconnected
+        self.started = False  # its run was started, or waits for its key to be locked and durable
         self.awaiting_key = False  # its run starts once its key is locked and durable
         self.due_us = due_us
-        self.call_ticket = 0  # of its latest call
-        self.call_body = b""  # of the call that its run waits for
-        self.call_serial = 0  # of the notice that requested the call
-        self.call_started_us = 0  # of its latest call
+        self.call_ticket = 0  # identifies its latest call
+        self.call_body = b""  # body of the call that its run waits for
+        self.call_serial = 0  # serial number of the notice that requested this call
+        self.call_started_us = 0  # when its latest call was made
 
     def is_calling(self, ticket: int) -> bool:
         """Return whether the run waits for the reply to the call with this ticket."""
@@ -56,14 +56,14 @@
 
 
 class Attempts:
-    """Open attempts by id and by run id."""
+    """The open attempts by id and by run id; for the event loop thread, except for `unanswered`."""
 
     def __init__(self) -> None:
         self._by_id: dict[int, Attempt] = {}
         self._by_run_id: dict[str, Attempt] = {}
         self._last_id = 0
         self._count_by_tenant: Counter[int] = Counter()
-        self.unanswered = 0  # any thread may read this
+        self.unanswered = 0  # number of open attempts without an answer; any thread may read it
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -76,7 +76,7 @@
         return attempt_id in self._by_id
 
     def add(self, request: IncomingRequest, runner: Runner, due_us: int) -> Attempt:
-        """Add an attempt for a request."""
+        """Add an attempt for a request, with an id that is never reused."""
         self._last_id += 1
         attempt = Attempt(self._last_id, request, runner, due_us)
         self._by_id[attempt.id] = self._by_run_id[request.run_id] = attempt
@@ -93,7 +93,7 @@
         return self._by_run_id.get(run_id)
 
     def remove(self, attempt: Attempt) -> None:
-        """Remove an attempt, if it is still there."""
+        """Remove an attempt, if it is still open."""
         if self._by_id.pop(attempt.id, None) is not None:
             self._decrement_tenant_count(attempt.request.tenant_number)
         if self._by_run_id.get(attempt.request.run_id) is attempt:
@@ -105,11 +105,11 @@
             del self._count_by_tenant[tenant_number]
 
     def count_of_tenant(self, tenant_number: int) -> int:
-        """Return the number of open attempts of a tenant, including those answered that still run."""
+        """Return the number of open attempts of a tenant, including answered ones that still run."""
         return self._count_by_tenant[tenant_number]
 
     def mark_answered(self, attempt: Attempt) -> None:
-        """Record that an attempt needs no answer any more."""
+        """Record that an attempt has its answer, or needs none any more."""
         if not attempt.answered:
             attempt.answered = True
             self.unanswered -= 1
--- a/reelusher/core/context.py
+++ b/reelusher/core/context.py
@@ -1,4 +1,4 @@
-"""The state that the parts of the core share; for the event loop thread, unless a member says otherwise."""
+"""The state that the modules of the core share; for the event loop thread, unless noted otherwise."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -13,7 +13,7 @@
 from reelusher.policy.events import Event
 from reelusher.policy.settings import RequestClass, Settings
 
-MAX_CLASSES = 1000  # including classes that a reload has replaced
+MAX_CLASSES = 1000  # limit of all classes since the start, including those that a reload has replaced
 
 
 class CoreContext:
@@ -28,7 +28,7 @@
         counters: Counters,
         post: Callable[[Message], None],
     ) -> None:
-        """`post` hands a message to the event loop; any thread may call it."""
+        """Initialize the shared state. `post` queues a message for the event loop; any thread may call it."""
         self.settings = settings
         self.gauge_fields = gauge_fields
         self.class_names = class_names
@@ -39,8 +39,8 @@
         self.stats = RequestStats(class_names)
         self.attempts = Attempts()
         self.timers = Timers()
-        self.pending_events: list[Event] = []  # for the controller, at the end of the batch
-        self.now_us = 0  # of the current batch
+        self.pending_events: list[Event] = []  # passed to the controller at the end of the batch
+        self.now_us = 0  # time of the current batch
         self._first_index_by_name = {name: index for index, name in enumerate(class_names)}
 
     def class_name(self, class_index: int) -> str:
@@ -48,11 +48,11 @@
         return self.class_names[class_index]
 
     def class_name_of(self, attempt: Attempt) -> str:
-        """Return the name of the class of an attempt."""
+        """Return the name of the class that an attempt belongs to."""
         return self.class_names[attempt.request.class_index]
 
     def first_index(self, class_index: int) -> int:
-        """Return the first index that the class of this name had; a reload may have added others."""
+        """Return the first index that a class of the same name had; reloads may have added others."""
         return self._first_index_by_name[self.class_names[class_index]]
 
     def apply_settings(
@@ -60,8 +60,8 @@
     ) -> dict[str, int]:
         """Replace the settings and return the index of each class by its name.
 
-        Open requests keep their class as it was: a new or changed class gets a new index. Raises ValueError
-        when there are too many classes.
+        Open requests keep the version of their class, since a new or changed class gets a new index. Raises
+        ValueError if there are too many classes.
         """
         classes, names = list(self.settings.classes), list(self.class_names)
         index_by_name = _add_classes(classes, names, settings, class_names)
@@ -69,7 +69,7 @@
             raise ValueError(f"more than {MAX_CLASSES} classes since the start")
         for index, name in enumerate(names):
             self._first_index_by_name.setdefault(name, index)
-        # whether the machine started cold is a fact of its start, which a later file does not change
+        # a reload cannot change whether the machine started cold
         self.settings = replace(settings, classes=classes, cold_start=self.settings.cold_start)
         self.gauge_fields, self.class_names = gauge_fields, names
         self.notices.idle_timeout_us = settings.idle_timeout_us
@@ -80,7 +80,7 @@
 def _add_classes(
     classes: list[RequestClass], names: list[str], settings: Settings, class_names: list[str]
 ) -> dict[str, int]:
-    """Append the classes that are new or changed, and return the index of each class of the settings."""
+    """Append new and changed classes to both lists, and return the index of each class of the settings."""
     index_by_name = {}
     for name, request_class in zip(class_names, settings.classes, strict=True):
         existing = list(zip(names, classes, strict=True))
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -1,4 +1,4 @@
-"""Named counters of the node, warnings that may come often, and the check of invariants."""
+"""Named counters of the node, rate-limited warnings, and the check of invariants."""
 
 import threading
 import time
@@ -7,22 +7,23 @@
 
 from loguru import logger
 
-MAX_TENANTS = 1000  # with counters of their own; those counted longest ago are merged into the others'
-WARNING_INTERVAL_S = 10.0  # between two lines of the same warning
-MAX_LOGGED_CHARACTERS = 200  # of the last value of a suppressed warning
+# Number of tenants with their own counters. The least recently counted ones are merged into `tenants.others`.
+MAX_TENANTS = 1000
+WARNING_INTERVAL_S = 10.0  # minimum time between two log lines of the same warning
+MAX_LOGGED_CHARACTERS = 200  # the last value of a suppressed warning is cut to this length
 
 
 @dataclass(slots=True)
 class RepeatedWarning:
-    """A warning that was logged, and how often it came since."""
+    """A warning that was logged, and how often it was suppressed since then."""
 
-    logged_s: float  # monotonic time
+    logged_s: float  # monotonic time of the log line
     suppressed: int = 0
-    last_value: str = ""
+    last_value: str = ""  # last template value of the latest suppressed warning
 
 
 class Counters:
-    """Named counts that any thread may add to."""
+    """Named counts. Any thread may call all methods."""
 
     def __init__(self) -> None:
         self._warnings: dict[str, RepeatedWarning] = {}
@@ -36,7 +37,11 @@
             self._counts[name] += by
 
     def add_for(self, tenant: str, name: str) -> None:
-        """Add to a count of a tenant. With too many tenants, the least recent one joins the others."""
+        """Add 1 to a count of a tenant.
+
+        If too many tenants have counts, those of the least recently counted tenant are merged into
+        `tenants.others`.
+        """
         with self._lock:
             counts = self._by_tenant.get(tenant)
             if counts is None:
@@ -53,7 +58,7 @@
             self._counts[f"tenants.others.{name}"] += count
 
     def of_tenant(self, tenant: str) -> dict[str, int]:
-        """Return the counts of one tenant, without those merged into the others'."""
+        """Return the counts of one tenant by name, without counts that were merged into `tenants.others`."""
         with self._lock:
             return dict(sorted(self._by_tenant.get(tenant, Counter()).items()))
 
@@ -68,7 +73,7 @@
             return dict(sorted({**self._counts, **of_tenants}.items()))
 
     def summary(self) -> dict[str, int]:
-        """Return all counts by name, with the counts of all tenants added up."""
+        """Return all counts by name, with the counts of all tenants summed up as `tenants.all`."""
         with self._lock:
             totals = Counter(self._counts)
             for counts in self._by_tenant.values():
@@ -81,9 +86,9 @@
             return dict(sorted(totals.items()))
 
     def warn(self, name: str, template: str, *values: object) -> None:
-        """Count a warning and log it, unless the same line was logged within the interval.
+        """Count a warning and log it, unless the same template was logged within `WARNING_INTERVAL_S`.
 
-        A line for each bad message would let its sender use up the processor time of the node.
+        A log line for each bad message would let its sender exhaust the processor time of the node.
         """
         now_s = time.monotonic()
         with self._lock:
@@ -97,12 +102,12 @@
         logger.warning(template, *values)
 
     def log_suppressed(self, now_s: float | None = None) -> None:
-        """Log how often each warning was suppressed, once its interval is over."""
+        """Log how often each warning was suppressed whose interval has ended; `now_s` is monotonic time."""
         now_s = time.monotonic() if now_s is None else now_s
         for template, warning in self._take_expired_warnings(now_s):
             if warning.suppressed:
                 logger.warning(
-                    "{} more in {:.0f} s like «{}», the last: {}",
+                    "{} more warnings in {:.0f} s like «{}», last value: {}",
                     warning.suppressed,
                     now_s - warning.logged_s,
                     template,
@@ -121,7 +126,11 @@
         return expired
 
     def must(self, holds: bool, invariant: str) -> bool:
-        """Check an invariant: asserted in debug builds, counted and logged in release builds."""
+        """Check an invariant and return whether it holds.
+
+        A violation raises AssertionError in debug builds. In release builds (`python -O`) it is counted and
+        logged.
+        """
         if not holds:
             if __debug__:
                 raise AssertionError(invariant)
--- a/reelusher/core/deadline_guard.py
+++ b/reelusher/core/deadline_guard.py
@@ -1,4 +1,4 @@
-"""The guard that finds attempts without an answer at their deadline."""
+"""A guard that finds attempts without an answer shortly after their due time."""
 
 from collections.abc import Callable
 from functools import partial
@@ -6,25 +6,30 @@
 from reelusher.core.attempts import Attempt
 from reelusher.core.context import CoreContext
 
-SLOT_WIDTH_US = 10_000  # the guard looks at multiples of this time
-MAX_CHECK_DELAY_US = 30_000  # after the deadline; the rest of the slack is for the way of the answer
-STOP_MARGIN_US = 150_000  # before the process is stopped, by when all requests are answered
+SLOT_WIDTH_US = 10_000  # checks are made at multiples of this time
+# An attempt is checked this long after its due time, or after half of the slack for answers if that is less:
+# the rest of the slack is left for the delivery of the answer. The time is rounded up to the next slot.
+MAX_CHECK_DELAY_US = 30_000
+STOP_MARGIN_US = 150_000  # latest check before the process is stopped; it is rounded up to a slot as well
 
 
 class DeadlineGuard:
-    """Calls `on_overdue` for each attempt that has no answer shortly after its deadline.
+    """Calls `on_overdue` for each attempt that has no answer shortly after its due time.
 
-    One timer serves all attempts of a time slot, and it holds their ids only: a callback for each attempt
-    would keep the body of a request in memory until its deadline, long after the answer.
+    One timer serves all attempts of a time slot and holds only their ids. A callback for each attempt would
+    keep the body of the request in memory until its deadline, long after the answer.
     """
 
     def __init__(self, context: CoreContext, on_overdue: Callable[[Attempt], None]) -> None:
         self._context = context
         self._on_overdue = on_overdue
-        self._slots: dict[int, list[int]] = {}  # ids of attempts, by slot
+        self._slots: dict[int, list[int]] = {}  # ids of the watched attempts, by slot number
 
     def watch(self, attempt: Attempt, stop_us: int | None) -> None:
-        """Look at an attempt after its deadline, or before the process is stopped if that is earlier."""
+        """Check an attempt shortly after its due time, or before the process is stopped if that is earlier.
+
+        `stop_us` is None unless the node drains. An attempt may be watched again when `stop_us` changes.
+        """
         context = self._context
         check_us = attempt.due_us + min(MAX_CHECK_DELAY_US, context.settings.answer_slack_us // 2)
         if stop_us is not None:
--- a/reelusher/core/dependency_calls.py
+++ b/reelusher/core/dependency_calls.py
@@ -1,4 +1,4 @@
-"""Calls of runs to the dependency: requested, made, skipped, ended, cancelled."""
+"""Calls from runs to the dependency, the downstream service, from the request of a call to its end."""
 
 from functools import partial
 
@@ -8,21 +8,25 @@
 from reelusher.policy.actions import Call, SkipCall
 from reelusher.policy.events import CallEnded, CallNeeded, Outcome
 
-CALL_END_MARGIN_US = 60_000  # after the time-out of a call, before it is given up without word of its end
+# a call is abandoned if its end has not been reported this long after its timeout
+CALL_END_MARGIN_US = 60_000
 
 
 class DependencyCalls:
-    """Makes the calls that the controller decides on and reports their ends to it."""
+    """Makes or skips calls as the controller decides, and reports the ends of calls to it.
+
+    All methods must be called on the event loop thread.
+    """
 
     def __init__(self, context: CoreContext, dependency: Dependency | None) -> None:
-        """Without a dependency each call ends as unreachable."""
+        """Initialize without calls. If `dependency` is None, each call ends as unreachable."""
         self._context = context
         self._dependency = dependency
         self._last_ticket = 0
-        self.last_success_s: float | None = None  # Unix time
+        self.last_success_s: float | None = None  # Unix time of the last successful call
 
     def on_call_requested(self, message: CallRequested) -> None:
-        """Ask the controller about the call that a run waits for."""
+        """Let the controller decide on the call that a run waits for."""
         context = self._context
         attempt = context.attempts.by_run_id(message.run_id)
         if attempt is None or not attempt.started:
@@ -34,7 +38,7 @@
         context.pending_events.append(CallNeeded(attempt.id))
 
     def on_call_finished(self, message: CallFinished) -> None:
-        """Hand the reply to the run, and report the end of the call to the controller."""
+        """Deliver the reply to the run, if there is one, and report the end of the call to the controller."""
         context = self._context
         attempt = context.attempts.by_run_id(message.run_id)
         if attempt is None or not attempt.is_calling(message.ticket):
@@ -82,7 +86,7 @@
             self._dependency.cancel(attempt.request.run_id, attempt.call_ticket)
 
     def _on_overdue(self, attempt_id: int, ticket: int) -> None:
-        """Give up a call whose end was not reported."""
+        """Abandon a call whose end has not been reported in time."""
         context = self._context
         attempt = context.attempts.get(attempt_id)
         if attempt is None or not attempt.is_calling(ticket):
--- a/reelusher/core/event_loop.py
+++ b/reelusher/core/event_loop.py
@@ -1,4 +1,4 @@
-"""The core of the node: one thread with a queue and timers, which alone uses the controller."""
+"""The event loop of the node: one thread with a message queue and timers; it alone uses the controller."""
 
 import queue
 import threading
@@ -55,15 +55,15 @@
 from reelusher.policy.settings import Settings
 from reelusher.policy.tenant_scheduler import TenantScheduler
 
-KEY_EXPIRY_INTERVAL_US = 1_000_000  # between two looks for expired idempotency keys
-TASK_TIMEOUT_S = 5.0  # for other threads that wait for a task
+KEY_EXPIRY_INTERVAL_US = 1_000_000  # time between two removals of expired idempotency keys
+TASK_TIMEOUT_S = 5.0  # default time that another thread waits for a task to start
 
 
 class Core:
-    """The event loop around one controller.
+    """The event loop that drives one controller.
 
-    Everything reaches it as a message through its queue. It takes all queued messages as one batch, hands
-    their events to the controller and carries out the actions.
+    All input arrives as messages in its queue. The loop takes all queued messages as one batch, passes the
+    resulting events to the controller and carries out the actions that it returns.
     """
 
     def __init__(
@@ -79,7 +79,12 @@
         max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES,
         scheduler: TenantScheduler | None = None,
     ) -> None:
-        """`runner` runs the requests of tenants without their own; `scheduler` accounts for tenants."""
+        """Create the event loop; `start` or `run` starts it.
+
+        `runner` runs the requests of tenants without a runner of their own and provides the gauges.
+        `gauge_fields` names the field of `Gauges` for each reading, or "" for a reading that is not used.
+        `scheduler` shares the node between tenants.
+        """
         self.counters = counters or Counters()
         self.clock = clock or Clock()
         names = class_names or [str(index) for index in range(len(settings.classes))]
@@ -94,10 +99,10 @@
             context, answers, self.deduplication, self._calls, runner, self._flush
         )
         self._ticks = GaugeTicks(context, runner)
-        self.on_health_changed: Callable[[], None] = lambda: None  # must not block
+        self.on_health_changed: Callable[[], None] = lambda: None  # called on any thread; must not block
         self._seed = seed
         self._controller = Controller(settings, seed, scheduler)
-        self._queue: queue.SimpleQueue[Message | None] = queue.SimpleQueue()  # None: end the thread
+        self._queue: queue.SimpleQueue[Message | None] = queue.SimpleQueue()  # None ends the thread
         self._lag = SchedulingLag()
         self._message_handlers = self._make_message_handlers()
         self._action_handlers = self._make_action_handlers()
@@ -137,17 +142,17 @@
 
     @property
     def settings(self) -> Settings:
-        """The current settings, with the classes that open requests still have."""
+        """The current settings, including replaced classes that open requests still use."""
         return self._context.settings
 
     @property
     def class_names(self) -> list[str]:
-        """The names of the classes by index; a class that was changed stands there again."""
+        """The names of the classes by index; a class that a reload has changed occurs once per version."""
         return self._context.class_names
 
     @property
     def now_us(self) -> int:
-        """The time of the current batch."""
+        """The time of the current batch in microseconds, by the clock of the node."""
         return self._context.now_us
 
     def apply_settings(
@@ -155,7 +160,7 @@
     ) -> dict[str, int]:
         """Replace the settings and return the index of each class by its name; on the event loop thread.
 
-        Open requests keep their class as it was. Raises ValueError when there are too many classes.
+        Open requests keep the version of their class. Raises ValueError if there are too many classes.
         """
         index_by_name = self._context.apply_settings(settings, gauge_fields, class_names)
         self.keys.extend_retention(_max_deadline_us(self.settings))
@@ -163,7 +168,12 @@
         return index_by_name
 
     def observed_times(self) -> dict[str, tuple[float, float]]:
-        """Return the observed times of runs and calls, each with its Unix time; on the event loop thread."""
+        """Return the observed run and call times for the warm start of other nodes; on the event loop thread.
+
+        Each value comes with the Unix time of the last success in seconds. The key `run:` with the name of a
+        class holds the run time as a ratio of the expected work; `call:below` holds the mean duration of a
+        call in microseconds.
+        """
         estimates, last_success_s = self._controller.run_times, self.requests.last_success_s
         observed: dict[str, tuple[float, float]] = {}
         for class_index, name in enumerate(self.class_names):
@@ -176,13 +186,13 @@
         return observed
 
     def apply_warm_start(self, ratio_by_class: dict[str, float], call_duration_us: float) -> None:
-        """Start from the times that other nodes have observed; on the event loop thread."""
+        """Use the times that other nodes have observed as initial estimates; on the event loop thread."""
         indexed_names = enumerate(self.class_names)
         ratios = {index: ratio_by_class[name] for index, name in indexed_names if name in ratio_by_class}
         self._context.pending_events.append(WarmStartData(ratios, call_duration_us))
 
     def controller_state(self) -> dict[str, float]:
-        """Return what the controller steers by at present; on the event loop thread."""
+        """Return the current values of the control variables of the controller; on the event loop thread."""
         state = self._controller.state()
         return {
             "G": round(state.degraded_fraction, 3),
@@ -192,7 +202,7 @@
         }
 
     def lag_s(self) -> float:
-        """Return by how much timers are late at present; on any thread."""
+        """Return the recent delay of timers in seconds; on any thread."""
         return self._lag.lag_s(self.clock.now() / 1e6)
 
     # The thread and its queue
@@ -204,7 +214,7 @@
         return thread
 
     def stop(self) -> None:
-        """End the event loop thread after the messages that are queued now."""
+        """End the event loop thread once it has processed the messages queued so far; on any thread."""
         self._queue.put(None)
 
     def post(self, message: Message) -> None:
@@ -214,7 +224,7 @@
     def run_on_loop(self, function: Callable[[], Any], timeout_s: float = TASK_TIMEOUT_S) -> Any:
         """Run a function on the event loop thread between two batches, and return its result.
 
-        Raises TimeoutError if it has not started in time; then it never will.
+        Raises TimeoutError if the function has not started in time; it will then never be run.
         """
         future: Future[Any] = Future()
         self.post(EventLoopTask(function, future))
@@ -230,7 +240,7 @@
         self._context.timers.call_at(self.clock.now() + delay_us, function)
 
     def run(self) -> None:
-        """Process batches until `stop`."""
+        """Process batches until `stop` is called; the body of the event loop thread."""
         self.begin()
         while True:
             batch = self.next_batch()
@@ -239,19 +249,22 @@
                 return
 
     def begin(self) -> None:
-        """Let the controller set its first timer; whoever starts no thread calls this first."""
+        """Let the controller set its first timer.
+
+        `run` calls this. Code that processes batches itself, without the thread, must call it first.
+        """
         self._context.now_us = self.clock.now()
         self._handle_events([])
-        # a random first delay, so that nodes started together on one machine do not all look at once
+        # a random first delay keeps nodes started together on a machine from removing keys all at once
         delay_us = Random(self._seed).randrange(KEY_EXPIRY_INTERVAL_US)
         self._context.timers.call_at(self.now_us + delay_us, self._remove_expired_keys)
 
     def next_timer_us(self) -> int | None:
-        """Return when the next timer is due."""
+        """Return when the next timer is due in microseconds, or None if no timer is set."""
         return self._context.timers.next_due_us()
 
     def next_batch(self) -> list[Message | None]:
-        """Wait for messages or the next timer, and return all queued messages."""
+        """Wait for a message or the next timer, and return all queued messages."""
         due_us = self.next_timer_us()
         timeout_s = None if due_us is None else max(0.0, (due_us - self.clock.now()) / 1e6)
         batch: list[Message | None] = []
@@ -275,7 +288,7 @@
         return not self._queue.empty()
 
     def process_batch(self, batch: list[Message]) -> None:
-        """Handle messages and due timers, all at one time."""
+        """Handle messages and due timers, all with the same current time."""
         now_us = self._context.now_us = self.clock.now()
         due_us = self.next_timer_us()
         if due_us is not None and due_us <= now_us:
@@ -287,7 +300,11 @@
         self._ticks.rearm_if_lost()
 
     def _run_step(self, step: Callable[[], None]) -> None:
-        """Run a step. In release builds a fault in one must not end the thread that all others need."""
+        """Run a step and log its exception.
+
+        In release builds (`python -O`) the exception is not raised again: it must not end the event loop
+        thread, on which all requests depend.
+        """
         try:
             step()
         except Exception:
@@ -297,7 +314,7 @@
                 raise
 
     def _flush(self) -> None:
-        """Hand the pending events to the controller, and those that its actions cause."""
+        """Pass the pending events to the controller, until its actions cause no more events."""
         context = self._context
         while context.pending_events:
             events, context.pending_events = context.pending_events, []
@@ -308,7 +325,7 @@
         for action in self._controller.handle(self.now_us, events):
             self._action_handlers[type(action)](action)
 
-    # Actions on the notices
+    # Actions that change the notices to callers
 
     def _report_health(self, action: ReportHealth) -> None:
         if self.notices.healthy is not action.healthy:
@@ -333,7 +350,7 @@
         return
     try:
         message.future.set_result(message.function())
-    except Exception as error:  # it belongs to the thread that waits for the result
+    except Exception as error:  # raised in the thread that waits for the result
         message.future.set_exception(error)
 
 
--- a/reelusher/core/gauge_ticks.py
+++ b/reelusher/core/gauge_ticks.py
@@ -1,38 +1,38 @@
-"""The periodic ticks of the controller, each with the gauges of its time."""
+"""The timers of the controller, which cause ticks with current gauges."""
 
 from reelusher.core.context import CoreContext
 from reelusher.core.messages import GaugesReceived, Runner
 from reelusher.policy.actions import SetTimer
 from reelusher.policy.events import Gauges, Tick
 
-GAUGES_TIMEOUT_US = 50_000  # after which a tick goes without gauges
-REARM_DELAY_US = 100_000  # until the next tick, when a fault has lost the timer of the controller
+GAUGES_TIMEOUT_US = 50_000  # a tick is sent without gauges if they do not arrive within this time
+REARM_DELAY_US = 100_000  # delay of the next tick after an exception lost the timer of the controller
 
 
 class GaugeTicks:
-    """Sets the timers that the controller asks for, and reads the gauges when one is due."""
+    """Sets the timers that the controller requests, and reads the gauges when a timer is due."""
 
     def __init__(self, context: CoreContext, runner: Runner) -> None:
-        """`runner` is the one that knows the gauges."""
+        """Initialize without timers. `runner` provides the gauges."""
         self._context = context
         self._runner = runner
         self._last_cookie = 0
-        self._label_by_cookie: dict[str, int] = {}  # of ticks that wait for gauges
-        self.pending = 0  # timers that are set, or wait for their gauges
+        self._label_by_cookie: dict[str, int] = {}  # labels of the ticks that wait for gauges
+        self.pending = 0  # number of timers that are set or wait for their gauges
 
     def set_timer(self, action: SetTimer) -> None:
-        """Set a timer of the controller."""
+        """Set a timer for the controller; its tick carries the label of the action."""
         self.pending += 1
         due_us = self._context.now_us + action.delay_us
         self._context.timers.call_at(due_us, lambda: self._request_gauges(action.label))
 
     def rearm_if_lost(self) -> None:
-        """Set the one timer of the controller again, if a fault has lost it."""
+        """Set the timer of the controller again if an exception has lost it."""
         if not self.pending:
             self.set_timer(SetTimer(REARM_DELAY_US, 0))
 
     def on_gauges(self, message: GaugesReceived) -> None:
-        """Let the tick that waits for these gauges follow."""
+        """Report the tick that waits for these gauges; gauges after the timeout are ignored."""
         label = self._label_by_cookie.pop(message.cookie, None)
         if label is None:
             return
--- a/reelusher/core/messages.py
+++ b/reelusher/core/messages.py
@@ -1,4 +1,4 @@
-"""The messages between front ends, backends and the core, and the interfaces that the core calls."""
+"""The messages from front ends and backends to the core, and the interfaces that the core calls."""
 
 from collections.abc import Callable
 from concurrent.futures import Future
@@ -10,7 +10,7 @@
 
 
 class IdempotencyKey(NamedTuple):
-    """The key of a request with its scope: each class of a tenant has keys of its own."""
+    """An idempotency key with its scope: each class of each tenant has its own key space."""
 
     tenant: str
     class_index: int
@@ -21,13 +21,13 @@
     """The kind of a final answer."""
 
     SERVED = "served"
-    REJECTED = "refused"  # it never ran
+    REJECTED = "refused"  # the request never ran
     FAILED = "failed"
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """The unchanged result of a run. Status and headers have their defaults where the backend has none."""
+    """The result of a run, passed on unchanged. Status and headers are set by backends that have them."""
 
     body: bytes
     status: int = 200
@@ -36,32 +36,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
     verdict: Verdict
     result: Result | None = None
-    retry_after_us: int = 0  # if rejected
-    no_retry: bool = False  # if rejected: the caller is asked not to try other nodes
-    advertised_capacity: float | None = None  # of the node, when it answered
+    retry_after_us: int = 0  # for a rejected request: time until a retry is useful; 0: no advice
+    no_retry: bool = False  # for a rejected request: the caller is asked not to try other nodes
+    advertised_capacity: float | None = None  # capacity that the node advertised when it answered
 
 
 @dataclass(slots=True, frozen=True)
 class IncomingRequest:
-    """One attempt of a request, as a front end has read it."""
+    """One attempt of a request, as read by a front end."""
 
-    run_id: str  # unique during the life of this process; names the run towards backends
+    run_id: str  # unique during the life of this process; identifies the run to backends
     class_index: int
     body: bytes
-    received_us: int  # when it reached the machine
+    received_us: int  # when it reached the machine, by the clock of the node
     reply: Callable[[Answer], None]  # called once, on the event loop thread; must not block
     tenant: str = ""
-    tenant_number: int = 0
-    caller: int = 0
-    subject: int = 0
-    held_kb: float = 0.0
-    expected_work_us: int = 0
-    idempotency_key: str = ""  # shared by all attempts of one request
-    backend_data: object = None  # what a backend needs beyond the body; opaque to the core
+    tenant_number: int = 0  # 0: not a managed tenant, so its state is not checked
+    caller: int = 0  # number of the caller, which many callers may share
+    subject: int = 0  # hash of what the request is about; 0: unknown
+    held_kb: float = 0.0  # memory that the request needs while it is held, in KiB
+    expected_work_us: int = 0  # 0: unknown
+    idempotency_key: str = ""  # shared by all attempts of a request; empty if it has none
+    backend_data: object = None  # further data for the backend; opaque to the core
 
 
 class Runner(Protocol):
@@ -71,29 +71,29 @@
         """Start a run; `RunFinished` reports its end."""
 
     def stop(self, run_id: str) -> None:
-        """Stop a run in the way that the settings name."""
+        """Stop a run according to the preemption mode of the settings."""
 
     def resume(self, run_id: str) -> None:
         """Resume a preempted run."""
 
     def deliver_reply(self, run_id: str, body: bytes) -> None:
-        """Deliver the reply to the call that a run waits for."""
+        """Deliver the reply to the call that a run waits for, and let the run continue."""
 
     def skip_call(self, run_id: str, serial: int) -> None:
         """Let a run continue without the call that the notice with this serial number requested."""
 
     def request_gauges(self, cookie: str) -> bool:
-        """Request the gauges, which `GaugesReceived` reports; return whether that was possible."""
+        """Request the gauges and return whether that was possible; `GaugesReceived` reports them."""
 
 
 class Dependency(Protocol):
-    """Makes calls to the dependency. Called on the event loop thread only; must not block."""
+    """Makes calls to the downstream service. Called on the event loop thread only; must not block."""
 
     def call(self, run_id: str, ticket: int, until_us: int, body: bytes) -> None:
-        """Make a call; `CallFinished` with this ticket reports its end."""
+        """Make a call that times out at `until_us`; `CallFinished` with this ticket reports its end."""
 
     def cancel(self, run_id: str, ticket: int) -> None:
-        """Cancel a call, whose reply is not needed any more."""
+        """Cancel a call whose reply is no longer needed."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RunFinished:
-    """A run has ended, with a result if it succeeded; NOT_STARTED if it never ran."""
+    """A run has ended. It has a result if it succeeded; its outcome is NOT_STARTED if it never ran."""
 
     run_id: str
     outcome: Outcome
@@ -122,26 +122,26 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRequested:
-    """A run waits for a call."""
+    """A run waits for a call to the downstream service, which must be made or skipped."""
 
     run_id: str
-    serial: int
+    serial: int  # serial number of this notice of the runner
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class CallFinished:
-    """A call has ended, with a body if it succeeded."""
+    """A call has ended. It has the body of the reply if it succeeded."""
 
     run_id: str
-    ticket: int
+    ticket: int  # identifies the call
     outcome: Outcome
     body: bytes = b""
 
 
 @dataclass(slots=True, frozen=True)
 class GaugesReceived:
-    """The gauges, in the order of the settings."""
+    """The gauges that were requested with this cookie, in the order of the settings."""
 
     cookie: str
     values: tuple[float, ...]
@@ -156,10 +156,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DrainRequested:
-    """The node is to drain. A second request can only bring the stop forward."""
+    """The node must drain. A repeated request can only move the stop to an earlier time."""
 
-    stop_us: int  # when the process is stopped, by the clock of the node
-    requested_us: int  # the earliest time at which the drain may have been requested
+    stop_us: int  # when the process will be stopped, by the clock of the node
+    requested_us: int  # earliest time at which the drain may have been requested
 
 
 class DurableKeyLog(Protocol):
@@ -168,36 +168,40 @@
     def persist(
         self, key: IdempotencyKey, until_us: int, digest: bytes, done: Callable[[bool], None]
     ) -> None:
-        """Make a key durable; `done` receives whether that succeeded, on another thread."""
+        """Make a key durable until the Unix time `until_us`.
+
+        `done` is called on another thread and receives whether that succeeded.
+        """
 
     def forget(self, key: IdempotencyKey) -> None:
-        """Withdraw a key that never ran after all."""
+        """Withdraw a durable key whose run was never started."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyLockRequest:
-    """A request for the lock of a key, so that only this process of the node runs it.
+    """A request to lock a key, so that no other process of the node runs it.
 
     Exactly one of the two callbacks is called, on any thread. Times are Unix times.
     """
 
     key: IdempotencyKey
     received_us: int  # when the attempt reached the machine
-    expires_us: int  # when the window of the key ends
-    due_us: int  # when the attempt is due; nothing is awaited beyond that
-    digest: str  # of the body, hexadecimal
-    on_decided: Callable[[bool], None]  # receives whether the key is locked and may run here
-    on_result_elsewhere: Callable[["Result | None"], None]  # receives the result from another process
+    expires_us: int  # when the idempotency window of the key ends
+    due_us: int  # when the attempt is due; a run in another process is not awaited longer
+    digest: str  # digest of the body, in hexadecimal
+    on_decided: Callable[[bool], None]  # receives whether the key was locked and may run here
+    # receives the result of the run in another process; None if there is none, though the key may have run
+    on_result_elsewhere: Callable[["Result | None"], None]
 
 
 class KeyLocks(Protocol):
     """Prevents two processes of one node from running the same key. Must not block."""
 
     def acquire(self, request: KeyLockRequest) -> None:
-        """Acquire the lock of a key."""
+        """Lock a key, or wait for the result if another process has locked it."""
 
     def complete(self, key: IdempotencyKey, result: Result | None) -> None:
-        """Publish the result of the run of a locked key."""
+        """Publish the result of the run of a locked key to other processes; None if it failed."""
 
     def release(self, key: IdempotencyKey) -> None:
         """Release the lock of a key that never ran."""
@@ -205,7 +209,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyPersisted:
-    """The key of an attempt has been secured, or could not be."""
+    """The key of an attempt has been locked and made durable as configured, or that failed."""
 
     attempt_id: int
     succeeded: bool
@@ -213,7 +217,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EventLoopTask:
-    """A function to be run on the event loop thread, and the future of its result."""
+    """A function to run on the event loop thread, and the future that receives its result."""
 
     function: Callable[[], Any]
     future: "Future[Any]" = field(default_factory=Future)
--- a/reelusher/core/notices.py
+++ b/reelusher/core/notices.py
@@ -1,20 +1,20 @@
-"""The notices of the controller that front ends pass on to callers."""
+"""The state of the node that front ends report to callers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class CallerNotices:
-    """What callers are told at present. Written by the event loop thread, read by front ends."""
+    """Notices to callers. The event loop thread writes them unless noted otherwise; front ends read them."""
 
     healthy: bool = True  # according to the controller
-    handing_over: bool = False  # another process of this node keeps serving, so the node stays healthy
-    diverting_callers: bool = False  # set by operators, from their own threads
+    handing_over: bool = False  # another process of this node takes over, so the node stays healthy
+    diverting_callers: bool = False  # operators set this, from other threads, to fail health checks
     advertised_capacity: float | None = None
     idle_timeout_us: int = 0
     draining: bool = False
 
     @property
     def reports_healthy(self) -> bool:
-        """Return the result of health checks."""
+        """Return whether health checks succeed."""
         return (self.healthy or self.handing_over) and not self.diverting_callers
--- a/reelusher/core/request_stats.py
+++ b/reelusher/core/request_stats.py
@@ -1,4 +1,4 @@
-"""Statistics of requests by class, for the operations address."""
+"""Statistics of requests by class, for the operations endpoint."""
 
 import threading
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class RequestStats:
-    """Counts since the start of this process. Any thread may add and read, without the event loop."""
+    """Counts since the start of this process. Any thread may call all methods."""
 
     def __init__(self, class_names: list[str]) -> None:
         self._lock = threading.Lock()
@@ -22,7 +22,7 @@
         self.add_classes(class_names)
 
     def add_classes(self, class_names: list[str]) -> None:
-        """Report these classes from now on, in addition to those counted before."""
+        """Report counts of these classes, starting at 0, in addition to those reported before."""
         with self._lock:
             for counts in self._answers.values():
                 for class_name in class_names:
@@ -34,7 +34,7 @@
             self._requests_read += 1
 
     def request_answered(self, class_name: str, verdict: Verdict) -> None:
-        """Count a final answer."""
+        """Count a request that got its final answer, or whose caller has disconnected."""
         with self._lock:
             self._requests_answered += 1
             self._answers[FIELD_BY_VERDICT[verdict]][class_name] += 1
@@ -45,12 +45,12 @@
             self._runs_started += 1
 
     def reload_finished(self, applied: bool) -> None:
-        """Count a configuration file that was read at SIGHUP."""
+        """Count a reload of the configuration file after SIGHUP."""
         with self._lock:
             self._reloads["sighup_applied" if applied else "sighup_rejected"] += 1
 
     def snapshot(self) -> dict[str, Any]:
-        """Return all counts in the form that operators read."""
+        """Return all counts under the names that operators use."""
         with self._lock:
             return {
                 **{verdict: dict(counts) for verdict, counts in self._answers.items()},
--- a/tests/core/test_deduplication.py
+++ b/tests/core/test_deduplication.py
@@ -19,7 +19,7 @@
     )
     assert harness.verdicts("b") == [Verdict.SERVED]
     assert harness.answers["b"][0].result == Result(b"r")
-    for _period in range(60):  # the late try has harness the module wary of arrivals for a while
+    for _period in range(60):  # the late retry raised the rejection probability: let it decay
         harness.process(later_us=100_000)
     harness.process(harness.request("c", 2, "k"))
     assert [command[1] for command in harness.backend.commands if command[0] == "start"] == ["a", "c"]
--- a/tests/core/test_idempotency_table.py
+++ b/tests/core/test_idempotency_table.py
@@ -11,9 +11,10 @@
     assert table.original_id(key, 50) == 7
     assert table.original_id(key, 51) == 0
     table.remove_expired(140, lambda original_id: False)
-    assert table.original_id(key, 40) == 7  # read long after the entry expired, but received before
+    # a retry that was received before the entry expired, and is read long after that
+    assert table.original_id(key, 40) == 7
     table.remove_expired(151, lambda original_id: True)
-    assert len(table) == 1  # its original is still open
+    assert len(table) == 1  # the original is still open
     table.remove_expired(151, lambda original_id: False)
     assert len(table) == 0
     assert table.original_id(key, 40) == 0
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Races for the one answer of a request, its deadline, and the ends of its run."""
+"""Races for the single answer to a request, its deadline, and the ends of its run."""
 
 import gc
 import weakref
@@ -40,8 +40,8 @@
     assert len(harness.core.attempts) == 0
 
 
-def test_deadline_guard_answers_what_the_controller_has_not() -> None:
-    """No tick comes for a while, as after a pause: the deadline alone must bring the answer."""
+def test_deadline_guard_answers_attempts_that_the_controller_has_not_answered() -> None:
+    """Without ticks or decisions, as after a pause, the deadline alone must cause the answer."""
     harness = CoreHarness(answer_slack_us=80_000)
     harness.process(harness.request("a"))
     harness.core._controller.handle = lambda now_us, events: []  # type: ignore[method-assign]
@@ -51,10 +51,10 @@
 
 
 def test_finished_request_is_released_long_before_its_deadline() -> None:
-    """Guards that held the attempt kept every body for its whole deadline: memory grew with the rate."""
+    """Guards that held the attempt kept each body until its deadline: memory grew with the request rate."""
     harness, answers = CoreHarness(), []
 
-    def reply(answer: Answer) -> None:  # stands for the request: whoever holds one holds the other
+    def reply(answer: Answer) -> None:  # proxy for the request, which alone refers to it
         answers.append(answer.verdict)
 
     watched = weakref.ref(reply)
@@ -78,9 +78,8 @@
 def test_grace_counts_from_the_signal_and_a_later_request_only_shortens_the_drain() -> None:
     harness = CoreHarness()
     started_us = harness.time
-    harness.process(
-        DrainRequested(started_us + 4_000_000, started_us - 500_000)
-    )  # noticed half a second late; the grace is 2 s
+    # the signal is noticed half a second late; the grace period is 2 s
+    harness.process(DrainRequested(started_us + 4_000_000, started_us - 500_000))
     harness.process(DrainRequested(started_us + 5_000_000, started_us - 500_000))
     assert harness.core.requests.stop_us == started_us + 4_000_000
     harness.time += 1_490_000
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -1,4 +1,4 @@
-"""A core under a controlled clock, and a backend that records its commands, for tests of several packages."""
+"""A core with a virtual clock, and a backend that records its commands, for tests of several packages."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 
 
 class Backend:
-    """Runner and dependency that record their commands."""
+    """A stand-in for the runner and the dependency that records its commands."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[Any, ...]] = []
@@ -35,10 +35,10 @@
 
 
 class CoreHarness:
-    """A core, its backend, and the answers it gave."""
+    """A core with a virtual clock, its backend, and the answers that it gave by run id."""
 
     def __init__(self, **changes: Any) -> None:
-        self.time = 1_000_000_000_000
+        self.time = 1_000_000_000_000  # current time of the virtual clock, in microseconds
         self.backend = Backend()
         self.answers: dict[str, list[Answer]] = {}
         self.core = Core(
@@ -54,6 +54,7 @@
     def request(
         self, run_id: str, class_index: int = 0, key: str = "", age_us: int = 0, tenant: str = "t"
     ) -> RequestArrived:
+        """Return the arrival of a request that was received `age_us` ago, and record its answers."""
         answers = self.answers.setdefault(run_id, [])
         return RequestArrived(
             IncomingRequest(
@@ -62,6 +63,7 @@
         )
 
     def process(self, *messages: Any, later_us: int = 0) -> None:
+        """Advance the clock by `later_us`, then process the messages as one batch."""
         self.time += later_us
         self.core.process_batch(list(messages))
 
