--- a/reelusher/policy/client_hints.py
+++ b/reelusher/policy/client_hints.py
@@ -1,29 +1,29 @@
-"""What callers are advised: how much capacity there is, when idle connections close, and health.
+"""Hints to callers: the advertised capacity, the idle time-out of connections, and the health status.
 
-Each class decides one of the three; times are microseconds.
+Each class decides one of the three. Times are microseconds.
 """
 
 from reelusher.policy.settings import CapacityHint, Settings
 
-MAX_ADVERTISED_PER_CORE = 8.0  # requests in the worker
-CAPACITY_BACKOFF_FACTOR = 0.85  # of the capacity, left after a period of long waits
-CAPACITY_RECOVERY_PER_CORE = 0.2  # regained in a period without
-MAX_CONNECTIONS_PER_CORE = 4.0  # above which idle connections are closed sooner
+MAX_ADVERTISED_PER_CORE = 8.0  # largest advertised number of requests in the worker, per core
+CAPACITY_BACKOFF_FACTOR = 0.85  # fraction of the capacity that remains after a period of long waits
+CAPACITY_RECOVERY_PER_CORE = 0.2  # capacity regained per core in a period without long waits
+MAX_CONNECTIONS_PER_CORE = 4.0  # open connections above which the idle time-out is shortened
 MIN_IDLE_TIMEOUT_US = 500_000
-MAX_CALLERS = 1_000  # remembered; past that the half not heard of for longest is forgotten
-REUSE_THRESHOLD = 0.8  # of arrivals on known connections: above it idle connections are left alone
-REUSE_WEIGHT = 0.02  # of the newest arrival in that fraction
-MIN_UNHEALTHY_US = 4_000_000  # that health checks fail for at least
-NEVER_HEARD_US = -(1 << 62)
+MAX_CALLERS = 1_000  # above this number, half as many are forgotten, those not seen for longest
+REUSE_THRESHOLD = 0.8  # fraction of arrivals on reused connections above which the time-out is not shortened
+REUSE_WEIGHT = 0.02  # weight of the newest arrival in the moving average of that fraction
+MIN_UNHEALTHY_US = 4_000_000  # shortest time for which health checks fail
+NEVER_SEEN_US = -(1 << 62)  # last-seen time of a caller that has not been seen
 
 
 class AdvertisedCapacity:
-    """How many requests callers may keep here: less while requests wait for long."""
+    """The number of requests that callers may keep in this worker; it shrinks while waits are long."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.capacity = MAX_ADVERTISED_PER_CORE * settings.cores
-        self.heard_us: dict[int, int] = {}  # when each caller was heard, as long as it remembers the hint
+        self.last_seen_us: dict[int, int] = {}  # by caller, for callers whose hint has not expired
 
     def apply_settings(self, settings: Settings) -> None:
         """Use other settings from now on."""
@@ -31,52 +31,53 @@
         self.capacity = min(self.capacity, MAX_ADVERTISED_PER_CORE * settings.cores)
 
     def observe_arrival(self, caller: int, now_us: int) -> None:
-        """Note that a caller was heard, so that it gets the hint with its reply."""
-        self.heard_us[caller] = now_us
+        """Record that a caller sent a request, and so gets the hint with its reply."""
+        self.last_seen_us[caller] = now_us
 
     def update(self, now_us: int, overloaded: bool, max_runnable: float | None) -> float | None:
-        """Return the value to advertise; None where the site has no hint.
+        """Return the value to advertise; None where the settings define no capacity hint.
 
         `max_runnable` is set while the worker warms up. All callers together are then advertised no more than
-        that, and those not heard yet count too: each was advertised all the capacity there was before.
+        that, and callers not seen yet count too: otherwise the first caller would be advertised all the
+        capacity, the second half of it, and so on, which is more in total.
         """
         settings = self.settings
-        oldest_us = now_us - settings.hint_ttl_us
-        self.heard_us = {
-            caller: heard_us for caller, heard_us in self.heard_us.items() if heard_us > oldest_us
+        cutoff_us = now_us - settings.hint_ttl_us
+        self.last_seen_us = {
+            caller: seen_us for caller, seen_us in self.last_seen_us.items() if seen_us > cutoff_us
         }
-        most = MAX_ADVERTISED_PER_CORE * settings.cores
-        callers = max(len(self.heard_us), 1)
+        max_capacity = MAX_ADVERTISED_PER_CORE * settings.cores
+        caller_count = max(len(self.last_seen_us), 1)
         if overloaded:
             self.capacity *= CAPACITY_BACKOFF_FACTOR
         else:
-            self.capacity = min(self.capacity + CAPACITY_RECOVERY_PER_CORE * settings.cores, most)
+            self.capacity = min(self.capacity + CAPACITY_RECOVERY_PER_CORE * settings.cores, max_capacity)
         if max_runnable is not None:
             self.capacity = min(self.capacity, max_runnable)
-            callers = max(callers, settings.caller_count)
+            caller_count = max(caller_count, settings.caller_count)
         match settings.capacity_hint:
             case CapacityHint.NONE:
                 return None
             case CapacityHint.TOKENS:
-                return self.capacity / callers
+                return self.capacity / caller_count
             case CapacityHint.BIAS:
-                return self.capacity / most
+                return self.capacity / max_capacity
             case CapacityHint.MIN_RANK:
-                return 1 - self.capacity / most
+                return 1 - self.capacity / max_capacity
 
 
 class IdleTimeout:
-    """When idle connections close: sooner while many are open and few are used again.
+    """The idle time-out of connections; it shrinks while many are open and few are reused.
 
-    It keeps the table of connections from filling, which would turn callers away; a caller that comes back
-    pays for a handshake.
+    This keeps the connection table from filling up, in which case new callers would be turned away. The cost
+    is a new handshake for a caller that comes back.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.timeout_us = settings.idle_timeout_us
-        self.last_heard_us: dict[int, int] = {}  # of all callers ever heard
-        self._reused_fraction = 1.0  # of arrivals, whose caller could still have its connection
+        self.last_seen_us: dict[int, int] = {}  # by caller; `forget_old_callers` bounds it
+        self._reused_fraction = 1.0  # fraction of arrivals from callers whose connection may still be open
 
     def apply_settings(self, settings: Settings) -> None:
         """Use other settings from now on."""
@@ -84,25 +85,25 @@
         self.timeout_us = settings.idle_timeout_us
 
     def observe_arrival(self, caller: int, now_us: int) -> None:
-        """Note that a caller was heard."""
-        silent_us = now_us - self.last_heard_us.get(caller, NEVER_HEARD_US)
-        reused = silent_us < self.settings.idle_timeout_us
+        """Record that a caller sent a request."""
+        idle_us = now_us - self.last_seen_us.get(caller, NEVER_SEEN_US)
+        reused = idle_us < self.settings.idle_timeout_us
         self._reused_fraction += REUSE_WEIGHT * (reused - self._reused_fraction)
-        self.last_heard_us[caller] = now_us
+        self.last_seen_us[caller] = now_us
 
     def forget_old_callers(self) -> None:
-        """Bound the memory that callers take: they come and go."""
-        if len(self.last_heard_us) > MAX_CALLERS:
-            order = sorted(self.last_heard_us.items(), key=lambda item: item[1])
-            self.last_heard_us = dict(order[MAX_CALLERS // 2 :])
+        """Bound the memory that callers take by forgetting those not seen for longest."""
+        if len(self.last_seen_us) > MAX_CALLERS:
+            by_last_seen = sorted(self.last_seen_us.items(), key=lambda item: item[1])
+            self.last_seen_us = dict(by_last_seen[MAX_CALLERS // 2 :])
 
     def update(self, connections: float) -> int | None:
-        """Return the new time-out where it changes."""
-        most = MAX_CONNECTIONS_PER_CORE * self.settings.cores
+        """Return the new time-out; None where it does not change."""
+        max_connections = MAX_CONNECTIONS_PER_CORE * self.settings.cores
         factor = 1.0
-        if self._reused_fraction > REUSE_THRESHOLD or connections < most / 2:
+        if self._reused_fraction > REUSE_THRESHOLD or connections < max_connections / 2:
             factor = 2.0
-        elif connections > most:
+        elif connections > max_connections:
             factor = 0.5
         timeout_us = max(int(self.timeout_us * factor), MIN_IDLE_TIMEOUT_US)
         timeout_us = min(timeout_us, self.settings.idle_timeout_us)
@@ -113,20 +114,20 @@
 
 
 class HealthStatus:
-    """Health checks fail while this worker alone is slow: the others then get its load."""
+    """The health status: checks fail while only this worker is slow, so that the others get its load."""
 
     def __init__(self) -> None:
         self.healthy = True
         self._unhealthy_until_us = 0
 
-    def update(self, now_us: int, slow_alone: bool, overloaded: bool) -> bool:
+    def update(self, now_us: int, local_slowdown: bool, overloaded: bool) -> bool:
         """Return whether the status changed.
 
-        `slow_alone`: requests lie unread for long although no more come than usual.
+        `local_slowdown` says that requests are read late although no more arrive than usual.
         """
-        before = self.healthy
-        if slow_alone:
+        was_healthy = self.healthy
+        if local_slowdown:
             self.healthy, self._unhealthy_until_us = False, now_us + MIN_UNHEALTHY_US
         elif now_us > self._unhealthy_until_us and not overloaded:
             self.healthy = True
-        return self.healthy is not before
+        return self.healthy is not was_healthy
--- a/reelusher/policy/concurrency_limiter.py
+++ b/reelusher/policy/concurrency_limiter.py
@@ -1,10 +1,12 @@
-"""How many requests may run at once, and less while the worker warms up."""
+"""The limit on concurrent runs, which has a lower ceiling while the worker warms up."""
 
 from reelusher.policy.settings import Settings
 
-LIMIT_STEP = 1  # by which the limit changes in a period
-CROWDED_RUNNABLE_PER_CORE = 1.5  # above which the limit shrinks
-SAFE_RUNNABLE_FRACTION = 0.8  # of what the cores survive, that may run, with those that wait for calls
+LIMIT_STEP = 1  # change of the limit in one period
+CROWDED_RUNNABLE_PER_CORE = 1.5  # runnable requests per core above which the limit shrinks
+# Ceiling on requests that run or wait for a call, as a fraction of the runnable requests that the cores
+# sustain.
+SAFE_RUNNABLE_FRACTION = 0.8
 
 
 class ConcurrencyLimiter:
@@ -20,7 +22,10 @@
         return self.settings.cold_start and now_us - self.started_us < self.settings.warm_up_us
 
     def max_runnable(self, now_us: int) -> float:
-        """Return how many requests on the cores the settings allow now; cold cores warm up at the slowest."""
+        """Return how many runnable requests the cores sustain now.
+
+        A cold worker is assumed to warm up as slowly as the settings allow.
+        """
         settings = self.settings
         speed = 1.0
         if self.is_warming_up(now_us):
@@ -29,11 +34,11 @@
         return (1 + (settings.max_runnable_per_core - 1) * speed) * settings.cores
 
     def ceiling(self, now_us: int) -> float:
-        """Return how many may run or wait for calls at most, whatever the limit."""
+        """Return the largest number of requests that may run or wait for a call, whatever the limit."""
         return max(1.0, SAFE_RUNNABLE_FRACTION * self.max_runnable(now_us))
 
     def update(self, runnable: float, any_held: bool, now_us: int) -> None:
-        """Adapt the limit to the number of requests that want a core."""
+        """Adapt the limit to the number of runnable requests, which are those that need a core now."""
         cores = self.settings.cores
         if runnable < cores and any_held:
             self.limit = min(self.limit + LIMIT_STEP, self.ceiling(now_us))
--- a/reelusher/policy/controller.py
+++ b/reelusher/policy/controller.py
@@ -1,6 +1,7 @@
-"""The controller of one worker: takes events, consults the decisions of this package, returns actions.
+"""The controller of a worker: takes events, combines the decisions of this package and returns actions.
 
-It does no I/O and has no clock: time is that of its events. docs/design.md tells which decision acts when.
+It does no I/O and has no clock: the time is that of the events. docs/design.md describes when each decision
+applies.
 """
 
 import math
@@ -46,34 +47,34 @@
 from reelusher.policy.timing import NEVER_US, PERIOD_US, reply_margin_us
 from reelusher.policy.utilization_loop import UtilizationLoop
 
-MAX_RUN_MEMORY_FRACTION = 0.85  # of the memory, up to which requests are started
-MAX_HELD_MEMORY_FRACTION = 0.93  # of the memory, up to which arrivals are held and keys remembered
-MAX_CALL_RETRIES = 2  # of an optional call that was rejected, before it is skipped
+MAX_RUN_MEMORY_FRACTION = 0.85  # fraction of the memory up to which requests are started
+MAX_HELD_MEMORY_FRACTION = 0.93  # fraction of the memory up to which arrivals are held and keys remembered
+MAX_CALL_RETRIES = 2  # retries of a rejected optional call before it is skipped
 
 
 class ControllerState(NamedTuple):
-    """What the controller steers by at present."""
+    """The present values of the control variables."""
 
-    degraded_fraction: float  # G
+    degraded_fraction: float  # G of `UtilizationLoop`
     concurrency_limit: float
     rejection_probability: float
     advertised_capacity: float
 
 
 class Controller:
-    """Decides for one worker. It knows what its own events say and nothing else."""
+    """Makes the decisions of one worker from nothing but its settings and the events it is given."""
 
     def __init__(self, settings: Settings, seed: int, scheduler: TenantScheduler | None = None) -> None:
-        """`scheduler` accounts for tenants, where there are several."""
+        """`scheduler` shares the worker among tenants, where there are several."""
         self.settings = settings
         self._scheduler = scheduler
         self.now_us = -1
         self._started = False
-        self.actions: list[Action] = []  # of the last batch
-        self._stop_us = NEVER_US  # when the process is stopped, once it drains
-        self._last_arrival_us = NEVER_US  # what arrived later must not run
+        self.actions: list[Action] = []  # the actions for the last batch of events
+        self._stop_us = NEVER_US  # when the process will be stopped; known once it drains
+        self._arrival_cutoff_us = NEVER_US  # requests that arrived later must not run
         self.in_flight = InFlightRequests(settings, scheduler)
-        self.remembered_keys: dict[int, int] = {}  # by request id: when its key expires
+        self.remembered_keys: dict[int, int] = {}  # expiry time of the key, by request id
         self.utilization = UtilizationLoop()
         self.admission = AdmissionControl(seed)
         self.concurrency = ConcurrencyLimiter(settings)
@@ -94,12 +95,15 @@
             WarmStartData: self._on_warm_start_data,
         }
 
-    def apply_settings(self, settings: Settings, current: Collection[int]) -> None:
-        """Use other settings from now on. Classes keep their numbers; those not `current` come no more."""
+    def apply_settings(self, settings: Settings, class_indexes: Collection[int]) -> None:
+        """Use other settings from now on.
+
+        Classes keep their indexes; `class_indexes` are those that new requests may have.
+        """
         self.settings = settings
         self._reply_margin_us = reply_margin_us(settings.tick_us)
         self.in_flight.settings = settings
-        self.admission.apply_classes([settings.classes[number] for number in current])
+        self.admission.apply_classes([settings.classes[class_index] for class_index in class_indexes])
         self.concurrency.settings = settings
         self.dependency.apply_settings(settings)
         self.run_times.set_class_count(len(settings.classes))
@@ -107,7 +111,7 @@
         self.idle_timeout.apply_settings(settings)
 
     def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-        """Take what happened at this time and return what to do, in order."""
+        """Handle the events of this time and return the actions to take, in order."""
         self.now_us, self.actions = now_us, []
         if not self._started:
             self._start()
@@ -121,7 +125,7 @@
         return self.actions
 
     def state(self) -> ControllerState:
-        """Return what the controller steers by at present."""
+        """Return the present values of the control variables."""
         return ControllerState(
             self.utilization.degraded_fraction,
             self.concurrency.limit,
@@ -134,7 +138,7 @@
         self.concurrency.started_us = self.now_us
         self.dependency.start(self.now_us)
         self.actions += [ReportHealth(True, True), SetTimer(PERIOD_US, 0)]
-        if self._is_warming_up():  # callers without a hint send as much as they like
+        if self._is_warming_up():  # callers that have no hint do not limit what they send
             self._advertise_capacity()
 
     def _is_warming_up(self) -> bool:
@@ -162,10 +166,12 @@
             self._update_idle_timeout(connections)
         self.idle_timeout.forget_old_callers()
         self._expire_keys()
-        self._answer_hopeless()
+        self._answer_out_of_time()
 
     def _update_health(self) -> None:
-        changed = self.health.update(self.now_us, self.admission.is_slow_alone(), self.admission.overloaded)
+        changed = self.health.update(
+            self.now_us, self.admission.has_local_slowdown(), self.admission.overloaded
+        )
         if changed and self._stop_us == NEVER_US:
             self.actions.append(ReportHealth(self.health.healthy, True))
 
@@ -191,15 +197,15 @@
             for request_id in self._scheduler.expired_keys(self.now_us):
                 self._scheduler.key_forgotten(request_id, self.settings.key_entry_kb)
 
-    def _answer_hopeless(self) -> None:
+    def _answer_out_of_time(self) -> None:
         for in_flight in list(self.in_flight.by_id.values()):
-            if not in_flight.answered and self._is_hopeless(in_flight):
-                self._answer_without_service(in_flight)
+            if not in_flight.answered and self._is_out_of_time(in_flight):
+                self._reject_or_fail(in_flight)
 
     # Arrivals
 
     def _on_request(self, request: Request) -> None:
-        """Hold a request, or answer it at once."""
+        """Hold a request, attach it to its original, or answer it at once."""
         self.admission.observe_arrival(request.waited_us)
         self.idle_timeout.observe_arrival(request.caller, self.now_us)
         self.advertised.observe_arrival(request.caller, self.now_us)
@@ -212,26 +218,29 @@
         if attached:
             self.actions.append(AttachToOriginal(request.id))
         admitted = self._admits(in_flight, keyed, attached)
-        if self._is_hopeless(in_flight) or not admitted:
-            self._answer_without_service(in_flight)
+        if self._is_out_of_time(in_flight) or not admitted:
+            self._reject_or_fail(in_flight)
         elif keyed and not attached:
             self._remember_key(in_flight)
 
     def _admits(self, in_flight: InFlightRequest, keyed: bool, attached: bool) -> bool:
-        """Return whether an arrival may be held; one that is attached to its original always is."""
+        """Return whether to admit an arrival; a retry that is attached to its original always is."""
         request = in_flight.request
         entry_kb = self.settings.key_entry_kb * keyed
-        full = self.memory_kb() + entry_kb > MAX_HELD_MEMORY_FRACTION * self.settings.memory_kb
-        # hints expire while callers wait, and some callers ignore them: a cold worker holds what it may run
-        full = full or (self._is_warming_up() and len(self.in_flight) > self._max_runnable())
+        over_limit = self.memory_kb() + entry_kb > MAX_HELD_MEMORY_FRACTION * self.settings.memory_kb
+        # Hints expire while callers wait, and some callers ignore them, so a cold worker itself holds no more
+        # requests than it may run.
+        over_limit = over_limit or (self._is_warming_up() and len(self.in_flight) > self._max_runnable())
         probability = self.admission.probability_for(in_flight.request_class)
         if self._scheduler and not attached:
             self._scheduler.request_arrived(request, self.now_us)
             probability = self._scheduler.rejection_probability(request.tenant, probability)
-            full = full or self._scheduler.exceeds_limit(request, entry_kb, keyed, self.memory_kb())
+            over_limit = over_limit or self._scheduler.exceeds_limit(
+                request, entry_kb, keyed, self.memory_kb()
+            )
         rejected = self.admission.draws_rejection(probability, request.is_retry)
-        too_late = in_flight.arrived_us > self._last_arrival_us
-        return attached or not (full or rejected or too_late)
+        too_late = in_flight.arrived_us > self._arrival_cutoff_us
+        return attached or not (over_limit or rejected or too_late)
 
     def _max_runnable(self) -> float:
         return self.concurrency.max_runnable(self.now_us)
@@ -253,18 +262,21 @@
         if self._scheduler:
             self._scheduler.key_forgotten(request_id, self.settings.key_entry_kb)
 
-    # Answers without service
+    # Rejections and failures
+
+    def _is_out_of_time(self, in_flight: InFlightRequest) -> bool:
+        """Return whether to answer a request now, without waiting for a result.
 
-    def _is_hopeless(self, in_flight: InFlightRequest) -> bool:
-        """Return whether a request must be answered now: it is due, or held with no value left to gain."""
+        That is so if it is due, or if it is held, cannot meet its objective and has no value after it.
+        """
         if self.now_us + self._reply_margin_us >= in_flight.due_us:
             return True
         if in_flight.state is not RequestState.HELD or in_flight.request_class.late_value_fraction:
             return False
         return not self.run_times.can_meet_objective(in_flight, self.now_us)
 
-    def _answer_without_service(self, in_flight: InFlightRequest) -> None:
-        """Give the final answer; what may have run is failed, never rejected."""
+    def _reject_or_fail(self, in_flight: InFlightRequest) -> None:
+        """Give the final answer without a result; a request that may have run is failed, never rejected."""
         request_id = in_flight.request.id
         if in_flight.started or in_flight.state is RequestState.ATTACHED:
             self.actions.append(FailRequest(request_id))
@@ -275,7 +287,7 @@
         self._release(in_flight)
 
     def _release(self, in_flight: InFlightRequest) -> None:
-        """Give up a request that nobody waits for; what was started counts until its end is reported."""
+        """Release a request that nobody waits for; a started run is counted until its end is reported."""
         in_flight.answered = True
         request_id = in_flight.request.id
         if in_flight.state in (RequestState.HELD, RequestState.ATTACHED):
@@ -298,18 +310,18 @@
     def _start_held(self) -> None:
         """Start held requests, the highest priority first, while concurrency and memory allow."""
         running = len(self.in_flight.running)
-        at_calls = len(self.in_flight.awaiting_call) + len(self.in_flight.calling)
-        most = int(self.concurrency.ceiling(self.now_us)) - at_calls - running
-        slots = min(int(self.concurrency.limit) - running, most)
+        blocked_on_calls = len(self.in_flight.awaiting_call) + len(self.in_flight.calling)
+        max_new_runs = int(self.concurrency.ceiling(self.now_us)) - blocked_on_calls - running
+        slots = min(int(self.concurrency.limit) - running, max_new_runs)
         scheduler = self._scheduler
         borrowable = scheduler.borrowable_runs() if scheduler else 0
-        if slots + borrowable <= 0 or most <= 0:
+        if slots + borrowable <= 0 or max_new_runs <= 0:
             return
         order = sorted(self.in_flight.held.values(), key=self._start_order())
         if scheduler is None:
             self._start_in_order(order[:slots])
         else:
-            self._start_by_tenant(scheduler, order, slots, borrowable, most)
+            self._start_by_tenant(scheduler, order, slots, borrowable, max_new_runs)
 
     def _start_order(self) -> Callable[[InFlightRequest], tuple[bool, float, int]]:
         """Return the sort key of held requests: those that can meet their objective, by priority, first."""
@@ -332,16 +344,19 @@
         order: list[InFlightRequest],
         slots: int,
         borrowable: int,
-        most: int,
+        max_new_runs: int,
     ) -> None:
-        """Start what tenants are entitled to; `slots` may be exceeded by what long runs lend, `most` not."""
+        """Start the requests that tenants are entitled to run.
+
+        Slots borrowed from long runs may be used beyond `slots`, but `max_new_runs` is never exceeded.
+        """
         for in_flight in scheduler.order(order, self.now_us):
-            if not self._has_memory_to_run(in_flight) or slots + borrowable <= 0 or most <= 0:
+            if not self._has_memory_to_run(in_flight) or slots + borrowable <= 0 or max_new_runs <= 0:
                 break
             tenant = in_flight.request.tenant
             if slots <= 0 and slots + scheduler.borrowable_runs(tenant) <= 0:
                 continue
-            slots, most = slots - 1, most - 1
+            slots, max_new_runs = slots - 1, max_new_runs - 1
             scheduler.run_started(in_flight.request, self.now_us)
             self._run(in_flight)
 
@@ -350,7 +365,7 @@
         return self.memory_kb() + extra_kb <= MAX_RUN_MEMORY_FRACTION * self.settings.memory_kb
 
     def memory_kb(self) -> float:
-        """Return the memory that requests in flight and remembered keys take."""
+        """Return the memory that requests in flight and remembered keys take, in kB."""
         return len(self.remembered_keys) * self.settings.key_entry_kb + self.in_flight.memory_kb
 
     def _run(self, in_flight: InFlightRequest) -> None:
@@ -359,7 +374,7 @@
         self.actions.append(Run(in_flight.request.id))
 
     def _on_run_ended(self, event: RunEnded) -> None:
-        """Remove a request whose run, or whose wait for its original, is over."""
+        """Remove a request whose run, or whose wait for its original, has ended."""
         in_flight = self.in_flight.by_id.get(event.id)
         if in_flight is None:
             return
@@ -373,8 +388,8 @@
             self.run_times.observe(request, event.duration_us)
 
     def _on_warm_start_data(self, event: WarmStartData) -> None:
-        self.run_times.start_with(event.run_time_ratios)
-        self.dependency.start_with(event.call_duration_us)
+        self.run_times.warm_start(event.run_time_ratios)
+        self.dependency.warm_start(event.call_duration_us)
 
     # Downstream calls
 
@@ -393,7 +408,7 @@
         self.actions.append(SkipCall(in_flight.request.id))
 
     def _on_call_ended(self, event: CallEnded) -> None:
-        """Continue after a call."""
+        """Continue the run after a successful call, or decide what to do about a failed one."""
         in_flight = self.in_flight.by_id.get(event.id)
         if in_flight is None or in_flight.state is not RequestState.CALLING:
             return
@@ -404,15 +419,15 @@
         if event.outcome is Outcome.TIMEOUT:
             self.dependency.call_abandoned(self.now_us)
         if not succeeded and not in_flight.answered:
-            self._continue_without_reply(in_flight, event.outcome)
+            self._continue_after_failed_call(in_flight, event.outcome)
 
-    def _continue_without_reply(self, in_flight: InFlightRequest, outcome: Outcome) -> None:
-        """Retry a failed call only if it is proved never to have run; else skip it, or fail the request."""
+    def _continue_after_failed_call(self, in_flight: InFlightRequest, outcome: Outcome) -> None:
+        """Retry a failed call only if it provably never ran; otherwise skip it or fail the request."""
         rejected = outcome is Outcome.REJECTED
         if in_flight.calls_are_optional:
             retries_left = in_flight.call_retries < MAX_CALL_RETRIES
-            in_time = self.run_times.can_meet_objective(in_flight, self.now_us)
-            if rejected and retries_left and in_time:
+            can_meet_objective = self.run_times.can_meet_objective(in_flight, self.now_us)
+            if rejected and retries_left and can_meet_objective:
                 in_flight.call_retries += 1
                 in_flight.call_not_before_us = self.now_us + PERIOD_US
             else:
@@ -420,11 +435,14 @@
         elif rejected or outcome is Outcome.UNREACHABLE:
             in_flight.call_not_before_us = self.now_us + PERIOD_US
         else:
-            self._answer_without_service(in_flight)
+            self._reject_or_fail(in_flight)
 
     def _make_calls(self) -> None:
-        """Make the calls that the quota allows, mandatory and high-priority ones first; skip others."""
-        waiting = [one for one in self.in_flight.awaiting_call.values() if not one.answered]
+        """Make the calls that the quota allows, mandatory and high-priority ones first.
+
+        Optional calls that it does not allow are skipped; mandatory ones go on waiting.
+        """
+        waiting = [waiter for waiter in self.in_flight.awaiting_call.values() if not waiter.answered]
         if not waiting:
             return
         waiting.sort(key=_call_order)
@@ -448,19 +466,19 @@
     # Draining
 
     def _on_drain(self, event: Drain) -> None:
-        """Report the worker unhealthy, and make everything due before the stop."""
+        """Report the worker unhealthy, and make every request due before the process is stopped."""
         self._stop_us = self.now_us + event.time_left_us
         grace_end_us = self.now_us - event.elapsed_us + self.settings.drain_grace_us
-        self._last_arrival_us = min(self._last_arrival_us, grace_end_us)
+        self._arrival_cutoff_us = min(self._arrival_cutoff_us, grace_end_us)
         self.actions.append(ReportHealth(False, True))
         latest_us = self._stop_us - self._reply_margin_us
         for in_flight in self.in_flight.by_id.values():
             in_flight.due_us = min(in_flight.due_us, latest_us)
-        self._answer_hopeless()
+        self._answer_out_of_time()
 
 
 def finite(reading: float | None) -> float | None:
-    """Return a reading, or None where there is none or it is not a finite number."""
+    """Return a gauge reading, or None if it is missing or not a finite number."""
     return reading if reading is not None and math.isfinite(reading) else None
 
 
--- a/reelusher/policy/dependency_limiter.py
+++ b/reelusher/policy/dependency_limiter.py
@@ -1,4 +1,4 @@
-"""How many downstream calls may be in flight: a leaky bucket keeps their mean under this worker's quota."""
+"""A leaky bucket that keeps the mean number of downstream calls in flight under the worker's quota."""
 
 from collections import deque
 from collections.abc import Collection
@@ -7,23 +7,29 @@
 from reelusher.policy.settings import Settings
 from reelusher.policy.timing import NEVER_US
 
-SAFE_QUOTA_FRACTION = 0.4  # of the quota, that calls in flight stay under in the mean
-BURST_US = 250_000  # of that mean, which may be used in advance
-MIN_DURATION_FACTOR = 2  # times the mean duration that a call must have time for
-MAX_DURATION_FACTOR = 8  # times the mean duration that a call may last,
-MAX_SPARE_FRACTION = 0.25  # or this part of the call time to spare, if that is more
-NEWEST_WEIGHT = 0.1  # of the newest call in the mean duration
-IDLE_DECAY = 0.99  # of the mean duration, each period without a call: else a slow spell would lock calls out
+SAFE_QUOTA_FRACTION = 0.4  # mean number of calls in flight to stay under, as a fraction of the quota
+BURST_US = 250_000  # call time that may be used in advance, as a time at that mean
+MIN_DURATION_FACTOR = 2  # a call is made only with time for more than this multiple of the mean duration
+# A call may last this multiple of the mean duration, or this fraction of the spare call time if that is more.
+MAX_DURATION_FACTOR = 8
+MAX_SPARE_FRACTION = 0.25
+NEWEST_WEIGHT = 0.1  # weight of the newest call in the moving average of the duration
+# Factor on the mean duration in each period without a call in flight. Without this decay, a slow spell could
+# leave a mean so long that no call is allowed any more, and so none would bring the mean down again.
+IDLE_DECAY = 0.99
 
 
 class DependencyLimiter:
-    """Accounts for the calls in flight over time. Times are microseconds, call time is calls times that."""
+    """Accounts for calls in flight over time.
+
+    Times are microseconds. Call time is the number of calls in flight multiplied by time.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.mean_duration_us = 0.0
-        self.excess_us = 0.0  # call time beyond the safe level, summed up
-        self._accounted_us = 0  # up to when that is
-        self._abandoned_until_us: deque[int] = deque()  # when each abandoned call has ended at the latest
+        self.excess_us = 0.0  # accumulated call time beyond the safe level
+        self._accounted_until_us = 0  # time up to which `excess_us` is computed
+        self._abandoned_until_us: deque[int] = deque()  # latest end of each abandoned call
         self.apply_settings(settings)
 
     def apply_settings(self, settings: Settings) -> None:
@@ -33,50 +39,50 @@
         self._abandoned_call_us = settings.abandoned_call_us
 
     def start(self, now_us: int) -> None:
-        """Account from this time on."""
-        self._accounted_us = now_us
+        """Start the accounting at this time."""
+        self._accounted_until_us = now_us
 
     def account(self, now_us: int, calling_count: int) -> None:
-        """Bring the account up to date."""
-        over = self.in_flight(now_us, calling_count) - SAFE_QUOTA_FRACTION * self._quota
-        self.excess_us = max(0.0, self.excess_us + over * (now_us - self._accounted_us))
-        self._accounted_us = now_us
+        """Bring the accumulated excess up to date."""
+        excess_calls = self.in_flight(now_us, calling_count) - SAFE_QUOTA_FRACTION * self._quota
+        self.excess_us = max(0.0, self.excess_us + excess_calls * (now_us - self._accounted_until_us))
+        self._accounted_until_us = now_us
 
     def in_flight(self, now_us: int, calling_count: int) -> int:
-        """Return how many calls may load the downstream service, abandoned ones included."""
+        """Return how many calls may load the downstream service, including abandoned ones."""
         while self._abandoned_until_us and self._abandoned_until_us[0] <= now_us:
             self._abandoned_until_us.popleft()
         return len(self._abandoned_until_us) + calling_count
 
     def call_abandoned(self, now_us: int) -> None:
-        """Count a call that nobody waits for any more, and that may still run downstream."""
+        """Count a call that was abandoned but may still run downstream."""
         self._abandoned_until_us.append(now_us + self._abandoned_call_us)
 
     def observe(self, duration_us: int) -> None:
-        """Take the duration of a call into account."""
+        """Update the mean duration with that of a finished call."""
         if self.mean_duration_us:
             self.mean_duration_us += NEWEST_WEIGHT * (duration_us - self.mean_duration_us)
         else:
             self.mean_duration_us = duration_us
 
-    def start_with(self, mean_duration_us: float) -> None:
-        """Use the estimate of other workers until a call is seen here."""
+    def warm_start(self, mean_duration_us: float) -> None:
+        """Use the estimate of other workers until a call is observed here."""
         self.mean_duration_us = self.mean_duration_us or mean_duration_us
 
     def decay_if_idle(self, now_us: int, calling_count: int) -> None:
-        """Let the mean duration decay while there is no call."""
+        """Let the mean duration decay in a period without calls in flight."""
         if not self.in_flight(now_us, calling_count):
             self.mean_duration_us *= IDLE_DECAY
 
     def spare_us(self, now_us: int, calling: Collection[InFlightRequest]) -> float:
-        """Return the call time to spare: the mean over any window then stays under the quota."""
+        """Return the call time left for new calls if the mean over any window is to stay under the quota."""
         abandoned_us = self._abandoned_call_us
         reserved = sum(in_flight.call_until_us + abandoned_us - now_us for in_flight in calling)
         reserved += sum(until_us - now_us for until_us in self._abandoned_until_us)
         return (1 - SAFE_QUOTA_FRACTION) * self._quota_us - self.excess_us - reserved - abandoned_us
 
     def max_duration_us(self, spare_us: float, time_left_us: int) -> int | None:
-        """Return how long a call may last; None where it must not be made now."""
+        """Return how long a call may last; None if it must not be made now."""
         longest_us = max(MAX_DURATION_FACTOR * self.mean_duration_us, MAX_SPARE_FRACTION * spare_us)
         longest_us = min(spare_us, longest_us, time_left_us)
         burst_us = BURST_US * SAFE_QUOTA_FRACTION * self._quota
@@ -85,5 +91,5 @@
         return None
 
     def reserved_us(self, duration_us: int) -> int:
-        """Return the call time that a call of this maximal duration takes from what is to spare."""
+        """Return the spare call time that a call of this maximum duration uses."""
         return duration_us + self._abandoned_call_us
--- a/reelusher/policy/in_flight.py
+++ b/reelusher/policy/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: the record of each, and where all of them stand. Times are microseconds."""
+"""The requests in flight and their states. Times are microseconds."""
 
 from enum import IntEnum
 
@@ -8,17 +8,17 @@
 
 
 class RequestState(IntEnum):
-    """Where a request stands; the values are indices of `InFlightRequests.by_state`."""
+    """The state of a request; the values are indices of `InFlightRequests.by_state`."""
 
     HELD = 0
     RUNNING = 1
-    AWAITING_CALL = 2  # its run waits for a decision on its call
+    AWAITING_CALL = 2  # its run needs a call, which is not made yet
     CALLING = 3
     ATTACHED = 4  # waits for the result of its original
 
 
 class InFlightRequest:
-    """A request that is not over."""
+    """A request that has not finished."""
 
     __slots__ = (
         "answered",
@@ -40,9 +40,10 @@
         self.request = request
         self.request_class = request_class
         self.state: RequestState | None = None
-        self.memory_kb = 0.0  # that it takes in this state
+        self.memory_kb = 0.0  # memory that it takes in its state
         self.arrived_us = now_us - request.waited_us
-        self.objective_us = self.arrived_us + request_class.objective_us  # full value until then
+        # an answer has its full value until this time
+        self.objective_us = self.arrived_us + request_class.objective_us
         self.calls_are_optional = request_class.degraded_value_fraction > 0
         due_us = self.arrived_us + request_class.deadline_us
         if request.time_left_us:
@@ -50,15 +51,15 @@
         self.due_us = max(now_us, due_us)
         self.answered = False
         self.started = False  # may have had an effect
-        self.call_retries = 0  # calls made again that were proved never to have run
-        self.call_not_before_us = 0  # while it awaits its call
-        self.call_until_us = 0  # while it calls: when the call is abandoned
+        self.call_retries = 0  # retries of calls that provably never ran
+        self.call_not_before_us = 0  # while it awaits its call: when the call may be made
+        self.call_until_us = 0  # while it is calling: when the call is abandoned
 
 
 class InFlightRequests:
     """All requests in flight, by id and by state, and the memory that they take.
 
-    `move` alone changes where a request stands, so counts, memory and the tenants' accounts stay in step.
+    Only `move` changes the state of a request, so that counts, memory and tenant accounts stay consistent.
     """
 
     def __init__(self, settings: Settings, scheduler: TenantScheduler | None) -> None:
@@ -82,15 +83,15 @@
         self.move(in_flight, state)
 
     def remove(self, in_flight: InFlightRequest) -> None:
-        """Remove a request that is over."""
+        """Remove a request that has finished."""
         del self.by_id[in_flight.request.id]
         self.move(in_flight, None)
 
     def move(self, in_flight: InFlightRequest, state: RequestState | None) -> None:
-        """Change where a request stands; None where it is over."""
-        request, before = in_flight.request, in_flight.state
-        if before is not None:
-            del self.by_state[before][request.id]
+        """Change the state of a request; None means that it has finished."""
+        request, previous_state = in_flight.request, in_flight.state
+        if previous_state is not None:
+            del self.by_state[previous_state][request.id]
         memory_kb = 0.0
         if state is not None:
             self.by_state[state][request.id] = in_flight
@@ -100,6 +101,6 @@
         change_kb = memory_kb - in_flight.memory_kb
         self.memory_kb += change_kb
         if self._scheduler:
-            held = (state is RequestState.HELD) - (before is RequestState.HELD)
+            held = (state is RequestState.HELD) - (previous_state is RequestState.HELD)
             self._scheduler.holding_changed(request, held, change_kb)
         in_flight.state, in_flight.memory_kb = state, memory_kb
--- a/reelusher/policy/utilization_loop.py
+++ b/reelusher/policy/utilization_loop.py
@@ -1,4 +1,4 @@
-"""The control loop on the utilization of the cores.
+"""The control loop for the utilization of the cores.
 
 It follows section 4.2 of Abdelzaher and Bhatti, "Web content adaptation to improve server overload behavior"
 (1999): a PI loop sets G, the fraction of clients whose requests skip optional calls.
@@ -6,11 +6,11 @@
 
 from reelusher.policy.events import Request
 
-TARGET_BUSY_FRACTION = 0.88  # utilization of the cores that the loop steers to
-PROPORTIONAL_GAIN = 0.25  # that one unit of error adds to G at once
-INTEGRAL_GAIN = 0.015  # that one unit of error adds to G each period
-EFFECTIVENESS_DECAY = 0.15  # lost each period in which a full G leaves the cores over their target
-EFFECTIVENESS_RECOVERY = 0.005  # regained each period in which the cores are under the target
+TARGET_BUSY_FRACTION = 0.88  # utilization that the loop regulates the cores to
+PROPORTIONAL_GAIN = 0.25  # immediate change of G for one unit of error
+INTEGRAL_GAIN = 0.015  # change of G in each period for one unit of error
+EFFECTIVENESS_DECAY = 0.15  # fraction lost per period in which G = 1 leaves the cores above the target
+EFFECTIVENESS_RECOVERY = 0.005  # regained per period in which the cores are not above the target
 MIN_EFFECTIVENESS = 0.1
 
 HASH_MULTIPLIER = 0x9E3779B97F4A7C15  # 2^64 over the golden ratio, as in Fibonacci hashing
@@ -19,7 +19,7 @@
 
 
 def client_hash(request: Request) -> float:
-    """Map the client of a request to N in (0, 1], always the same: clients with N <= G are degraded.
+    """Map the client of a request to a fixed number N in (0, 1]; clients with N <= G are degraded.
 
     The client is the subject of the request where it is known, else its caller.
     """
@@ -29,15 +29,15 @@
 
 
 class UtilizationLoop:
-    """Sets G, and how far G is applied: skipping that does not free the cores is in vain."""
+    """Sets G and its effectiveness, which limits skipping of calls where that does not free the cores."""
 
     def __init__(self) -> None:
         self.error_sum = 0.0
         self.degraded_fraction = 0.0  # G
-        self.effectiveness = 1.0  # weight of G
+        self.effectiveness = 1.0  # factor on G
 
     def update(self, busy_fraction: float) -> None:
-        """Run the loop once, with the fraction of the cores that is busy. The sum stays inside its clamp."""
+        """Run the loop once with the busy fraction of the cores; the error sum is clamped against windup."""
         error = min(max(busy_fraction, 0.0), 1.0) - TARGET_BUSY_FRACTION
         self.error_sum = min(max(self.error_sum + error, 0.0), 1 / INTEGRAL_GAIN)
         control = PROPORTIONAL_GAIN * error + INTEGRAL_GAIN * self.error_sum
@@ -54,5 +54,5 @@
         return self.degraded_fraction >= 1
 
     def degrades(self, request: Request) -> bool:
-        """Return whether a request gets the degraded reply."""
+        """Return whether a request gets a degraded reply, without its optional calls."""
         return client_hash(request) <= self.degraded_fraction * self.effectiveness
--- a/tests/policy/test_client_hints.py
+++ b/tests/policy/test_client_hints.py
@@ -27,10 +27,8 @@
         controller.handle(caller + 1, [Request(caller + 1, 0, caller, 0, 0, 1.0, 1, 0, 0, 0)])
         if caller % 100 == 99:
             tick(controller, caller + 1)
-    assert len(controller.idle_timeout.last_heard_us) <= MAX_CALLERS
-    assert (
-        controller.idle_timeout.last_heard_us[3 * MAX_CALLERS - 1] == 3 * MAX_CALLERS
-    )  # the newest is known
+    assert len(controller.idle_timeout.last_seen_us) <= MAX_CALLERS
+    assert controller.idle_timeout.last_seen_us[3 * MAX_CALLERS - 1] == 3 * MAX_CALLERS  # the newest is known
 
 
 def test_advertised_capacity_is_shared_by_callers_shrinks_with_waits_and_recovers() -> None:
@@ -113,5 +111,5 @@
         controller.handle(n, [Request(n, 0, caller=n), ClientDisconnected(n)])
     tick(controller, 2_000_000)
     tick(controller, 4_000_000)
-    assert len(controller.idle_timeout.last_heard_us) <= MAX_CALLERS
-    assert not controller.advertised.heard_us
+    assert len(controller.idle_timeout.last_seen_us) <= MAX_CALLERS
+    assert not controller.advertised.last_seen_us
