--- a/reelusher/policy/__init__.py
+++ b/reelusher/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a node, without I/O: settings and events in, actions out."""
+"""All decisions of a node, free of I/O: settings and events are the input, actions the output."""
--- a/reelusher/policy/actions.py
+++ b/reelusher/policy/actions.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """Make the call that a request waits for; abandon it at this time."""
+    """Make the call that a request waits for, and abandon it at `until_us`."""
 
     id: int
     until_us: int
@@ -27,30 +27,30 @@
 
 @dataclass(slots=True, frozen=True)
 class SkipCall:
-    """Continue without the call, for a degraded reply."""
+    """Continue a request without its call, so that its reply is degraded."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: rejected, it never ran."""
+    """Give the final answer to a request that never ran: it is rejected."""
 
     id: int
-    retry_after_us: int = 0  # 0: no advice
+    retry_after_us: int = 0  # how long the caller should wait before a retry; 0: no hint
     no_retry: bool = False  # asks the caller not to try another worker
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer: an error."""
+    """Give the final answer to a request: an error."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class AttachToOriginal:
-    """Answer a held retry with the result of its original."""
+    """Hold a retry and answer it with the result of its original."""
 
     id: int
 
@@ -72,29 +72,29 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportHealth:
-    """The result of health checks from now on."""
+    """Set the result of health checks from now on."""
 
     healthy: bool
-    cached: bool  # answer them from this alone
+    cached: bool  # answer health checks with this result alone, without work for each check
 
 
 @dataclass(slots=True, frozen=True)
 class AdvertiseCapacity:
-    """The value that replies carry (see `CapacityHint`)."""
+    """Set the capacity hint that replies carry (see `CapacityHint`)."""
 
     value: float
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close connections that have carried nothing for this long."""
+    """Close connections that have been idle for `idle_timeout_us`, from now on."""
 
     idle_timeout_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `Tick`."""
+    """Ask for a `Tick` with this label after a delay."""
 
     delay_us: int
     label: int
--- a/reelusher/policy/events.py
+++ b/reelusher/policy/events.py
@@ -1,6 +1,6 @@
 """Events that a worker reports to its controller.
 
-Times are whole microseconds (`_us`). Request ids are the worker's own and are never reused in its life.
+Times are whole microseconds (`_us`). Request ids are assigned by the worker and never reused while it lives.
 """
 
 from dataclasses import dataclass
@@ -11,22 +11,22 @@
     """How a run or a call ended. The values are parts of the names of counters."""
 
     OK = "ok"
-    ERROR = "error"  # a failed call may have taken effect
-    REJECTED = "rejected"  # proves that it never ran
-    TIMEOUT = "timeout"  # abandoned; may have taken effect
-    UNREACHABLE = "unreachable"  # proves that it never ran
-    CONNECTION_LOST = "cut_off"  # may have taken effect
-    CANCELLED = "cancelled"  # stopped, or ended at a call after its reply
-    NOT_STARTED = "moot"  # the request was over already, so nothing started
+    ERROR = "error"  # failed; a call may have taken effect
+    REJECTED = "rejected"  # it provably never ran
+    TIMEOUT = "timeout"  # abandoned; it may have taken effect
+    UNREACHABLE = "unreachable"  # it provably never ran
+    CONNECTION_LOST = "cut_off"  # it may have taken effect
+    CANCELLED = "cancelled"  # stopped, or ended at a call because the request had been answered
+    NOT_STARTED = "moot"  # the request had finished already, so nothing was started
 
 
 @dataclass(slots=True, frozen=True)
 class Gauges:
-    """The worker's own readings; None where it has none."""
+    """Gauge readings of the worker; None where it has none."""
 
-    busy_fraction: float | None = None  # of the cores, over the last half second
-    runnable: float | None = None  # requests that want a core right now
-    memory_fraction: float | None = None  # of the memory, in use
+    busy_fraction: float | None = None  # busy fraction of the cores over the last half second
+    runnable: float | None = None  # requests that need a core right now
+    memory_fraction: float | None = None  # fraction of the memory in use
     connections: float | None = None  # open connections
 
 
@@ -37,33 +37,33 @@
     id: int
     class_index: int  # position of its class in `Settings.classes`
     caller: int = 0
-    subject: int = 0  # what it is about; 0: unknown
+    subject: int = 0  # id of what the request is about; 0: unknown
     tenant: int = 0
     held_kb: float = 0.0
     expected_work_us: int = 0  # 0: unknown
-    time_left_us: int = 0  # how long its caller still waits; 0: unknown
-    waited_us: int = 0  # time since it reached the machine
+    time_left_us: int = 0  # how much longer its caller waits; 0: unknown
+    waited_us: int = 0  # time from its arrival at the machine until this event
     original_id: int = 0  # the request of which this is a retry; 0: none known
     is_retry: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """Nobody waits for this request any longer."""
+    """The client of a request has disconnected, so nobody waits for it any longer."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CallNeeded:
-    """A running request can't continue without a call: answer with Call, SkipCall or FailRequest."""
+    """A running request needs a call; the controller responds with `Call`, `SkipCall` or `FailRequest`."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CallEnded:
-    """A call ended; unless it succeeded, the request waits at its call again."""
+    """A call ended; unless it succeeded, the request waits for its call again."""
 
     id: int
     outcome: Outcome
@@ -72,7 +72,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RunEnded:
-    """A run or an attached retry ended; OK and ERROR have answered the caller, unless it was before."""
+    """A run or an attached retry ended.
+
+    With the outcome OK or ERROR the caller has been answered by it, unless it was answered before.
+    """
 
     id: int
     outcome: Outcome
@@ -81,10 +84,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """The process is stopped after `time_left_us`. A later event may only bring that forward."""
+    """The process will be stopped after `time_left_us`; a later `Drain` may only bring that forward."""
 
     time_left_us: int
-    elapsed_us: int = 0  # since the worker was asked to drain: the grace period counts from there
+    elapsed_us: int = 0  # time since the worker was asked to drain, which is when the grace period began
 
 
 @dataclass(slots=True, frozen=True)
@@ -97,9 +100,9 @@
 
 @dataclass(slots=True, frozen=True)
 class WarmStartData:
-    """Estimates of other workers to start with; what is measured here takes precedence."""
+    """Initial estimates from other workers; measurements of this worker take precedence."""
 
-    run_time_ratios: dict[int, float]  # by class: the time of a run over its expected work
+    run_time_ratios: dict[int, float]  # run time divided by expected work, by class index
     call_duration_us: float = 0.0  # mean duration of a downstream call; 0: unknown
 
 
--- a/reelusher/policy/settings.py
+++ b/reelusher/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one worker, as it is given them at its start. Times are whole microseconds (`_us`)."""
+"""Settings of one worker and its deployment. Times are whole microseconds (`_us`)."""
 
 import math
 from collections.abc import Sequence
@@ -26,66 +26,69 @@
     """How callers read the value of `AdvertiseCapacity`."""
 
     NONE = "none"  # no hint is sent
-    MIN_RANK = "min_rank"  # they send nothing ranked below it
-    TOKENS = "tokens"  # each keeps at most that many requests here
-    BIAS = "bias"  # the probability, 0 to 1, that they choose this worker
+    MIN_RANK = "min_rank"  # they send only requests of at least this rank
+    TOKENS = "tokens"  # each keeps at most this many requests in the worker
+    BIAS = "bias"  # probability, 0 to 1, with which they choose this worker
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
     """A class of requests."""
 
-    deadline_us: int  # how long a client waits altogether
+    deadline_us: int  # how long a client waits for an answer in total
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    latency_objective_us: int = 0  # full value when answered within it; 0: the deadline
+    latency_objective_us: int = 0  # an answer within it has the full value; 0: the deadline
     priority_weight: float = 1.0
-    late_value_fraction: float = 0.0  # part of the value that a reply after the objective is worth
-    idempotency_window_us: int = 0  # how long after its arrival a keyed request may be retried
+    late_value_fraction: float = 0.0  # fraction of the value of a reply after the objective
+    idempotency_window_us: int = 0  # time after its arrival in which a keyed request may be retried
     makes_calls: bool = False  # may call the downstream service
-    degraded_value_fraction: float = 0.0  # part of the value without the call; 0: calls can't be skipped
+    degraded_value_fraction: float = 0.0  # fraction of the value without the call; 0: never skip it
 
     @property
     def objective_us(self) -> int:
-        """Return the latency objective, which is the deadline where none is set."""
+        """Return the latency objective, or the deadline where no objective is set."""
         return self.latency_objective_us or self.deadline_us
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Settings of one worker and its site. Raises ValueError for values that no worker can run with."""
+    """Settings of one worker and its deployment.
+
+    Raises ValueError for values that no worker can run with.
+    """
 
     classes: Sequence[RequestClass]
     cores: int
     memory_kb: float
-    running_memory_factor: float  # memory of a running request over that of a held one
-    max_runnable_per_core: float  # running requests on a core that a warm worker survives
-    runnable_window_us: int  # the span over which that is a mean
+    running_memory_factor: float  # memory of a running request relative to a held one
+    max_runnable_per_core: float  # mean number of runnable requests per core that a warm worker sustains
+    runnable_window_us: int  # window over which that mean is taken
     initial_speed: float  # speed of a cold worker, as a fraction of full speed
-    warm_up_us: int  # warm after this at the latest
-    drain_grace_us: int  # what arrives later than this after `Drain` must not run
+    warm_up_us: int  # time after which a worker is warm at the latest
+    drain_grace_us: int  # requests that arrive later than this after `Drain` must not run
     answer_slack_us: int = 0  # how long after its due time a reply still counts
-    tick_us: int = 0  # shortest time between two batches of events
-    cold_start: bool = False  # just started, so cold
+    tick_us: int = 0  # shortest interval between two batches of events
+    cold_start: bool = False  # the worker has just started and is cold
     key_entry_kb: float = 0.0  # memory of one entry in the idempotency table
-    dependency_concurrency_quota: float = math.inf  # mean calls in flight that this worker may have
-    dependency_window_us: int = 0  # the span over which that is a mean
+    dependency_concurrency_quota: float = math.inf  # mean number of calls in flight that this worker may have
+    dependency_window_us: int = 0  # window over which that mean is taken
     abandoned_call_us: int = 0  # how long an abandoned call may still load the downstream service
     preemption: PreemptionMode = PreemptionMode.NONE
     capacity_hint: CapacityHint = CapacityHint.NONE
     hint_ttl_us: int = 0  # how long callers remember the advertised capacity
-    caller_count: int = 0  # callers of the fleet; 0: unknown
-    worker_count: int = 0  # workers of the fleet; 0: unknown
-    idle_timeout_us: int = 0  # callers close connections idle for this long; 0: unknown
-    health_checks_cost_work: bool = False  # unless they are answered from a cache
-    max_retry_after_us: int = 0  # the longest Retry-After that callers follow; 0: they follow none
-    tenant_quotas: Sequence[float] = ()  # of each tenant, as a fraction of the service
-    over_quota_value_fraction: float = 1.0  # part of its value that a request beyond the quota is worth
-    goal_weight: float = 1.0  # weights of the goal: the whole time,
-    worst_class_goal_weight: float = 0.0  # the class served worst,
-    worst_tenant_goal_weight: float = 0.0  # the tenant served worst
+    caller_count: int = 0  # number of callers of the fleet; 0: unknown
+    worker_count: int = 0  # number of workers of the fleet; 0: unknown
+    idle_timeout_us: int = 0  # callers close connections that are idle for this long; 0: unknown
+    health_checks_cost_work: bool = False  # each check costs work unless it is answered from a cache
+    max_retry_after_us: int = 0  # longest Retry-After that callers follow; 0: they follow none
+    tenant_quotas: Sequence[float] = ()  # quota of each tenant as a fraction of the service
+    over_quota_value_fraction: float = 1.0  # fraction of its value for a request beyond the quota
+    goal_weight: float = 1.0  # weight of the value over the whole time in the service goal
+    worst_class_goal_weight: float = 0.0  # weight of the class that is served worst
+    worst_tenant_goal_weight: float = 0.0  # weight of the tenant that is served worst
 
     def __post_init__(self) -> None:
-        """Reject what no worker can be run with."""
+        """Raise ValueError for values that no worker can run with."""
         amounts = (
             self.cores,
             self.memory_kb,
@@ -102,7 +105,7 @@
             self.tick_us,
             self.abandoned_call_us,
         )
-        # the texts name the keys of the files that settings are read from
+        # the messages name the keys of the files from which settings are read
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if not all(math.isfinite(amount) and amount > 0 for amount in amounts):
@@ -111,16 +114,16 @@
             raise ValueError("crowd_per_core must be at least 1 and cold_from at most 1")
         if min(times) < 0 or not self.key_entry_kb >= 0 or not self.dependency_concurrency_quota >= 0:
             raise ValueError("a time, entry_kb or call_share is negative or not a number")
-        for number, request_class in enumerate(self.classes):
-            _check_class(number, request_class)
+        for class_index, request_class in enumerate(self.classes):
+            _check_class(class_index, request_class)
 
 
-def _check_class(number: int, request_class: RequestClass) -> None:
+def _check_class(class_index: int, request_class: RequestClass) -> None:
     times = (request_class.latency_objective_us, request_class.idempotency_window_us)
     if request_class.deadline_us <= 0 or min(times) < 0:
-        raise ValueError(f"class {number}: a time is out of range")
+        raise ValueError(f"class {class_index}: a time is out of range")
     fractions = (request_class.degraded_value_fraction, request_class.late_value_fraction)
     if not all(0 <= fraction <= 1 for fraction in fractions):
-        raise ValueError(f"class {number}: a worth is out of range")
+        raise ValueError(f"class {class_index}: a worth is out of range")
     if not 0 <= request_class.priority_weight < math.inf:
-        raise ValueError(f"class {number}: a worth is out of range")
+        raise ValueError(f"class {class_index}: a worth is out of range")
--- a/reelusher/policy/tenant_scheduler.py
+++ b/reelusher/policy/tenant_scheduler.py
@@ -1,4 +1,4 @@
-"""How the tenants of a worker share it: an input of the policy, implemented by `reelusher.tenancy`."""
+"""The interface through which tenants share a worker; `reelusher.tenancy` implements it."""
 
 from collections.abc import Iterable, Sequence
 from typing import Protocol, TypeVar
@@ -7,7 +7,7 @@
 
 
 class HasRequest(Protocol):
-    """Whatever the controller holds of a request."""
+    """An object of the controller that refers to a request."""
 
     request: Request
 
@@ -18,20 +18,23 @@
 class TenantScheduler(Protocol):
     """Accounts for the use of each tenant and orders their requests. Times are whole microseconds.
 
-    Without it, and with one tenant, the controller decides the same.
+    With a single tenant, the controller makes the same decisions as without a scheduler.
     """
 
     def request_arrived(self, request: Request, now_us: int) -> None:
-        """Count the work that a new request asks for."""
+        """Count the work that a new request asks for as demand of its tenant."""
 
     def exceeds_limit(self, request: Request, extra_kb: float, keyed: bool, used_kb: float) -> bool:
-        """Return whether a limit of its tenant keeps out a request that would take so much more memory."""
+        """Return whether a limit of its tenant excludes a request that would take `extra_kb` more memory.
+
+        `keyed` says that its idempotency key would be remembered. `used_kb` is the memory in use by all.
+        """
 
     def rejection_probability(self, tenant: int, probability: float) -> float:
-        """Return a tenant's probability of random rejection, where it would be `probability` for all."""
+        """Return the rejection probability of a tenant, given the one that applies to all without tenants."""
 
     def holding_changed(self, request: Request, held: int, change_kb: float) -> None:
-        """Count a request that starts (1) or ends (-1) to be held, and the memory that it takes or frees."""
+        """Count a request that starts (1) or ceases (-1) to be held, and the change of its memory."""
 
     def key_remembered(self, request: Request, until_us: int, entry_kb: float) -> None:
         """Count a remembered idempotency key."""
@@ -48,14 +51,17 @@
     def borrowable_runs(self, tenant: int | None = None) -> int:
         """Return how many long runs of other tenants lend their concurrency slots to this one.
 
-        Without a tenant, the most that any may borrow.
+        Without a tenant, return the largest number that any tenant may borrow.
         """
 
     def order(self, held: Sequence[HasRequestT], now_us: int) -> Iterable[HasRequestT]:
-        """Yield what may run, in the order of entitlement; `held` is in the controller's order."""
+        """Yield the held requests that may run, in the order in which their tenants are entitled to run them.
+
+        `held` is in the controller's order.
+        """
 
     def period_elapsed(self, now_us: int) -> None:
-        """Bring the accounts up to date."""
+        """Bring the accounts of all tenants up to date; called once a period."""
 
     def expired_keys(self, now_us: int) -> Iterable[int]:
         """Return the ids of requests whose remembered keys have expired."""
--- a/reelusher/policy/timing.py
+++ b/reelusher/policy/timing.py
@@ -1,8 +1,8 @@
-"""Times that several decisions share. All are microseconds."""
+"""Time constants shared by several decisions, in microseconds."""
 
-PERIOD_US = 100_000  # between two runs of the periodic decisions
-REPLY_MARGIN_US = 60_000  # a reply is given a period, two ticks and this before it is due
-NEVER_US = 1 << 62  # a time that does not come
+PERIOD_US = 100_000  # interval of the periodic decisions
+REPLY_MARGIN_US = 60_000  # added to a period and two ticks: see `reply_margin_us`
+NEVER_US = 1 << 62  # later than any time that occurs
 
 
 def reply_margin_us(tick_us: int) -> int:
