--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the policy."""
+"""Tests of `reelusher.policy`."""
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Random rejection, and what rejected callers are advised."""
+"""Random rejection, and the retry hints that rejected callers get."""
 
 from helpers import ids, of, started_controller, tick
 
@@ -18,7 +18,7 @@
 
 
 def fill(controller: Controller, age_us: int) -> None:
-    """Hold requests that wait ever longer."""
+    """Hold requests until the oldest of them has waited for `age_us`."""
     for n in range(1, 12):
         controller.handle(0, [Request(n, 0)])
     for step in range(1, age_us // PERIOD_US + 1):
@@ -39,7 +39,7 @@
 
 
 def test_hung_worker_with_idle_cores_rejects_too() -> None:
-    """A hung worker idles its cores, so G stays at 0 while its hold fills."""
+    """The cores of a hung worker are idle, so G stays at 0 while more and more requests are held."""
     controller = started_controller()
     for n in range(1, 12):
         controller.handle(0, [Request(n, 0)])
@@ -63,23 +63,26 @@
 
 
 def test_retries_elsewhere_are_discouraged_only_in_a_full_fleet() -> None:
-    """Walks over refusals raise what comes to every worker; one that is slow sees no more than usual."""
-    for more, expected in ((1, False), (3, True)):
+    """Callers that retry rejected requests elsewhere raise the arrivals of every worker.
+
+    A worker that is slow while the fleet is not sees no more arrivals than usual.
+    """
+    for arrivals_when_slow, expected in ((1, False), (3, True)):
         controller = started_controller()
         request_id = 0
         for step in range(1, 400):
             slow = step > 200
             events: list[Event] = []
-            for _ in range(more if slow else 1):
+            for _ in range(arrivals_when_slow if slow else 1):
                 request_id += 1
                 events.append(Request(request_id, 0, waited_us=1_000_000 if slow else 0))
             tick(controller, step * PERIOD_US, 0.5, 1)
             actions = controller.handle(controller.now_us, events)
             controller.handle(controller.now_us, [RunEnded(n, Outcome.OK, 100) for n in ids(actions, Run)])
-        declined = of(
+        rejections = of(
             [*actions, *controller.handle(controller.now_us, [Request(0, 0, waited_us=9_000_000)])], Reject
         )
-        assert declined[-1].no_retry is expected
+        assert rejections[-1].no_retry is expected
 
 
 def test_retries_are_rejected_while_waits_are_long() -> None:
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -25,7 +25,9 @@
     controller.handle(0, [Request(n, 0, time_left_us=60_000_000) for n in range(1, 60)])
     for step in range(1, 16):
         tick(controller, step * PERIOD_US, 0.5, 0)
-    running = sum(work.state is RequestState.RUNNING for work in controller.in_flight.by_id.values())
+    running = sum(
+        in_flight.state is RequestState.RUNNING for in_flight in controller.in_flight.by_id.values()
+    )
     assert running == int(SAFE_RUNNABLE_FRACTION * 4 * 2)
 
 
--- a/tests/policy/test_dependency_limiter.py
+++ b/tests/policy/test_dependency_limiter.py
@@ -1,4 +1,4 @@
-"""Retries and resumption of downstream calls."""
+"""Retries of downstream calls, and calls after the service was slow."""
 
 from dataclasses import replace
 
@@ -23,29 +23,35 @@
 
 
 def at_call(controller: Controller, now_us: int, request: Request) -> list[Action]:
-    """Bring a request to its first call."""
+    """Run a request up to its first call and return the actions on that."""
     assert ids(controller.handle(now_us, [request]), Run) == [request.id]
     return controller.handle(now_us, [CallNeeded(request.id)])
 
 
 def test_calls_resume_after_a_slow_spell_at_a_quota_below_one() -> None:
-    """Once the mean call is longer than any that can be granted, no call would bring it down again."""
+    """The mean duration must decay without calls.
+
+    Otherwise, once it exceeds what the quota ever allows, no call would be made that could lower it again.
+    """
     controller = started_controller(
         SAFE, dependency_concurrency_quota=0.1, dependency_window_us=5_000_000, abandoned_call_us=200_000
     )
     controller.dependency.mean_duration_us = 1_900_000.0
-    kinds = []
+    decisions = []
     for n in range(1, 600):
-        kinds += of(at_call(controller, n * PERIOD_US, Request(n, 0)), Call, SkipCall)
-        outcome = [CallEnded(n, Outcome.OK, 20_000)] if isinstance(kinds[-1], Call) else []
-        controller.handle(controller.now_us, [*outcome, RunEnded(n, Outcome.OK, 200_000)])
+        decisions += of(at_call(controller, n * PERIOD_US, Request(n, 0)), Call, SkipCall)
+        call_ended = [CallEnded(n, Outcome.OK, 20_000)] if isinstance(decisions[-1], Call) else []
+        controller.handle(controller.now_us, [*call_ended, RunEnded(n, Outcome.OK, 200_000)])
         tick(controller, controller.now_us, 0.5, 1)
-    assert isinstance(kinds[0], SkipCall)
-    assert all(isinstance(kind, Call) for kind in kinds[-100:])
+    assert isinstance(decisions[0], SkipCall)
+    assert all(isinstance(decision, Call) for decision in decisions[-100:])
 
 
 def test_rejected_optional_call_is_retried_twice_before_it_is_skipped() -> None:
-    """A node below that turns one call away has room a moment later; a poorer answer loses half its worth."""
+    """A downstream service that rejects a call often has capacity a moment later.
+
+    A degraded answer loses half the value of the request.
+    """
     controller = started_controller(replace(SAFE, degraded_value_fraction=0.5, makes_calls=True))
     controller.handle(1, [Request(1, 0, 1, 0, 0, 1.0, 1, 0, 0, 0)])
     now, calls = 2, of(controller.handle(2, [CallNeeded(1)]), Call)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules at their boundaries."""
+"""Boundary cases of the four rules that the controller must keep."""
 
 from typing import Any
 
@@ -44,7 +44,7 @@
 
 
 def answered_at(controller: Controller, request_id: int, until_us: int) -> int | None:
-    """Let periods pass and tell when a request is answered."""
+    """Let periods pass; return the time at which a request is answered, or None if it is not."""
     for now in range(controller.now_us + PERIOD, until_us, PERIOD):
         if request_id in ids(tick(controller, now, 0.0, 99), FailRequest, Reject):
             return now
@@ -54,21 +54,21 @@
 def test_running_request_is_answered_before_it_is_due_and_counts_until_its_end() -> None:
     controller = started_controller(preemption=PreemptionMode.PAUSE)
     controller.handle(0, [Request(1, 0)])
-    when = answered_at(controller, 1, 9_000_000)
-    assert when is not None
-    assert 7_500_000 < when < 8_000_000
+    answered_us = answered_at(controller, 1, 9_000_000)
+    assert answered_us is not None
+    assert 7_500_000 < answered_us < 8_000_000
     assert of(controller.actions, FailRequest, Preempt) == [FailRequest(1), Preempt(1)]
     assert controller.in_flight.by_id[1].answered
-    assert controller.handle(when + 1, [RunEnded(1, Outcome.CANCELLED)]) == []
+    assert controller.handle(answered_us + 1, [RunEnded(1, Outcome.CANCELLED)]) == []
     assert not controller.in_flight.by_id
 
 
 def test_deadline_counts_from_the_arrival_at_the_machine() -> None:
     controller = started_controller(RequestClass(deadline_us=8_000_000))
     controller.handle(0, [Request(1, 0, waited_us=3_000_000)])
-    when = answered_at(controller, 1, 9_000_000)
-    assert when is not None
-    assert 4_500_000 < when < 5_000_000
+    answered_us = answered_at(controller, 1, 9_000_000)
+    assert answered_us is not None
+    assert 4_500_000 < answered_us < 5_000_000
 
 
 def test_requests_awaiting_a_call_or_attached_are_answered_in_time() -> None:
@@ -158,9 +158,9 @@
         controller.handle(1, [CallNeeded(1)])
         actions = controller.handle(2, [CallEnded(1, outcome)])
         actions += tick(controller, 2 + PERIOD) + tick(controller, 2 + 2 * PERIOD)
-        repeated = bool(of(actions, Call))
-        assert repeated == (outcome in (Outcome.REJECTED, Outcome.UNREACHABLE))
-        assert bool(of(actions, FailRequest)) == (not repeated and outcome is not Outcome.OK)
+        retried = bool(of(actions, Call))
+        assert retried == (outcome in (Outcome.REJECTED, Outcome.UNREACHABLE))
+        assert bool(of(actions, FailRequest)) == (not retried and outcome is not Outcome.OK)
 
 
 def test_call_ends_before_its_request_is_due() -> None:
@@ -192,7 +192,9 @@
 def test_runs_start_only_while_memory_lasts() -> None:
     controller = started_controller(memory_kb=1_000.0, cores=8)
     controller.handle(0, [Request(n, 0, held_kb=30.0) for n in range(1, 9)])
-    running = sum(work.state is RequestState.RUNNING for work in controller.in_flight.by_id.values())
+    running = sum(
+        in_flight.state is RequestState.RUNNING for in_flight in controller.in_flight.by_id.values()
+    )
     assert running == 2
     assert controller.memory_kb() <= MAX_RUN_MEMORY_FRACTION * 1_000
 
@@ -204,44 +206,47 @@
     assert controller.memory_kb() <= 100
 
 
-def worst_mean_of_calls_in_flight(share: float, spans_us: int) -> float:
-    """Feed calls that never end by themselves and return the worst mean of those in hand over the span."""
+def worst_mean_of_calls_in_flight(quota: float, duration_us: int) -> float:
+    """Make calls that all time out, and return the largest mean of calls in flight over a quota window.
+
+    An abandoned call counts as in flight for another 200 ms.
+    """
     controller = started_controller(
         MUST_CALL,
-        dependency_concurrency_quota=share,
+        dependency_concurrency_quota=quota,
         dependency_window_us=5_000_000,
         abandoned_call_us=200_000,
         cores=8,
     )
-    busy: list[tuple[int, int]] = []
-    ends: dict[int, int] = {}
+    call_spans: list[tuple[int, int]] = []
+    end_by_id: dict[int, int] = {}
     request_id = 0
-    for now in range(0, spans_us, 10_000):
+    for now in range(0, duration_us, 10_000):
         events: list[Event] = []
-        for key in [key for key, end in ends.items() if end <= now]:
-            del ends[key]
-            events.append(CallEnded(key, Outcome.TIMEOUT, 1_000_000))
-            events.append(RunEnded(key, Outcome.CANCELLED))
+        for call_id in [call_id for call_id, end in end_by_id.items() if end <= now]:
+            del end_by_id[call_id]
+            events.append(CallEnded(call_id, Outcome.TIMEOUT, 1_000_000))
+            events.append(RunEnded(call_id, Outcome.CANCELLED))
         if len(controller.in_flight.by_id) < 8:
             request_id += 1
             events.append(Request(request_id, 0))
         if now % PERIOD == 0:
             events.append(Tick(0, Gauges(0.5, 1)))
         actions = controller.handle(now, events)
-        actions += controller.handle(now, [CallNeeded(key) for key in ids(actions, Run)])
+        actions += controller.handle(now, [CallNeeded(call_id) for call_id in ids(actions, Run)])
         for call in of(actions, Call):
-            ends[call.id] = call.until_us
-            busy.append((now, call.until_us + 200_000))
-    steps = range(5_000_000, spans_us, 100_000)
+            end_by_id[call.id] = call.until_us
+            call_spans.append((now, call.until_us + 200_000))
+    steps = range(5_000_000, duration_us, 100_000)
     return max(
-        sum(max(0, min(end, now) - max(start, now - 5_000_000)) for start, end in busy) / 5_000_000
+        sum(max(0, min(end, now) - max(start, now - 5_000_000)) for start, end in call_spans) / 5_000_000
         for now in steps
     )
 
 
 def test_mean_calls_in_flight_stay_under_the_quota() -> None:
-    for share in (0.3, 0.9, 1.7, 5.4):
-        assert 0 < worst_mean_of_calls_in_flight(share, 40_000_000) <= share
+    for quota in (0.3, 0.9, 1.7, 5.4):
+        assert 0 < worst_mean_of_calls_in_flight(quota, 40_000_000) <= quota
 
 
 def test_exhausted_quota_skips_optional_calls_and_delays_others() -> None:
@@ -257,7 +262,10 @@
 
 
 def test_calls_of_answered_requests_count_until_their_end() -> None:
-    """A caller that has gone leaves its call below; freeing the place at once would overload that."""
+    """The call of a disconnected client still runs downstream.
+
+    Freeing its part of the quota at once would overload the downstream service.
+    """
     controller = started_controller(
         MUST_CALL, dependency_concurrency_quota=0.4, dependency_window_us=5_000_000
     )
@@ -292,9 +300,9 @@
         actions += controller.handle(
             controller.now_us, [CallNeeded(request_id) for request_id in ids(actions, Run)]
         )
-        called = ids(actions, Call)
+        call_ids = ids(actions, Call)
         actions += controller.handle(
-            controller.now_us, [CallEnded(request_id, Outcome.OK, 9) for request_id in called]
+            controller.now_us, [CallEnded(request_id, Outcome.OK, 9) for request_id in call_ids]
         )
         controller.handle(
             controller.now_us, [RunEnded(request_id, Outcome.OK, 50_000) for request_id in ids(actions, Run)]
@@ -312,9 +320,9 @@
     running: list[tuple[int, int]] = []
     for n in range(1, 1_000):
         now = n * PERIOD
-        done = [request_id for request_id, end in running if end <= now]
+        ended_ids = [request_id for request_id, end in running if end <= now]
         running = [(request_id, end) for request_id, end in running if end > now]
-        events: list[Event] = [RunEnded(request_id, Outcome.OK, 400_000) for request_id in done]
+        events: list[Event] = [RunEnded(request_id, Outcome.OK, 400_000) for request_id in ended_ids]
         started = ids(controller.handle(now, [*events, Request(n, 0)]), Run)
         started += ids(tick(controller, now, busy, runnable), Run)
         running += [(request_id, now + 400_000) for request_id in started]
--- a/tests/policy/test_run_time_estimator.py
+++ b/tests/policy/test_run_time_estimator.py
@@ -1,4 +1,4 @@
-"""Estimates of run times."""
+"""Estimates of run times, and the decisions based on them."""
 
 from helpers import ids, started_controller
 
@@ -14,11 +14,11 @@
 
 
 def test_small_requests_do_not_distort_the_estimate_of_large_ones() -> None:
-    """Fixed waits make a small request take many times its hint; large ones must not be reckoned so."""
+    """Fixed waits make a small request take many times its expected work; large ones do not."""
     controller = started_controller()
-    for n, (hint, took) in enumerate([(1_000, 101_000), (400_000, 500_000)] * 200, 1):
-        controller.handle(n, [Request(n, 0, expected_work_us=hint)])
-        controller.handle(n, [RunEnded(n, Outcome.OK, took)])
+    for n, (work_us, duration_us) in enumerate([(1_000, 101_000), (400_000, 500_000)] * 200, 1):
+        controller.handle(n, [Request(n, 0, expected_work_us=work_us)])
+        controller.handle(n, [RunEnded(n, Outcome.OK, duration_us)])
     controller.handle(1_000, [Request(1_001, 0, expected_work_us=400_000, waited_us=1_100_000)])
     assert ids(controller.actions, Run) == [1_001]
 
--- a/tests/policy/test_utilization_loop.py
+++ b/tests/policy/test_utilization_loop.py
@@ -28,19 +28,19 @@
 
 
 def at_call(controller: Controller, now_us: int, request: Request) -> list[Action]:
-    """Bring a request to its first call."""
+    """Run a request up to its first call and return the actions on that."""
     assert ids(controller.handle(now_us, [request]), Run) == [request.id]
     return controller.handle(now_us, [CallNeeded(request.id)])
 
 
 def test_degraded_fraction_matches_values_computed_by_hand() -> None:
     controller = started_controller()
-    total = 0.0
+    error_sum = 0.0
     for step, busy in enumerate([1.0, 0.95, 0.9], 1):
         tick(controller, step * PERIOD_US, busy)
-        total += busy - TARGET_BUSY_FRACTION
+        error_sum += busy - TARGET_BUSY_FRACTION
         assert controller.utilization.degraded_fraction == pytest.approx(
-            PROPORTIONAL_GAIN * (busy - TARGET_BUSY_FRACTION) + INTEGRAL_GAIN * total
+            PROPORTIONAL_GAIN * (busy - TARGET_BUSY_FRACTION) + INTEGRAL_GAIN * error_sum
         )
 
 
@@ -68,11 +68,11 @@
 
 
 def test_client_hash_is_stable_and_uniform() -> None:
-    points = [client_hash(Request(1, 0, subject=n)) for n in range(1, 10_001)]
-    assert points[:2] == [client_hash(Request(9, 0, subject=n, caller=5)) for n in (1, 2)]
-    assert all(0 < point <= 1 for point in points)
+    hashes = [client_hash(Request(1, 0, subject=n)) for n in range(1, 10_001)]
+    assert hashes[:2] == [client_hash(Request(9, 0, subject=n, caller=5)) for n in (1, 2)]
+    assert all(0 < hashed <= 1 for hashed in hashes)
     for decile in range(10):
-        inside = sum(decile / 10 < point <= (decile + 1) / 10 for point in points)
+        inside = sum(decile / 10 < hashed <= (decile + 1) / 10 for hashed in hashes)
         assert 900 < inside < 1_100
 
 
