--- a/reelusher/policy/admission.py
+++ b/reelusher/policy/admission.py
@@ -6,7 +6,7 @@
 from reelusher.policy.in_flight import InFlightRequest
 from reelusher.policy.settings import RequestClass
 
-# Longest wait, as a fraction of the shortest objective, that does not cause arrivals to be rejected.
+# Wait, as a fraction of the shortest objective, above which arrivals are rejected.
 MAX_WAIT_FRACTION = 0.08
 RECENT_RATE_WEIGHT = 0.05  # weight of the newest period in the moving average of arrivals per period
 BASELINE_RATE_WEIGHT = 0.02  # weight of the newest period in the same average over periods of short waits
--- a/reelusher/policy/controller.py
+++ b/reelusher/policy/controller.py
@@ -287,7 +287,7 @@
         self._release(in_flight)
 
     def _release(self, in_flight: InFlightRequest) -> None:
-        """Release a request that nobody waits for; a started run is counted until its end is reported."""
+        """Give up a request that nobody waits for; a started run is counted until its end is reported."""
         in_flight.answered = True
         request_id = in_flight.request.id
         if in_flight.state in (RequestState.HELD, RequestState.ATTACHED):
