--- a/reelusher/fleet/membership/__init__.py
+++ b/reelusher/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet: SWIM with suspicion and Lifeguard's local health, see docs/membership.md."""
+"""Fleet membership: SWIM with suspicion and Lifeguard's local health; see docs/membership.md."""
--- a/reelusher/fleet/membership/authentication.py
+++ b/reelusher/fleet/membership/authentication.py
@@ -11,51 +11,51 @@
 PROTOCOL_VERSION = 1
 DIGEST_BYTES = 16
 MIN_SECRET_BYTES = 16
-MAX_SECRET_BYTES = 64  # the longest key of blake2b; further bytes of a secret are ignored
-REPLAY_WINDOW_SIZE = 256  # messages by which one may overtake another and still be accepted
-MAX_SENDERS = 8192  # in the replay window; past it the sender not heard from for longest is forgotten
+MAX_SECRET_BYTES = 64  # the longest key that blake2b accepts; further bytes of a secret are ignored
+REPLAY_WINDOW_SIZE = 256  # numbers tracked per sender; a message overtaken by as many is rejected
+MAX_SENDERS = 8192  # tracked senders; past these, the least recently heard is forgotten
 
 
 class RejectedMessageError(Exception):
-    """A message failed a check; the text is the reason, as counters have it."""
+    """A message failed a check; the text is the reason, as it stands in the names of counters."""
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """What the digest covers."""
+    """The content of a message; the digest covers it and the protocol version."""
 
     fleet: Name
     sender: Address
-    sender_incarnation: Number  # of the sender's process; `number` begins anew with each
+    sender_incarnation: Number  # of the sender's process; `number` restarts with each incarnation
     number: Number
     body: msgspec.Raw
 
 
 class ReplayWindow:
-    """The message numbers seen of each sender, so that no message is accepted twice. Bounded."""
+    """The message numbers received from each sender, so that no message is accepted twice. Bounded."""
 
     def __init__(self, max_senders: int = MAX_SENDERS) -> None:
         self._max_senders = max_senders
-        # incarnation, highest number, and a bit for each of the numbers up to it
+        # by sender: incarnation, highest number, and a bitmap of the numbers up to it, the highest in bit 0
         self._seen: dict[str, tuple[int, int, int]] = {}
 
     def accept(self, sender: str, incarnation: int, number: int) -> bool:
-        """Record a number; return False where it was seen before, or is too old to know."""
-        current, highest, bits = self._seen.pop(sender, (incarnation, -1, 0))
+        """Record a number; return False if it was seen before, or is too old for the window to tell."""
+        known_incarnation, highest, bitmap = self._seen.pop(sender, (incarnation, -1, 0))
         is_new = True
-        if incarnation > current:
-            current, highest, bits = incarnation, number, 1
-        elif incarnation < current:
+        if incarnation > known_incarnation:
+            known_incarnation, highest, bitmap = incarnation, number, 1
+        elif incarnation < known_incarnation:
             is_new = False
         elif number > highest:
             shift = min(number - highest, REPLAY_WINDOW_SIZE)
-            bits = (bits << shift | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
+            bitmap = (bitmap << shift | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
             highest = number
         else:
             age = highest - number
             bit = 1 << age if age < REPLAY_WINDOW_SIZE else 0
-            is_new = bool(bit) and not bits & bit
-            bits |= bit
-        self._seen[sender] = current, highest, bits  # last, as the one heard from most recently
+            is_new = bool(bit) and not bitmap & bit
+            bitmap |= bit
+        self._seen[sender] = known_incarnation, highest, bitmap  # last, as the most recently heard sender
         if len(self._seen) > self._max_senders:
             del self._seen[next(iter(self._seen))]
         return is_new
@@ -65,7 +65,7 @@
     """Seals the messages that one member sends and opens those that it receives. Not thread-safe."""
 
     def __init__(self, secret: bytes, fleet: str, address: str, incarnation: int) -> None:
-        """`incarnation` must exceed that of earlier processes at this address: a start time will do."""
+        """`incarnation` must exceed that of earlier processes at this address; a start time suffices."""
         self._secret = secret[:MAX_SECRET_BYTES]
         self._fleet, self._address, self._incarnation = fleet, address, incarnation
         self._number = 0
@@ -75,7 +75,7 @@
         self._body_decoders: dict[Any, Any] = {}
 
     def seal(self, body: Any) -> bytes:
-        """Return the bytes to send."""
+        """Return the message as bytes to send: digest, protocol version and envelope."""
         self._number += 1
         envelope = [self._fleet, self._address, self._incarnation, self._number, body]
         sealed = bytes([PROTOCOL_VERSION]) + self._encoder.encode(envelope)
--- a/reelusher/fleet/membership/failure_detector.py
+++ b/reelusher/fleet/membership/failure_detector.py
@@ -12,32 +12,32 @@
 from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import Datagram, DatagramKind, MemberState, Update
 
-PROBE_PERIOD_S = 0.4  # between probes of one node
-MIN_ACK_TIMEOUT_S = 0.15  # after which other members are asked to probe too
-UNKNOWN_REGION_ACK_TIMEOUT_S = 0.3  # the same in another region whose round-trip time is not known
-ACK_TIMEOUT_RTT_MULTIPLE = 1.25
+PROBE_PERIOD_S = 0.4  # between the probes that one node starts
+MIN_ACK_TIMEOUT_S = 0.15  # shortest time-out, after which helpers are asked to probe the target too
+UNKNOWN_REGION_ACK_TIMEOUT_S = 0.3  # for another region whose round-trip time is not known
+ACK_TIMEOUT_RTT_MULTIPLE = 1.25  # ack time-out divided by the round-trip time
 MAX_ACK_TIMEOUT_S = 0.5
-RTT_DECAY = 0.125  # fraction by which a known round-trip time approaches a shorter one
-MAX_REGIONS = 64  # whose round-trip times are remembered
-INDIRECT_PROBES = 3
-NACK_TIMEOUT_FRACTION = 0.8  # of the ack timeout, after which a helper sends a NACK
-MAX_LOCAL_HEALTH = 2  # a higher limit delays the smaller side of a partition in detecting who is left
-MISS_TTL_S = 2 * PROBE_PERIOD_S  # for which a helper whose probe failed joins a suspicion
-RECONNECTS_PER_PERIOD = 3.0  # pings to dead members, by all live members together
+RTT_DECAY = 0.125  # fraction of the difference by which a round-trip time approaches a shorter sample
+MAX_REGIONS = 64  # regions whose round-trip times are remembered
+INDIRECT_PROBE_COUNT = 3  # helpers that are asked to probe a target
+NACK_TIMEOUT_FRACTION = 0.8  # fraction of `MIN_ACK_TIMEOUT_S` after which a helper sends a NACK
+MAX_LOCAL_HEALTH = 2  # with a higher limit, the smaller side of a partition detects late who is left
+FAILED_INDIRECT_PROBE_TTL_S = 2 * PROBE_PERIOD_S  # in which a helper whose probe failed joins a suspicion
+RECONNECTS_PER_PERIOD = 3.0  # pings to dead members per probe period, by all live members together
 
 
 class LocalHealth:
-    """Lifeguard's local health: a node that misses answers probes more slowly."""
+    """Lifeguard's local health: a node that misses answers lengthens its time-outs and its probe period."""
 
     def __init__(self) -> None:
-        self.score = 0  # 0 is healthy
+        self.score = 0  # 0 is healthy, `MAX_LOCAL_HEALTH` the worst
 
     def multiplier(self) -> int:
-        """Return the factor by which time-outs and periods are longer."""
+        """Return the factor by which time-outs and the probe period are lengthened."""
         return 1 + self.score
 
     def degrade(self, by: int = 1) -> None:
-        """Count failures that may be this node's own."""
+        """Count failures that this node may have caused itself."""
         self.score = min(MAX_LOCAL_HEALTH, self.score + by)
 
     def improve(self) -> None:
@@ -46,35 +46,35 @@
 
 
 class RoundTripTimes:
-    """The round-trip time to each region, from which the time-outs of answers follow."""
+    """The round-trip time to each region, from which ack time-outs are derived."""
 
     def __init__(self, own_region: str, table: MemberTable) -> None:
         self._own_region, self._table = own_region, table
-        self._by_region: dict[str, float] = {}
+        self._rtt_s_by_region: dict[str, float] = {}
 
     def longest_s(self) -> float:
-        """Return the longest known round-trip time."""
-        return max(self._by_region.values(), default=0.0)
+        """Return the longest known round-trip time, 0 if none is known."""
+        return max(self._rtt_s_by_region.values(), default=0.0)
 
     def ack_timeout_s(self, address: str) -> float:
-        """Return how long the answer of a member may take."""
+        """Return how long the ack of a member may take, in seconds."""
         member = self._table.members.get(address)
         region = member.update.region if member is not None else self._own_region
-        rtt_s = self._by_region.get(region)
+        rtt_s = self._rtt_s_by_region.get(region)
         if rtt_s is None:
             return MIN_ACK_TIMEOUT_S if region == self._own_region else UNKNOWN_REGION_ACK_TIMEOUT_S
         return max(MIN_ACK_TIMEOUT_S, rtt_s * ACK_TIMEOUT_RTT_MULTIPLE)
 
     def observe(self, address: str, rtt_s: float) -> None:
-        """Record how long an answer took: a longer time counts at once, a shorter one gradually."""
+        """Record a round-trip time: a longer one takes effect at once, a shorter one gradually."""
         member = self._table.members.get(address)
         if member is None:
             return
         region, rtt_s = member.update.region, min(rtt_s, MAX_ACK_TIMEOUT_S / ACK_TIMEOUT_RTT_MULTIPLE)
-        known_s = self._by_region.get(region, 0.0)
-        if region not in self._by_region and len(self._by_region) >= MAX_REGIONS:
-            del self._by_region[next(iter(self._by_region))]
-        self._by_region[region] = max(rtt_s, known_s + (rtt_s - known_s) * RTT_DECAY)
+        known_s = self._rtt_s_by_region.get(region, 0.0)
+        if region not in self._rtt_s_by_region and len(self._rtt_s_by_region) >= MAX_REGIONS:
+            del self._rtt_s_by_region[next(iter(self._rtt_s_by_region))]
+        self._rtt_s_by_region[region] = max(rtt_s, known_s + (rtt_s - known_s) * RTT_DECAY)
 
 
 @dataclass(slots=True)
@@ -83,12 +83,12 @@
 
     target: str
     seq: int
-    indirect_s: float  # when helpers are asked
-    end_s: float
+    indirect_due_s: float  # when helpers are asked; infinity once they have been asked
+    end_s: float  # when the probe has failed
     sent_s: float
-    retry_seq: int | None = None  # of the second direct ping
+    retry_seq: int | None = None  # sequence number of the second direct ping
     silent_helpers: set[str] = field(default_factory=set)  # helpers that have not sent a NACK
-    indirect: bool = False  # whether there were helpers to ask
+    had_helpers: bool = False  # whether there were helpers to ask
 
 
 @dataclass(slots=True)
@@ -98,8 +98,8 @@
     requester: str
     target: str
     requester_seq: int
-    nack_s: float
-    end_s: float
+    nack_due_s: float  # when a NACK is sent
+    end_s: float  # when the probe has failed
 
 
 class FailureDetector:
@@ -112,33 +112,33 @@
         gossip: Gossip,
         random: Random,
         now: float,
-        learn: Callable[[Update, float], None],
+        report_suspicion: Callable[[Update, float], None],
     ) -> None:
-        """`learn` takes each suspicion and the time."""
+        """`report_suspicion` is called with each suspicion and the time."""
         self._own_address, self._table, self._gossip, self._random = own.address, table, gossip, random
-        self._learn = learn
+        self._report_suspicion = report_suspicion
         self.local_health = LocalHealth()
         self.round_trip_times = RoundTripTimes(own.region, table)
         self._probe: Probe | None = None
-        self._previous_probe: Probe | None = None  # its late answer still tells the round-trip time
-        self._indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of the ping
-        self._probe_first: OrderedDict[str, None] = OrderedDict()  # helpers that were silent
-        self._missed_s: dict[str, float] = {}  # targets of failed indirect probes, and when they failed
+        self._previous_probe: Probe | None = None  # a late answer to it still gives a round-trip time
+        self._indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of the helper's ping
+        self._priority_targets: OrderedDict[str, None] = OrderedDict()  # helpers that sent no NACK
+        self._failed_indirect_s: dict[str, float] = {}  # by target, when the last indirect probe of it failed
         self._next_probe_s = now + random.uniform(0.0, PROBE_PERIOD_S)
 
-    def next_s(self) -> float:
-        """Return when the detector has something to do."""
-        times = [self._next_probe_s, *(probe.nack_s for probe in self._indirect_probes.values())]
+    def next_due_s(self) -> float:
+        """Return the time by which the detector must be called again."""
+        times = [self._next_probe_s, *(probe.nack_due_s for probe in self._indirect_probes.values())]
         if self._probe:
-            times += self._probe.end_s, self._probe.indirect_s
+            times += self._probe.end_s, self._probe.indirect_due_s
         return min(times)
 
     def postpone(self, now: float) -> None:
-        """Start no probe for one period."""
+        """Start no probe before one probe period has passed."""
         self._next_probe_s = now + PROBE_PERIOD_S
 
     def reset(self) -> None:
-        """Abandon the probes in progress, without blame."""
+        """Abandon the probes in progress without suspecting their targets."""
         self._probe = None
         self._indirect_probes.clear()
 
@@ -148,11 +148,13 @@
         self._advance_indirect_probes(now)
 
     def start_probe_if_due(self, now: float) -> None:
-        """Start the next probe, once it is time."""
+        """Start the next probe if it is due and none is in progress."""
         if now < self._next_probe_s:
             return
-        self._missed_s = {
-            address: missed_s for address, missed_s in self._missed_s.items() if now - missed_s < MISS_TTL_S
+        self._failed_indirect_s = {
+            address: failed_s
+            for address, failed_s in self._failed_indirect_s.items()
+            if now - failed_s < FAILED_INDIRECT_PROBE_TTL_S
         }
         period_s = PROBE_PERIOD_S * self.local_health.multiplier()
         self._next_probe_s = now + period_s * self._random.uniform(0.9, 1.1)
@@ -162,8 +164,8 @@
             self._start_probe(target, now)
 
     def _next_target(self) -> str | None:
-        while self._probe_first:
-            address = self._probe_first.popitem(last=False)[0]
+        while self._priority_targets:
+            address = self._priority_targets.popitem(last=False)[0]
             member = self._table.members.get(address)
             if member is not None and member.is_live:
                 return address
@@ -171,14 +173,14 @@
 
     def _start_probe(self, target: str, now: float) -> None:
         slowdown = self.local_health.multiplier()
-        direct_s = self.round_trip_times.ack_timeout_s(target) * slowdown
-        # a helper may be as far away as any region, and the target as far from the helper
-        indirect_s = self.round_trip_times.longest_s()
-        if direct_s > MIN_ACK_TIMEOUT_S * slowdown:
-            indirect_s = max(indirect_s, direct_s)
-        end_s = max(PROBE_PERIOD_S * 0.9 * slowdown, direct_s + 2 * indirect_s)
+        ack_timeout_s = self.round_trip_times.ack_timeout_s(target) * slowdown
+        # allow for a helper in the most distant region, and for a target just as far from that helper
+        helper_rtt_s = self.round_trip_times.longest_s()
+        if ack_timeout_s > MIN_ACK_TIMEOUT_S * slowdown:
+            helper_rtt_s = max(helper_rtt_s, ack_timeout_s)
+        end_s = max(PROBE_PERIOD_S * 0.9 * slowdown, ack_timeout_s + 2 * helper_rtt_s)
         seq = self._gossip.ping(target)
-        self._probe = Probe(target, seq, now + direct_s, now + end_s, now)
+        self._probe = Probe(target, seq, now + ack_timeout_s, now + end_s, now)
 
     def _advance_probe(self, now: float) -> None:
         probe = self._probe
@@ -186,54 +188,56 @@
             return
         if now >= probe.end_s:
             self._fail_probe(probe, now)
-        elif now >= probe.indirect_s:
+        elif now >= probe.indirect_due_s:
             self._probe_indirectly(probe)
 
     def _fail_probe(self, probe: Probe, now: float) -> None:
         self._probe, self._previous_probe = None, probe
-        # Helpers without a NACK: this node may not receive, or they are beyond the same partition. They are
-        # probed next, or the smaller side of a partition would detect late who is left.
-        self.local_health.degrade(len(probe.silent_helpers) if probe.indirect else 1)
+        # If helpers sent no NACK, this node may not be receiving, or a partition separates it from them and
+        # from the target. They are probed next; otherwise the smaller side of a partition would detect late
+        # who is left.
+        self.local_health.degrade(len(probe.silent_helpers) if probe.had_helpers else 1)
         for address in sorted(probe.silent_helpers):
-            self._probe_first.setdefault(address)
+            self._priority_targets.setdefault(address)
         member = self._table.members.get(probe.target)
         if member is not None and member.is_live:
             suspicion = replace(member.update, state=MemberState.SUSPECT, accuser=self._own_address)
-            self._learn(suspicion, now)
+            self._report_suspicion(suspicion, now)
 
     def _probe_indirectly(self, probe: Probe) -> None:
-        helpers = self._table.sample(INDIRECT_PROBES, probe.target)
-        probe.silent_helpers, probe.indirect, probe.indirect_s = set(helpers), bool(helpers), inf
+        helpers = self._table.sample(INDIRECT_PROBE_COUNT, probe.target)
+        probe.silent_helpers, probe.had_helpers, probe.indirect_due_s = set(helpers), bool(helpers), inf
         for helper in helpers:
             self._gossip.send(helper, DatagramKind.PING_REQUEST, probe.seq, probe.target)
-        # in a large fleet with loss, too many probes would lose the ping and all the indirect ones
+        # a single ping is not enough: in a large fleet with packet loss, too many probes would lose
+        # that ping and all the indirect ones
         probe.retry_seq = self._gossip.ping(probe.target)
 
     def _advance_indirect_probes(self, now: float) -> None:
         for seq, probe in list(self._indirect_probes.items()):
             if now >= probe.end_s:
                 del self._indirect_probes[seq]
-                self._missed_s[probe.target] = now
+                self._failed_indirect_s[probe.target] = now
                 self.confirm_suspicion(probe.target, now)
-            elif now >= probe.nack_s:
-                probe.nack_s = probe.end_s
+            elif now >= probe.nack_due_s:
+                probe.nack_due_s = probe.end_s
                 self._gossip.send(probe.requester, DatagramKind.NACK, probe.requester_seq)
 
     def confirm_suspicion(self, address: str, now: float) -> None:
-        """Join the suspicion of a member that has not answered this node either; never begin one."""
+        """Join an existing suspicion if this node's own indirect probe of the member failed recently."""
         member = self._table.members.get(address)
         if member is None or member.update.state is not MemberState.SUSPECT:
             return
-        missed = now - self._missed_s.get(address, -inf) < MISS_TTL_S
-        if missed and self._own_address not in member.accusers:
-            self._learn(replace(member.update, accuser=self._own_address), now)
+        failed_recently = now - self._failed_indirect_s.get(address, -inf) < FAILED_INDIRECT_PROBE_TTL_S
+        if failed_recently and self._own_address not in member.accusers:
+            self._report_suspicion(replace(member.update, accuser=self._own_address), now)
 
-    def forget_miss(self, address: str) -> None:
+    def forget_failed_indirect_probe(self, address: str) -> None:
         """Forget that an indirect probe of a member failed."""
-        self._missed_s.pop(address, None)
+        self._failed_indirect_s.pop(address, None)
 
     def _reconnect(self) -> None:
-        """Ping a dead member now and then: a partition may have healed."""
+        """Ping a random dead member now and then, since a partition may have healed."""
         dead = self._table.dead
         if dead and self._random.random() < RECONNECTS_PER_PERIOD / self._table.fleet_size():
             self._gossip.ping(self._random.choice(dead))
@@ -243,12 +247,14 @@
     def on_ping_request(self, request: Datagram, now: float) -> None:
         """Probe a member on behalf of another."""
         seq = self._gossip.ping(request.target)
-        nack_s = now + MIN_ACK_TIMEOUT_S * NACK_TIMEOUT_FRACTION
+        nack_due_s = now + MIN_ACK_TIMEOUT_S * NACK_TIMEOUT_FRACTION
         end_s = now + PROBE_PERIOD_S * self.local_health.multiplier()
-        self._indirect_probes[seq] = IndirectProbe(request.sender, request.target, request.seq, nack_s, end_s)
+        self._indirect_probes[seq] = IndirectProbe(
+            request.sender, request.target, request.seq, nack_due_s, end_s
+        )
 
     def on_ack(self, ack: Datagram, now: float) -> None:
-        """End the probe that an answer belongs to, or forward the answer to who asked for the probe."""
+        """End the probe that an ack belongs to, or forward the ack to the member that requested the probe."""
         for probe in (self._probe, self._previous_probe):
             if probe is not None and probe.seq == ack.seq and probe.target == ack.sender:
                 self.round_trip_times.observe(probe.target, now - probe.sent_s)
@@ -260,6 +266,6 @@
             self.local_health.improve()
 
     def on_nack(self, nack: Datagram) -> None:
-        """Record that a helper is reachable, though the target is not for it either."""
+        """Record that a helper is reachable, but has had no answer from the target either."""
         if self._probe and self._probe.seq == nack.seq:
             self._probe.silent_helpers.discard(nack.sender)
--- a/reelusher/fleet/membership/member_table.py
+++ b/reelusher/fleet/membership/member_table.py
@@ -10,34 +10,34 @@
 
 from reelusher.fleet.membership.messages import BUCKET_COUNT, MemberState, Update
 
-MAX_MEMBERS = 6144  # of all states; where the table is full, a live member replaces the oldest dead one
-DEAD_TTL_S = 3600.0  # for which one that is dead or has left is remembered: old updates must not revive it
-MAX_DEAD = 1024  # members dead or left; the oldest is dropped first
+MAX_MEMBERS = 6144  # in all states; in a full table, a live member replaces the oldest dead one
+DEAD_TTL_S = 3600.0  # dead and left members are kept as long, so that old updates do not revive them
+MAX_DEAD = 1024  # dead and left members; those longest in that state are dropped first
 
 
 class Member(msgspec.Struct, frozen=True, gc=False):
-    """One member and its state. Frozen: many simulated tables share one."""
+    """A member and its state. Frozen, since many simulated tables share one instance."""
 
     update: Update
-    since_s: float  # of its state
+    since_s: float  # when it entered its state
     accusers: tuple[str, ...] = ()
 
     @property
     def is_live(self) -> bool:
-        """Return whether it counts as live: a suspect does."""
+        """Return whether the member counts as live, which a suspect does."""
         return self.update.state < MemberState.DEAD
 
 
 @dataclass(slots=True, frozen=True)
 class MemberChange:
-    """A state that has changed; `previous` is None for a new member."""
+    """A change of a member's state; `previous` is None for a new member."""
 
     update: Update
     previous: MemberState | None
 
 
 def bucket_of(address: str) -> int:
-    """Return the bucket that a member is in, the same on every node."""
+    """Return the bucket of a member, which is the same on every node."""
     return crc32(address.encode()) % BUCKET_COUNT
 
 
@@ -48,38 +48,38 @@
 
 
 class MemberTable:
-    """All members but the node itself. What each datagram needs costs the same at any fleet size."""
+    """All members except the node itself. Operations needed per datagram cost the same at any fleet size."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
         self.members: dict[str, Member] = {}
-        self._probe_order: list[str] = []  # the live ones
+        self._probe_order: list[str] = []  # addresses of live members
         self._probe_index = 0
-        self.dead: list[str] = []  # without those that left
-        self.digests = [0] * BUCKET_COUNT  # over the live ones
-        self.rejected = 0  # for lack of capacity
+        self.dead: list[str] = []  # addresses of dead members, without those that left
+        self.digests = [0] * BUCKET_COUNT  # by bucket, over its live members
+        self.rejected = 0  # updates rejected since the table was full
 
     def copy_from(self, other: "MemberTable", excluded: str) -> None:
-        """Start with the members of another table, except one."""
+        """Take over the members of another table, except the one with the address `excluded`."""
         self.members = dict(other.members)
         self._probe_order, self.dead, self.digests = other.live(), list(other.dead), list(other.digests)
         self._replace(self.members[excluded], None)
         self._random.shuffle(self._probe_order)
 
     def live_count(self) -> int:
-        """Return how many members count as live."""
+        """Return the number of live members, without the node itself."""
         return len(self._probe_order)
 
     def fleet_size(self) -> int:
-        """Return how many members are live, the node itself among them."""
+        """Return the number of live members, the node itself included."""
         return 1 + len(self._probe_order)
 
     def live(self) -> list[str]:
-        """Return the addresses of the members that count as live."""
+        """Return the addresses of the live members, without the node itself."""
         return list(self._probe_order)
 
     def apply(self, update: Update, now: float) -> MemberChange | None:
-        """Apply an update; return None where no state changes."""
+        """Apply an update; return the change of state, or None if there is none."""
         member = self.members.get(update.address)
         accusers = (update.accuser,) if update.accuser else ()
         if member is None:
@@ -87,9 +87,9 @@
         if not update.supersedes(member.update):
             return None
         previous = member.update.state
-        unchanged = previous is update.state  # a newer incarnation, or a suspicion of it
-        self._replace(member, Member(update, member.since_s if unchanged else now, accusers))
-        if unchanged and update.state is MemberState.ALIVE:
+        same_state = previous is update.state  # only the incarnation is newer, or also suspected
+        self._replace(member, Member(update, member.since_s if same_state else now, accusers))
+        if same_state and update.state is MemberState.ALIVE:
             return None
         return MemberChange(update, previous)
 
@@ -101,7 +101,7 @@
         return MemberChange(member.update, None)
 
     def _replace(self, before: Member | None, after: Member | None) -> None:
-        """Replace the entry of a member, and keep what is derived from all entries up to date."""
+        """Add, replace or remove the entry of a member, and update the data derived from all entries."""
         member = after or before
         assert member is not None
         address = member.update.address
@@ -124,7 +124,7 @@
             del self._probe_order[index]
             self._probe_index -= index < self._probe_index
         elif is_live and not was_live:
-            # at a random position, so that joins are spread over the round
+            # at a random position, so that members that join are spread over the probe round
             self._probe_order.insert(self._random.randint(0, len(self._probe_order)), address)
 
     def _update_digest(self, address: str, before: Member | None, after: Member | None) -> None:
@@ -147,7 +147,7 @@
             self.members[address] = Member(update, now)
 
     def next_target(self) -> str | None:
-        """Return the member to probe next: each once a round, in a new random order each round."""
+        """Return the next member to probe, if any: each live member once a round, in a new random order."""
         if not self._probe_order:
             return None
         if self._probe_index >= len(self._probe_order):
@@ -157,29 +157,29 @@
         return self._probe_order[self._probe_index - 1]
 
     def sample(self, count: int, *excluded: str) -> list[str]:
-        """Return random live members, without those excluded."""
+        """Return up to `count` random live members, without those excluded."""
         drawn = self._random.sample(self._probe_order, min(count + len(excluded), len(self._probe_order)))
         return [address for address in drawn if address not in excluded][:count]
 
     def in_buckets(self, buckets: Iterable[int]) -> list[Update]:
-        """Return the updates of all members in some buckets, those dead or left among them."""
+        """Return the updates of all members in some buckets, dead and left ones included."""
         wanted = set(buckets)
         return [member.update for address, member in self.members.items() if bucket_of(address) in wanted]
 
     def _drop_oldest(self, count: int) -> bool:
-        """Forget members that are dead or left for longest; return whether there were any."""
-        dead = sorted(
+        """Forget the `count` members dead or left for longest; return whether there were any."""
+        not_live = sorted(
             (member.since_s, address) for address, member in self.members.items() if not member.is_live
         )
-        for _, address in dead[:count]:
+        for _, address in not_live[:count]:
             self._replace(self.members[address], None)
-        return bool(dead)
+        return bool(not_live)
 
     def drop_expired(self, now: float) -> None:
-        """Forget members that have been dead or left for long, and the oldest of too many."""
-        since = [member.since_s for member in self.members.values() if not member.is_live]
-        expired = sum(now - since_s > DEAD_TTL_S for since_s in since)
-        if excess := max(expired, len(since) - MAX_DEAD):
+        """Forget members dead or left for longer than `DEAD_TTL_S`, and the oldest beyond `MAX_DEAD`."""
+        not_live_since = [member.since_s for member in self.members.values() if not member.is_live]
+        expired = sum(now - since_s > DEAD_TTL_S for since_s in not_live_since)
+        if excess := max(expired, len(not_live_since) - MAX_DEAD):
             self._drop_oldest(excess)
 
     def duplicate_names(self) -> dict[str, list[str]]:
--- a/reelusher/fleet/membership/requests.py
+++ b/reelusher/fleet/membership/requests.py
@@ -36,15 +36,15 @@
     """Sends requests to other members and answers theirs. Thread-safe."""
 
     def __init__(self, codec: MessageCodec, source_host: str) -> None:
-        """Connections come from `source_host`, by which other members may tell them apart."""
+        """Connections are opened from `source_host`, by which other members can tell nodes apart."""
         self._codec, self._source_host = codec, source_host
-        # By type of request, called in a thread for each connection. A reply of None closes it.
+        # By type of request; called in the thread of the connection, which is closed if they return None.
         self.handlers: dict[type, Callable[[Any], Any]] = {}
 
     def request(
         self, address: str, request: Any, reply_type: type[T], timeout_s: float = REQUEST_TIMEOUT_S
     ) -> T | None:
-        """Return the reply of a member; None where it can't be reached or does not reply in time."""
+        """Return the reply of a member; None if it can't be reached or does not reply in time."""
         try:
             return self.request_once(address, request, reply_type, timeout_s)
         except MemberRequestError as error:
@@ -85,7 +85,7 @@
                 sock.settimeout(REQUEST_TIMEOUT_S)
                 sock.sendall(_with_length(self._codec.seal(reply)))
         except OSError as error:
-            logger.debug("fleet: {}", error)
+            logger.debug("fleet: a request was not answered: {}", error)
 
 
 def _with_length(data: bytes) -> bytes:
@@ -93,18 +93,18 @@
 
 
 def _read_message(sock: socket.socket, timeout_s: float) -> bytes:
-    """Read a message with its length before it, however slowly it arrives, within the time-out."""
-    until = time.monotonic() + timeout_s
-    size = int.from_bytes(_read_exactly(sock, LENGTH_PREFIX_BYTES, until))
+    """Read a message with a length prefix; raise OSError if it is not complete within the time-out."""
+    until_s = time.monotonic() + timeout_s
+    size = int.from_bytes(_read_exactly(sock, LENGTH_PREFIX_BYTES, until_s))
     if size > MAX_STATE_BYTES:
-        raise OSError(f"a message of {size} bytes")
-    return _read_exactly(sock, size, until)
+        raise OSError(f"message of {size} bytes is too long")
+    return _read_exactly(sock, size, until_s)
 
 
-def _read_exactly(sock: socket.socket, size: int, until: float) -> bytes:
+def _read_exactly(sock: socket.socket, size: int, until_s: float) -> bytes:
     received = bytearray()
     while len(received) < size:
-        sock.settimeout(max(0.001, until - time.monotonic()))
+        sock.settimeout(max(0.001, until_s - time.monotonic()))
         data = sock.recv(min(READ_CHUNK_BYTES, size - len(received)))
         if not data:
             raise OSError("connection closed within a message")
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -25,14 +25,15 @@
 from reelusher.fleet.membership.requests import REQUEST_TIMEOUT_S, RequestChannel
 from reelusher.fleet.membership.state_sync import StateSync
 from reelusher.fleet.membership.swim import StepResult, Swim
-from reelusher.fleet.membership.udp_transport import UdpTransport, bind_udp_with
+from reelusher.fleet.membership.udp_transport import UdpTransport, bind_udp_and_tcp
 from reelusher.net.listener import Listener
 from reelusher.net.threads import start_thread
 
-MAX_CONNECTIONS = 8  # at once
-DESCRIPTORS = MAX_CONNECTIONS + 6  # the UDP socket, the listener, one rejected, and the node's own requests
+MAX_CONNECTIONS = 8  # concurrent TCP connections from other members
+# besides connections: the UDP socket, the listener, a rejected connection, and the node's own requests
+DESCRIPTORS = MAX_CONNECTIONS + 6
 EXPIRY_INTERVAL_S = 60.0  # between removals of members that have been dead for long
-MIN_WAIT_S, MAX_WAIT_S = 0.001, 1.0  # for a datagram
+MIN_WAIT_S, MAX_WAIT_S = 0.001, 1.0  # bounds of the wait for a datagram
 T = TypeVar("T")
 
 
@@ -48,7 +49,7 @@
 
 
 class Membership:
-    """A node's membership in its fleet. Without any other member, the node serves on by itself."""
+    """A node's membership in its fleet. A node that reaches no other member serves alone."""
 
     def __init__(self, config: Fleet, name: str, random: Random, counters: Counters) -> None:
         """Bind the sockets, so that an address in use is reported before anything starts."""
@@ -56,7 +57,7 @@
         incarnation = int(time.time() * 1000)
         own_address = "{}:{}".format(*config.advertise)
         seeds = [seed for seed in (f"{host}:{port}" for host, port in config.seeds) if seed != own_address]
-        sock, self._listener = bind_udp_with(config.listen, self._make_listener)
+        sock, self._listener = bind_udp_and_tcp(config.listen, self._make_listener)
         self.address: Address = sock.getsockname()
         if not config.advertise[1]:
             own_address = "{}:{}".format(*self.address)
@@ -67,15 +68,15 @@
         self._transport = UdpTransport(sock, counters)
         self._codec = MessageCodec(authenticator, counters)
         self._channel = RequestChannel(self._codec, self.address[0])
-        self.handlers = self._channel.handlers  # by type of request; set before `start`
-        self._lock = threading.Lock()  # of the next two; never held while waiting
+        self.handlers = self._channel.handlers  # by type of request; to be set before `start`
+        self._lock = threading.Lock()  # guards the next two; never held while blocking
         self._swim = Swim(own, random, now)
         self._change_log = ChangeLog(counters, now)
         self.state_sync = StateSync(
             self._swim, self._lock, self._channel, seeds, random, counters, self._deliver
         )
         self._stop = threading.Event()
-        self._expired_s = now
+        self._last_expiry_s = now
         self.observations: Callable[[], ObservationsReply] = lambda: ObservationsReply(False, [])
         self.handlers[ObservationsRequest] = lambda request: self.observations()
 
@@ -87,7 +88,7 @@
     def _serve_connection(self, sock: socket.socket, peer: Address) -> None:
         self._channel.serve_connection(sock)
 
-    # From any thread
+    # These methods may be called from any thread
 
     @property
     def joined(self) -> bool:
@@ -95,7 +96,7 @@
         return self.state_sync.joined
 
     def start(self) -> None:
-        """Start to take part."""
+        """Start the threads, which join the fleet and take part in its protocol."""
         start_thread("fleet", self._run)
         self._listener.start()
         start_thread("fleet-sync", self.state_sync.run)
@@ -107,7 +108,7 @@
         self._deliver(result)
 
     def close(self) -> None:
-        """Stop taking part."""
+        """Stop the threads and close the sockets."""
         self._stop.set()
         self.state_sync.close()
         self._listener.stop()
@@ -119,7 +120,7 @@
             return [self._swim.own, *(table.members[address].update for address in table.live())]
 
     def status(self) -> dict[str, Any]:
-        """Return the state of the fleet as operators see it."""
+        """Return the state of the fleet for operators, as plain values."""
         now = time.monotonic()
         with self._lock:
             swim, joined = self._swim, self.joined
@@ -154,37 +155,38 @@
     ) -> None:
         """Send the numbers that `vector` returns with each datagram; pass those received to `on_vector`.
 
-        There may be `MAX_VECTOR_LENGTH` numbers, none negative. `on_vector` takes the sender, its vector and
-        the time. Both are called with the lock of this membership held: they must not block, or call it.
+        `vector` returns at most `MAX_VECTOR_LENGTH` numbers, none negative. `on_vector` takes the sender, its
+        vector and the time. Both are called with the lock of this membership held: they must neither block
+        nor call this object.
         """
         with self._lock:
             self._swim.gossip.vector, self._swim.on_vector = vector, on_vector
 
     def ping(self, addresses: Iterable[str]) -> None:
-        """Ping members beside the probes, so that their vectors arrive with the answers."""
+        """Ping members outside the probes, so that their vectors arrive with the answers."""
         for address in addresses:
             with self._lock:
                 result = self._swim.ping(address)
             self._deliver(result)
 
     def forget(self, name: str) -> bool | None:
-        """Have the fleet forget dead members of a name; False where one is live, None where none is known."""
+        """Have the fleet forget the dead members of a name; False if one is live, None if none is known."""
         now = time.monotonic()
         with self._lock:
             members = self._swim.table.members
-            found = [address for address, member in members.items() if member.update.name == name]
-            if name == self._swim.own.name or any(members[address].is_live for address in found):
+            addresses = [address for address, member in members.items() if member.update.name == name]
+            if name == self._swim.own.name or any(members[address].is_live for address in addresses):
                 return False
-            results = [self._swim.forget(address, now) for address in found]
+            results = [self._swim.forget(address, now) for address in addresses]
         for result in results:
             if result is not None:
                 self._deliver(result)
-        return True if found else None
+        return True if addresses else None
 
     def request(
         self, address: str, request: Any, reply_type: type[T], timeout_s: float = REQUEST_TIMEOUT_S
     ) -> T | None:
-        """Return the reply of a member over TCP; None where it can't be reached or does not reply in time."""
+        """Return the reply of a member over TCP; None if it can't be reached or does not reply in time."""
         return self._channel.request(address, request, reply_type, timeout_s)
 
     def request_once(
@@ -193,7 +195,7 @@
         """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`."""
         return self._channel.request_once(address, request, reply_type, timeout_s)
 
-    # The thread of datagrams
+    # The thread that receives datagrams and runs the timers
 
     def _run(self) -> None:
         while not self._stop.is_set():
@@ -201,8 +203,8 @@
             with self._lock:
                 result = self._swim.tick(now)
                 wait_s = self._swim.next_tick_s() - now
-                if now - self._expired_s > EXPIRY_INTERVAL_S:
-                    self._expired_s = now
+                if now - self._last_expiry_s > EXPIRY_INTERVAL_S:
+                    self._last_expiry_s = now
                     self._swim.table.drop_expired(now)
             self._deliver(result)
             self._log_changes(now)
--- a/reelusher/fleet/membership/state_sync.py
+++ b/reelusher/fleet/membership/state_sync.py
@@ -22,18 +22,17 @@
 from reelusher.pacing.backoff import Backoff
 from reelusher.pacing.token_bucket import TokenBucket
 
-STATES_PER_S, STATES_AT_ONCE = (
-    10.0,
-    10.0,
-)  # full states sent; further requesters are redirected
-ALTERNATIVES = 5  # members that one is redirected to
+# rate and burst of states sent in reply; past these, requesters are redirected to other members
+STATES_PER_S, STATES_AT_ONCE = 10.0, 10.0
+ALTERNATIVES = 5  # members that a requester is redirected to
 JOIN_BACKOFF_BASE_S, JOIN_BACKOFF_CAP_S = 0.2, 3.0
-MIN_REDIRECT_PAUSE_S = 0.05
-FULL_STATE_FRACTION = 0.25  # of comparisons without digests are followed by an exchange of full states
-SYNC_INTERVAL_S = 15.0, 30.0  # between comparisons with a random member, which repair what gossip has lost
-FIRST_SYNC_DELAY_S = 0.5, 3.0  # after joining: of many members that join at once, each knows some others only
-SYNC_PAUSE_S = 0.5, 1.5  # after each exchange
-LOST_SEED_WEIGHT = 3  # how likely a seed that is not live is chosen, beside each live member
+MIN_REDIRECT_PAUSE_S = 0.05  # before the next attempt to join, after a redirect
+FULL_STATE_FRACTION = 0.25  # part of comparisons without digests that lead to an exchange of full states
+SYNC_INTERVAL_S = 15.0, 30.0  # between comparisons with a random member, which repair losses of gossip
+# after joining: if many members join at once, each knows only some of the others
+FIRST_SYNC_DELAY_S = 0.5, 3.0
+SYNC_PAUSE_S = 0.5, 1.5  # after each comparison
+LOST_SEED_WEIGHT = 3  # weight of choosing a seed that is not live; each live member has 1
 
 
 class StateSync:
@@ -49,10 +48,10 @@
         counters: Counters,
         deliver: Callable[[StepResult], None],
     ) -> None:
-        """`lock` guards `swim`; `deliver` sends what a merge results in."""
+        """`lock` guards `swim`; `deliver` sends the datagrams of a merge and logs its changes."""
         self._swim, self._lock, self._channel, self._seeds = swim, lock, channel, seeds
         self._random, self._counters, self._deliver = random, counters, deliver
-        self.state_allowance = TokenBucket(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
+        self.state_reply_limiter = TokenBucket(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
         self.joined = not seeds
         self._stop = threading.Event()
         self._wake = threading.Event()
@@ -66,11 +65,11 @@
         self._wake.set()
 
     def wake(self) -> None:
-        """Look at once for members to exchange states with."""
+        """Have the thread exchange states with a member in `swim.sync_with` at once."""
         self._wake.set()
 
     def run(self) -> None:
-        """Join, then compare states periodically, and with members that turned out to be alive."""
+        """Join, then compare states periodically, and at once with members that turned out to be alive."""
         self._join()
         due_s = time.monotonic() + self._random.uniform(*FIRST_SYNC_DELAY_S)
         while not self._stop.is_set():
@@ -109,7 +108,7 @@
                 self._stop.wait(backoff.next_s())
 
     def _random_partner(self) -> list[str]:
-        """Return a member to compare states with, now and then a seed that is not live."""
+        """Return a member to compare states with, if any; now and then a seed that is not live."""
         live = set(self._swim.table.live())
         lost_seeds = [seed for seed in self._seeds if seed not in live]
         if lost_seeds and self._random.random() < LOST_SEED_WEIGHT / (1 + len(live)):
@@ -122,8 +121,8 @@
             request = DigestRequest(self._swim.own.address, self._swim.digest())
         reply = self._channel.request(address, request, DigestReply)
         if reply is None or len(reply.digests) not in (0, BUCKET_COUNT):
-            # It is down or busy, or its version has no digests, or other ones. Its full state is asked for by
-            # some members only, not by all at once.
+            # The member is down or busy, or its version has no digests or different ones. Only some members
+            # then ask for its full state, so that not all do so at once.
             if self._random.random() < FULL_STATE_FRACTION:
                 self.exchange(address)
             return
@@ -137,9 +136,9 @@
             self._merge(self._channel.request(address, buckets_request, StateReply))
 
     def exchange(self, address: str) -> StateReply | None:
-        """Exchange full states with a member; return None where it does not reply."""
+        """Exchange full states with a member; return None if it does not reply."""
         with self._lock:
-            # before it has joined, a member knows others only from its seeds, as they themselves do
+            # before it has joined, a member knows only others that its seeds know already
             updates = self._swim.full_state() if self.joined else [self._swim.own]
             request = StateRequest(self._swim.own.address, updates)
         return self._merge(self._channel.request(address, request, StateReply))
@@ -161,15 +160,15 @@
         return self._reply_with(request, lambda: self._swim.in_buckets(request.buckets))
 
     def _reply_with(
-        self, request: StateRequest | BucketsRequest, known: Callable[[], list[Update]]
+        self, request: StateRequest | BucketsRequest, requested_state: Callable[[], list[Update]]
     ) -> StateReply:
-        """Merge the state of the requester, and reply with what is known, or with other members to ask."""
+        """Merge the requester's state, and reply with the state requested, or with other members to ask."""
         now = time.monotonic()
         with self._lock:
             result = self._swim.merge(request.updates, now)
-            allowed = self.state_allowance.try_take(now)
+            allowed = self.state_reply_limiter.try_take(now)
             if allowed:
-                reply = StateReply(known())
+                reply = StateReply(requested_state())
             else:
                 alternatives = self._swim.table.sample(ALTERNATIVES, request.sender)
                 reply = StateReply([self._swim.own], alternatives)
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -1,6 +1,6 @@
-"""One member's part of SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018).
+"""The protocol of a member: SWIM (Das, Gupta, Motivala 2002), Lifeguard (Dadgar, Phillips, Currey 2018).
 
-Free of I/O. All times are seconds of a monotonic clock. Methods return datagrams to send; nothing waits.
+Free of I/O. All times are seconds of a monotonic clock. Methods return the datagrams to send; none blocks.
 """
 
 from collections import OrderedDict
@@ -18,15 +18,15 @@
 from reelusher.fleet.membership.member_table import MemberChange, MemberTable, bucket_of, digest_of
 from reelusher.fleet.membership.messages import Datagram, DatagramKind, MemberState, Update
 from reelusher.fleet.membership.suspicion import (
-    LAST_PING_TIMEOUT_S,
+    FINAL_PING_TIMEOUT_S,
     MAX_CONFIRMATIONS,
     SuspicionTimers,
 )
 
-GOSSIP_PERIOD_S = 0.1  # between rounds of gossip, while there is something to send
-STALL_S = 2 * PROBE_PERIOD_S  # without a tick, after which this process must have been stopped
-REJOIN_DISTRUST_S = 10.0  # for which the accusations of a member that was held for dead are ignored
-LEAVE_FANOUT = 3 * GOSSIP_FANOUT  # members that are told at once that this one leaves
+GOSSIP_PERIOD_S = 0.1  # between gossip rounds, while there is something to send
+STALL_S = 2 * PROBE_PERIOD_S  # time without a tick after which this process must have been stopped
+REJOIN_DISTRUST_S = 10.0  # in which accusations by a member that was considered dead are ignored
+LEAVE_FANOUT = 3 * GOSSIP_FANOUT  # members to which this one announces at once that it leaves
 BUCKET_DIGEST_MASK = (1 << 32) - 1
 
 
@@ -34,7 +34,7 @@
 class StepResult:
     """The result of a step of the protocol."""
 
-    datagrams: list[tuple[str, Datagram]]  # to send, by address
+    datagrams: list[tuple[str, Datagram]]  # datagrams to send, each with the address that it goes to
     changes: list[MemberChange]
 
 
@@ -44,14 +44,17 @@
     def __init__(self, own: Update, random: Random, now: float) -> None:
         self.own = own
         self.table = MemberTable(random)
-        self.refutations = 0
-        self.stalls = 0
+        self.refutations = 0  # false claims about this member that it has refuted
+        self.stalls = 0  # long pauses in which this process did not run
         self.on_vector: Callable[[str, list[int], float], None] = lambda sender, vector, now: None
-        self.sync_with: set[str] = set()  # members to exchange states with: they know much that is new
+        # Members that were considered dead and sent a datagram. States are exchanged with them, since they
+        # know much that is new to this member.
+        self.sync_with: set[str] = set()
         self.gossip = Gossip(own.address, self.table, first_seq=random.getrandbits(32))
-        self.detector = FailureDetector(own, self.table, self.gossip, random, now, self._learn)
+        self.detector = FailureDetector(own, self.table, self.gossip, random, now, self._apply_update)
         self._suspicions = SuspicionTimers(own.address, self.table)
-        self._rejoined: OrderedDict[str, float] = OrderedDict()  # held for dead until then, the latest last
+        # members that were considered dead, and when they became live again; the latest comes last
+        self._rejoined: OrderedDict[str, float] = OrderedDict()
         self._random = random
         self._next_gossip_s = now + random.uniform(0.0, GOSSIP_PERIOD_S)
         self._last_tick_s = now
@@ -62,22 +65,22 @@
         changes, self._changes = self._changes, []
         return StepResult(self.gossip.take_outgoing(), changes)
 
-    # Digests: members with equal digests know the same live members, in the same incarnations
+    # Digests: members with equal digests know the same live members, at the same incarnations
 
     def digests(self) -> list[int]:
-        """Return 32 bits for each bucket of members, this one among them."""
+        """Return a 32-bit digest of the live members in each bucket, this member included."""
         digests = [digest & BUCKET_DIGEST_MASK for digest in self.table.digests]
         if self.own.state < MemberState.DEAD:
             digests[bucket_of(self.own.address)] ^= digest_of(self.own) & BUCKET_DIGEST_MASK
         return digests
 
     def digest(self) -> int:
-        """Return 63 bits for all live members."""
+        """Return a 63-bit digest of all live members, this member included."""
         own_digest = digest_of(self.own) if self.own.state < MemberState.DEAD else 0
         return reduce(xor, self.table.digests, own_digest)
 
     def compare_digest(self, digest: int) -> list[int]:
-        """Return the digests of all buckets, or none where another member's digest is the same."""
+        """Return the digests of all buckets, or an empty list if `digest` equals this member's own."""
         return [] if digest == self.digest() else self.digests()
 
     def differing_buckets(self, digests: list[int]) -> list[int]:
@@ -86,29 +89,29 @@
         return [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
 
     def in_buckets(self, buckets: Iterable[int]) -> list[Update]:
-        """Return all that is known of the members in some buckets, those dead or left among them."""
+        """Return the updates of all members in some buckets, dead and left ones included."""
         wanted = set(buckets)
         own = [self.own] if bucket_of(self.own.address) in wanted else []
         return own + self.table.in_buckets(wanted)
 
     def full_state(self) -> list[Update]:
-        """Return all that is known, this member first."""
+        """Return the updates of all members, this member first."""
         return [self.own, *(member.update for member in self.table.members.values())]
 
     # Time
 
     def next_tick_s(self) -> float:
-        """Return when `tick` must be called at the latest."""
+        """Return the time by which `tick` must be called."""
         gossip_s = self._next_gossip_s if self.gossip.has_pending() else inf
-        return min(self.detector.next_s(), gossip_s, self._suspicions.next_s())
+        return min(self.detector.next_due_s(), gossip_s, self._suspicions.next_due_s())
 
     def tick(self, now: float) -> StepResult:
-        """Do what is due."""
+        """Advance the probes, suspicions and gossip rounds that are due."""
         elapsed_s = now - self._last_tick_s
         self._last_tick_s = now
         if elapsed_s > STALL_S + self.detector.local_health.score * PROBE_PERIOD_S:
             self._on_stall(elapsed_s)
-        if self.own.state is MemberState.LEFT:  # pending updates are still sent
+        if self.own.state is MemberState.LEFT:  # it probes no longer, but still sends pending updates
             self.detector.postpone(now)
         else:
             self.detector.advance(now)
@@ -120,7 +123,7 @@
         return self._take_result()
 
     def _on_stall(self, elapsed_s: float) -> None:
-        """Blame nobody for a time in which this process did not run."""
+        """Abandon probes and extend suspicions after a time in which this process did not run."""
         self.stalls += 1
         self.detector.local_health.degrade()
         self.detector.reset()
@@ -128,20 +131,20 @@
 
     def _expire_suspicions(self, now: float) -> None:
         while (address := self._suspicions.pop_expired(now)) is not None:
-            if self._suspicions.needs_last_ping(address):
-                timeout_s = max(LAST_PING_TIMEOUT_S, self.detector.round_trip_times.ack_timeout_s(address))
-                self._suspicions.await_last_ping(address, now + timeout_s)
+            if self._suspicions.needs_final_ping(address):
+                timeout_s = max(FINAL_PING_TIMEOUT_S, self.detector.round_trip_times.ack_timeout_s(address))
+                self._suspicions.await_final_ping(address, now + timeout_s)
                 self.gossip.ping(address)
             else:
                 suspect = self.table.members[address].update
-                self._learn(replace(suspect, state=MemberState.DEAD, accuser=self.own.address), now)
+                self._apply_update(replace(suspect, state=MemberState.DEAD, accuser=self.own.address), now)
 
     # Updates
 
-    def _learn(self, update: Update, now: float) -> None:
-        """Apply an update; what is new is broadcast."""
+    def _apply_update(self, update: Update, now: float) -> None:
+        """Apply an update, and broadcast it if it is new."""
         if update.address == self.own.address:
-            self._learn_about_self(update, now)
+            self._apply_update_about_self(update, now)
             return
         member = self.table.members.get(update.address)
         if member is not None and update.state is MemberState.SUSPECT is member.update.state:
@@ -173,10 +176,10 @@
             self.detector.confirm_suspicion(address, now)
         else:
             self._suspicions.drop(address)
-            self.detector.forget_miss(address)
+            self.detector.forget_failed_indirect_probe(address)
 
-    def _learn_about_self(self, update: Update, now: float) -> None:
-        """Refute a false claim; a node that has to may be unhealthy itself."""
+    def _apply_update_about_self(self, update: Update, now: float) -> None:
+        """Refute a false claim about this member, and take it as a sign that this node may be unhealthy."""
         claims_alive = update.state is MemberState.ALIVE
         if self.own.state is MemberState.LEFT or (claims_alive and not update.supersedes(self.own)):
             return
@@ -192,16 +195,16 @@
         self.gossip.broadcasts.add(self.own)
 
     def _withdraw_accusations(self, now: float) -> None:
-        """Suspect nobody and broadcast no deaths: this member was partitioned and accused the others."""
+        """End suspicions and stop broadcasting deaths: this member was partitioned and accused the others."""
         self.gossip.broadcasts.discard_accusations()
         for address in self._suspicions.clear():
             self.table.clear_suspicion(address, now)
 
     def _has_rejoined_recently(self, address: str, now: float) -> bool:
-        """Return whether a member was held for dead here until some seconds ago.
+        """Return whether this node considered a member dead until at most `REJOIN_DISTRUST_S` ago.
 
-        Its process may have been started while it was partitioned. Then it never learns that it was held for
-        dead, and has the deaths of all others from the members on its side of the partition.
+        The member's process may have been started during a partition. It then never learns that it was
+        considered dead, and has the deaths of all others from the members on its side of the partition.
         """
         while self._rejoined and now - next(iter(self._rejoined.values())) > REJOIN_DISTRUST_S:
             self._rejoined.popitem(last=False)
@@ -215,15 +218,16 @@
         was_partitioned = self._has_rejoined_recently(datagram.sender, now)
         if sender is not None and sender.update.state is MemberState.DEAD:
             was_partitioned = True
-            self.sync_with.add(datagram.sender)  # alive: others on its side of a partition may be, too
+            # the sender is alive, so others on its side of a partition may be alive too
+            self.sync_with.add(datagram.sender)
             self.gossip.broadcasts.discard_accusations()
         if datagram.vector:
             self.on_vector(datagram.sender, datagram.vector, now)
         for update in datagram.updates:
-            # a member that was partitioned held all others for dead, and still broadcasts that
+            # a member that was partitioned considered all others dead, and still broadcasts their deaths
             is_accusation = update.state is not MemberState.ALIVE and update.address != self.own.address
             if not (was_partitioned and is_accusation):
-                self._learn(update, now)
+                self._apply_update(update, now)
         self._handle_kind(datagram, now)
         return self._take_result()
 
@@ -243,34 +247,35 @@
     def merge(self, updates: Iterable[Update], now: float) -> StepResult:
         """Merge a full state, or that of some buckets.
 
-        Whoever it newly accuses is notified before the accusation is believed.
+        A new accusation of a live member is not applied, but sent to that member, which refutes it if it can.
         """
         for update in updates:
             notice = self._notice_for(update)
             if notice is not None:
                 self.gossip.notices.append(notice)
             else:
-                self._learn(update, now)
+                self._apply_update(update, now)
         return self._take_result()
 
     def _notice_for(self, update: Update) -> Update | None:
-        """Return what to send to the member that an update is about, instead of applying the update."""
+        """Return the update to send to its subject instead of applying the given one; None to apply that."""
         member = self.table.members.get(update.address)
         if member is None:
             return None
         is_accusation = update.state in (MemberState.SUSPECT, MemberState.DEAD)
         if is_accusation and member.is_live and update.supersedes(member.update):
             return update
-        is_held_for_dead = member.update.state is MemberState.DEAD
+        is_considered_dead = member.update.state is MemberState.DEAD
         is_older = update.incarnation <= member.update.incarnation
-        if is_held_for_dead and update.state is MemberState.ALIVE and is_older:
-            return member.update  # alive elsewhere: if it is, it refutes this
+        if is_considered_dead and update.state is MemberState.ALIVE and is_older:
+            return member.update  # another node considers it alive: if it is, it refutes its death
         return None
 
     def join(self, updates: Iterable[Update], now: float) -> StepResult:
-        """Take the full state of a member to join through, which all others know already.
+        """Merge the full state of the member through which this one joins.
 
-        What that state lacks is broadcast: others may have joined through this member before.
+        The fleet knows that state already, so only what it lacks is broadcast: others may have joined through
+        this member before.
         """
         received = {update.address: update for update in updates}
         result = self.merge(received.values(), now)
@@ -278,15 +283,15 @@
         self.gossip.broadcasts.add(self.own)
         return result
 
-    # What operators and the node ask for
+    # Operations for the node and its operators
 
     def ping(self, address: str) -> StepResult:
-        """Ping a member beside the probes: its answer carries its vector; none has no consequence."""
+        """Ping a member outside the probes, to receive its vector; a missing answer has no consequence."""
         self.gossip.ping(address)
         return self._take_result()
 
     def leave(self) -> StepResult:
-        """Announce that this member leaves, to enough members that all learn of it."""
+        """Announce that this member leaves to enough members for all to learn of it."""
         self.own = replace(self.own, state=MemberState.LEFT)
         self.gossip.broadcasts.add(self.own)
         for recipient in self.table.sample(LEAVE_FANOUT):
@@ -294,9 +299,9 @@
         return self._take_result()
 
     def forget(self, address: str, now: float) -> StepResult | None:
-        """Have the fleet treat a dead member as left; return None where it is live or not known."""
+        """Have the fleet treat a dead member as left; return None if it is live or unknown."""
         member = self.table.members.get(address)
         if member is None or member.is_live:
             return None
-        self._learn(replace(member.update, state=MemberState.LEFT, accuser=""), now)
+        self._apply_update(replace(member.update, state=MemberState.LEFT, accuser=""), now)
         return self._take_result()
--- a/reelusher/fleet/membership/udp_transport.py
+++ b/reelusher/fleet/membership/udp_transport.py
@@ -14,8 +14,8 @@
 T = TypeVar("T")
 
 
-def bind_udp_with(address: Address, bind_tcp: Callable[[Address], T]) -> tuple[socket.socket, T]:
-    """Bind a UDP socket and a TCP listener to one address; of port 0, to a port that is free for both."""
+def bind_udp_and_tcp(address: Address, bind_tcp: Callable[[Address], T]) -> tuple[socket.socket, T]:
+    """Bind a UDP socket and a TCP listener to one address; port 0 stands for a port free for both."""
     for attempts_left in reversed(range(1 if address[1] else BIND_ATTEMPTS)):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
@@ -29,7 +29,7 @@
 
 
 class UdpTransport:
-    """Sends from any thread, and receives in one."""
+    """Sends and receives datagrams. Any thread may send, but only one may receive."""
 
     def __init__(self, sock: socket.socket, counters: Counters) -> None:
         self._sock, self._counters = sock, counters
@@ -44,14 +44,14 @@
             self._counters.add("fleet.send_failed")
 
     def receive(self, timeout_s: float) -> bytes | None:
-        """Return the next datagram; None where none arrives in time."""
+        """Return the next datagram; None if none arrives in time."""
         self._sock.settimeout(timeout_s)
         try:
             return self._sock.recvfrom(RECEIVE_BUFFER_BYTES)[0]
         except TimeoutError:
             return None
-        except OSError as error:  # for example an earlier datagram was not delivered
-            logger.debug("fleet: {}", error)
+        except OSError as error:  # for example, an earlier datagram was not delivered
+            logger.debug("fleet: receiving a datagram failed: {}", error)
             return None
 
     def close(self) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -911,7 +911,7 @@
     assert soon(lambda: names(first) == ["a", "b"])
     asker = start("c", [first])
     assert soon(lambda: asker.status()["own"]["joined"])
-    first.state_sync.state_allowance = TokenBucket(0.0, 5.0, time.monotonic())
+    first.state_sync.state_reply_limiter = TokenBucket(0.0, 5.0, time.monotonic())
     replies: list[StateReply | None] = [
         asker.state_sync.exchange("{}:{}".format(*first.address)) for _ in range(20)
     ]
