--- a/reelusher/fleet/warm_start/__init__.py
+++ b/reelusher/fleet/warm_start/__init__.py
@@ -1,1 +1,1 @@
-"""What a node that has just started takes over from warm members: docs/learning.md."""
+"""Warm start: a node that has just started uses observations of warm members; see docs/learning.md."""
--- a/reelusher/fleet/warm_start/observations.py
+++ b/reelusher/fleet/warm_start/observations.py
@@ -1,7 +1,7 @@
 """Which members to ask for observations, and how to combine what they report. Free of I/O.
 
-The subject of an observation is `run:CLASS` (the duration of a run over its hint), `call:below` (the mean
-duration of a downstream call) or `away:WORKER` (1 where a worker is unreachable, else 0).
+The subject of an observation is `run:CLASS` (the duration of a run divided by its hint), `call:below` (the
+mean duration of a downstream call in microseconds) or `away:WORKER` (1 if a worker is unreachable, else 0).
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,11 +11,12 @@
 from reelusher.fleet.membership.messages import Observation
 
 DONOR_COUNT = 3  # members whose observations are combined: two outvote a wrong one
-HALF_LIFE_S = {"run": 120.0, "call": 30.0, "away": 10.0}  # after which an observation has half the weight
+# by kind: the age at which an observation has half the weight
+HALF_LIFE_S = {"run": 120.0, "call": 30.0, "away": 10.0}
 VALUE_BOUNDS = {"run": (1e-3, 1e9), "call": (1.0, 1e9), "away": (0.0, 1.0)}
-MAX_HALF_LIVES = 4  # after which an observation has no weight
-MIN_TOTAL_WEIGHT = 0.25  # of all donors together; one that observed it just now has 1
-MAX_OBSERVATIONS = 512  # of one donor; further ones are ignored
+MAX_HALF_LIVES = 4  # age in half-lives past which an observation has no weight
+MIN_TOTAL_WEIGHT = 0.25  # of all donors together; an observation made just now has 1
+MAX_OBSERVATIONS = 512  # used of one donor; further ones are ignored
 MAX_CLOCK_SKEW_S = 5.0  # by which an observation may be in the future
 
 
@@ -29,7 +30,7 @@
 
 
 def weight(observation: Observation, now_s: float) -> float:
-    """Return the weight of an observation by its age, from 0 to 1; 0 where it is not valid."""
+    """Return the weight of an observation by its age, from 0 to 1; 0 if it is not valid."""
     kind, _, _ = observation.subject.partition(":")
     half_life_s = HALF_LIFE_S.get(kind)
     if half_life_s is None or not isfinite(observation.value):
@@ -44,17 +45,17 @@
 
 
 def weighted_median(values: Sequence[tuple[float, float]]) -> float:
-    """Return the weighted median of (value, weight) pairs; the lower of two that qualify."""
-    half, total = sum(weight for _, weight in values) / 2, 0.0
+    """Return the weighted median of (value, weight) pairs; the lower one if two qualify."""
+    half_weight, cumulative_weight = sum(weight for _, weight in values) / 2, 0.0
     for value, weight in sorted(values):
-        total += weight
-        if total >= half:
+        cumulative_weight += weight
+        if cumulative_weight >= half_weight:
             return value
     raise ValueError("no values")
 
 
 def combine(reports: Iterable[Sequence[Observation]], now_s: float) -> dict[str, float]:
-    """Return the weighted median of what several donors report, by subject."""
+    """Return by subject the weighted median of the values that several donors report."""
     weighted: dict[str, list[tuple[float, float]]] = {}
     for report in reports:
         oldest_first = sorted(report[:MAX_OBSERVATIONS], key=lambda observation: observation.observed_s)
