--- a/reelusher/fleet/membership/state_sync.py
+++ b/reelusher/fleet/membership/state_sync.py
@@ -23,7 +23,7 @@
 from reelusher.pacing.token_bucket import TokenBucket
 
 # rate and burst of states sent in reply; past these, requesters are redirected to other members
-STATES_PER_S, STATES_AT_ONCE = 10.0, 10.0
+STATE_REPLIES_PER_S, STATE_REPLY_BURST = 10.0, 10.0
 ALTERNATIVES = 5  # members that a requester is redirected to
 JOIN_BACKOFF_BASE_S, JOIN_BACKOFF_CAP_S = 0.2, 3.0
 MIN_REDIRECT_PAUSE_S = 0.05  # before the next attempt to join, after a redirect
@@ -51,7 +51,7 @@
         """`lock` guards `swim`; `deliver` sends the datagrams of a merge and logs its changes."""
         self._swim, self._lock, self._channel, self._seeds = swim, lock, channel, seeds
         self._random, self._counters, self._deliver = random, counters, deliver
-        self.state_reply_limiter = TokenBucket(STATES_PER_S, STATES_AT_ONCE, time.monotonic())
+        self.state_reply_limiter = TokenBucket(STATE_REPLIES_PER_S, STATE_REPLY_BURST, time.monotonic())
         self.joined = not seeds
         self._stop = threading.Event()
         self._wake = threading.Event()
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -33,8 +33,8 @@
 from reelusher.fleet.membership.requests import REQUEST_TIMEOUT_S
 from reelusher.fleet.membership.service import EXPIRY_INTERVAL_S, MAX_CONNECTIONS
 from reelusher.fleet.membership.state_sync import (
-    STATES_AT_ONCE,
-    STATES_PER_S,
+    STATE_REPLIES_PER_S,
+    STATE_REPLY_BURST,
     SYNC_INTERVAL_S,
     SYNC_PAUSE_S,
 )
@@ -240,7 +240,7 @@
     def _begin(self, node: Node, life: int) -> None:
         now, random = self.line.now, Random(self.random.random())
         node.swim = Swim(self._own(node, life), random, now)
-        node.states = TokenBucket(STATES_PER_S, STATES_AT_ONCE, now)
+        node.states = TokenBucket(STATE_REPLIES_PER_S, STATE_REPLY_BURST, now)
         node.due_s = node.pull_due_s = float("inf")
         node.syncing, node.asked = False, 0
         if self.replicate:
