--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""Warm start: how observations are combined, which members are asked, and hosted nodes that do it."""
+"""Warm start: combining observations, selecting donors, and a node that starts beside warm ones."""
 
 import itertools
 import socket
@@ -41,20 +41,16 @@
 @pytest.mark.parametrize(
     ("reports", "combined"),
     [
-        (
-            [[observation(1.0)], [observation(1.2)], [observation(900.0)]],
-            1.2,
-        ),  # a wrong donor is outvoted by two
-        (
-            [[observation(1.0)], [observation(1.2)], [observation(9.0, 230.0)]],
-            1.2,
-        ),  # a stale one counts for little
-        ([[observation(2.0, 500.0)]], None),
-        ([[observation(2.0, 479.0)]], None),  # too old, or too little all together
-        ([[observation(float("nan"))], [observation(0.0)], [observation(1e10)]], None),  # no such value
-        ([[observation(1.0, -60.0)]], None),  # from the future
-        ([[observation(1.0, subject="odd:thing")]], None),
-        ([[observation(3.0, 9.0), observation(2.0, 1.0)]], 2.0),  # the newest of one donor
+        # two donors outvote a wrong one
+        ([[observation(1.0)], [observation(1.2)], [observation(900.0)]], 1.2),
+        # a stale observation has little weight
+        ([[observation(1.0)], [observation(1.2)], [observation(9.0, 230.0)]], 1.2),
+        ([[observation(2.0, 500.0)]], None),  # too old
+        ([[observation(2.0, 479.0)]], None),  # the total weight is too small
+        ([[observation(float("nan"))], [observation(0.0)], [observation(1e10)]], None),  # invalid values
+        ([[observation(1.0, -60.0)]], None),  # observed in the future
+        ([[observation(1.0, subject="odd:thing")]], None),  # unknown kind of subject
+        ([[observation(3.0, 9.0), observation(2.0, 1.0)]], 2.0),  # the newest of one donor counts
         ([], None),
     ],
 )
@@ -66,10 +62,10 @@
 
 
 def test_worker_is_unreachable_only_by_the_majority_of_the_weight() -> None:
-    away, here = observation(1.0, subject="away:w"), observation(0.0, subject="away:w")
-    assert combine([[away], [here]], NOW) == {"away:w": 0.0}
-    assert combine([[away], [away], [here]], NOW) == {"away:w": 1.0}
-    assert combine([[away], [away], [observation(0.0, 30.0, "away:w")]], NOW) == {"away:w": 1.0}
+    unreachable, reachable = observation(1.0, subject="away:w"), observation(0.0, subject="away:w")
+    assert combine([[unreachable], [reachable]], NOW) == {"away:w": 0.0}
+    assert combine([[unreachable], [unreachable], [reachable]], NOW) == {"away:w": 1.0}
+    assert combine([[unreachable], [unreachable], [observation(0.0, 30.0, "away:w")]], NOW) == {"away:w": 1.0}
 
 
 @given(st.floats(0, 2000), st.floats(0, 2000))
@@ -81,17 +77,19 @@
 
 @given(st.lists(st.tuples(st.floats(0, 100), st.floats(0.01, 1)), min_size=1, max_size=9))
 def test_half_of_the_weight_is_not_above_the_weighted_median(values: list[tuple[float, float]]) -> None:
-    made, whole = weighted_median(values), sum(weight for _, weight in values)
-    assert made in [value for value, _ in values]
-    assert sum(weight for value, weight in values if value > made) <= whole / 2 + 1e-9
-    assert sum(weight for value, weight in values if value < made) <= whole / 2 + 1e-9
+    median, total_weight = weighted_median(values), sum(weight for _, weight in values)
+    assert median in [value for value, _ in values]
+    assert sum(weight for value, weight in values if value > median) <= total_weight / 2 + 1e-9
+    assert sum(weight for value, weight in values if value < median) <= total_weight / 2 + 1e-9
 
 
 def test_new_nodes_ask_different_donors_and_each_the_same_ones_again() -> None:
     members = [f"127.0.0.1:{number}" for number in range(20)]
-    asked = Counter(donor for number in range(200) for donor in select_donors(f"fresh-{number}", members))
-    assert len(asked) == 20
-    assert max(asked.values()) < 3 * 200 * 3 / 20
+    request_counts = Counter(
+        donor for number in range(200) for donor in select_donors(f"fresh-{number}", members)
+    )
+    assert len(request_counts) == 20
+    assert max(request_counts.values()) < 3 * 200 * 3 / 20
     assert select_donors("x", members) == select_donors("x", list(reversed(members)))
     assert len(select_donors("x", members[:2])) == 2
     assert select_donors("x", []) == []
@@ -105,34 +103,36 @@
 
 
 def test_controller_uses_warm_start_data_until_it_observes_for_itself() -> None:
-    kinds = [RequestClass(5_000_000, latency_objective_us=1_000_000)]
-    module = Controller(Settings(kinds, 2, 1e6, 4, 6, 2_000_000, 1.0, 0, 2_500_000), 1)
-    module.handle(0, [WarmStartData({0: 30.0}, 7000.0)])
-    module.handle(1, [Request(1, 0, 1, 0, 0, 1.0, 20_000, 0, 0, 0)])
-    work = module.in_flight.by_id[1]
-    assert module.dependency.mean_duration_us == 7000.0
-    assert work.objective_us == 1_000_001
-    now_us = 600_000  # 20 ms of work are reckoned to take 0.5 s: more than half of an aim counts as half
-    assert not module.run_times.can_meet_objective(work, now_us)
-    module.handle(600_001, [RunEnded(1, Outcome.OK, 20_000)])
-    assert module.run_times.ratio(0) == pytest.approx(1.0, rel=0.02)  # what was seen wins at once
-    module.handle(600_002, [WarmStartData({0: 30.0}, 9.0)])
-    assert module.run_times.ratio(0) == pytest.approx(1.0, rel=0.02)
-    assert module.dependency.mean_duration_us == 7000.0
+    classes = [RequestClass(5_000_000, latency_objective_us=1_000_000)]
+    controller = Controller(Settings(classes, 2, 1e6, 4, 6, 2_000_000, 1.0, 0, 2_500_000), 1)
+    controller.handle(0, [WarmStartData({0: 30.0}, 7000.0)])
+    controller.handle(1, [Request(1, 0, 1, 0, 0, 1.0, 20_000, 0, 0, 0)])
+    in_flight = controller.in_flight.by_id[1]
+    assert controller.dependency.mean_duration_us == 7000.0
+    assert in_flight.objective_us == 1_000_001
+    # The estimate for 20 ms of work is limited to half the objective, 0.5 s, but only 0.4 s are left.
+    now_us = 600_000
+    assert not controller.run_times.can_meet_objective(in_flight, now_us)
+    controller.handle(600_001, [RunEnded(1, Outcome.OK, 20_000)])
+    # the node's own observation outweighs the warm start data at once
+    assert controller.run_times.ratio(0) == pytest.approx(1.0, rel=0.02)
+    controller.handle(600_002, [WarmStartData({0: 30.0}, 9.0)])
+    assert controller.run_times.ratio(0) == pytest.approx(1.0, rel=0.02)
+    assert controller.dependency.mean_duration_us == 7000.0
 
 
 # Hosted nodes
 
 
 class Hosted:
-    """Nodes of one fleet with two workers, of which the second is not there."""
+    """Nodes of one fleet with two workers, the second of which is unreachable."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.nodes = folder, list[Node]()
         (folder / "secret").write_text("a secret of sixteen or more")
         self.worker = parties.Container({})
         with socket.create_server(("127.0.0.1", 0)) as free:
-            self.gone = free.getsockname()[1]
+            self.unreachable_port = free.getsockname()[1]
 
     def start(self, name: str) -> Node:
         seeds = ["{}:{}".format(*node.parts.fleet.address) for node in self.nodes if node.parts.fleet]
@@ -151,7 +151,7 @@
                         "classes": [{"name": "look", "deadline_ms": 5000}],
                         "workers": [
                             {"name": "here", "port": self.worker.address[1]},
-                            {"name": "gone", "port": self.gone, "recover_ms": 60_000},
+                            {"name": "gone", "port": self.unreachable_port, "recover_ms": 60_000},
                         ],
                         "balancers": [{"name": "both", "members": ["here", "gone"]}],
                         "tenants": [{"name": "t", "backend": "both", "default_class": "look"}],
@@ -163,8 +163,8 @@
         node.start()
         return node
 
-    def ask(self, node: Node) -> None:
-        """Have a node serve two requests, of which one meets the worker that is gone."""
+    def serve_requests(self, node: Node) -> None:
+        """Have a node serve two requests, one of which is assigned to the unreachable worker first."""
         web = parties.Web(
             {"places": {"ajp": node.parts.frontends["ajp"].address}, "count": itertools.count(1)}
         )
@@ -183,9 +183,9 @@
 @pytest.fixture
 def hosted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Hosted]:
     monkeypatch.setattr(fleet_assembly, "MIN_SHARING_UPTIME_S", 0.0)
-    made = Hosted(tmp_path)
-    yield made
-    made.close()
+    fleet = Hosted(tmp_path)
+    yield fleet
+    fleet.close()
 
 
 def warm_start_counters(node: Node) -> dict[str, int]:
@@ -196,36 +196,35 @@
 
 def test_new_node_skips_a_worker_that_warm_nodes_found_unreachable(hosted: Hosted) -> None:
     for name in "ab":
-        hosted.ask(hosted.start(name))
+        hosted.serve_requests(hosted.start(name))
     assert soon(lambda: all(len(node.parts.fleet.live()) == 2 for node in hosted.nodes if node.parts.fleet))
-    assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # found by failing
+    assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # found by a failed attempt
     fresh = hosted.start("c")
     assert soon(lambda: "learning.believed" in warm_start_counters(fresh))
-    assert warm_start_counters(fresh)["learning.believed"] == 3  # both workers, and how long a run takes
+    assert warm_start_counters(fresh)["learning.believed"] == 3  # both workers and a run time
     members = fresh.parts.worker_pool.workers
     assert members["gone"].suspected
     assert not members["here"].suspected
     assert fresh.parts.core.run_on_loop(lambda: fresh.parts.core._controller.run_times._expected_us) == [1.0]
-    hosted.ask(fresh)
+    hosted.serve_requests(fresh)
     assert fresh.parts.counters.snapshot().get("workers.unreachable", 0) == 0
-    assert fresh.parts.worker_pool.observations().keys() == {
-        "away:here"
-    }  # what others told is not told on as seen here
+    # values received from other members are not shared as the node's own observations
+    assert fresh.parts.worker_pool.observations().keys() == {"away:here"}
 
 
-@pytest.mark.parametrize("spoil", ["cold", "silent", "gone", "wrong"])
+@pytest.mark.parametrize("fault", ["cold", "silent", "gone", "wrong"])
 def test_node_starts_without_observations_if_donors_are_useless(
-    hosted: Hosted, spoil: str, monkeypatch: pytest.MonkeyPatch
+    hosted: Hosted, fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     donor = hosted.start("a")
-    hosted.ask(donor)
+    hosted.serve_requests(donor)
     assert donor.parts.fleet is not None
-    if spoil == "cold":
+    if fault == "cold":
         donor.parts.fleet.observations = lambda: ObservationsReply(False, [])
-    elif spoil == "silent":
+    elif fault == "silent":
         monkeypatch.setattr(requests, "REQUEST_TIMEOUT_S", 30.0)
         donor.parts.fleet.observations = lambda: time.sleep(20) or ObservationsReply(False, [])  # type: ignore[func-returns-value]
-    elif spoil == "wrong":
+    elif fault == "wrong":
         donor.parts.fleet.observations = lambda: ObservationsReply(
             True,
             [
@@ -237,8 +236,8 @@
     else:
         donor.parts.fleet.close()
     fresh = hosted.start("c")
-    began = time.monotonic()
-    hosted.ask(fresh)
-    assert time.monotonic() - began < 10  # it waits for nobody
+    started_s = time.monotonic()
+    hosted.serve_requests(fresh)
+    assert time.monotonic() - started_s < 10  # it serves without waiting for donors
     assert not fresh.parts.worker_pool.workers["here"].suspected
     assert warm_start_counters(fresh).get("learning.believed", 0) == 0
