--- a/reelusher/fleet/membership/failure_detector.py
+++ b/reelusher/fleet/membership/failure_detector.py
@@ -98,7 +98,7 @@
     requester: str
     target: str
     requester_seq: int
-    nack_due_s: float  # when a NACK is sent
+    nack_due_s: float  # when a NACK is sent; `end_s` once it has been sent
     end_s: float  # when the probe has failed
 
 
@@ -148,7 +148,7 @@
         self._advance_indirect_probes(now)
 
     def start_probe_if_due(self, now: float) -> None:
-        """Start the next probe if it is due and none is in progress."""
+        """Once a probe period, start a probe if none is in progress; now and then, ping a dead member too."""
         if now < self._next_probe_s:
             return
         self._failed_indirect_s = {
@@ -175,10 +175,10 @@
         slowdown = self.local_health.multiplier()
         ack_timeout_s = self.round_trip_times.ack_timeout_s(target) * slowdown
         # allow for a helper in the most distant region, and for a target just as far from that helper
-        helper_rtt_s = self.round_trip_times.longest_s()
+        helper_allowance_s = self.round_trip_times.longest_s()
         if ack_timeout_s > MIN_ACK_TIMEOUT_S * slowdown:
-            helper_rtt_s = max(helper_rtt_s, ack_timeout_s)
-        end_s = max(PROBE_PERIOD_S * 0.9 * slowdown, ack_timeout_s + 2 * helper_rtt_s)
+            helper_allowance_s = max(helper_allowance_s, ack_timeout_s)
+        end_s = max(PROBE_PERIOD_S * 0.9 * slowdown, ack_timeout_s + 2 * helper_allowance_s)
         seq = self._gossip.ping(target)
         self._probe = Probe(target, seq, now + ack_timeout_s, now + end_s, now)
 
--- a/reelusher/fleet/membership/requests.py
+++ b/reelusher/fleet/membership/requests.py
@@ -38,7 +38,7 @@
     def __init__(self, codec: MessageCodec, source_host: str) -> None:
         """Connections are opened from `source_host`, by which other members can tell nodes apart."""
         self._codec, self._source_host = codec, source_host
-        # By type of request; called in the thread of the connection, which is closed if they return None.
+        # By type of request, called in the thread of the connection; one that returns None sends no reply.
         self.handlers: dict[type, Callable[[Any], Any]] = {}
 
     def request(
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -266,8 +266,8 @@
         if is_accusation and member.is_live and update.supersedes(member.update):
             return update
         is_considered_dead = member.update.state is MemberState.DEAD
-        is_older = update.incarnation <= member.update.incarnation
-        if is_considered_dead and update.state is MemberState.ALIVE and is_older:
+        is_not_newer = update.incarnation <= member.update.incarnation
+        if is_considered_dead and update.state is MemberState.ALIVE and is_not_newer:
             return member.update  # another node considers it alive: if it is, it refutes its death
         return None
 
