--- a/reelusher/fleet/replication/leadership.py
+++ b/reelusher/fleet/replication/leadership.py
@@ -1,24 +1,26 @@
-"""When a leader may write, free of I/O.
-
-A change is checked, gets an index, is durable here, and only then announced and answered (`Replica.accept`).
-No index is given twice, as long as the file is the one that gave the last:
-
-- After a start, nothing is accepted until some other members were observed (`REQUIRED_OBSERVED`, or all there
-  are), so that those that know of more can say so. With no other member that takes `ALONE_SETTLE_S`; with
-  members that announce nothing, `SETTLE_S`.
-- Others have more of the partition, in a term that this member leads: its file is older, restored from a
-  backup or created on another machine. Nothing is accepted; it pulls its own changes back. Once it has all
-  that any member announced, and `RESTORE_QUIET_S` have passed, it begins a new term by itself: which further
-  indexes were given is not known, so none of this term is given again.
-- The file was damaged and replaced (`PartitionState.lost`): the same, but the new term has to be ordered by
-  an operator, `POST /v1/fleet/take-over/STREAM` at this member.
-- A live member has the same name: neither of the two writes.
-
-What remains. Acknowledged changes that no live member has are lost where the file is; those that an absent
-member has are set aside there as divergent rows once it is back. `?copies=N` is for callers that can't accept
-that. A member that is cut off from all others at its start takes itself for alone: if its file is older, too,
-what it accepts ends among the divergent rows. So does what is accepted before any of the members that know of
-more is observed, when all of the first `REQUIRED_OBSERVED` lag behind those.
+"""Decides when a leader may write. All I/O is that of the replica's store.
+
+A change is validated, gets an index and is made durable on the leader; only then is it announced and answered
+(`Replica.accept`). No index is assigned twice as long as the file is the one in which the last index was
+assigned. These rules cover the other cases:
+
+- After a start, no change is accepted until some other members were observed (`REQUIRED_OBSERVED`, or all if
+  there are fewer), so that members with later changes can announce them. Without any other member the wait is
+  `ALONE_SETTLE_S`; with members that announce nothing it is `SETTLE_S`.
+- Other members are ahead in a term that this member leads: its file is older than its own changes, because it
+  was restored from a backup or created on another machine. The member accepts no change and pulls its own
+  changes back. Once it has everything that any member announced, and nothing new was announced for
+  `RESTORE_QUIET_S`, it begins a new term by itself. It can't know which further indexes it assigned in the
+  old term, so it assigns none of that term again.
+- The file was damaged and replaced (`PartitionState.lost`): the same holds, but an operator has to order the
+  new term by `POST /v1/fleet/take-over/STREAM` at this member.
+- Another live member has the same name: neither of the two writes.
+
+Limits: acknowledged changes that no live member has are lost if the leader's file is lost. If an absent
+member has them, it sets them aside as divergent rows when it returns. Callers that can't accept this use
+`?copies=N`. A member that is cut off from all others at its start behaves as if it were alone: if its file is
+also older, the changes that it accepts end as divergent rows. So do changes that are accepted when the first
+`REQUIRED_OBSERVED` members all lag and no member with later changes was observed yet.
 """
 
 import threading
@@ -32,14 +34,14 @@
 from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import ReplicaError
 
-REQUIRED_OBSERVED = 3  # other members, before anything is accepted
-ALONE_SETTLE_S = 5.0  # after a start without other members
-SETTLE_S = 15.0  # after a start with members that announce nothing
-RESTORE_QUIET_S = 5.0  # without news of more, until a new term begins
+REQUIRED_OBSERVED = 3  # number of other members that must be observed before a change is accepted
+ALONE_SETTLE_S = 5.0  # wait after a start without other members
+SETTLE_S = 15.0  # wait after a start with members that announce nothing
+RESTORE_QUIET_S = 5.0  # time without news of later changes before a new term begins
 
 
 class Leadership:
-    """The writes of a member to the partitions that it leads."""
+    """Accepts changes to the partitions that this member leads, once it may write."""
 
     def __init__(
         self,
@@ -49,22 +51,22 @@
         on_accepted: Callable[[str, Position, float], None] = lambda partition, position, now: None,
         alone: bool = False,
     ) -> None:
-        """`on_accepted` is called with each change. `alone`: there is no fleet to observe."""
+        """`on_accepted` gets the partition, position and time of each change. `alone`: there is no fleet."""
         self.replica, self._counters, self._clock, self._on_accepted = replica, counters, clock, on_accepted
         self._settled = alone
         self._started_s = clock()
         self._lock = threading.Lock()
-        self._observed: set[str] = set()  # addresses
+        self._observed: set[str] = set()  # addresses of members
         self._name_is_shared = False
-        self._others_ahead_s: dict[str, float] = {}  # when others last had more of a restored partition
+        self._quiet_since_s: dict[str, float] = {}  # by restored partition: when it last lacked changes
         replica.write_guard = self.write_refusal
 
     def leads(self, partition: str) -> bool:
-        """Return whether this member leads a partition, as far as is known here."""
+        """Return whether this member leads a partition in the latest term that it knows."""
         return self.replica.leads(partition, self.replica.own_name)
 
     def write_refusal(self, partition: str) -> str:
-        """Return "", or why a partition may not be written now."""
+        """Return why a partition may not be written at present; "" if it may."""
         if self._name_is_shared:
             return f"another live member is called {self.replica.own_name}"
         if not self._settled:
@@ -76,15 +78,16 @@
         return ""
 
     def accept(self, partition: str, change: LogEntry) -> LogEntry:
-        """Give a change its index and make it durable. Raises `NotLeaderError` and `ReplicaError`."""
+        """Assign an index to a change and make it durable. Raises `NotLeaderError` and `ReplicaError`."""
         entry = self.replica.accept(partition, self.replica.own_name, change)
         self._counters.add("replication.accepted")
         self._on_accepted(partition, Position(entry.term, entry.index), self._clock())
         return entry
 
     def take_over(self, partition: str, force: bool = False) -> Position:
-        """Lead a partition from now on, by an operator's order.
+        """Take over a partition by an operator's order; return the position at which the new term begins.
 
+        `force`: even if other members have changes that this one lacks.
         Raises `NotLeaderError` and `ReplicaError`.
         """
         position = self.replica.begin_term(partition, self.replica.own_name, force)
@@ -93,34 +96,34 @@
         return position
 
     def observe(self, address: str) -> None:
-        """Record that a member announced its positions; called for each datagram."""
+        """Record that a member announced its version vector; called for each datagram with a vector."""
         if self._settled or address in self._observed:
             return
         with self._lock:
             if len(self._observed) < REQUIRED_OBSERVED:
                 self._observed.add(address)
 
-    def tick(self, others: int, name_is_shared: bool) -> None:
-        """Decide whether writing may begin; called about once a second.
+    def tick(self, other_count: int, name_is_shared: bool) -> None:
+        """Update whether this member may write, and begin terms that are due; called about once a second.
 
-        `others`: the number of other live members. `name_is_shared`: one has this member's name.
+        `other_count`: the number of other live members. `name_is_shared`: one has this member's name.
         """
         now = self._clock()
         self._name_is_shared = name_is_shared
         if not self._settled:
-            self._settled = self._is_settled(others, now - self._started_s)
+            self._settled = self._is_settled(other_count, now - self._started_s)
         for partition in self.replica.control:
             if self._awaits_new_term(partition):
                 self._begin_term_when_quiet(partition, now)
             else:
-                self._others_ahead_s.pop(partition, None)
+                self._quiet_since_s.pop(partition, None)
 
-    def _is_settled(self, others: int, uptime_s: float) -> bool:
+    def _is_settled(self, other_count: int, uptime_s: float) -> bool:
         if uptime_s >= SETTLE_S:
             return True
-        if not others:
+        if not other_count:
             return uptime_s >= ALONE_SETTLE_S
-        return len(self._observed) >= min(REQUIRED_OBSERVED, others)
+        return len(self._observed) >= min(REQUIRED_OBSERVED, other_count)
 
     def _awaits_new_term(self, partition: str) -> bool:
         state = self.replica.states[partition]
@@ -129,12 +132,12 @@
     def _begin_term_when_quiet(self, partition: str, now: float) -> None:
         state = self.replica.states[partition]
         if self.write_refusal(partition) or state.cursor >= 0 or state.goal > state.index:
-            self._others_ahead_s[partition] = now
-        elif now - self._others_ahead_s.setdefault(partition, now) >= RESTORE_QUIET_S:
+            self._quiet_since_s[partition] = now
+        elif now - self._quiet_since_s.setdefault(partition, now) >= RESTORE_QUIET_S:
             self._begin_term(partition)
 
     def _begin_term(self, partition: str) -> None:
-        restored = self.replica.states[partition].index
+        last_index = self.replica.states[partition].index
         try:
             position = self.replica.begin_term(partition, self.replica.own_name)
         except (NotLeaderError, ReplicaError) as error:
@@ -144,6 +147,6 @@
         logger.warning(
             "replication: file of partition {} was older; {} changes restored from others, new term {}",
             partition,
-            restored,
+            last_index,
             position.term,
         )
--- a/reelusher/fleet/replication/positions.py
+++ b/reelusher/fleet/replication/positions.py
@@ -1,9 +1,10 @@
 """Partitions, terms, positions and version vectors.
 
-A tenant's name belongs to the partition of one of the control members, by rendezvous hashing (Thaler and
-Ravishankar 1998). A term is `round * 8 + the ordinal of its leader` among the sorted control members, as
-ballots are numbered: two take-overs that don't know of each other can't begin one term, and every position
-names its leader. A version vector has a replica's position in each partition.
+There is one partition for each control member, named after it. Rendezvous hashing (Thaler and Ravishankar
+1998) assigns a tenant's name to a partition. A term is `round * 8 + ordinal`, where `ordinal` is the place of
+its leader among the sorted control members, like a ballot number in a consensus protocol: concurrent
+take-overs by different members begin different terms, and every position identifies its leader. A version
+vector has a replica's position in each partition.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,27 +16,27 @@
 from reelusher.fleet.replication.messages import MAX_CONTROL_MEMBERS, Base
 from reelusher.fleet.replication.replica_store import PartitionState
 
-FORMAT_VERSION = 1  # of entries and segments; members of other versions do not exchange any
-LATER_TERM_GAIN = 1 << 32  # counts for more than any number of entries of one term
+FORMAT_VERSION = 1  # of the format of entries and segments; members with different versions exchange none
+LATER_TERM_GAIN = 1 << 32  # exceeds any number of entries of one term
 
 
 class Position(NamedTuple):
-    """How far a replica is in a partition; any position of a later term is further."""
+    """A replica's progress in a partition; any position of a later term is further."""
 
     term: int
-    log_index: int  # not `index`, which is a method of tuples
+    log_index: int  # not named `index`, which is a method of tuples
 
 
-VersionVector = dict[str, Position]  # by partition
+VersionVector = dict[str, Position]  # positions by partition
 
 
 def sorted_control(control: Sequence[str]) -> tuple[str, ...]:
-    """Return the partitions in the order of vectors: sorted names of the control members."""
+    """Return the partitions in the order that vectors have: the sorted names of the control members."""
     return tuple(sorted(set(control)))
 
 
 def control_digest(control: Sequence[str]) -> int:
-    """Return 32 bits that identify this list of control members, and the format."""
+    """Return a 32-bit digest of the control members and the format version."""
     text = "\0".join((str(FORMAT_VERSION), *sorted_control(control))).encode()
     return int.from_bytes(blake2b(text, digest_size=4).digest())
 
@@ -49,12 +50,12 @@
 
 
 def first_term(partition: str, control: Sequence[str]) -> int:
-    """Return the term that a partition begins with, led by the control member of its name."""
+    """Return the first term of a partition; the control member it is named after leads in it."""
     return MAX_CONTROL_MEMBERS + sorted_control(control).index(partition)
 
 
 def next_term(term: int, leader: str, control: Sequence[str]) -> int:
-    """Return the term that follows with this leader."""
+    """Return the term of the next round that this control member leads."""
     next_round = term // MAX_CONTROL_MEMBERS + 1
     return next_round * MAX_CONTROL_MEMBERS + sorted_control(control).index(leader)
 
@@ -65,7 +66,7 @@
 
 
 def is_valid_term(term: int, control: Sequence[str]) -> bool:
-    """Return whether a term names one of the control members."""
+    """Return whether the leader that a term encodes is one of the control members."""
     return term % MAX_CONTROL_MEMBERS < len(control)
 
 
@@ -78,7 +79,7 @@
 
 
 def unpack(packed: Sequence[int], control: Sequence[str]) -> VersionVector | None:
-    """Read a vector; None where it is of another list of control members."""
+    """Return the vector that was packed; None if for another list of control members or another format."""
     partitions = sorted_control(control)
     if len(packed) != 1 + 2 * len(partitions) or packed[0] != control_digest(control):
         return None
@@ -91,35 +92,39 @@
 
 
 def shared_through_index(first: Sequence[Base], second: Sequence[Base]) -> float:
-    """Return the last index up to which two histories are equal; infinite where one continues the other.
+    """Return the last index up to which two histories are equal; infinite if their bases are equal.
 
-    The bases of its terms describe a history. It leaves another at the first base that only one has.
+    A history is described by the bases of its terms. Two histories diverge after the lowest index among the
+    bases that only one of them has.
     """
-    same = 0
-    while same < min(len(first), len(second)) and first[same] == second[same]:
-        same += 1
-    return min((base for _, base in (*first[same:], *second[same:])), default=inf)
+    shared_count = 0
+    while shared_count < min(len(first), len(second)) and first[shared_count] == second[shared_count]:
+        shared_count += 1
+    return min((base for _, base in (*first[shared_count:], *second[shared_count:])), default=inf)
 
 
-def is_history(bases: Sequence[Base], term: int, first: int) -> bool:
-    """Return whether bases can be those of a term: both parts ascend, and the last is its own."""
+def is_valid_history(bases: Sequence[Base], term: int, initial_term: int) -> bool:
+    """Return whether a term can have these bases: terms and indexes ascend, and the last base is its own."""
     if not bases:
-        return term == first
+        return term == initial_term
     return (
         bases[-1][0] == term
-        and bases[0][0] > first
+        and bases[0][0] > initial_term
         and all(before[0] < after[0] and before[1] <= after[1] for before, after in pairwise(bases))
     )
 
 
 class ReplicaPositions:
-    """A replica's states and the vector it announces; each is replaced as a whole, for concurrent readers."""
+    """A replica's states and the vector that it announces.
+
+    Both are replaced as a whole, so that other threads can read them without a lock.
+    """
 
     def __init__(self, control: Sequence[str]) -> None:
         self.control = sorted_control(control)
         self.digest = control_digest(control)
-        self.states: dict[str, PartitionState] = {}
-        self.announced: list[int] = []  # the packed vector; not to be changed
+        self.states: dict[str, PartitionState] = {}  # by partition
+        self.announced: list[int] = []  # the packed vector; callers must not modify it
 
     def replace_all(self, states: dict[str, PartitionState]) -> None:
         """Set the states of all partitions."""
@@ -132,26 +137,26 @@
         self.replace_all(self.states | {partition: state})
 
     def is_compatible(self, vector: Sequence[int]) -> bool:
-        """Return whether a packed vector is of the same control list and format."""
+        """Return whether a packed vector has the same control members and format version."""
         return len(vector) == len(self.announced) and vector[0] == self.digest
 
     def is_ahead(self, vector: Sequence[int]) -> bool:
-        """Return whether a packed vector has anything that this replica lacks."""
+        """Return whether a packed vector is past this replica's position in any partition."""
         own = self.announced
         if vector == own or len(vector) != len(own) or vector[0] != self.digest:
             return False
-        for at in range(1, len(own), 2):
-            term = own[at]
-            if vector[at] > term or (vector[at] == term and vector[at + 1] > own[at + 1]):
+        for offset in range(1, len(own), 2):
+            term = own[offset]
+            if vector[offset] > term or (vector[offset] == term and vector[offset + 1] > own[offset + 1]):
                 return True
         return False
 
     def gain(self, vector: Sequence[int]) -> int:
-        """Return how many entries a packed vector is ahead by; a later term counts for more than any."""
+        """Return by how many entries a packed vector is ahead; a later term counts as `LATER_TERM_GAIN`."""
         own, gain = self.announced, 0
-        for at in range(1, len(own), 2):
-            if vector[at] > own[at]:
+        for offset in range(1, len(own), 2):
+            if vector[offset] > own[offset]:
                 gain += LATER_TERM_GAIN
-            elif vector[at] == own[at] and vector[at + 1] > own[at + 1]:
-                gain += vector[at + 1] - own[at + 1]
+            elif vector[offset] == own[offset] and vector[offset + 1] > own[offset + 1]:
+                gain += vector[offset + 1] - own[offset + 1]
         return gain
--- a/reelusher/fleet/replication/segments.py
+++ b/reelusher/fleet/replication/segments.py
@@ -1,21 +1,21 @@
-"""What a segment of another member is checked for, and what it makes of the state of a partition."""
+"""Validation of segments from other members, and the state of a partition after a segment."""
 
 from collections.abc import Sequence
 from dataclasses import replace
 from typing import NamedTuple
 
 from reelusher.fleet.replication.messages import LogSegment
-from reelusher.fleet.replication.positions import first_term, is_history, is_valid_term, partition_of
+from reelusher.fleet.replication.positions import first_term, is_valid_history, is_valid_term, partition_of
 from reelusher.fleet.replication.replica_store import PartitionState
 
 
-def find_fault(segment: LogSegment, own: PartitionState, control: Sequence[str]) -> str:
-    """Return "", or a word for the counters where a segment of a known partition can't be valid."""
-    if segment.term < own.term or not is_valid_term(segment.term, control):
+def find_fault(segment: LogSegment, own_state: PartitionState, control: Sequence[str]) -> str:
+    """Validate a segment of a known partition; return "" or the fault as a suffix of a counter's name."""
+    if segment.term < own_state.term or not is_valid_term(segment.term, control):
         return "epoch"
-    same_term_differs = segment.term == own.term and segment.bases != own.bases
-    first = first_term(segment.partition, control)
-    if same_term_differs or not is_history(segment.bases, segment.term, first):
+    same_term_differs = segment.term == own_state.term and segment.bases != own_state.bases
+    initial_term = first_term(segment.partition, control)
+    if same_term_differs or not is_valid_history(segment.bases, segment.term, initial_term):
         return "bases"
     if not segment.since <= segment.through_index <= segment.goal:
         return "numbers"
@@ -37,17 +37,17 @@
 
 
 class AdvancedState(NamedTuple):
-    """The state after a segment, and whether that ends a refill."""
+    """The state of a partition after a segment, and whether the segment completed a refill."""
 
     state: PartitionState
     refilled: bool
 
 
 def advance(state: PartitionState, segment: LogSegment) -> AdvancedState:
-    """Return the state once a segment that begins at `state.since` is applied."""
+    """Return the state after a segment that begins at `state.since` is applied."""
     through_index = segment.through_index
-    known_covered = min(state.covered, segment.covered) if state.since else segment.covered
-    covered = max(through_index, known_covered)
+    common_covered = min(state.covered, segment.covered) if state.since else segment.covered
+    covered = max(through_index, common_covered)
     goal = max(state.goal, segment.goal)
     state = replace(state, covered=covered, horizon=_horizon(state, segment), goal=goal)
     if state.cursor < 0:
@@ -58,7 +58,10 @@
 
 
 def _horizon(state: PartitionState, segment: LogSegment) -> int:
-    """Return the tombstone horizon: the sender's matters for the entries that it sent, those past `since`."""
+    """Return the tombstone horizon after a segment.
+
+    The sender's horizon counts only if it is past `since`: the segment has no entries up to `since`.
+    """
     if not segment.since:
         return segment.horizon
     return state.horizon if segment.since >= segment.horizon else max(state.horizon, segment.horizon)
