--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -1,21 +1,24 @@
-"""One node's replica of the tenant table: applies segments of others, answers pulls, accepts changes.
-
-State-based anti-entropy with one writer for each partition, reconciled by version vectors as Scuttlebutt does
-(van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy
-Protocols", 2008). Free of I/O but for the store. `positions` defines partitions, terms and vectors.
-
-What holds of every replica at position (term, index): for each name, the newest entry that anybody has in
-this term's history, if its index is not past the position, is here. A segment that was cut from a sender's
-state keeps that true. It does not mean that the rows are those of one instant: between a segment and the next
-a name may lack an entry that is superseded by one up to `PartitionState.goal`, which is still to come. So
-  - a later term is continued only where `goal` lies within the history that both share;
-  - tombstones that a sender has collected may concern the receiver's rows only past its `covered`.
-A replica that can't continue is refilled: from 0, beside the rows that it has, which are served meanwhile;
-rows that the refill did not renew are deleted at its end. Its position stays as it was until then, and it
-sends nothing of that partition.
-
-All times are seconds of a monotonic clock. `answer` may come from any thread; `apply_reply`, `accept`,
-`begin_term` and `collect_tombstones` write, one at a time.
+"""One node's replica of the tenant table: it applies segments, answers pulls and accepts changes.
+
+The protocol is state-based anti-entropy with one writer for each partition, reconciled by version vectors as
+in Scuttlebutt (van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation and Flow Control for
+Anti-Entropy Protocols", 2008). All I/O is that of the store. `positions` defines partitions, terms and
+vectors.
+
+Invariant of a replica at position (term, index): for each name, take the newest entry that any member has in
+the history of this term. If the index of that entry is not past the position, this replica has the entry.
+Applying a segment, which is cut from a sender's state, preserves the invariant. It does not make the rows a
+snapshot of one instant: between two segments, a name may lack an entry that was superseded by a later one,
+with an index up to `PartitionState.goal`, which has not arrived yet. Therefore
+  - a replica continues into a later term only if `goal` lies within the history that both terms share;
+  - a replica applies a sender's segment only if its `covered` reaches the sender's tombstone horizon: its
+    rows then reflect all removals whose tombstones the sender has collected.
+A replica that can't continue is refilled from index 0. It serves its old rows meanwhile; those that the
+refill did not renew are deleted at the end. Until then its position does not change, and it sends no segments
+of that partition.
+
+All times are seconds of a monotonic clock. Any thread may call `answer`. `apply_reply`, `accept`,
+`begin_term` and `collect_tombstones` write, one transaction at a time under a lock.
 """
 
 import threading
@@ -52,22 +55,24 @@
 from reelusher.fleet.replication.segments import advance, find_fault
 from reelusher.pacing.token_bucket import TokenBucket
 
-SENT_BYTES_LIMIT = 20 * MAX_SEGMENT_BYTES, 40 * MAX_SEGMENT_BYTES  # per second, and in a burst
-SENT_REPLIES_LIMIT = 50.0, 50.0  # per second, and in a burst
-BOOTSTRAP_MIN_CHANGES = 100  # a partition without entries is bootstrapping when others have more than this
+SENT_BYTES_LIMIT = 20 * MAX_SEGMENT_BYTES, 40 * MAX_SEGMENT_BYTES  # of entries per second, and in a burst
+SENT_REPLIES_LIMIT = 50.0, 50.0  # replies sent per second, and in a burst
+BOOTSTRAP_MIN_CHANGES = (
+    100  # a partition without entries is bootstrapping if others have more changes than this
+)
 TOMBSTONE_TTL_S = 7 * 86_400.0
 
 
 @dataclass(slots=True)
 class PullResult:
-    """What a reply changed."""
+    """The result of a pull whose reply was applied."""
 
     segments: int = 0
     entries: int = 0
     changed_names: list[str] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # a word for the counters for each segment not applied
-    divergent: dict[str, int] = field(default_factory=dict)  # rows set aside, by partition
-    refills: list[str] = field(default_factory=list)  # partitions of which a refill began
+    faults: list[str] = field(default_factory=list)  # counter suffixes, one for each segment not applied
+    divergent: dict[str, int] = field(default_factory=dict)  # number of rows set aside, by partition
+    refills: list[str] = field(default_factory=list)  # partitions whose refill began
     store_error: str = ""
 
 
@@ -76,7 +81,7 @@
 
 
 class Replica:
-    """One node's replica."""
+    """One node's replica of the tenant table."""
 
     def __init__(
         self,
@@ -88,12 +93,12 @@
         now: float = 0.0,
         own_name: str = "",
     ) -> None:
-        """`zone`: its members are asked first. `own_name`: a node leads by it, if it is a control member."""
+        """`zone`: pulls prefer its members. `own_name`: the name by which a control member leads."""
         self.own_name, self.own_address, self.control = own_name, own_address, sorted_control(control)
         self.store = store
-        self.write_guard: Callable[[str], str] = lambda partition: ""  # why it may not be written now, or ""
+        self.write_guard: Callable[[str], str] = lambda partition: ""  # why it may not be written, or ""
         self._random = random
-        self._write_lock = threading.RLock()  # held round each transaction
+        self._write_lock = threading.RLock()  # held during each transaction that writes
         self._limits_lock = threading.Lock()
         self._sent_bytes = TokenBucket(*SENT_BYTES_LIMIT, now)
         self._sent_replies = TokenBucket(*SENT_REPLIES_LIMIT, now)
@@ -102,7 +107,7 @@
         self.reload()
 
     def reload(self, replace_store: Callable[[], object] = lambda: None) -> None:
-        """Read the states again, after `replace_store` where the file is replaced; no write comes between."""
+        """Call `replace_store`, which may replace the file, then read the states; no write comes between."""
         with self._write_lock:
             replace_store()
             stored = self.store.states()
@@ -116,15 +121,15 @@
 
     @property
     def states(self) -> dict[str, PartitionState]:
-        """The states of all partitions; not to be changed."""
+        """The states of all partitions; callers must not modify them."""
         return self.positions.states
 
     def announce(self) -> list[int]:
-        """Return the version vector to send; not to be changed."""
+        """Return the packed version vector to send; callers must not modify it."""
         return self.positions.announced
 
     def is_bootstrapping(self, now: float) -> bool:
-        """Return whether many rows may be missing that others have: a name not found may yet come."""
+        """Return whether many rows may not have arrived yet: a name not found here may still exist."""
         return any(
             state.cursor >= 0
             or state.goal > state.index
@@ -140,13 +145,13 @@
         return claimed is not None and claimed.log_index > BOOTSTRAP_MIN_CHANGES
 
     def is_uninitialized(self) -> bool:
-        """Return whether nothing was ever applied, nor any member heard that has nothing either."""
+        """Return whether nothing was ever applied and no member with an equal, empty replica was observed."""
         return not self.pulls.peers_equal and not any(state.index for state in self.states.values())
 
     # Applying replies
 
     def apply_reply(self, pull: Pull, reply: EntriesReply, now: float) -> PullResult:
-        """Apply what a member sent; each segment is one transaction."""
+        """Apply the reply to a pull that is in flight, each segment in one transaction."""
         result = PullResult()
         if not self.pulls.end(pull):
             return result
@@ -168,7 +173,7 @@
         return result
 
     def segment_fault(self, segment: LogSegment) -> str:
-        """Return "", or a word for the counters where a segment can't be valid."""
+        """Validate a segment; return "" or the fault as a suffix of a counter's name."""
         if segment.partition not in self.control:
             return "stream"
         return find_fault(segment, self.states[segment.partition], self.control)
@@ -176,7 +181,7 @@
     def _apply_segment(self, segment: LogSegment, result: PullResult) -> None:
         partition = segment.partition
         with self._write_lock:
-            state = self._noting_unknown_own_changes(self.states[partition], segment)
+            state = self._mark_restored_if_behind(self.states[partition], segment)
             if segment.term > state.term:
                 state = self._enter_term(segment, state, result)
             started = self._start_segment(state, segment, result)
@@ -186,7 +191,7 @@
             state, refilled = advance(started, segment)
             is_complete = state.index >= state.goal
             if state.lost and is_complete and not self._leads_in(state.term):
-                state = replace(state, lost=False)  # only a leader has to know which indexes it gave
+                state = replace(state, lost=False)  # only a leader has to know which indexes it assigned
             if state == self.states[partition] and not segment.entries:
                 return
             bootstrapping = segment.more or state.cursor >= 0 or refilled
@@ -197,8 +202,8 @@
         result.segments += 1
         result.entries += len(segment.entries)
 
-    def _noting_unknown_own_changes(self, state: PartitionState, segment: LogSegment) -> PartitionState:
-        """Mark the file as restored from a backup if others have changes of this leader that it lacks."""
+    def _mark_restored_if_behind(self, state: PartitionState, segment: LogSegment) -> PartitionState:
+        """Mark a partition as restored from a backup if others have changes of this leader that it lacks."""
         lacks = (state.term, state.index) < (segment.term, segment.through_index)
         return replace(state, restored=True) if lacks and self._leads_in(segment.term) else state
 
@@ -209,19 +214,19 @@
     def _start_segment(
         state: PartitionState, segment: LogSegment, result: PullResult
     ) -> PartitionState | None:
-        """Return the state that a segment continues; None where it continues none."""
+        """Return the state that a segment continues; None if it can't be applied to this one."""
         if segment.since != state.since:
             if segment.since or not state.index:
-                return None  # not requested from here: the next pull names the position
-            # the sender has collected tombstones of rows here: refill, beside the rows that are served
+                return None  # not requested from this position; the next pull requests from it
+            # the sender has collected tombstones that may concern rows here: refill, and serve them meanwhile
             result.refills.append(segment.partition)
             return replace(state, generation=state.generation + 1, cursor=0)
         if segment.since and (state.covered < segment.horizon or segment.covered < state.horizon):
-            return None  # one of the two has rows whose tombstones the other has collected
+            return None  # one of the two may have rows whose tombstones the other has collected
         return state
 
     def _enter_term(self, segment: LogSegment, state: PartitionState, result: PullResult) -> PartitionState:
-        """Enter a later term. Rows that are not of its history are set aside."""
+        """Enter a later term; set aside the rows that are not part of its history."""
         shared = shared_through_index(state.bases, segment.bases)
         entered = replace(state, term=segment.term, bases=segment.bases)
         if state.goal <= shared and state.index <= shared:
@@ -235,7 +240,7 @@
             count = self.store.set_aside_divergent(partition, int(shared), entered)
             result.divergent[partition] = result.divergent.get(partition, 0) + count
         result.refills.append(partition)
-        result.segments += 1  # the term is progress, even if the entries are of no use
+        result.segments += 1  # entering the term is progress, even if no entry can be applied
         self.store.apply(partition, [], entered)
         self.positions.update(partition, entered)
         return entered
@@ -243,7 +248,7 @@
     # Answering pulls
 
     def answer(self, request: EntriesRequest, now: float) -> EntriesReply:
-        """Return what a member lacks, within the limits of this one. Raises `ReplicaError`."""
+        """Return the segments that a member lacks, within this one's rate limits. Raises `ReplicaError`."""
         own = self.positions
         if request.control_digest != own.digest or len(request.vector) != len(own.announced):
             return EntriesReply([])
@@ -272,15 +277,15 @@
     def _segments(
         self, partition: str, position: Position, covered: int, max_bytes: int
     ) -> Iterator[LogSegment]:
-        """Yield segments of a partition for a member at a position."""
+        """Yield segments of a partition for a member at a position, up to about `max_bytes` of entries."""
         state = self.states[partition]
         if position >= (state.term, state.index) or state.cursor >= 0:
-            return  # during a refill, rows may be of no history, or removed
-        since = _continued_from(state, position, covered)
+            return  # during a refill, rows may be removed ones, or not part of the term's history
+        since = _continuation_index(state, position, covered)
         while max_bytes > 0:
             batch = self.store.read_batch(partition, since, min(max_bytes, MAX_SEGMENT_BYTES))
             if batch is None or batch.state.cursor >= 0:
-                return  # a refill or another file began meanwhile
+                return  # a refill began or the file was replaced meanwhile
             if (batch.state.term, batch.state.index) < (state.term, state.index):
                 return
             state = batch.state
@@ -294,13 +299,13 @@
     # Writing
 
     def leads(self, partition: str, own_name: str) -> bool:
-        """Return whether a member of this name leads a partition, as far as is known here."""
+        """Return whether the member of this name leads a partition in the latest term known here."""
         return leader_of(self.states[partition].term, self.control) == own_name
 
     def accept(self, partition: str, own_name: str, change: LogEntry) -> LogEntry:
-        """Give a change of the leader its index and make it durable.
+        """Assign an index to a change made at the leader, and make it durable.
 
-        Raises `NotLeaderError` and `ReplicaError`, and ValueError where no other member would apply it.
+        Raises `NotLeaderError` and `ReplicaError`, and ValueError if other members would reject the change.
         """
         self._validate(partition, change)
         with self._write_lock:
@@ -337,10 +342,11 @@
             raise NotLeaderError(refusal)
 
     def begin_term(self, partition: str, own_name: str, force: bool = False) -> Position:
-        """Take a partition over: begin a term that a member of this name leads.
+        """Take over a partition: begin a term that the member of this name leads.
 
-        Raises `NotLeaderError` where this node lacks what others were seen to have, unless forced, and
-        `ReplicaError`. Members with changes past this node's index set them aside once they enter the term.
+        Raises `ReplicaError`, and `NotLeaderError` after `MAX_BASES` take-overs or, unless forced, if this
+        node may lack changes that others have. Members with changes past this node's index set them aside
+        when they enter the term.
         """
         with self._write_lock:
             state = self.states[partition]
@@ -366,7 +372,7 @@
             return Position(term, state.index)
 
     def _check_may_lead(self, partition: str, state: PartitionState) -> None:
-        """Raise `NotLeaderError` where a new term would lose changes that others are known to have."""
+        """Raise `NotLeaderError` if a new term could lose changes that other members have."""
         if state.cursor >= 0 or state.goal > state.index:
             raise NotLeaderError(f"stream {partition} is being refilled here")
         refusal = self.write_guard(partition)
@@ -389,8 +395,8 @@
         return count
 
 
-def _continued_from(state: PartitionState, position: Position, covered: int) -> int:
-    """Return the index that a member can continue from; 0 where it has to be refilled."""
+def _continuation_index(state: PartitionState, position: Position, covered: int) -> int:
+    """Return the index from which a member can continue; 0 if it has to be refilled."""
     since = position.log_index
     later_bases = [base for term, base in state.bases if term > position.term]
     diverged = since > min(later_bases, default=inf)
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -1,4 +1,4 @@
-"""What a replica needs of a store: the protocol, and a store in memory."""
+"""The protocol of a replica's store, and an implementation in memory."""
 
 from bisect import bisect_right
 from collections.abc import Callable, Iterable, Sequence
@@ -9,52 +9,52 @@
 
 from reelusher.fleet.replication.messages import MAX_SEGMENT_BYTES, Base, LogEntry
 
-MIN_KEPT_INDEXES = 5000  # the newest of a partition keep their tombstones: a lag of less needs no refill
-STALE_INDEXES_SLACK = 64  # superseded indexes that may stand in a list, beside as many as there are rows
+MIN_KEPT_INDEXES = 5000  # newest indexes whose tombstones are kept: a smaller lag needs no refill
+STALE_INDEXES_SLACK = 64  # superseded indexes that a list may hold, beyond one for each row
 
 
 class ReplicaError(Exception):
-    """The store can't be read or written; nothing was half done."""
+    """The store can't be read or written; a failed write changed nothing."""
 
 
 @dataclass(slots=True, frozen=True)
 class PartitionState:
-    """Where a replica stands in one partition. `(term, index)` is the position that it announces."""
+    """A replica's state in one partition. `(term, index)` is the position that it announces."""
 
     term: int
     index: int = 0
-    bases: tuple[Base, ...] = ()
-    horizon: int = 0  # tombstones up to this index may be absent
-    covered: int = 0  # no row here was removed by a change up to this; past `index` while it catches up
-    goal: int = 0  # what is absent is superseded by an entry up to this; past `index` while it catches up
-    generation: int = 0  # of the rows that are written now
-    cursor: int = -1  # how far a refill is; -1: there is none
-    lost: bool = False  # the file replaces a damaged one: which indexes were given is not known
-    restored: bool = False  # the leader's file is older than its own changes, for example from a backup
+    bases: tuple[Base, ...] = ()  # of the history's terms after the first, in order
+    horizon: int = 0  # tombstones up to this index may have been collected
+    covered: int = 0  # the rows reflect all removals up to this index; past `index` during catch-up
+    goal: int = 0  # missing entries are superseded by entries up to this; past `index` during catch-up
+    generation: int = 0  # generation of the rows that are written now; a refill begins the next
+    cursor: int = -1  # index up to which a refill has come; -1: no refill
+    lost: bool = False  # the file replaces a damaged one: it is unknown which indexes were assigned
+    restored: bool = False  # the leader's file is older than its changes, for example from a backup
 
     @property
     def since(self) -> int:
-        """Return the index past which entries are wanted."""
+        """Return the index past which entries are requested."""
         return self.index if self.cursor < 0 else self.cursor
 
 
 @dataclass(slots=True, frozen=True)
 class SegmentBatch:
-    """What is read for a segment, all at one instant."""
+    """The state of a partition and entries for a segment, read at one instant."""
 
     state: PartitionState
     entries: list[LogEntry]
-    more: bool
+    more: bool  # there are further entries up to the position
 
 
 class ReplicaStore(Protocol):
-    """Each call that writes is one transaction; where it raises `ReplicaError`, nothing changed."""
+    """The store of a replica. Each write is one transaction; if it raises `ReplicaError`, nothing changed."""
 
     def states(self) -> dict[str, PartitionState]:
         """Return the states of all partitions that were ever written."""
 
     def read_batch(self, partition: str, since: int, max_bytes: int) -> SegmentBatch | None:
-        """Return entries past `since` and up to the position; None for a partition never written."""
+        """Return entries past `since` and up to the position; None if the partition was never written."""
 
     def apply(
         self,
@@ -67,12 +67,12 @@
     ) -> list[str]:
         """Write the entries that are newer than the rows of their names, and the state.
 
-        `drop_older`: delete rows of older generations, a refill is complete. `durable`: synced before it
-        returns. `audited`: add the entries to the audit trail. Return the names that changed.
+        `drop_older`: delete rows of older generations, since a refill is complete. `durable`: sync to disk
+        before returning. `audited`: add the entries to the audit trail. Returns the names that changed.
         """
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Copy rows past an index to the divergent ones and give them the index 0; return how many."""
+        """Copy rows past an index to the divergent rows and set their index to 0; return how many."""
 
     def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
         """Delete tombstones stored before a time, except the `spare` newest indexes; return how many."""
@@ -91,13 +91,15 @@
 @dataclass(slots=True)
 class _PartitionRows:
     state: PartitionState
-    by_index: dict[int, str] = field(default_factory=dict)
-    indexes: list[int] = field(default_factory=list)  # of `by_index`, and some that were superseded
-    is_sorted: bool = True  # `indexes` ascend
-    divergent_names: set[str] = field(default_factory=set)  # of index 0 until a refill renews or drops them
+    by_index: dict[int, str] = field(default_factory=dict)  # names
+    indexes: list[int] = field(default_factory=list)  # the keys of `by_index`, and some superseded indexes
+    is_sorted: bool = True  # whether `indexes` ascend
+    divergent_names: set[str] = field(
+        default_factory=set
+    )  # rows with index 0 until a refill renews or drops them
 
     def sort_indexes(self) -> None:
-        """Make `indexes` ascend; drop superseded ones where they are many."""
+        """Sort `indexes` if needed, and drop superseded ones if there are too many."""
         max_indexes = 2 * len(self.by_index) + STALE_INDEXES_SLACK
         if not self.is_sorted or len(self.indexes) > max_indexes:
             self.indexes = sorted(self.by_index)
@@ -105,7 +107,7 @@
 
 
 class MemoryReplicaStore:
-    """Rows in memory. Entries are shared with other stores that hold them."""
+    """A store in memory. Stores in one process share the entry objects that they hold."""
 
     def __init__(self, wall_ms: Callable[[], int] = lambda: 0) -> None:
         self._wall_ms = wall_ms
@@ -121,15 +123,15 @@
     def read_batch(
         self, partition: str, since: int, max_bytes: int = MAX_SEGMENT_BYTES
     ) -> SegmentBatch | None:
-        """Return entries past an index, and the state of the partition."""
+        """Return entries past an index and the state; see `ReplicaStore`."""
         rows = self._partitions.get(partition)
         if rows is None:
             return None
         rows.sort_indexes()
         entries: list[LogEntry] = []
         bytes_left = max_bytes
-        for place in range(bisect_right(rows.indexes, since), len(rows.indexes)):
-            index = rows.indexes[place]
+        for offset in range(bisect_right(rows.indexes, since), len(rows.indexes)):
+            index = rows.indexes[offset]
             if index > rows.state.index:
                 break
             if index not in rows.by_index:
@@ -150,25 +152,25 @@
         durable: bool = False,
         audited: bool = True,
     ) -> list[str]:
-        """Write entries and the state."""
+        """Write entries and the state; see `ReplicaStore`."""
         rows = self._partitions.setdefault(partition, _PartitionRows(state))
         names, now_ms = [], self._wall_ms()
         for entry in entries:
-            before = self._rows.get(entry.name)
-            if before is None or entry.index > before.entry.index:
-                self._replace(rows, before, _Row(entry, state.generation, now_ms))
+            previous = self._rows.get(entry.name)
+            if previous is None or entry.index > previous.entry.index:
+                self._replace(rows, previous, _Row(entry, state.generation, now_ms))
                 names.append(entry.name)
-            elif entry.index == before.entry.index:
-                before.generation = state.generation
+            elif entry.index == previous.entry.index:
+                previous.generation = state.generation
         if drop_older:
             names += self._drop_older(rows, state.generation)
         rows.state = state
         return names
 
-    def _replace(self, rows: _PartitionRows, before: _Row | None, row: _Row) -> None:
+    def _replace(self, rows: _PartitionRows, previous: _Row | None, row: _Row) -> None:
         entry = row.entry
-        if before is not None:
-            rows.by_index.pop(before.entry.index, None)
+        if previous is not None:
+            rows.by_index.pop(previous.entry.index, None)
             rows.divergent_names.discard(entry.name)
         if rows.indexes and entry.index <= rows.indexes[-1]:
             rows.is_sorted = False
@@ -188,7 +190,7 @@
         return dropped
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Copy rows past an index to the divergent ones and give them the index 0; return how many."""
+        """Copy rows past an index to the divergent rows and set their index to 0; return how many."""
         rows = self._partitions[partition]
         names = [name for index, name in rows.by_index.items() if index > past_index]
         for name in names:
@@ -227,5 +229,5 @@
             self.on_change(changed_names)
 
     def live_entries(self) -> dict[str, LogEntry]:
-        """Return the entries that are no tombstones, by name."""
+        """Return the entries other than tombstones, by name."""
         return {name: row.entry for name, row in self._rows.items() if row.entry.state}
