--- a/reelusher/fleet/replication/pull_scheduler.py
+++ b/reelusher/fleet/replication/pull_scheduler.py
@@ -1,8 +1,8 @@
-"""Decides when to pull, and from which member: one pull at a time, own zone first, with backoff.
+"""Decides when to pull and from which member: one pull at a time, own zone first, with backoff.
 
-Members announce their version vectors; those that are ahead are candidates. A member that did not answer, or
-sent nothing of use, is avoided for a growing time. `observe` and the queries may come from any thread and
-never wait for a disk; all else is called by the thread that pulls.
+Members announce their version vectors; those that are ahead are candidates. A member that did not reply, or
+whose reply brought nothing new, is avoided for a growing time. Any thread may call `observe`, `claimed` and
+`alternatives`, which never wait for a disk; the thread that pulls calls everything else.
 """
 
 import threading
@@ -27,50 +27,50 @@
 )
 from reelusher.pacing.backoff import Backoff
 
-PULL_DELAY_S = 0.02, 0.15  # from the news that a member is ahead to the pull
-MIN_PULL_INTERVAL_S = 0.1  # so that one pull brings many changes
-BOOTSTRAP_SEGMENTS_PER_S = 5.0  # full segments that a replica pulls; each takes 6 ms of a core
+PULL_DELAY_S = 0.02, 0.15  # delay from the announcement that a member is ahead to the pull
+MIN_PULL_INTERVAL_S = 0.1  # long enough that one pull brings many changes
+BOOTSTRAP_SEGMENTS_PER_S = 5.0  # rate of full segments pulled; each takes 6 ms of a core
 PULL_TIMEOUT_S = 5.0
-RETRY_BACKOFF_S = 0.1, 5.0  # while no member that is ahead answers
-AVOID_BACKOFF_S = 1.0, 30.0  # for which a member is not asked
-PEER_AHEAD_TTL_S = 30.0
-CLAIM_TTL_S = 30.0
-SAMPLED_PEERS = 3  # drawn from the candidates; the one that is furthest ahead is asked
+RETRY_BACKOFF_S = 0.1, 5.0  # between pulls while no member that is ahead replies
+AVOID_BACKOFF_S = 1.0, 30.0  # time during which a member is avoided
+PEER_AHEAD_TTL_S = 30.0  # a member that is ahead is forgotten unless it announces again within this time
+CLAIM_TTL_S = 30.0  # a claim is ignored unless it is announced again within this time
+SAMPLED_PEERS = 3  # candidates drawn at random; the one furthest ahead is asked
 MAX_PEERS_AHEAD = 32
 MAX_PEERS_EQUAL = 16
-PULL_INTERVAL_JITTER = 0.8, 1.2
+PULL_INTERVAL_JITTER = 0.8, 1.2  # factor
 
 
 @dataclass(slots=True)
 class PeerAhead:
-    """A member that announced more than this replica has."""
+    """A member whose vector is past this replica's."""
 
     zone: str
     vector: list[int]
-    heard_s: float
+    announced_s: float
 
 
 class AvoidedPeer(NamedTuple):
-    """A member that is not asked for a while."""
+    """A member from which this replica does not pull for a while."""
 
     until_s: float
     backoff: Backoff
 
 
 class Claim(NamedTuple):
-    """The furthest position that a member announced in a partition."""
+    """The furthest position that any member announced in a partition."""
 
     position: Position
-    heard_s: float
+    announced_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class Pull:
-    """A request that is in flight."""
+    """A pull request in flight."""
 
     address: str
     request: EntriesRequest
-    until_s: float
+    until_s: float  # when it counts as failed
 
 
 class PullScheduler:
@@ -78,7 +78,7 @@
 
     def __init__(self, own_address: str, positions: ReplicaPositions, random: Random, zone: str) -> None:
         self._own_address, self._positions, self._random, self._zone = own_address, positions, random, zone
-        self._lock = threading.Lock()  # of what is known of peers
+        self._lock = threading.Lock()  # guards `peers_ahead`, `avoided` and the claims
         self.peers_ahead: dict[str, PeerAhead] = {}  # by address
         self.avoided: dict[str, AvoidedPeer] = {}  # by address
         self.peers_equal: deque[str] = deque(maxlen=MAX_PEERS_EQUAL)  # addresses
@@ -87,10 +87,10 @@
         self.in_flight: Pull | None = None
         self.due_s = inf
 
-    # What members announce
+    # Announcements of members
 
     def observe(self, address: str, zone: str, vector: list[int], now: float) -> str:
-        """Record the vector of a member; return "", or a word for the counters where it is rejected."""
+        """Record the vector of a member; return "" or, if rejected, a suffix of a counter's name."""
         if vector == self._positions.announced:
             self.peers_equal.append(address)
             return ""
@@ -114,32 +114,32 @@
         for ordinal, partition in enumerate(self._positions.control):
             position = position_at(vector, ordinal)
             claim = self._claims.get(partition)
-            if claim is None or position >= claim.position or now - claim.heard_s > CLAIM_TTL_S:
+            if claim is None or position >= claim.position or now - claim.announced_s > CLAIM_TTL_S:
                 self._claims[partition] = Claim(position, now)
 
     def claimed(self, partition: str, now: float) -> Position | None:
-        """Return the furthest position announced lately, where it is past this replica's."""
+        """Return the furthest position announced recently; None if it is not past this replica's."""
         with self._lock:
             claim = self._claims.get(partition)
         state = self._positions.states[partition]
-        if claim is None or now - claim.heard_s > CLAIM_TTL_S:
+        if claim is None or now - claim.announced_s > CLAIM_TTL_S:
             return None
         return claim.position if claim.position > (state.term, state.index) else None
 
-    def alternatives(self, besides: str) -> list[str]:
-        """Return addresses of some members that are as far as this replica or further."""
+    def alternatives(self, excluding: str) -> list[str]:
+        """Return addresses of some members that are not behind this replica."""
         with self._lock:
-            known = {*self.peers_equal.copy(), *self.peers_ahead} - {besides}
+            known = {*self.peers_equal.copy(), *self.peers_ahead} - {excluding}
         return self._random.sample(sorted(known), min(MAX_ALTERNATIVES, len(known)))
 
     # Pulls
 
     def next_due_s(self) -> float:
-        """Return when `next_pull` is wanted; infinite: not before a member is ahead."""
+        """Return when to call `next_pull`; infinite while no member is known to be ahead."""
         return self.in_flight.until_s if self.in_flight else self.due_s
 
     def next_pull(self, now: float) -> Pull | None:
-        """Return the pull that is due. `Replica.apply_reply` or `failed` ends it."""
+        """Return the pull that is due, or None. `Replica.apply_reply` or `failed` ends it."""
         if self.in_flight is not None:
             if now < self.in_flight.until_s:
                 return None
@@ -159,7 +159,7 @@
         self.peers_ahead = {
             address: peer
             for address, peer in self.peers_ahead.items()
-            if now - peer.heard_s < PEER_AHEAD_TTL_S and self._positions.is_ahead(peer.vector)
+            if now - peer.announced_s < PEER_AHEAD_TTL_S and self._positions.is_ahead(peer.vector)
         }
         self.avoided = {
             address: avoided
@@ -168,7 +168,7 @@
         }
 
     def _choose_peer(self, now: float) -> str | None:
-        """Return the address of the member to ask; where there is none, wait for the first avoided one."""
+        """Return the address of the member to pull from; None, with `due_s` set, if there is none now."""
         avoided_until_s = {
             address: avoided.until_s
             for address, avoided in self.avoided.items()
@@ -178,10 +178,10 @@
         if not candidates:
             self.due_s = min(avoided_until_s.values(), default=inf)
             return None
-        near = [address for address in candidates if self.peers_ahead[address].zone == self._zone]
-        preferred = near or candidates
-        drawn = self._random.sample(preferred, min(SAMPLED_PEERS, len(preferred)))
-        return max(drawn, key=lambda address: self._positions.gain(self.peers_ahead[address].vector))
+        same_zone = [address for address in candidates if self.peers_ahead[address].zone == self._zone]
+        preferred = same_zone or candidates
+        sampled = self._random.sample(preferred, min(SAMPLED_PEERS, len(preferred)))
+        return max(sampled, key=lambda address: self._positions.gain(self.peers_ahead[address].vector))
 
     def _request(self) -> EntriesRequest:
         states = [self._positions.states[partition] for partition in self._positions.control]
@@ -192,7 +192,7 @@
         return EntriesRequest(self._own_address, self._positions.digest, vector, covered)
 
     def failed(self, pull: Pull, now: float) -> None:
-        """End a pull that was not answered."""
+        """End a pull that got no reply, or whose reply could not be applied."""
         if self.end(pull):
             self._avoid(pull.address, now)
             self.retry_later(now)
@@ -215,7 +215,7 @@
             self.avoided[address] = AvoidedPeer(now + backoff.next_s(), backoff)
 
     def reply_applied(self, pull: Pull, reply: EntriesReply, useful: bool, now: float) -> None:
-        """Schedule the next pull after a reply. `useful`: this replica has more than before."""
+        """Schedule the next pull after a reply. `useful`: the reply advanced this replica."""
         if useful:
             self._backoff.reset()
             with self._lock:
@@ -224,7 +224,7 @@
             self._record_alternatives(pull, reply, now)
             self._avoid(pull.address, now)
         if self._more_to_pull(reply):
-            # paced by bytes, not by segments: one change in each of several partitions is no bootstrap
+            # paced by bytes, not by segments: one change in each of several partitions is not a bootstrap
             size = sum(entry.size for segment in reply.segments for entry in segment.entries)
             segments = size / MAX_SEGMENT_BYTES
             paced_s = max(MIN_PULL_INTERVAL_S, segments / BOOTSTRAP_SEGMENTS_PER_S)
@@ -237,7 +237,7 @@
         return behind or any(segment.more for segment in reply.segments)
 
     def _record_alternatives(self, pull: Pull, reply: EntriesReply, now: float) -> None:
-        """Trust a member at its limit that the alternatives it named are as far as itself."""
+        """Add the alternatives named by a member at its rate limit, with the vector of that member."""
         with self._lock:
             peer = self.peers_ahead.get(pull.address)
             if peer is None:
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -57,9 +57,7 @@
 
 SENT_BYTES_LIMIT = 20 * MAX_SEGMENT_BYTES, 40 * MAX_SEGMENT_BYTES  # of entries per second, and in a burst
 SENT_REPLIES_LIMIT = 50.0, 50.0  # replies sent per second, and in a burst
-BOOTSTRAP_MIN_CHANGES = (
-    100  # a partition without entries is bootstrapping if others have more changes than this
-)
+BOOTSTRAP_MIN_CHANGES = 100  # an empty partition is bootstrapping if others have more changes than this
 TOMBSTONE_TTL_S = 7 * 86_400.0
 
 
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -1,7 +1,8 @@
-"""Which members have which changes, by the vectors they announce. Free of I/O but for the wait of a caller.
+"""Tracks which members have which changes, by the vectors that they announce. Only `wait` blocks.
 
-Only leaders keep one. A member that announced nothing since the last change is called, so that it answers
-with its vector: paced, and more quickly while someone waits.
+Only control members track progress, since only they lead partitions. A member that has not announced the
+newest change is pinged, so that it replies with its vector. Pings are paced; the rate is higher after a
+report was read, and members are pinged at once while a caller waits for copies.
 """
 
 import threading
@@ -16,24 +17,24 @@
 from reelusher.pacing.token_bucket import TokenBucket
 
 MAX_MEMBERS = 4096
-GRACE_S = 3.0  # after a change, in which nearly all members pull and announce it by themselves
-CHECK_INTERVAL_S = 1.0  # while some members may lack the newest change
-CALLS_PER_S = 10.0
-QUICK_CALLS_PER_S = 100.0
-QUICK_S = 20.0  # after a report was read
-CALLED_TTL_S = 60.0
-WAIT_CALLS = 3  # members called for each copy that is waited for
+GRACE_S = 3.0  # time after a change in which nearly all members pull and announce it unasked
+CHECK_INTERVAL_S = 1.0  # between calls of `tick` while some members may lack the newest change
+PINGS_PER_S = 10.0
+FAST_PINGS_PER_S = 100.0
+FAST_PINGS_S = 20.0  # duration of the higher rate, after a report was read
+PINGED_TTL_S = 60.0  # time after which a ping is forgotten
+PINGS_PER_COPY = 3  # members pinged for each copy that a caller waits for
 MAX_SLOWEST = 10  # members named in a report
-MAX_TIMED_CHANGES = 64  # of a partition
+MAX_TIMED_CHANGES = 64  # newest changes of a partition whose time is kept
 
 
 @dataclass(slots=True)
 class FullyReplicated:
-    """The newest change of a partition that all live members announced."""
+    """The newest change of a partition that all live members are known to have."""
 
     position: Position
-    at_s: float
-    took_s: float  # since it was made, if that was here and not long ago
+    known_since_s: float
+    took_s: float  # time since the change was made; 0.0 if that time is not known here
 
 
 class Waiter(NamedTuple):
@@ -45,23 +46,25 @@
 
 
 class ReplicationProgress:
-    """What one leader knows of the other members."""
+    """What a control member knows of the other members' positions in the partitions that it leads."""
 
     def __init__(self, replica: Replica, own_name: str) -> None:
         self._replica, self._own_name = replica, own_name
-        self._offsets = {name: 1 + 2 * place for place, name in enumerate(replica.control)}  # in a vector
+        self._offsets = {
+            name: 1 + 2 * ordinal for ordinal, name in enumerate(replica.control)
+        }  # in a packed vector
         self._changed = threading.Condition()
-        self._vectors: dict[str, list[int]] = {}  # by address; equal ones are one list
-        self._announced_s: dict[str, float] = {}  # by address
+        self._vectors: dict[str, list[int]] = {}  # by address; equal vectors share one list
+        self._announced_s: dict[str, float] = {}  # time of the last announcement, by address
         self._made_s: dict[str, deque[tuple[Position, float]]] = {
             partition: deque(maxlen=MAX_TIMED_CHANGES) for partition in replica.control
         }
         self._fully_replicated: dict[str, FullyReplicated] = {}
-        self._waiting: list[Waiter] = []
-        self._calls = TokenBucket(CALLS_PER_S, CALLS_PER_S)
-        self._quick_calls = TokenBucket(QUICK_CALLS_PER_S, QUICK_CALLS_PER_S)
-        self._quick_until_s = self._checked_s = 0.0
-        self._called_s: dict[str, float] = {}  # by address
+        self._waiters: list[Waiter] = []
+        self._pings = TokenBucket(PINGS_PER_S, PINGS_PER_S)
+        self._fast_pings = TokenBucket(FAST_PINGS_PER_S, FAST_PINGS_PER_S)
+        self._fast_until_s = self._checked_s = 0.0
+        self._pinged_s: dict[str, float] = {}  # time of the last ping, by address
 
     # From any thread
 
@@ -77,7 +80,7 @@
             if len(self._vectors) > MAX_MEMBERS:
                 oldest = next(iter(self._vectors))
                 del self._vectors[oldest], self._announced_s[oldest]
-            if self._waiting:
+            if self._waiters:
                 self._changed.notify_all()
 
     def record_change(self, partition: str, position: Position, now: float) -> None:
@@ -86,23 +89,23 @@
             self._made_s[partition].append((position, now))
 
     def wait(self, partition: str, position: Position, copies: int, timeout_s: float) -> int:
-        """Wait until so many other members have a change; return how many have it then."""
+        """Wait until `copies` other members have a change, or for `timeout_s`; return how many have it."""
         waiter = Waiter(partition, position, copies)
         with self._changed:
-            self._waiting.append(waiter)
+            self._waiters.append(waiter)
             try:
                 self._changed.wait_for(lambda: self._count(partition, position) >= copies, timeout_s)
                 return self._count(partition, position)
             finally:
-                self._waiting.remove(waiter)
+                self._waiters.remove(waiter)
 
-    def poll_quickly(self, now: float) -> None:
-        """Call members more quickly for a while."""
-        self._quick_until_s = now + QUICK_S
+    def ping_faster(self, now: float) -> None:
+        """Ping members at the higher rate for `FAST_PINGS_S`."""
+        self._fast_until_s = now + FAST_PINGS_S
 
     def _has(self, address: str, partition: str, position: Position) -> bool:
-        vector, at = self._vectors.get(address), self._offsets[partition]
-        return vector is not None and (vector[at], vector[at + 1]) >= position
+        vector, offset = self._vectors.get(address), self._offsets[partition]
+        return vector is not None and (vector[offset], vector[offset + 1]) >= position
 
     def _count(self, partition: str, position: Position) -> int:
         return sum(self._has(address, partition, position) for address in self._vectors)
@@ -115,11 +118,11 @@
             if self._replica.leads(partition, self._own_name)
         ]
 
-    # The service's thread
+    # Called by the service's maintenance thread
 
     def is_due(self, now: float) -> bool:
-        """Return whether `tick` is wanted now; listing the live members for it is costly."""
-        if self._waiting:
+        """Return whether `tick` is to be called now; it needs the list of live members, which is costly."""
+        if self._waiters:
             return True
         return now - self._checked_s >= CHECK_INTERVAL_S and any(
             position.log_index and not self._is_fully_replicated(partition, position)
@@ -131,30 +134,30 @@
         return known is not None and known.position == position
 
     def tick(self, live: Sequence[Update], now: float) -> list[str]:
-        """Return the addresses of members to call now; `live` are all live ones."""
+        """Return the addresses of members to ping now; `live` has all live members."""
         self._checked_s = now
         addresses = [member.address for member in live if member.address != self._replica.own_address]
         with self._changed:
             self._forget_all_but(addresses)
             behind = self._find_behind(addresses, now)
-            called = self._called_for_waiters(addresses)
-            self._called_s = {
-                address: at for address, at in self._called_s.items() if now - at < CALLED_TTL_S
+            pinged = self._find_for_waiters(addresses)
+            self._pinged_s = {
+                address: at_s for address, at_s in self._pinged_s.items() if now - at_s < PINGED_TTL_S
             }
             behind.sort(key=self._last_contact_s)
-        limit = self._quick_calls if now < self._quick_until_s else self._calls
-        called += behind[: max(0, int(limit.available(now)))]
-        called = list(dict.fromkeys(called))
-        limit.take(len(called))
-        self._called_s |= dict.fromkeys(called, now)
-        return called
+        limit = self._fast_pings if now < self._fast_until_s else self._pings
+        pinged += behind[: max(0, int(limit.available(now)))]
+        pinged = list(dict.fromkeys(pinged))
+        limit.take(len(pinged))
+        self._pinged_s |= dict.fromkeys(pinged, now)
+        return pinged
 
     def _forget_all_but(self, addresses: Iterable[str]) -> None:
         for address in self._vectors.keys() - set(addresses):
             del self._vectors[address], self._announced_s[address]
 
     def _find_behind(self, addresses: Sequence[str], now: float) -> list[str]:
-        """Return members that lack a change for longer than is usual; record what all have."""
+        """Return members that lack a change after `GRACE_S`; record the changes that all members have."""
         behind: dict[str, None] = {}
         for partition, position in self._led_positions():
             lacking = [address for address in addresses if not self._has(address, partition, position)]
@@ -165,16 +168,17 @@
                 behind |= dict.fromkeys(lacking)
         return list(behind)
 
-    def _called_for_waiters(self, addresses: Sequence[str]) -> list[str]:
-        called: list[str] = []
-        for partition, position, copies in self._waiting:
+    def _find_for_waiters(self, addresses: Sequence[str]) -> list[str]:
+        """Return members that lack a change for which a caller waits, least recently pinged first."""
+        pinged: list[str] = []
+        for partition, position, copies in self._waiters:
             lacking = [address for address in addresses if not self._has(address, partition, position)]
-            lacking.sort(key=lambda address: self._called_s.get(address, 0.0))
-            called += lacking[: WAIT_CALLS * copies]
-        return called
+            lacking.sort(key=lambda address: self._pinged_s.get(address, 0.0))
+            pinged += lacking[: PINGS_PER_COPY * copies]
+        return pinged
 
     def _last_contact_s(self, address: str) -> float:
-        return max(self._announced_s.get(address, 0.0), self._called_s.get(address, 0.0))
+        return max(self._announced_s.get(address, 0.0), self._pinged_s.get(address, 0.0))
 
     def _record_fully_replicated(
         self, partition: str, position: Position, now: float, made_s: float | None
@@ -186,8 +190,8 @@
     # Reports, for the administration API
 
     def report(self, live: Iterable[Update], now: float) -> list[dict[str, object]]:
-        """Return, for each partition that this member leads, who has its newest change."""
-        self.poll_quickly(now)
+        """Return, for each partition that this member leads, how many members have its newest change."""
+        self.ping_faster(now)
         others = [member for member in live if member.address != self._replica.own_address]
         with self._changed:
             return [
@@ -217,16 +221,16 @@
             return None
         return {
             "position": f"{known.position.term}.{known.position.log_index}",
-            "since_s": round(now - known.at_s, 1),
+            "since_s": round(now - known.known_since_s, 1),
             "took_s": round(known.took_s, 1),
         }
 
     def _member_report(self, member: Update, partition: str, now: float) -> dict[str, object]:
-        vector, at = self._vectors.get(member.address), self._offsets[partition]
+        vector, offset = self._vectors.get(member.address), self._offsets[partition]
         announced_s = self._announced_s.get(member.address)
         return {
             "name": member.name,
             "address": member.address,
-            "position": None if vector is None else f"{vector[at]}.{vector[at + 1]}",
+            "position": None if vector is None else f"{vector[offset]}.{vector[offset + 1]}",
             "heard_s": None if announced_s is None else round(now - announced_s, 1),
         }
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -1,7 +1,7 @@
-"""The threads of replication: one pulls, one does periodic maintenance. Members pull through membership.
+"""The threads of replication: one pulls, one does periodic maintenance. Pulls are membership requests.
 
-`Replica`, `Leadership` and `ReplicationProgress` decide. A damaged or full store harms nothing else: pulls
-fail and are retried, and the node serves what it has in memory.
+`Replica`, `Leadership` and `ReplicationProgress` make the decisions. A damaged or full store affects nothing
+else: pulls fail and are retried, and the node serves what it has in memory.
 """
 
 import threading
@@ -25,18 +25,18 @@
 
 T = TypeVar("T")
 MAINTENANCE_INTERVAL_S = 1.0
-MIN_PULL_WAIT_S = 0.005
-CALL_INTERVAL_S = 0.2  # while a caller waits for copies
-ZONES_TTL_S = 30.0  # of the remembered zones of members
+MIN_PULL_WAIT_S = 0.005  # shortest wait until the next pull
+PING_INTERVAL_S = 0.2  # between rounds of pings while a caller waits for copies
+ZONES_TTL_S = 30.0  # time after which the members' zones are read again
 COLLECT_INTERVAL_S = 1800.0, 5400.0  # between collections of tombstones
-CHECK_INTERVAL_S = 6 * 3600.0, 18 * 3600.0  # between checks of all pages
-ROWS_PER_RECHECK = 50  # in a round of maintenance: 1 % of a core at the most
-RECHECK_INTERVAL_S = 60.0  # between looks whether rows are to be rechecked
+CHECK_INTERVAL_S = 6 * 3600.0, 18 * 3600.0  # between checks of all pages of the file
+ROWS_PER_RECHECK = 50  # per round of maintenance: at most 1 % of a core
+RECHECK_INTERVAL_S = 60.0  # between rounds of maintenance that look for rows to recheck
 RECREATE_INTERVAL_S = 2.0, 10.0  # between attempts to replace a damaged file
 
 
 class Fleet(Protocol):
-    """What is needed of membership."""
+    """The part of `Membership` that replication uses."""
 
     handlers: dict[type, Callable[[Any], Any]]
 
@@ -44,15 +44,15 @@
         """Return the live members, this one first."""
 
     def piggyback(
-        self, vector: Callable[[], list[int]], heard: Callable[[str, list[int], float], None]
+        self, vector: Callable[[], list[int]], on_vector: Callable[[str, list[int], float], None]
     ) -> None:
-        """Have each datagram carry a vector, and tell of those that come."""
+        """Send the numbers that `vector` returns with each datagram; pass those received to `on_vector`."""
 
     def ping(self, addresses: Sequence[str]) -> None:
-        """Ping members, whose answers carry their vectors."""
+        """Ping members, so that they reply with their vectors."""
 
     def request(self, address: str, request: Any, reply_type: type[T]) -> T | None:
-        """Return the reply of a member; None where it does not reply."""
+        """Send a request to a member; return its reply, or None if there is none."""
 
 
 class Replication:
@@ -67,7 +67,7 @@
         counters: Counters,
         checked_by: str = "",
     ) -> None:
-        """`checked_by` identifies the settings that rows are checked by. `fleet`: None for a lone node."""
+        """`checked_by` identifies the settings by which rows are checked. `fleet`: None for a lone node."""
         self.store, self.replica = store, replica
         self._fleet, self._random, self._counters, self._checked_by = fleet, random, counters, checked_by
         self.progress = (
@@ -76,7 +76,7 @@
         self.leadership = Leadership(
             replica, counters, time.monotonic, self._record_change, alone=fleet is None
         )
-        self._zones: dict[str, str] = {}  # by address
+        self._zones: dict[str, str] = {}  # of members, by address
         self._stop = threading.Event()
         self._pull_wanted = threading.Event()
         self._maintenance_wanted = threading.Event()
@@ -89,10 +89,10 @@
         if fleet is not None:
             fleet.handlers[EntriesRequest] = self._answer
 
-    # From any thread
+    # Called from any thread
 
     def start(self, spawn: Callable[[str, Callable[[], object]], object]) -> None:
-        """Start to take part; `spawn` starts a thread."""
+        """Start the threads and the exchange of vectors; `spawn` starts a thread of a name."""
         if self.store.damage_at_open:
             self._log_damage(self.store.damage_at_open)
         if self._fleet is not None:
@@ -101,27 +101,27 @@
         spawn("replication-upkeep", self._run_maintenance)
 
     def close(self) -> None:
-        """Stop taking part and close the store."""
+        """Stop the threads and close the store."""
         self._stop.set()
         self._pull_wanted.set()
         self._maintenance_wanted.set()
         self.store.close()
 
     def wait_for_copies(self, partition: str, position: Position, copies: int, timeout_s: float) -> int:
-        """Wait until so many other members have a change; return how many have it then."""
+        """Wait until `copies` other members have a change, or for `timeout_s`; return how many have it."""
         if self.progress is None or self._fleet is None:
             return 0
         self._maintenance_wanted.set()
         return self.progress.wait(partition, position, copies, timeout_s)
 
     def progress_report(self) -> list[dict[str, object]]:
-        """Return, for each partition that this member leads, who has its newest change."""
+        """Return, for each partition that this member leads, how many members have its newest change."""
         if self.progress is None:
             return []
         return self.progress.report(self._live_members(), time.monotonic())
 
     def is_bootstrapping(self) -> bool:
-        """Return whether rows may be missing that others have: a name not found may yet come."""
+        """Return whether many rows may not have arrived yet: a name not found here may still exist."""
         now = time.monotonic()
         settling = now - self._started_s < SETTLE_S
         self._maybe_uninitialized = self._maybe_uninitialized and settling and self.replica.is_uninitialized()
@@ -134,7 +134,7 @@
         if self.progress is not None:
             self.progress.record_change(partition, position, now)
 
-    # Membership's threads
+    # Called by membership's threads
 
     def _observe(self, address: str, vector: list[int], now: float) -> None:
         """Record the vector that a datagram carried; called with the lock of membership held."""
@@ -161,7 +161,7 @@
             self._counters.add("replication.sent_on" if reply.alternatives else "replication.nothing_given")
         return reply
 
-    # The thread that pulls
+    # The thread `replication`, which pulls
 
     def _run_pulls(self) -> None:
         while not self._stop.is_set():
@@ -218,15 +218,15 @@
         )
 
     def _log_store_error(self, error: ReplicaError) -> None:
-        if not self._stop.is_set():  # once the store is closed, late calls fail
+        if not self._stop.is_set():  # calls that arrive after the store is closed fail
             self._counters.warn("replication.copy_failed", "replication: store failed: {}", error)
 
-    # The thread of maintenance
+    # The thread `replication-upkeep`, which does maintenance
 
     def _run_maintenance(self) -> None:
         while not self._stop.is_set():
-            calls_due = self.progress is not None and self.progress.is_due(time.monotonic())
-            self._maintenance_wanted.wait(CALL_INTERVAL_S if calls_due else MAINTENANCE_INTERVAL_S)
+            pings_due = self.progress is not None and self.progress.is_due(time.monotonic())
+            self._maintenance_wanted.wait(PING_INTERVAL_S if pings_due else MAINTENANCE_INTERVAL_S)
             self._maintenance_wanted.clear()
             if self._stop.is_set():
                 return
@@ -268,7 +268,7 @@
         self._counters.add("replication.tombstones_collected", self.replica.collect_tombstones(before_ms))
 
     def _recreate_store(self, now: float) -> None:
-        """Replace the file of a damaged store."""
+        """Replace the file of a damaged store, unless an attempt was made recently."""
         if now < self._recreate_due_s:
             return
         self._recreate_due_s = now + self._random.uniform(*RECREATE_INTERVAL_S)
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -316,11 +316,11 @@
     assert first == places[:10]
     assert progress.tick(members, 110.15) == places[10:11]
     total = sum(len(progress.tick(members, 110.0 + step)) for step in range(1, 21))
-    assert 190 <= total <= 20 * replication_progress.CALLS_PER_S + 1
+    assert 190 <= total <= 20 * replication_progress.PINGS_PER_S + 1
     progress.report(members, 140.0)
     quick = progress.tick(members, 141.0)
     never = places[11 + total :]
-    assert len(quick) == replication_progress.QUICK_CALLS_PER_S
+    assert len(quick) == replication_progress.FAST_PINGS_PER_S
     assert quick[: len(never)] == never
     for place in places:
         progress.observe(place, list(fleet.replicas["c1"].announce()), 142.0)
