--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -195,14 +195,14 @@
             self._partitions.write(conn, partition, state)
             return count
 
-    def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
+    def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
         """Delete old tombstones; return how many."""
         with self._transaction(durable=False) as (conn, writer):
             state = self._partitions.read(conn, partition)
             if state is None:
                 return 0
             partition_id = self._partitions.ids[partition]
-            indexes = writer.collect_tombstones(partition_id, state.index - spare, before_ms)
+            indexes = writer.collect_tombstones(partition_id, state.index - kept_indexes, before_ms)
             if indexes:
                 horizon = max(state.horizon, *indexes)
                 self._partitions.write(conn, partition, replace(state, horizon=horizon))
