--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -50,10 +50,9 @@
 
     def __init__(self, replica: Replica, own_name: str) -> None:
         self._replica, self._own_name = replica, own_name
-        self._offsets = {
-            name: 1 + 2 * ordinal for ordinal, name in enumerate(replica.control)
-        }  # in a packed vector
-        self._changed = threading.Condition()
+        # by partition: the offset of its position in a packed vector
+        self._offsets = {name: 1 + 2 * ordinal for ordinal, name in enumerate(replica.control)}
+        self._changed = threading.Condition()  # notified of vectors while a caller waits
         self._vectors: dict[str, list[int]] = {}  # by address; equal vectors share one list
         self._announced_s: dict[str, float] = {}  # time of the last announcement, by address
         self._made_s: dict[str, deque[tuple[Position, float]]] = {
@@ -66,7 +65,7 @@
         self._fast_until_s = self._checked_s = 0.0
         self._pinged_s: dict[str, float] = {}  # time of the last ping, by address
 
-    # From any thread
+    # Called from any thread
 
     def observe(self, address: str, vector: list[int], now: float) -> None:
         """Record the vector of a member."""
