--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication: what replicas agree on, in whatever order they exchange, and what they refuse."""
+"""Replicas converge whatever the order of their pulls, and reject invalid segments and changes."""
 
 import contextlib
 import tempfile
@@ -49,23 +49,25 @@
 
 @pytest.fixture(params=["memory", "file"])
 def folder(request: pytest.FixtureRequest, tmp_path: Path) -> Path | None:
-    """Return where members keep their rows; None: in memory."""
+    """Return where members keep their files; None: stores in memory."""
     return tmp_path if request.param == "file" else None
 
 
-def live(fleet: Replicas, name: str) -> dict[str, tuple[int, str]]:
+def live_rows(fleet: Replicas, name: str) -> dict[str, tuple[int, str]]:
     return fleet.live_rows(name)
 
 
 def replicas_equal(fleet: Replicas) -> bool:
     return (
-        all(live(fleet, name) == live(fleet, "c1") for name in fleet.replicas)
-        and len({tuple(one.announce()) for one in fleet.replicas.values()}) == 1
+        all(live_rows(fleet, name) == live_rows(fleet, "c1") for name in fleet.replicas)
+        and len({tuple(replica.announce()) for replica in fleet.replicas.values()}) == 1
     )
 
 
-def make_segment(state: PartitionState, entries: list[LogEntry], since: int = 0, **more: Any) -> LogSegment:
-    through_index = more.pop("through_index", entries[-1].index if entries else since)
+def make_segment(
+    state: PartitionState, entries: list[LogEntry], since: int = 0, **overrides: Any
+) -> LogSegment:
+    through_index = overrides.pop("through_index", entries[-1].index if entries else since)
     fields = {
         "partition": "c1",
         "term": state.term,
@@ -74,11 +76,11 @@
         "goal": through_index,
     }
     return LogSegment(
-        since=since, through_index=through_index, entries=entries, more=False, **(fields | more)
+        since=since, through_index=through_index, entries=entries, more=False, **(fields | overrides)
     )
 
 
-# Names, streams, vectors
+# Partitions, terms and vectors
 
 
 def test_partition_of_spreads_names_evenly_and_moves_few_when_control_grows() -> None:
@@ -93,25 +95,25 @@
 
 @given(st.lists(st.tuples(st.integers(0, 1 << 40), st.integers(0, 1 << 40)), min_size=2, max_size=2))
 def test_unpack_restores_a_packed_vector_and_rejects_another_control_list(
-    told: list[tuple[int, int]],
+    positions: list[tuple[int, int]],
 ) -> None:
-    vector = {name: Position(*one) for name, one in zip(CONTROL, told, strict=True)}
+    vector = {name: Position(*position) for name, position in zip(CONTROL, positions, strict=True)}
     assert unpack(pack(vector, CONTROL), CONTROL) == vector
     assert unpack(pack(vector, CONTROL), ("c1", "c3")) is None
     assert control_digest(CONTROL) == control_digest(CONTROL[::-1]) < 1 << 32
 
 
 def test_term_names_its_leader_and_concurrent_take_overs_begin_different_terms() -> None:
-    begun = first_term("c2", CONTROL)
-    assert leader_of(begun, CONTROL) == "c2"
-    one, other = (next_term(begun, name, CONTROL) for name in CONTROL)
-    assert one != other
-    assert min(one, other) > begun
-    assert (leader_of(one, CONTROL), leader_of(other, CONTROL)) == CONTROL
+    initial_term = first_term("c2", CONTROL)
+    assert leader_of(initial_term, CONTROL) == "c2"
+    first, second = (next_term(initial_term, name, CONTROL) for name in CONTROL)
+    assert first != second
+    assert min(first, second) > initial_term
+    assert (leader_of(first, CONTROL), leader_of(second, CONTROL)) == CONTROL
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "upto"),
+    ("first", "second", "through_index"),
     [
         ([], [], float("inf")),
         ([], [(17, 5)], 5),
@@ -121,23 +123,25 @@
         ([(17, 5), (24, 7)], [(17, 5), (25, 6)], 6),
     ],
 )
-def test_histories_are_shared_up_to_the_first_different_base(first: Any, second: Any, upto: float) -> None:
-    assert shared_through_index(first, second) == shared_through_index(second, first) == upto
+def test_histories_are_shared_up_to_the_first_different_base(
+    first: Any, second: Any, through_index: float
+) -> None:
+    assert shared_through_index(first, second) == shared_through_index(second, first) == through_index
 
 
-# Exchanges
+# Pulls
 
 
 def test_changes_reach_all_replicas_and_share_a_pull(folder: Path | None) -> None:
     fleet = Replicas(3, folder)
     for name in C1[:3] + C2[:2]:
         fleet.change(name)
-    taken = fleet.pull("n1", "c1")
-    assert taken is not None
-    assert (taken.entries, sorted(taken.changed_names)) == (3, sorted(C1[:3]))
+    result = fleet.pull("n1", "c1")
+    assert result is not None
+    assert (result.entries, sorted(result.changed_names)) == (3, sorted(C1[:3]))
     fleet.settle()
     assert replicas_equal(fleet)
-    assert len(live(fleet, "n3")) == 5
+    assert len(live_rows(fleet, "n3")) == 5
 
 
 def test_two_replicas_pull_from_each_other(folder: Path | None) -> None:
@@ -146,13 +150,13 @@
     fleet.change(C2[0])
     fleet.pull("n1", "c1")
     fleet.pull("n2", "c2")
-    one, other = fleet.request_entries("n1", "n2"), fleet.request_entries("n2", "n1")
-    assert one is not None
-    assert other is not None
-    fleet.replicas["n1"].apply_reply(*one, fleet.now)
-    fleet.replicas["n2"].apply_reply(*other, fleet.now)
-    assert live(fleet, "n1") == live(fleet, "n2")
-    assert len(live(fleet, "n1")) == 2
+    first, second = fleet.request_entries("n1", "n2"), fleet.request_entries("n2", "n1")
+    assert first is not None
+    assert second is not None
+    fleet.replicas["n1"].apply_reply(*first, fleet.now)
+    fleet.replicas["n2"].apply_reply(*second, fleet.now)
+    assert live_rows(fleet, "n1") == live_rows(fleet, "n2")
+    assert len(live_rows(fleet, "n1")) == 2
 
 
 @pytest.mark.parametrize("first", ["n1", "n2"])
@@ -170,11 +174,11 @@
     assert added is not None
     for name in sorted(("n1", "n2"), key=lambda name: name != first):
         fleet.replicas[name].apply_reply(*{"n1": removed, "n2": added}[name], fleet.now)
-    assert not live(fleet, "n1")
-    assert live(fleet, "n2")
+    assert not live_rows(fleet, "n1")
+    assert live_rows(fleet, "n2")
     fleet.settle()
     assert replicas_equal(fleet)
-    assert live(fleet, "n1") == {C1[0]: (3, "active")}
+    assert live_rows(fleet, "n1") == {C1[0]: (3, "active")}
 
 
 def test_late_reply_is_not_applied(
@@ -182,13 +186,13 @@
 ) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
-    asked = fleet.request_entries("n1", "c1")
-    assert asked is not None
+    exchange = fleet.request_entries("n1", "c1")
+    assert exchange is not None
     replica = fleet.replicas["n1"]
-    replica.pulls.failed(asked[0], fleet.now)
+    replica.pulls.failed(exchange[0], fleet.now)
     assert replica.pulls.next_due_s() > fleet.now
-    assert replica.apply_reply(*asked, fleet.now).segments == 0
-    assert not live(fleet, "n1")
+    assert replica.apply_reply(*exchange, fleet.now).segments == 0
+    assert not live_rows(fleet, "n1")
     fleet.settle()
     assert replicas_equal(fleet)
 
@@ -203,27 +207,27 @@
     first = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert first is not None
     assert replica.pulls.next_pull(fleet.now + 1) is None
-    late_s = replica.pulls.next_due_s()
-    assert replica.pulls.next_pull(late_s) is None  # waits a little first
+    timed_out_s = replica.pulls.next_due_s()
+    assert replica.pulls.next_pull(timed_out_s) is None  # retried only after a backoff
     second = replica.pulls.next_pull(replica.pulls.next_due_s())
     assert second is not None
     assert second.address != first.address
 
 
 def test_pull_follows_an_announcement_with_jitter_and_prefers_the_own_zone() -> None:
-    due = set()
+    due_times = set()
     for seed in range(20):
         replica = Replica("n", CONTROL, MemoryReplicaStore(), Random(seed), "near")
         other = Replica("c1", CONTROL, MemoryReplicaStore(), Random(seed))
         other.accept("c1", "c1", entry(C1[0]))
-        for place, zone in (("a", "far"), ("b", "near"), ("c", "far")):
-            assert replica.pulls.observe(place, zone, list(other.announce()), 5.0) == ""
-        due.add(replica.pulls.next_due_s())
+        for address, zone in (("a", "far"), ("b", "near"), ("c", "far")):
+            assert replica.pulls.observe(address, zone, list(other.announce()), 5.0) == ""
+        due_times.add(replica.pulls.next_due_s())
         pull = replica.pulls.next_pull(replica.pulls.next_due_s())
         assert pull is not None
         assert pull.address == "b"
-    assert len(due) == 20
-    assert 5 + PULL_DELAY_S[0] <= min(due) <= max(due) <= 5 + PULL_DELAY_S[1]
+    assert len(due_times) == 20
+    assert 5 + PULL_DELAY_S[0] <= min(due_times) <= max(due_times) <= 5 + PULL_DELAY_S[1]
 
 
 def test_pull_goes_to_the_member_furthest_ahead() -> None:
@@ -239,55 +243,53 @@
     assert pull is not None
     assert pull.address == "n3"
     replica.pulls.failed(pull, fleet.now)
-    told = list(fleet.replicas["n2"].announce())
-    told[1] += 8  # a later term
-    replica.pulls.observe("n4", "", told, fleet.now)
+    vector = list(fleet.replicas["n2"].announce())
+    vector[1] += 8  # a later term
+    replica.pulls.observe("n4", "", vector, fleet.now)
     pull = replica.pulls.next_pull(fleet.now + 10)
     assert pull is not None
     assert pull.address == "n4"
 
 
 @pytest.mark.parametrize(
-    ("rows", "least_s", "most_s"),
+    ("rows", "min_s", "max_s"),
     [
         (1, 0.8 * MIN_PULL_INTERVAL_S, 1.2 * MIN_PULL_INTERVAL_S),
         (1000, 0.8 * 3.5 / BOOTSTRAP_SEGMENTS_PER_S, 1.2 * 4.5 / BOOTSTRAP_SEGMENTS_PER_S),
     ],
 )
-def test_interval_between_pulls_follows_bytes_not_partitions(
-    rows: int, least_s: float, most_s: float
-) -> None:
-    """Six streams with a change each made six pieces, and a wait of 1.2 s as after six full ones."""
+def test_interval_between_pulls_follows_bytes_not_partitions(rows: int, min_s: float, max_s: float) -> None:
+    """Six partitions with one change each gave six segments, and a wait of 1.2 s as after six full ones."""
     control = tuple(f"c{number}" for number in range(1, 7))
     fleet = Replicas(1, None, control)
     for partition in control:
         for name in names_of(partition, rows, control):
             fleet.change(name, more="x" * 300)
         fleet.pull("c1", partition)
-    found = fleet.request_entries("n1", "c1")
-    assert found is not None
-    pull, reply = found
+    exchange = fleet.request_entries("n1", "c1")
+    assert exchange is not None
+    pull, reply = exchange
     fleet.change(names_of("c1", rows + 1, control)[-1])
     replica = fleet.replicas["n1"]
     replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), fleet.now)
     assert len(reply.segments) == 6 if rows == 1 else len(reply.segments) >= 4
     replica.apply_reply(pull, reply, fleet.now)
-    assert least_s <= replica.pulls.next_due_s() - fleet.now <= most_s
+    assert min_s <= replica.pulls.next_due_s() - fleet.now <= max_s
 
 
 def test_no_pull_from_members_that_are_not_ahead_or_of_another_control_list(folder: Path | None) -> None:
     fleet = Replicas(1, folder)
     fleet.change(C1[0])
-    writer = fleet.replicas["c1"]
-    assert writer.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now) == ""
-    assert writer.pulls.observe("n1", "", list(writer.announce()), fleet.now) == ""
+    leader = fleet.replicas["c1"]
+    assert leader.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now) == ""
+    assert leader.pulls.observe("n1", "", list(leader.announce()), fleet.now) == ""
     other = Replica("c1", ("c1", "c3"), MemoryReplicaStore(), Random(1))
     other.accept("c1", "c1", entry(names_of("c1", 1, ("c1", "c3"))[0]))
     assert fleet.replicas["n1"].pulls.observe("x", "", list(other.announce()), fleet.now) == "control"
     assert fleet.replicas["n1"].pulls.observe("x", "", [1, 2], fleet.now) == "control"
-    assert all(one.pulls.next_due_s() == float("inf") for one in (writer, fleet.replicas["n1"]))
-    told = other.announce()
-    assert writer.answer(EntriesRequest("x", told[0], list(told)), fleet.now) == EntriesReply([])
+    assert all(replica.pulls.next_due_s() == float("inf") for replica in (leader, fleet.replicas["n1"]))
+    vector = other.announce()
+    assert leader.answer(EntriesRequest("x", vector[0], list(vector)), fleet.now) == EntriesReply([])
 
 
 def test_member_at_its_limit_names_alternatives(folder: Path | None) -> None:
@@ -296,83 +298,85 @@
     for name in ("n2", "n3"):
         fleet.pull(name, "c1")
         fleet.replicas["c1"].pulls.observe(name, "", list(fleet.replicas[name].announce()), fleet.now)
-    writer, puller = fleet.replicas["c1"], fleet.replicas["n1"]
-    request = EntriesRequest("n4", writer.announce()[0], [writer.announce()[0], 0, 0, 0, 0])
-    while writer.answer(request, fleet.now).segments:
+    leader, puller = fleet.replicas["c1"], fleet.replicas["n1"]
+    request = EntriesRequest("n4", leader.announce()[0], [leader.announce()[0], 0, 0, 0, 0])
+    while leader.answer(request, fleet.now).segments:
         pass
-    replica_heard = puller.pulls.observe("c1", "", list(writer.announce()), fleet.now)
-    assert replica_heard == ""
+    fault = puller.pulls.observe("c1", "", list(leader.announce()), fleet.now)
+    assert fault == ""
     pull = puller.pulls.next_pull(puller.pulls.next_due_s())
     assert pull is not None
-    reply = writer.answer(pull.request, fleet.now)
+    reply = leader.answer(pull.request, fleet.now)
     assert not reply.segments
     assert set(reply.alternatives) == {"n2", "n3"}
     assert puller.apply_reply(pull, reply, fleet.now).segments == 0
     second = puller.pulls.next_pull(puller.pulls.next_due_s())
     assert second is not None
     assert second.address in ("n2", "n3")
-    assert writer.answer(pull.request, fleet.now + 1).segments
+    assert leader.answer(pull.request, fleet.now + 1).segments
 
 
 def test_segments_and_replies_are_bounded_and_no_partition_starves(folder: Path | None) -> None:
     fleet = Replicas(1, folder)
     for name in C1 + C2:
         fleet.change(name, pad="x" * 20_000)
-    asked = fleet.request_entries("n1", "c1")
-    assert asked is not None
-    segments = asked[1].segments
-    assert sum(one.size for each in segments for one in each.entries) <= MAX_REPLY_BYTES + 48_000
-    assert all(sum(one.size for one in each.entries) <= MAX_SEGMENT_BYTES for each in segments)
-    assert len(msgspec.msgpack.encode(asked[1])) < 1 << 19
+    exchange = fleet.request_entries("n1", "c1")
+    assert exchange is not None
+    segments = exchange[1].segments
+    assert sum(sent.size for segment in segments for sent in segment.entries) <= MAX_REPLY_BYTES + 48_000
+    assert all(sum(sent.size for sent in segment.entries) <= MAX_SEGMENT_BYTES for segment in segments)
+    assert len(msgspec.msgpack.encode(exchange[1])) < 1 << 19
     fleet.settle()
     assert replicas_equal(fleet)
-    assert len(live(fleet, "n1")) == 80
+    assert len(live_rows(fleet, "n1")) == 80
 
 
-# What is refused
+# Rejected segments and changes
 
 
-def bad(label: str, **more: Any) -> Any:
-    return pytest.param(more, label, id=f"{label}-{'-'.join(more)}")
+def invalid(fault: str, **overrides: Any) -> Any:
+    return pytest.param(overrides, fault, id=f"{fault}-{'-'.join(overrides)}")
 
 
 @pytest.mark.parametrize(
-    ("more", "word"),
+    ("overrides", "fault"),
     [
-        bad("stream", partition="c9"),
-        bad("epoch", term=3),
-        bad("epoch", term=8 + 7),
-        bad("bases", bases=((8, 1),)),
-        bad("bases", term=16),
-        bad("bases", term=16, bases=((16, 4), (16, 4))),
-        bad("bases", term=24, bases=((16, 9), (24, 4))),
-        bad("numbers", through_index=1),
-        bad("numbers", goal=1),
-        bad("numbers", since=1),
-        bad("numbers", entries=[entry(C1[0], 2), entry(C1[1], 1)]),
-        bad("numbers", entries=[entry(C1[0], 1), entry(C1[0], 2)]),
-        bad("numbers", entries=[entry(C1[0], 3)]),
-        bad("name", entries=[entry(C2[0], 1)]),
-        bad("epoch", entries=[LogEntry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
+        invalid("stream", partition="c9"),
+        invalid("epoch", term=3),
+        invalid("epoch", term=8 + 7),
+        invalid("bases", bases=((8, 1),)),
+        invalid("bases", term=16),
+        invalid("bases", term=16, bases=((16, 4), (16, 4))),
+        invalid("bases", term=24, bases=((16, 9), (24, 4))),
+        invalid("numbers", through_index=1),
+        invalid("numbers", goal=1),
+        invalid("numbers", since=1),
+        invalid("numbers", entries=[entry(C1[0], 2), entry(C1[1], 1)]),
+        invalid("numbers", entries=[entry(C1[0], 1), entry(C1[0], 2)]),
+        invalid("numbers", entries=[entry(C1[0], 3)]),
+        invalid("name", entries=[entry(C2[0], 1)]),
+        invalid("epoch", entries=[LogEntry(1, C1[0], 0, "", "active", b"{}", "", 9)]),
     ],
 )
-def test_invalid_segment_is_rejected_whole(folder: Path | None, more: dict[str, Any], word: str) -> None:
+def test_invalid_segment_is_rejected_whole(
+    folder: Path | None, overrides: dict[str, Any], fault: str
+) -> None:
     fleet = Replicas(1, folder)
     replica = fleet.replicas["n1"]
     fleet.change(C1[0])
-    asked = fleet.request_entries("n1", "c1")
-    assert asked is not None
-    good: dict[str, Any] = {
+    exchange = fleet.request_entries("n1", "c1")
+    assert exchange is not None
+    valid: dict[str, Any] = {
         "since": 0,
         "through_index": 2,
         "goal": 2,
         "entries": [entry(C1[0], 1), entry(C1[1], 2)],
     }
-    made = make_segment(replica.states["c1"], **(good | more))
-    taken = replica.apply_reply(asked[0], EntriesReply([made]), fleet.now)
-    assert taken.faults == [word]
-    assert not live(fleet, "n1")
-    assert taken.segments == 0
+    segment = make_segment(replica.states["c1"], **(valid | overrides))
+    result = replica.apply_reply(exchange[0], EntriesReply([segment]), fleet.now)
+    assert result.faults == [fault]
+    assert not live_rows(fleet, "n1")
+    assert result.segments == 0
     assert replica.announce() == pack(
         {name: Position(first_term(name, CONTROL), 0) for name in CONTROL}, CONTROL
     )
@@ -399,30 +403,30 @@
 
 
 def test_failed_store_applies_nothing_and_retries_later() -> None:
-    class Full(MemoryReplicaStore):
+    class FullStore(MemoryReplicaStore):
         full = True
 
-        def apply(self, *args: Any, **more: Any) -> list[str]:
+        def apply(self, *args: Any, **options: Any) -> list[str]:
             if self.full:
                 raise ReplicaError("database or disk is full")
-            return super().apply(*args, **more)
+            return super().apply(*args, **options)
 
     fleet = Replicas(0)
-    fleet.add("n1", Full())
+    fleet.add("n1", FullStore())
     fleet.change(C1[0])
-    taken = fleet.pull("n1", "c1")
+    result = fleet.pull("n1", "c1")
     replica = fleet.replicas["n1"]
-    assert taken is not None
-    assert "full" in taken.store_error
-    assert not live(fleet, "n1")
+    assert result is not None
+    assert "full" in result.store_error
+    assert not live_rows(fleet, "n1")
     assert fleet.now < replica.pulls.next_due_s() < fleet.now + 5
-    Full.full = False
+    FullStore.full = False
     fleet.settle()
     assert replicas_equal(fleet)
 
 
 @pytest.mark.parametrize(
-    "made",
+    "change",
     [
         entry(C2[0]),
         entry(C1[0], pad="x" * MAX_TENANT_BYTES),
@@ -431,18 +435,18 @@
         LogEntry(0, C1[0], 0, "", "active", b"{}", "k" * 257),
     ],
 )
-def test_change_that_others_would_reject_gets_no_index(made: LogEntry) -> None:
+def test_change_that_others_would_reject_gets_no_index(change: LogEntry) -> None:
     fleet = Replicas(0)
     with pytest.raises(ValueError, match=r"stream|length|>="):
-        fleet.replicas["c1"].accept("c1", "c1", made)
+        fleet.replicas["c1"].accept("c1", "c1", change)
     assert fleet.replicas["c1"].states["c1"].index == 0
 
 
-# Tombstones, refills
+# Tombstones and refills
 
 
-def removed_while_away(fleet: Replicas) -> None:
-    """Have n1 miss the removal of one name, whose tombstone the others forget."""
+def miss_collected_removal(fleet: Replicas) -> None:
+    """Let n1 miss the removal of a name whose tombstone the others then collect."""
     for name in C1[:5]:
         fleet.change(name)
     fleet.settle()
@@ -460,37 +464,37 @@
     folder: Path | None,
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
-    before = live(fleet, "n1")
-    asked = fleet.request_entries("n1", "c1")
-    assert asked is not None
-    assert asked[1].segments[0].since == 0
-    taken = fleet.replicas["n1"].apply_reply(*asked, fleet.now)
-    assert taken.refills == ["c1"]
-    assert set(before) - set(live(fleet, "n1")) == {C1[1]}
-    assert C1[1] in taken.changed_names
+    miss_collected_removal(fleet)
+    before = live_rows(fleet, "n1")
+    exchange = fleet.request_entries("n1", "c1")
+    assert exchange is not None
+    assert exchange[1].segments[0].since == 0
+    result = fleet.replicas["n1"].apply_reply(*exchange, fleet.now)
+    assert result.refills == ["c1"]
+    assert set(before) - set(live_rows(fleet, "n1")) == {C1[1]}
+    assert C1[1] in result.changed_names
     fleet.settle()
     assert replicas_equal(fleet)
-    assert len(live(fleet, "n1")) == 4
+    assert len(live_rows(fleet, "n1")) == 4
 
 
 def test_refill_serves_old_rows_and_announces_the_old_position_until_its_end(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
+    miss_collected_removal(fleet)
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
-    before, told = set(live(fleet, "n1")), list(fleet.replicas["n1"].announce())
+    before, announced = set(live_rows(fleet, "n1")), list(fleet.replicas["n1"].announce())
     steps = 0
-    while fleet.replicas["n1"].announce() == told:
-        assert set(live(fleet, "n1")) == before
-        fleet.settle("n2", "c1", most=30)
+    while fleet.replicas["n1"].announce() == announced:
+        assert set(live_rows(fleet, "n1")) == before
+        fleet.settle("n2", "c1", max_rounds=30)
         assert fleet.pull("n1", ("c1", "n2")[steps % 2]) is not None
-        fleet.restart("n1")  # and goes on from where it was
+        fleet.restart("n1")  # the refill continues from its cursor
         steps += 1
     assert steps == 4
-    assert set(live(fleet, "n1")) == before - {C1[1]}
+    assert set(live_rows(fleet, "n1")) == before - {C1[1]}
     assert fleet.replicas["n1"].states["c1"].cursor == -1
 
 
@@ -498,19 +502,19 @@
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
+    miss_collected_removal(fleet)
     fleet.settle()
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.add("n4")
-    seen = []
+    results = []
     for sender in ("c1", "n2", "n3", "c1", "n2"):
-        taken = fleet.pull("n4", sender)
-        seen.append((taken.entries, taken.refills) if taken else None)
-        fleet.change(C1[3], pad=sender)  # while it is filled
-        fleet.restart("n4")  # and it goes on from where it was
+        result = fleet.pull("n4", sender)
+        results.append((result.entries, result.refills) if result else None)
+        fleet.change(C1[3], pad=sender)  # changes go on during the bootstrap
+        fleet.restart("n4")  # the bootstrap continues from its position
     fleet.settle()
-    assert seen[:4] == [(1, [])] * 4
+    assert results[:4] == [(1, [])] * 4
     assert replicas_equal(fleet)
 
 
@@ -518,19 +522,19 @@
     folder: Path | None,
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
-    fleet.add("n4")  # has never seen the tombstone, nor that there was one
+    miss_collected_removal(fleet)
+    fleet.add("n4")  # bootstraps after the tombstone was collected
     fleet.settle("n4", "c1")
-    taken = fleet.pull("n1", "n4")
-    assert taken is not None
-    assert taken.refills == ["c1"]
-    assert live(fleet, "n1") == live(fleet, "c1")
+    result = fleet.pull("n1", "n4")
+    assert result is not None
+    assert result.refills == ["c1"]
+    assert live_rows(fleet, "n1") == live_rows(fleet, "c1")
 
 
 def test_bootstrap_keeps_the_lowest_covered_index_of_its_senders(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What an early giver did not know to be removed is found out, though a later one knew more."""
+    """A row from a sender that lacked its removal is dropped, though a later sender had the removal."""
     fleet = Replicas(4, folder)
     for name in C1[:5]:
         fleet.change(name)
@@ -541,46 +545,46 @@
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n4", "n1")
     fleet.pull("n4", "c1")
-    assert set(live(fleet, "n4")) == {C1[0], C1[2]}
+    assert set(live_rows(fleet, "n4")) == {C1[0], C1[2]}
     assert fleet.replicas["n4"].states["c1"].covered == 5
     fleet.replicas["c1"].store.collect("c1", 1, kept_indexes=0)
     fleet.restart("c1")
-    taken = fleet.pull("n4", "c1")
-    assert taken is not None
-    assert taken.refills == ["c1"]
+    result = fleet.pull("n4", "c1")
+    assert result is not None
+    assert result.refills == ["c1"]
     fleet.settle("n4", "c1")
-    assert live(fleet, "n4") == live(fleet, "c1")
-    assert C1[0] not in live(fleet, "n4")
+    assert live_rows(fleet, "n4") == live_rows(fleet, "c1")
+    assert C1[0] not in live_rows(fleet, "n4")
 
 
 def test_refill_continues_to_the_furthest_goal_of_its_senders(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
+    miss_collected_removal(fleet)
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
-    for sender in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 is one behind
+    for sender in ("c1", "n2", "n2", "n2", "n2", "c1", "c1"):  # n2 lags by one change
         fleet.pull("n1", sender)
-        assert C1[2] in live(fleet, "n1")
+        assert C1[2] in live_rows(fleet, "n1")
     assert fleet.replicas["n1"].states["c1"].cursor == -1
-    assert live(fleet, "n1") == live(fleet, "c1")
+    assert live_rows(fleet, "n1") == live_rows(fleet, "c1")
 
 
 def test_replica_being_refilled_sends_no_segments_of_that_partition(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
+    miss_collected_removal(fleet)
     fleet.add("n4")
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n1", "c1")
     assert fleet.replicas["n1"].states["c1"].cursor > 0
     for _ in range(3):
-        taken = fleet.pull("n4", "n1")
-        assert taken is not None
-        assert taken.segments == 0
+        result = fleet.pull("n4", "n1")
+        assert result is not None
+        assert result.segments == 0
     fleet.settle()
     assert replicas_equal(fleet)
 
@@ -589,29 +593,29 @@
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Replicas(3, folder)
-    removed_while_away(fleet)
+    miss_collected_removal(fleet)
     fleet.add("n4")
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     fleet.pull("n4", "c1")
     assert fleet.replicas["n4"].states["c1"].horizon == 6
-    taken = fleet.pull("n4", "n1")
-    assert taken is not None
-    assert taken.faults == ["stale"]
-    assert set(live(fleet, "n4")) == {C1[0]}
+    result = fleet.pull("n4", "n1")
+    assert result is not None
+    assert result.faults == ["stale"]
+    assert set(live_rows(fleet, "n4")) == {C1[0]}
     fleet.settle()
     assert replicas_equal(fleet)
 
 
 def test_only_old_tombstones_before_the_newest_indexes_are_collected() -> None:
-    rows = MemoryReplicaStore(lambda: 50)
-    replica = Replica("c1", CONTROL, rows, Random(1))
+    store = MemoryReplicaStore(lambda: 50)
+    replica = Replica("c1", CONTROL, store, Random(1))
     for name in C1[:4]:
         replica.accept("c1", "c1", entry(name))
         replica.accept("c1", "c1", entry(name, state=""))
-    assert rows.collect("c1", 50, kept_indexes=0) == 0
-    assert rows.collect("c1", 51, kept_indexes=4) == 2
-    assert rows.states()["c1"].horizon == 4
+    assert store.collect("c1", 50, kept_indexes=0) == 0
+    assert store.collect("c1", 51, kept_indexes=4) == 2
+    assert store.states()["c1"].horizon == 4
 
 
 # Take-over
@@ -629,7 +633,7 @@
     assert replicas_equal(fleet)
     with pytest.raises(NotLeaderError, match="c2 writes"):
         fleet.change(C1[2])
-    assert live(fleet, "n2") == {C1[0]: (1, "active"), C1[1]: (2, "active")}
+    assert live_rows(fleet, "n2") == {C1[0]: (1, "active"), C1[1]: (2, "active")}
 
 
 def test_old_leaders_changes_past_the_take_over_are_set_aside_as_divergent(folder: Path | None) -> None:
@@ -637,18 +641,18 @@
     fleet.change(C1[0])
     fleet.settle()
     fleet.replicas["c2"].begin_term("c1", "c2")
-    fleet.change(C1[1])  # the old holder is cut off and has not heard
+    fleet.change(C1[1])  # the old leader is cut off and does not know of the take-over
     fleet.change(C1[0], pad="lost")
     fleet.pull("n1", "c1")
     fleet.change(C1[2], by="c2")
-    told = {name: fleet.pull(name, "c2") for name in ("c1", "n1")}
-    assert {name: taken.divergent for name, taken in told.items() if taken} == {
+    results = {name: fleet.pull(name, "c2") for name in ("c1", "n1")}
+    assert {name: result.divergent for name, result in results.items() if result} == {
         "c1": {"c1": 2},
         "n1": {"c1": 2},
     }
     fleet.settle()
     assert replicas_equal(fleet)
-    assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (2, "active")}
+    assert live_rows(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (2, "active")}
     assert sorted(fleet.divergent_rows("n1")) == sorted([(C1[1], 2), (C1[0], 3)])
 
 
@@ -656,15 +660,15 @@
     fleet = Replicas(3, folder)
     fleet.change(C1[0])
     fleet.settle()
-    one, other = (fleet.replicas[name].begin_term("c1", name) for name in CONTROL)
-    assert one != other
+    first, second = (fleet.replicas[name].begin_term("c1", name) for name in CONTROL)
+    assert first != second
     fleet.change(C1[1], by="c1")
     fleet.change(C1[2], by="c2")
     fleet.pull("n1", "c1")
     fleet.pull("n2", "c2")
     fleet.settle()
     assert replicas_equal(fleet)
-    assert set(live(fleet, "n1")) == {C1[0], C1[2]}
+    assert set(live_rows(fleet, "n1")) == {C1[0], C1[2]}
 
 
 def test_replica_behind_a_take_over_continues_without_a_refill(folder: Path | None) -> None:
@@ -675,9 +679,9 @@
         if name == C1[0]:
             fleet.pull("n1", "c1")
     fleet.replicas["c2"].begin_term("c1", "c2")
-    taken = fleet.pull("n1", "c2")
-    assert taken is not None
-    assert (taken.entries, taken.divergent, taken.refills) == (2, {}, [])
+    result = fleet.pull("n1", "c2")
+    assert result is not None
+    assert (result.entries, result.divergent, result.refills) == (2, {}, [])
     fleet.settle()
     assert replicas_equal(fleet)
 
@@ -685,21 +689,23 @@
 def test_rows_superseded_by_entries_lost_in_a_take_over_are_restored(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What a giver left out as superseded is the newest there is, once its superseder is of no history."""
+    """A sender leaves out a superseded entry; a take-over that drops the later entry makes it the newest."""
     fleet = Replicas(2, folder)
     for name in C1[:4]:
         fleet.change(name)
     fleet.pull("c2", "c1")
-    fleet.change(C1[1], pad="lost")  # number 5 supersedes 2
+    fleet.change(C1[1], pad="lost")  # index 5 supersedes index 2
     monkeypatch.setattr(replica_module, "MAX_SEGMENT_BYTES", 1)
     monkeypatch.setattr(replica_module, "MAX_REPLY_BYTES", 1)
     for _ in range(2):
-        fleet.pull("n1", "c1")  # 1 and 3, no 2
-    assert live(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
+        fleet.pull("n1", "c1")  # indexes 1 and 3, not 2
+    assert live_rows(fleet, "n1") == {C1[0]: (1, "active"), C1[2]: (3, "active")}
     fleet.replicas["c2"].begin_term("c1", "c2")
     fleet.settle("n1", "n2", "c2")
     assert (
-        live(fleet, "n1") == live(fleet, "c2") == {name: (at + 1, "active") for at, name in enumerate(C1[:4])}
+        live_rows(fleet, "n1")
+        == live_rows(fleet, "c2")
+        == {name: (offset + 1, "active") for offset, name in enumerate(C1[:4])}
     )
 
 
@@ -725,8 +731,8 @@
     for _ in range(4):
         fleet.pull("n1", "n2")
     fleet.settle("n1", "n2", "c2")
-    assert live(fleet, "n1") == live(fleet, "c2")
-    assert len(live(fleet, "n1")) == 4
+    assert live_rows(fleet, "n1") == live_rows(fleet, "c2")
+    assert len(live_rows(fleet, "n1")) == 4
 
 
 def test_incomplete_replica_takes_over_only_if_forced(
@@ -748,86 +754,88 @@
     fleet.change(C1[0])
     fleet.change(C1[1])
     fleet.settle()
-    fleet.add("c1")  # an older copy was put back
-    writer = fleet.replicas["c1"]
-    assert writer.pulls.claimed("c1", fleet.now) is None
-    writer.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now)
-    assert writer.pulls.claimed("c1", fleet.now) == (first_term("c1", CONTROL), 2)
-    assert writer.pulls.claimed("c2", fleet.now) is None
+    fleet.add("c1")  # its store is now older: an empty one
+    leader = fleet.replicas["c1"]
+    assert leader.pulls.claimed("c1", fleet.now) is None
+    leader.pulls.observe("n1", "", list(fleet.replicas["n1"].announce()), fleet.now)
+    assert leader.pulls.claimed("c1", fleet.now) == (first_term("c1", CONTROL), 2)
+    assert leader.pulls.claimed("c2", fleet.now) is None
     fleet.settle("c1", "n1")
-    assert writer.pulls.claimed("c1", fleet.now) is None
-    assert live(fleet, "c1") == live(fleet, "n1")
+    assert leader.pulls.claimed("c1", fleet.now) is None
+    assert live_rows(fleet, "c1") == live_rows(fleet, "n1")
 
 
-# On a clock of the test's, in a fleet as large as it may get
+# Propagation through a fleet of the maximum size, on a virtual clock
 
 
-def spread(size: int, seed: int, changes: int = 1, loss: float = 0.0) -> tuple[list[float], list[int]]:
-    """Return when each member had all changes, after they were made, and how many pulls each answered.
+def simulate_propagation(
+    size: int, seed: int, changes: int = 1, loss: float = 0.0
+) -> tuple[list[float], list[int]]:
+    """Return the times in seconds until members had all changes, and the numbers of pulls they answered.
 
-    Each member pings one by chance five times in 2 s and is answered; the vector rides on both datagrams. An
-    exchange takes 20 ms.
+    Both are sorted. Each member pings another at random five times in 2 s and gets a reply; both datagrams
+    carry the vector. A pull and its reply take 20 ms.
     """
     random, control = Random(seed), ("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8")
     names = [*control, *(f"n{number}" for number in range(size - len(control)))]
-    all_of = {
+    replicas = {
         name: Replica(name, control, MemoryReplicaStore(), Random(random.random()), own_name=name)
         for name in names
     }
     for name in names_of("c1", changes, control):
-        all_of["c1"].accept("c1", "c1", entry(name))
-    told, given, had_s = list(all_of["c1"].announce()), dict.fromkeys(names, 0), {"c1": 0.0}
+        replicas["c1"].accept("c1", "c1", entry(name))
+    final_vector, answered, complete_s = list(replicas["c1"].announce()), dict.fromkeys(names, 0), {"c1": 0.0}
     events: list[tuple[float, int, str, Any]] = [
         (random.uniform(0, 0.4), number, name, None) for number, name in enumerate(names)
     ]
     heapify(events)
     number = len(events)
 
-    def later(at_s: float, name: str, what: Any) -> None:
+    def schedule(at_s: float, name: str, event: Any) -> None:
         nonlocal number
         number += 1
-        heappush(events, (at_s, number, name, what))
+        heappush(events, (at_s, number, name, event))
 
-    def hears(name: str, sender: str, now: float) -> None:
+    def receive_vector(name: str, sender: str, now: float) -> None:
         if random.random() < loss:
             return
-        one, due = all_of[name], all_of[name].pulls.next_due_s()
-        one.pulls.observe(sender, "", all_of[sender].announce(), now)
-        if due > one.pulls.next_due_s():
-            later(one.pulls.next_due_s(), name, "pull")
-
-    while events and len(had_s) < size and events[0][0] < 60.0:
-        now, _, name, what = heappop(events)
-        one = all_of[name]
-        if what is None:
+        replica, due = replicas[name], replicas[name].pulls.next_due_s()
+        replica.pulls.observe(sender, "", replicas[sender].announce(), now)
+        if due > replica.pulls.next_due_s():
+            schedule(replica.pulls.next_due_s(), name, "pull")
+
+    while events and len(complete_s) < size and events[0][0] < 60.0:
+        now, _, name, event = heappop(events)
+        replica = replicas[name]
+        if event is None:
             other = names[random.randrange(size)]
-            hears(other, name, now)
-            hears(name, other, now)
-            later(now + random.uniform(0.36, 0.44), name, None)
-        elif what == "pull":
-            pull = one.pulls.next_pull(now)
+            receive_vector(other, name, now)
+            receive_vector(name, other, now)
+            schedule(now + random.uniform(0.36, 0.44), name, None)
+        elif event == "pull":
+            pull = replica.pulls.next_pull(now)
             if pull is not None:
-                later(now + 0.02, name, pull)
+                schedule(now + 0.02, name, pull)
         else:
-            reply = all_of[what.address].answer(what.request, now)
-            given[what.address] += 1
-            one.apply_reply(what, reply, now)
-            if one.announce() == told:
-                had_s.setdefault(name, now)
-            elif one.pulls.next_due_s() < inf:
-                later(one.pulls.next_due_s(), name, "pull")
-    return sorted(had_s.values()), sorted(given.values())
+            reply = replicas[event.address].answer(event.request, now)
+            answered[event.address] += 1
+            replica.apply_reply(event, reply, now)
+            if replica.announce() == final_vector:
+                complete_s.setdefault(name, now)
+            elif replica.pulls.next_due_s() < inf:
+                schedule(replica.pulls.next_due_s(), name, "pull")
+    return sorted(complete_s.values()), sorted(answered.values())
 
 
 @pytest.mark.parametrize(("changes", "loss"), [(1, 0.0), (20, 0.0), (1, 0.1)])
 def test_change_reaches_999_of_1000_replicas_of_3600_within_8_s(changes: int, loss: float) -> None:
-    had_s, given = spread(3600, 1, changes, loss)
-    assert len(had_s) == 3600
-    assert had_s[int(3600 * 0.999)] < 8.0
-    assert given[-1] < 60  # the writer answers some, and those go on
+    complete_s, answered = simulate_propagation(3600, 1, changes, loss)
+    assert len(complete_s) == 3600
+    assert complete_s[int(3600 * 0.999)] < 8.0
+    assert answered[-1] < 60  # the leader answers some members, and they answer others
 
 
-# Laws
+# Properties
 
 
 STEP = st.one_of(
@@ -838,106 +846,112 @@
     st.tuples(st.just("restart"), st.integers(0, 4), st.just(0)),
     st.tuples(st.just("collect"), st.integers(0, 4), st.just(0)),
 )
-TAKE_OVERS = st.tuples(st.just("take-over"), st.integers(0, 1), st.booleans())
+TAKE_OVER_STEP = st.tuples(st.just("take-over"), st.integers(0, 1), st.booleans())
 
 
-def play(fleet: Replicas, steps: list[tuple[Any, ...]]) -> dict[str, tuple[int, bool]]:
-    """Make steps; return what was acknowledged last of each name: its number, and whether it was removed."""
+def run_steps(fleet: Replicas, steps: list[tuple[Any, ...]]) -> dict[str, tuple[int, bool]]:
+    """Run steps; return the index of the last acknowledged change of each name, and whether it removed it."""
     members, names = list(fleet.replicas), C1[:3] + C2[:3]
     acknowledged: dict[str, tuple[int, bool]] = {}
-    given: set[tuple[str, int, int]] = set()
-    for what, first, second in steps:
-        before = {name: unpack(one.announce(), CONTROL) for name, one in fleet.replicas.items()}
-        if what == "change":
+    assigned: set[tuple[str, int, int]] = set()
+    for kind, first, second in steps:
+        before = {name: unpack(replica.announce(), CONTROL) for name, replica in fleet.replicas.items()}
+        if kind == "change":
             name = names[first]
-            holders = [one for one in CONTROL if fleet.replicas[one].leads(partition_of(name, CONTROL), one)]
-            for leader in holders:
+            leaders = [
+                member
+                for member in CONTROL
+                if fleet.replicas[member].leads(partition_of(name, CONTROL), member)
+            ]
+            for leader in leaders:
                 with contextlib.suppress(NotLeaderError):
-                    made = fleet.change(name, "active" if second else "", leader)
-                    acknowledged[name] = made.index, not second
-                    assert (partition_of(name, CONTROL), made.term, made.index) not in given
-                    given.add((partition_of(name, CONTROL), made.term, made.index))
-        elif what == "take-over":
+                    accepted = fleet.change(name, "active" if second else "", leader)
+                    acknowledged[name] = accepted.index, not second
+                    assert (partition_of(name, CONTROL), accepted.term, accepted.index) not in assigned
+                    assigned.add((partition_of(name, CONTROL), accepted.term, accepted.index))
+        elif kind == "take-over":
             partition = CONTROL[second]
             with contextlib.suppress(NotLeaderError):
                 fleet.replicas[CONTROL[first]].begin_term(partition, CONTROL[first])
-        elif what == "collect":
+        elif kind == "collect":
             for partition in CONTROL:
                 if fleet.replicas[members[first]].states[partition].cursor < 0:
                     fleet.stores[members[first]].collect(partition, 1, kept_indexes=0)
             fleet.restart(members[first])
-        elif what == "restart":
+        elif kind == "restart":
             fleet.restart(members[first])
         elif first != second:
-            asked = fleet.request_entries(members[first], members[second])
-            if asked is not None and what == "cut":
-                fleet.replicas[members[first]].pulls.failed(asked[0], fleet.now)
-            elif asked is not None:
-                fleet.replicas[members[first]].apply_reply(*asked, fleet.now)
-                if what == "twice":
-                    fleet.replicas[members[first]].pulls.in_flight = asked[0]
-                    fleet.replicas[members[first]].apply_reply(*asked, fleet.now)
-        for name, one in fleet.replicas.items():
-            after = unpack(one.announce(), CONTROL)
-            told = before[name]
+            exchange = fleet.request_entries(members[first], members[second])
+            if exchange is not None and kind == "cut":
+                fleet.replicas[members[first]].pulls.failed(exchange[0], fleet.now)
+            elif exchange is not None:
+                fleet.replicas[members[first]].apply_reply(*exchange, fleet.now)
+                if kind == "twice":
+                    fleet.replicas[members[first]].pulls.in_flight = exchange[0]
+                    fleet.replicas[members[first]].apply_reply(*exchange, fleet.now)
+        for name, replica in fleet.replicas.items():
+            after = unpack(replica.announce(), CONTROL)
+            previous = before[name]
             assert after is not None
-            assert told is not None
-            assert all(after[partition] >= told[partition] for partition in CONTROL)
+            assert previous is not None
+            assert all(after[partition] >= previous[partition] for partition in CONTROL)
     return acknowledged
 
 
 @contextlib.contextmanager
-def small_fleet(most: int, files: bool) -> Iterator[Replicas]:
-    """Give five members that exchange pieces of so many bytes."""
-    with pytest.MonkeyPatch.context() as patched, tempfile.TemporaryDirectory() as kept:
-        patched.setattr(replica_module, "MAX_SEGMENT_BYTES", most)
-        patched.setattr(replica_module, "MAX_REPLY_BYTES", most)
-        fleet = Replicas(3, Path(kept) if files else None)
+def small_fleet(max_bytes: int, files: bool) -> Iterator[Replicas]:
+    """Yield five members whose segments and replies have at most `max_bytes` of entries."""
+    with pytest.MonkeyPatch.context() as patch, tempfile.TemporaryDirectory() as directory:
+        patch.setattr(replica_module, "MAX_SEGMENT_BYTES", max_bytes)
+        patch.setattr(replica_module, "MAX_REPLY_BYTES", max_bytes)
+        fleet = Replicas(3, Path(directory) if files else None)
         yield fleet
         fleet.close()
 
 
-def holds_whatever_the_order(most: int, files: bool, steps: list[tuple[Any, ...]]) -> None:
-    with small_fleet(most, files) as fleet:
-        acknowledged = play(fleet, steps)
+def check_convergence_and_acknowledged_changes(
+    max_bytes: int, files: bool, steps: list[tuple[Any, ...]]
+) -> None:
+    with small_fleet(max_bytes, files) as fleet:
+        acknowledged = run_steps(fleet, steps)
         fleet.settle()
         assert replicas_equal(fleet)
-        kept = live(fleet, "n3")
-        assert {name: number for name, (number, removed) in acknowledged.items() if not removed} == {
-            name: number for name, (number, _) in kept.items()
+        rows = live_rows(fleet, "n3")
+        assert {name: index for name, (index, removed) in acknowledged.items() if not removed} == {
+            name: index for name, (index, _) in rows.items()
         }
 
 
-@pytest.mark.parametrize("most", [1, 300, MAX_SEGMENT_BYTES])
+@pytest.mark.parametrize("max_bytes", [1, 300, MAX_SEGMENT_BYTES])
 @given(steps=st.lists(STEP, max_size=60))
 @settings(max_examples=150, deadline=None)
 def test_replicas_converge_in_any_order_without_losing_acknowledged_changes(
-    most: int, steps: list[tuple[Any, ...]]
+    max_bytes: int, steps: list[tuple[Any, ...]]
 ) -> None:
-    holds_whatever_the_order(most, False, steps)
+    check_convergence_and_acknowledged_changes(max_bytes, False, steps)
 
 
 @given(steps=st.lists(STEP, max_size=40))
 @settings(max_examples=15, deadline=None)
 def test_sqlite_replicas_converge_in_any_order(steps: list[tuple[Any, ...]]) -> None:
-    holds_whatever_the_order(300, True, steps)
+    check_convergence_and_acknowledged_changes(300, True, steps)
 
 
-@pytest.mark.parametrize("most", [1, MAX_SEGMENT_BYTES])
-@given(steps=st.lists(st.one_of(STEP, TAKE_OVERS), max_size=60))
+@pytest.mark.parametrize("max_bytes", [1, MAX_SEGMENT_BYTES])
+@given(steps=st.lists(st.one_of(STEP, TAKE_OVER_STEP), max_size=60))
 @settings(max_examples=300, deadline=None)
-def test_replicas_converge_after_take_overs(most: int, steps: list[tuple[Any, ...]]) -> None:
-    ends_alike(most, False, steps)
+def test_replicas_converge_after_take_overs(max_bytes: int, steps: list[tuple[Any, ...]]) -> None:
+    check_convergence(max_bytes, False, steps)
 
 
-@given(steps=st.lists(st.one_of(STEP, TAKE_OVERS), max_size=40))
+@given(steps=st.lists(st.one_of(STEP, TAKE_OVER_STEP), max_size=40))
 @settings(max_examples=15, deadline=None)
 def test_sqlite_replicas_converge_after_take_overs(steps: list[tuple[Any, ...]]) -> None:
-    ends_alike(300, True, steps)
+    check_convergence(300, True, steps)
 
 
-def ends_alike(most: int, files: bool, steps: list[tuple[Any, ...]]) -> None:
-    with small_fleet(most, files) as fleet:
-        play(fleet, steps)
+def check_convergence(max_bytes: int, files: bool, steps: list[tuple[Any, ...]]) -> None:
+    with small_fleet(max_bytes, files) as fleet:
+        run_steps(fleet, steps)
         fleet.settle()
         assert replicas_equal(fleet)
