--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -1,4 +1,4 @@
-"""Who may write and when, who has what, and nodes that replicate over sockets of loopback."""
+"""Tests of leadership, of replication progress, and of nodes that replicate over loopback sockets."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 from reelusher.fleet.membership.service import Membership
 from reelusher.fleet.replication import replica as replica_module
 from reelusher.fleet.replication import replication_progress
-from reelusher.fleet.replication import service as serving
+from reelusher.fleet.replication import service as service_module
 from reelusher.fleet.replication.leadership import ALONE_SETTLE_S, RESTORE_QUIET_S, SETTLE_S, Leadership
 from reelusher.fleet.replication.messages import MAX_TENANT_BYTES, EntriesReply, EntriesRequest, LogEntry
 from reelusher.fleet.replication.positions import Position, first_term, leader_of
@@ -33,7 +33,7 @@
 C1, C2 = names_of("c1", 40), names_of("c2", 40)
 
 
-# When a holder may write
+# Leadership
 
 
 class Clock:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "heard", "since_s", "may"),
+    ("other_count", "observed_count", "uptime_s", "may_write"),
     [
         (0, 0, ALONE_SETTLE_S - 0.1, False),
         (0, 0, ALONE_SETTLE_S, True),
@@ -62,16 +62,16 @@
     ],
 )
 def test_no_change_is_accepted_before_others_were_observed(
-    others: int, heard: int, since_s: float, may: bool
+    other_count: int, observed_count: int, uptime_s: float, may_write: bool
 ) -> None:
     fleet, clock = Replicas(0), Clock()
     leadership = leadership_of(fleet, clock)
-    for number in range(heard):
+    for number in range(observed_count):
         leadership.observe(f"n{number}")
         leadership.observe(f"n{number}")
-    clock.now += since_s
-    leadership.tick(others, False)
-    if may:
+    clock.now += uptime_s
+    leadership.tick(other_count, False)
+    if may_write:
         assert leadership.accept("c1", entry(C1[0])).index == 1
     else:
         with pytest.raises(NotLeaderError, match="not heard"):
@@ -81,12 +81,16 @@
 
 
 def test_lone_leader_writes_at_once_and_reports_each_change() -> None:
-    told: list[tuple[str, Position, float]] = []
+    reported: list[tuple[str, Position, float]] = []
     leadership = Leadership(
-        Replicas(0).replicas["c1"], Counters(), lambda: 7.0, lambda *one: told.append(one), alone=True
+        Replicas(0).replicas["c1"],
+        Counters(),
+        lambda: 7.0,
+        lambda *change: reported.append(change),
+        alone=True,
     )
-    made = leadership.accept("c1", entry(C1[0]))
-    assert told == [("c1", (made.term, 1), 7.0)]
+    accepted = leadership.accept("c1", entry(C1[0]))
+    assert reported == [("c1", (accepted.term, 1), 7.0)]
     with pytest.raises(NotLeaderError, match="c2 writes"):
         leadership.accept("c2", entry(C2[0]))
 
@@ -102,17 +106,19 @@
     assert leadership.accept("c1", entry(C1[0])).index == 1
 
 
-@pytest.mark.parametrize("kept", [0, 2])
-def test_leader_with_an_older_file_pulls_its_changes_and_begins_a_term(tmp_path: Path, kept: int) -> None:
+@pytest.mark.parametrize("backed_up", [0, 2])
+def test_leader_with_an_older_file_pulls_its_changes_and_begins_a_term(
+    tmp_path: Path, backed_up: int
+) -> None:
     fleet, clock = Replicas(2, tmp_path), Clock()
-    for name in C1[:kept]:
+    for name in C1[:backed_up]:
         fleet.change(name)
-    older = fleet.stores["c1"]
-    assert isinstance(older, SqliteReplica)
-    older.close()
+    store = fleet.stores["c1"]
+    assert isinstance(store, SqliteReplica)
+    store.close()
     backup = {path: path.read_bytes() for path in tmp_path.glob("c1-*.db*")}
     fleet.restart("c1")
-    for name in C1[kept:5]:
+    for name in C1[backed_up:5]:
         fleet.change(name)
     fleet.settle()
     fleet.close("c1")
@@ -122,10 +128,10 @@
         path.write_bytes(data)
     fleet.restart("c1")
     assert fleet.replicas["c1"].states.get("c1")
-    assert fleet.replicas["c1"].states["c1"].index == kept
+    assert fleet.replicas["c1"].states["c1"].index == backed_up
     leadership = leadership_of(fleet, clock)
-    told = list(fleet.replicas["n1"].announce())
-    fleet.replicas["c1"].pulls.observe("n1", "", told, clock.now)
+    vector = list(fleet.replicas["n1"].announce())
+    fleet.replicas["c1"].pulls.observe("n1", "", vector, clock.now)
     leadership.observe("n1")
     leadership.tick(1, False)
     with pytest.raises(NotLeaderError, match=r"others have stream c1 up to 8.5"):
@@ -133,7 +139,7 @@
     for _ in range(10):
         if not fleet.pull("c1", "n1"):
             break
-    fleet.restart("c1")  # what it knows of that outlives a restart
+    fleet.restart("c1")  # the mark `restored` survives a restart
     leadership = leadership_of(fleet, clock)
     leadership.observe("n1")
     leadership.tick(1, False)
@@ -141,8 +147,8 @@
         leadership.accept("c1", entry(C1[9]))
     clock.now += RESTORE_QUIET_S + 0.1
     leadership.tick(1, False)
-    made = leadership.accept("c1", entry(C1[9]))
-    assert (made.term, made.index) == (16, 6)
+    accepted = leadership.accept("c1", entry(C1[9]))
+    assert (accepted.term, accepted.index) == (16, 6)
     fleet.settle()
     assert fleet.live_rows("n1") == fleet.live_rows("c1")
     assert len(fleet.live_rows("n1")) == 6
@@ -154,7 +160,7 @@
     fleet.change(C1[0])
     fleet.settle()
     fleet.change(C1[1])
-    fleet.pull("n2", "c1")  # and then n2 is away, and c1's machine lost
+    fleet.pull("n2", "c1")  # then n2 is absent, and c1's machine is lost
     fleet.add("c1")
     leadership = leadership_of(fleet, clock)
     leadership.observe("n1")
@@ -163,8 +169,8 @@
     for _ in range(2):
         leadership.tick(1, False)
         clock.now += CLAIM_TTL_S
-    made = leadership.accept("c1", entry(C1[2]))
-    assert (made.term, made.index) == (16, 2)
+    accepted = leadership.accept("c1", entry(C1[2]))
+    assert (accepted.term, accepted.index) == (16, 2)
     fleet.settle()
     assert fleet.divergent_rows("n2") == [(C1[1], 2)]
     assert (
@@ -211,9 +217,9 @@
     leadership = leadership_of(fleet, clock)
     leadership.observe("n1")
     leadership.tick(1, False)
-    false = list(fleet.replicas["n1"].announce())
-    false[2] = 99
-    fleet.replicas["c1"].pulls.observe("n1", "", false, clock.now)
+    claimed_vector = list(fleet.replicas["n1"].announce())
+    claimed_vector[2] = 99
+    fleet.replicas["c1"].pulls.observe("n1", "", claimed_vector, clock.now)
     with pytest.raises(NotLeaderError, match="others have"):
         leadership.accept("c1", entry(C1[0]))
     clock.now += CLAIM_TTL_S + 0.1
@@ -252,40 +258,46 @@
     if killed_after == "answer":
         acknowledged = True
     fleet.restart("c1")
-    again = fleet.change(C1[2])
-    assert again.index == (2 if killed_after == "check" else 3)
+    next_entry = fleet.change(C1[2])
+    assert next_entry.index == (2 if killed_after == "check" else 3)
     fleet.settle()
     assert fleet.live_rows("n2") == fleet.live_rows("c1") == fleet.live_rows("n1")
     assert not acknowledged or C1[1] in fleet.live_rows("n2")
     fleet.close()
 
 
-# Who has what
+# Replication progress
 
 
-def live(*names: str) -> list[Update]:
+def live_members(*names: str) -> list[Update]:
     return [Update(name, name, "", "", 1, MemberState.ALIVE) for name in names]
 
 
 def test_progress_counts_members_with_a_change_and_names_the_slowest() -> None:
     fleet = Replicas(3)
     progress = ReplicationProgress(fleet.replicas["c1"], "c1")
-    members = live("c1", "c2", "n1", "n2", "n3")
-    made = fleet.change(C1[0])
-    progress.record_change("c1", Position(made.term, 1), 10.0)
+    members = live_members("c1", "c2", "n1", "n2", "n3")
+    accepted = fleet.change(C1[0])
+    progress.record_change("c1", Position(accepted.term, 1), 10.0)
     for name in ("n1", "n2"):
         fleet.pull(name, "c1")
         progress.observe(name, list(fleet.replicas[name].announce()), 11.0)
     progress.observe("n3", list(fleet.replicas["n3"].announce()), 12.0)
-    (told,) = progress.report(members, 13.0)
-    assert (told["stream"], told["position"], told["members"], told["have"], told["everywhere"]) == (
+    (report,) = progress.report(members, 13.0)
+    assert (
+        report["stream"],
+        report["position"],
+        report["members"],
+        report["have"],
+        report["everywhere"],
+    ) == (
         "c1",
         "8.1",
         4,
         2,
         None,
     )
-    assert told["slowest"] == [
+    assert report["slowest"] == [
         {"name": "c2", "address": "c2", "position": None, "heard_s": None},
         {"name": "n3", "address": "n3", "position": "8.0", "heard_s": 1.0},
     ]
@@ -294,57 +306,57 @@
         progress.observe(name, list(fleet.replicas[name].announce()), 14.0)
     assert progress.is_due(15.0)
     progress.tick(members, 15.0)
-    (told,) = progress.report(members, 18.0)
-    assert told["have"] == 4
-    assert told["slowest"] == []
-    assert told["everywhere"] == {"position": "8.1", "since_s": 3.0, "took_s": 5.0}
+    (report,) = progress.report(members, 18.0)
+    assert report["have"] == 4
+    assert report["slowest"] == []
+    assert report["everywhere"] == {"position": "8.1", "since_s": 3.0, "took_s": 5.0}
     assert not progress.is_due(20.0)
 
 
 def test_lagging_members_are_called_paced_and_least_recently_heard_first() -> None:
     fleet = Replicas(0)
     progress = ReplicationProgress(fleet.replicas["c1"], "c1")
-    places = [f"n{number}" for number in range(300)]
-    members = live("c1", *places)
-    made = fleet.change(C1[0])
-    progress.record_change("c1", Position(made.term, 1), 100.0)
-    old = list(fleet.replicas["c2"].announce())
-    for at, place in enumerate(places):
-        progress.observe(place, old, 50.0 + at / 10)
+    addresses = [f"n{number}" for number in range(300)]
+    members = live_members("c1", *addresses)
+    accepted = fleet.change(C1[0])
+    progress.record_change("c1", Position(accepted.term, 1), 100.0)
+    outdated = list(fleet.replicas["c2"].announce())
+    for number, address in enumerate(addresses):
+        progress.observe(address, outdated, 50.0 + number / 10)
     assert progress.tick(members, 100.0 + replication_progress.GRACE_S - 0.1) == []
     first = progress.tick(members, 110.0)
-    assert first == places[:10]
-    assert progress.tick(members, 110.15) == places[10:11]
+    assert first == addresses[:10]
+    assert progress.tick(members, 110.15) == addresses[10:11]
     total = sum(len(progress.tick(members, 110.0 + step)) for step in range(1, 21))
     assert 190 <= total <= 20 * replication_progress.PINGS_PER_S + 1
     progress.report(members, 140.0)
-    quick = progress.tick(members, 141.0)
-    never = places[11 + total :]
-    assert len(quick) == replication_progress.FAST_PINGS_PER_S
-    assert quick[: len(never)] == never
-    for place in places:
-        progress.observe(place, list(fleet.replicas["c1"].announce()), 142.0)
+    fast = progress.tick(members, 141.0)
+    never_pinged = addresses[11 + total :]
+    assert len(fast) == replication_progress.FAST_PINGS_PER_S
+    assert fast[: len(never_pinged)] == never_pinged
+    for address in addresses:
+        progress.observe(address, list(fleet.replicas["c1"].announce()), 142.0)
     assert progress.tick(members, 143.0) == []
 
 
 def test_wait_for_copies_returns_as_soon_as_enough_members_have_them() -> None:
     fleet = Replicas(2)
     progress = ReplicationProgress(fleet.replicas["c1"], "c1")
-    made = fleet.change(C1[0])
-    position = Position(made.term, made.index)
+    accepted = fleet.change(C1[0])
+    position = Position(accepted.term, accepted.index)
     assert progress.wait("c1", position, 1, 0.01) == 0
-    got: list[int] = []
-    waiter = threading.Thread(target=lambda: got.append(progress.wait("c1", position, 2, 10.0)))
+    results: list[int] = []
+    waiter = threading.Thread(target=lambda: results.append(progress.wait("c1", position, 2, 10.0)))
     waiter.start()
     assert soon(lambda: progress.is_due(0.0))
-    assert set(progress.tick(live("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
+    assert set(progress.tick(live_members("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
     fleet.settle()
     progress.observe("n1", list(fleet.replicas["n1"].announce()), 1.0)
     progress.observe("x", [1, 2, 3], 1.0)
-    assert not got
+    assert not results
     progress.observe("n2", list(fleet.replicas["n2"].announce()), 1.0)
     waiter.join(5)
-    assert got == [2]
+    assert results == [2]
 
 
 def test_progress_is_bounded_and_forgets_members_that_left(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -354,16 +366,16 @@
     for number in range(9):
         progress.observe(f"n{number}", list(fleet.replicas["c2"].announce()), float(number))
     assert len(progress._vectors) == 5
-    assert len({id(one) for one in progress._vectors.values()}) == 1
-    progress.tick(live("c1", "n8"), 10.0)
+    assert len({id(vector) for vector in progress._vectors.values()}) == 1
+    progress.tick(live_members("c1", "n8"), 10.0)
     assert set(progress._vectors) == {"n8"}
 
 
-# On loopback
+# Nodes on loopback
 
 
 class Node:
-    """Membership, copy and replication of one node."""
+    """The membership, store and replication of one node."""
 
     def __init__(self, folder: Path, name: str, seeds: list[tuple[str, int]]) -> None:
         (folder / "secret").write_text("a secret of sixteen or more")
@@ -374,10 +386,10 @@
             Random(name),
             self.counters,
         )
-        place = self.membership.live()[0].address
-        self.copy = SqliteReplica(folder / f"{name}.db", "f", CONTROL)
-        self.replica = Replica(place, CONTROL, self.copy, Random(name), "z", time.monotonic(), name)
-        self.replication = Replication(self.copy, self.replica, self.membership, Random(name), self.counters)
+        own_address = self.membership.live()[0].address
+        self.store = SqliteReplica(folder / f"{name}.db", "f", CONTROL)
+        self.replica = Replica(own_address, CONTROL, self.store, Random(name), "z", time.monotonic(), name)
+        self.replication = Replication(self.store, self.replica, self.membership, Random(name), self.counters)
         self.membership.start()
         self.replication.start(start_thread)
 
@@ -386,170 +398,170 @@
         self.replication.close()
 
 
-Start = Callable[..., Node]
+StartNode = Callable[..., Node]
 
 
 @pytest.fixture
-def start(tmp_path: Path) -> Iterator[Start]:
+def start(tmp_path: Path) -> Iterator[StartNode]:
     nodes: list[Node] = []
 
-    def started(name: str, *seeds: Node) -> Node:
+    def start_node(name: str, *seeds: Node) -> Node:
         node = Node(tmp_path, name, [seed.membership.address for seed in seeds])
         nodes.append(node)
         return node
 
-    yield started
+    yield start_node
     for node in nodes:
         node.close()
 
 
-def writes(node: Node, partition: str, made: LogEntry, within_s: float = 8.0) -> LogEntry:
-    """Have a node accept a change as soon as it may."""
-    until = time.monotonic() + within_s
+def accept_when_allowed(node: Node, partition: str, change: LogEntry, within_s: float = 8.0) -> LogEntry:
+    """Let a node accept a change as soon as it may write; return the entry."""
+    deadline_s = time.monotonic() + within_s
     while True:
         try:
-            return node.replication.leadership.accept(partition, made)
+            return node.replication.leadership.accept(partition, change)
         except NotLeaderError:
-            if time.monotonic() > until:
+            if time.monotonic() > deadline_s:
                 raise
             time.sleep(0.05)
 
 
-def test_changes_replicate_over_sockets_and_the_leader_tracks_progress(start: Start) -> None:
+def test_changes_replicate_over_sockets_and_the_leader_tracks_progress(start: StartNode) -> None:
     c1 = start("c1")
     others = [start("c2", c1), start("n1", c1), start("n2", c1)]
-    made = writes(c1, "c1", entry(C1[0]))
-    position = Position(made.term, made.index)
+    accepted = accept_when_allowed(c1, "c1", entry(C1[0]))
+    position = Position(accepted.term, accepted.index)
     assert c1.replication.wait_for_copies("c1", position, 3, 5.0) == 3
-    assert all(node.copy.match(f"{C1[0]}.example", "/x") is not None for node in others)
-    begun_s = time.monotonic()
+    assert all(node.store.match(f"{C1[0]}.example", "/x") is not None for node in others)
+    started_s = time.monotonic()
     for number in range(30):
-        writes(others[0], "c2", entry(C2[number]))
-    assert soon(lambda: all(node.copy.count() == 31 for node in [c1, *others]))
-    assert time.monotonic() - begun_s < 5
+        accept_when_allowed(others[0], "c2", entry(C2[number]))
+    assert soon(lambda: all(node.store.count() == 31 for node in [c1, *others]))
+    assert time.monotonic() - started_s < 5
     assert soon(lambda: bool(c1.replication.progress_report()[0]["everywhere"]))
-    (told,) = c1.replication.progress_report()
-    assert (told["members"], told["have"], told["slowest"]) == (3, 3, [])
+    (report,) = c1.replication.progress_report()
+    assert (report["members"], report["have"], report["slowest"]) == (3, 3, [])
     pulls = others[1].counters.snapshot()["replication.pulls"]
-    assert pulls < 25  # several changes come with one
+    assert pulls < 25  # one pull brings several changes
 
 
-def test_large_entry_and_bootstrap_over_sockets(start: Start) -> None:
+def test_large_entry_and_bootstrap_over_sockets(start: StartNode) -> None:
     c1 = start("c1")
     n1 = start("n1", c1)
     large = LogEntry(0, C1[0], 0, "op", "active", b'{"pad": "' + b"x" * (MAX_TENANT_BYTES - 20) + b'"}')
-    writes(c1, "c1", large)
+    accept_when_allowed(c1, "c1", large)
     for name in C1[1:]:
-        writes(c1, "c1", entry(name, pad="y" * 4000))
-    assert soon(lambda: n1.copy.count() == 40)
+        accept_when_allowed(c1, "c1", entry(name, pad="y" * 4000))
+    assert soon(lambda: n1.store.count() == 40)
     n2 = start("n2", n1)
-    before = n2.copy.count()
-    assert n2.replication.is_bootstrapping() or before == 40  # a name that is not found there may yet come
-    assert soon(lambda: n2.copy.count() == 40, 15)
+    count = n2.store.count()
+    assert n2.replication.is_bootstrapping() or count == 40  # rows may not have arrived yet
+    assert soon(lambda: n2.store.count() == 40, 15)
     assert soon(lambda: not n2.replication.is_bootstrapping())
-    row = n2.copy.get(C1[0])
+    row = n2.store.get(C1[0])
     assert row is not None
     assert row.tenant == large.tenant
 
 
 def test_damaged_store_of_a_running_node_is_recreated_and_refilled(
-    start: Start, monkeypatch: pytest.MonkeyPatch
+    start: StartNode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
+    monkeypatch.setattr(service_module, "RECREATE_INTERVAL_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
     for name in C1:
-        writes(c1, "c1", entry(name, pad="z" * 500))
-    assert soon(lambda: n1.copy.count() == 40)
-    conn = n1.copy.database.writer
+        accept_when_allowed(c1, "c1", entry(name, pad="z" * 500))
+    assert soon(lambda: n1.store.count() == 40)
+    conn = n1.store.database.writer
     assert conn is not None
     conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    spoil(n1.copy.path)
-    assert not n1.copy.check()
-    assert n1.copy.damage
-    assert soon(lambda: not n1.copy.damage and n1.copy.count() == 40, 15)
+    spoil(n1.store.path)
+    assert not n1.store.check()
+    assert n1.store.damage
+    assert soon(lambda: not n1.store.damage and n1.store.count() == 40, 15)
     assert not n1.replica.states["c1"].lost
     assert soon(lambda: not n1.replication.is_bootstrapping())
     assert n1.counters.snapshot()["replication.copies_damaged"] == 1
-    writes(c1, "c1", entry(C1[0], pad="after"))
+    accept_when_allowed(c1, "c1", entry(C1[0], pad="after"))
     assert soon(lambda: n1.replica.announce() == c1.replica.announce())
 
 
 def test_leader_with_a_damaged_store_writes_only_after_a_take_over(
-    start: Start, monkeypatch: pytest.MonkeyPatch
+    start: StartNode, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(serving, "RECREATE_INTERVAL_S", (0.1, 0.2))
+    monkeypatch.setattr(service_module, "RECREATE_INTERVAL_S", (0.1, 0.2))
     c1 = start("c1")
     n1 = start("n1", c1)
     for name in C1[:20]:
-        writes(c1, "c1", entry(name))
-    assert soon(lambda: n1.copy.count() == 20)
-    c1.copy.database.damage = "by the test"
-    assert soon(lambda: not c1.copy.damage and c1.copy.count() == 20, 15)
+        accept_when_allowed(c1, "c1", entry(name))
+    assert soon(lambda: n1.store.count() == 20)
+    c1.store.database.damage = "by the test"
+    assert soon(lambda: not c1.store.damage and c1.store.count() == 20, 15)
     with pytest.raises(NotLeaderError, match="damaged"):
-        writes(c1, "c1", entry(C1[30]), RESTORE_QUIET_S + 2)
-    begun = c1.replication.leadership.take_over("c1")
-    assert begun.term > first_term("c1", CONTROL)
-    assert leader_of(begun.term, CONTROL) == "c1"
-    made = writes(c1, "c1", entry(C1[30]))
-    assert (made.term, made.index) == (begun.term, 21)
-    assert soon(lambda: n1.copy.get(C1[30]) is not None)
+        accept_when_allowed(c1, "c1", entry(C1[30]), RESTORE_QUIET_S + 2)
+    position = c1.replication.leadership.take_over("c1")
+    assert position.term > first_term("c1", CONTROL)
+    assert leader_of(position.term, CONTROL) == "c1"
+    accepted = accept_when_allowed(c1, "c1", entry(C1[30]))
+    assert (accepted.term, accepted.index) == (position.term, 21)
+    assert soon(lambda: n1.store.get(C1[30]) is not None)
     assert n1.counters.snapshot().get("replication.orphans", 0) == 0
 
 
-def test_lone_node_serves_and_lone_leader_writes(start: Start) -> None:
+def test_lone_node_serves_and_lone_leader_writes(start: StartNode) -> None:
     c1 = start("c1")
-    assert writes(c1, "c1", entry(C1[0]), ALONE_SETTLE_S + 3).index == 1
-    assert c1.copy.match(f"{C1[0]}.example", "/") is not None
+    assert accept_when_allowed(c1, "c1", entry(C1[0]), ALONE_SETTLE_S + 3).index == 1
+    assert c1.store.match(f"{C1[0]}.example", "/") is not None
 
 
 def test_node_is_bootstrapping_until_it_has_what_others_announced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class Deaf:
+    class FakeFleet:
         handlers: ClassVar[dict[type, Callable[..., object]]] = {}
 
     fleet = Replicas(1)
     replica, now = Replica("n2", CONTROL, MemoryReplicaStore(), Random(1)), time.monotonic()
-    node = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
-    assert node.is_bootstrapping()  # nobody was heard yet
+    replication = Replication(None, replica, FakeFleet(), Random(1), Counters())  # type: ignore[arg-type]
+    assert replication.is_bootstrapping()  # no member was observed yet
     replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
-    assert not node.is_bootstrapping()  # nobody has anything
+    assert not replication.is_bootstrapping()  # the other member is empty as well
     fleet.change(C1[0])
     replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
-    assert not node.is_bootstrapping()  # the first change is no fill
+    assert not replication.is_bootstrapping()  # one missing change is no bootstrap
     for number in range(replica_module.BOOTSTRAP_MIN_CHANGES):
         fleet.change(C1[0], pad=number)
     replica.pulls.observe("c1", "", list(fleet.replicas["c1"].announce()), now)
-    assert node.is_bootstrapping()
+    assert replication.is_bootstrapping()
     pull = replica.pulls.next_pull(now + 1)
     assert pull is not None
     replica.apply_reply(pull, fleet.replicas["c1"].answer(pull.request, now), now + 1)
-    assert not node.is_bootstrapping()
+    assert not replication.is_bootstrapping()
     assert replica.announce() == fleet.replicas["c1"].announce()
     replica = Replica("n3", CONTROL, MemoryReplicaStore(), Random(1))
-    alone = Replication(None, replica, Deaf(), Random(1), Counters())  # type: ignore[arg-type]
-    assert alone.is_bootstrapping()
-    monkeypatch.setattr(serving, "SETTLE_S", 0.0)
-    assert not alone.is_bootstrapping()
-    single = Replication(None, replica, None, Random(1), Counters())  # type: ignore[arg-type]
-    assert not single.is_bootstrapping()
+    other = Replication(None, replica, FakeFleet(), Random(1), Counters())  # type: ignore[arg-type]
+    assert other.is_bootstrapping()
+    monkeypatch.setattr(service_module, "SETTLE_S", 0.0)
+    assert not other.is_bootstrapping()
+    lone = Replication(None, replica, None, Random(1), Counters())  # type: ignore[arg-type]
+    assert not lone.is_bootstrapping()
 
 
 def test_unreadable_store_sends_nothing_and_is_reported() -> None:
-    class Broke(MemoryReplicaStore):
+    class UnreadableStore(MemoryReplicaStore):
         def read_batch(self, partition: str, since: int, max_bytes: int = 0) -> None:
             raise ReplicaError("disk I/O error")
 
-    class Deaf:
+    class FakeFleet:
         def __init__(self) -> None:
             self.handlers: dict[type, Callable[..., object]] = {}
 
-    counters, deaf = Counters(), Deaf()
-    replica = Replica("c1", CONTROL, Broke(), Random(1), own_name="c1")
+    counters, fleet = Counters(), FakeFleet()
+    replica = Replica("c1", CONTROL, UnreadableStore(), Random(1), own_name="c1")
     replica.accept("c1", "c1", entry(C1[0]))
-    Replication(None, replica, deaf, Random(1), counters)  # type: ignore[arg-type]
-    told = replica.announce()
-    asked = EntriesRequest("n1", told[0], [told[0], 8, 0, 9, 0])
-    assert deaf.handlers[EntriesRequest](asked) == EntriesReply([])
+    Replication(None, replica, fleet, Random(1), counters)  # type: ignore[arg-type]
+    vector = replica.announce()
+    request = EntriesRequest("n1", vector[0], [vector[0], 8, 0, 9, 0])
+    assert fleet.handlers[EntriesRequest](request) == EntriesReply([])
     assert counters.snapshot()["replication.copy_failed"] == 1
