--- a/reelusher/fleet/replication/__init__.py
+++ b/reelusher/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The table of tenants on every node: partitions with one writer each, see docs/replication.md."""
+"""The replicated table of tenants: partitions with one writer each, see docs/replication.md."""
--- a/reelusher/fleet/replication/pull_scheduler.py
+++ b/reelusher/fleet/replication/pull_scheduler.py
@@ -38,7 +38,7 @@
 SAMPLED_PEERS = 3  # candidates drawn at random; the one furthest ahead is asked
 MAX_PEERS_AHEAD = 32
 MAX_PEERS_EQUAL = 16
-PULL_INTERVAL_JITTER = 0.8, 1.2  # factor
+PULL_INTERVAL_JITTER = 0.8, 1.2  # random factor of the interval between pulls
 
 
 @dataclass(slots=True)
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -11,8 +11,8 @@
 snapshot of one instant: between two segments, a name may lack an entry that was superseded by a later one,
 with an index up to `PartitionState.goal`, which has not arrived yet. Therefore
   - a replica continues into a later term only if `goal` lies within the history that both terms share;
-  - a replica applies a sender's segment only if its `covered` reaches the sender's tombstone horizon: its
-    rows then reflect all removals whose tombstones the sender has collected.
+  - a replica continues with a sender's segment only if its `covered` reaches the sender's tombstone horizon:
+    its rows then reflect all removals whose tombstones the sender has collected.
 A replica that can't continue is refilled from index 0. It serves its old rows meanwhile; those that the
 refill did not renew are deleted at the end. Until then its position does not change, and it sends no segments
 of that partition.
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -97,9 +97,7 @@
     by_index: dict[int, str] = field(default_factory=dict)  # names
     indexes: list[int] = field(default_factory=list)  # the keys of `by_index`, and some superseded indexes
     is_sorted: bool = True  # whether `indexes` ascend
-    divergent_names: set[str] = field(
-        default_factory=set
-    )  # rows with index 0 until a refill renews or drops them
+    divergent_names: set[str] = field(default_factory=set)  # rows with index 0; a refill renews or drops them
 
     def sort_indexes(self) -> None:
         """Sort `indexes` if needed, and drop superseded ones if there are too many."""
