--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -6,9 +6,10 @@
                                      v
                                  DRAINING --nothing in flight, or the time limit--> (removed)
 
-A tenant has a number, which is never reused, beside its name, which may be. Requests and quotas go by the
-number, so that what remains of a removed tenant is not taken for a new one of the same name. Remembered
-idempotency keys go by the name: a retry of what ran must find it, whichever tenant has the name by then.
+A tenant has a name, which may be reused, and a number, which never is. Requests and quotas refer to the
+number, so that the remaining requests of a removed tenant are not attributed to a new tenant of the same
+name. Remembered idempotency keys refer to the name: a retry must find the result of its request, whichever
+tenant has the name by then.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -17,57 +18,60 @@
 
 from reelusher.config.operator.tenants import Tenant
 
-DEFAULT_DRAIN_TIMEOUT_US = 10_000_000  # of a removal
+DEFAULT_DRAIN_TIMEOUT_US = 10_000_000  # longest time from the start of a removal to its end
 
 
 class TenantState(Enum):
-    """The state of a tenant."""
+    """The state of a tenant, with its value in the administration API and in stored data."""
 
     ACTIVE = "active"
-    SUSPENDED = "suspended"  # its requests are rejected; what it has in flight continues
-    DRAINING = "draining"  # the same, and it is removed when that has ended
+    SUSPENDED = "suspended"  # new requests are rejected; requests in flight continue
+    DRAINING = "draining"  # as when suspended; the tenant is removed once no requests are in flight
 
 
 class TenantStateError(Exception):
-    """The operation is not allowed in the state of the tenant."""
+    """The operation is not allowed in the current state of the tenant."""
 
 
 @dataclass(slots=True, frozen=True)
 class TenantRecord:
-    """A tenant and its state."""
+    """A tenant, its number and its state."""
 
     tenant: Tenant
     number: int
     state: TenantState = TenantState.ACTIVE
-    drain_deadline_us: int = 0  # of a draining tenant: when it is removed at the latest
+    drain_deadline_us: int = 0  # time at which a draining tenant is removed at the latest
 
 
 @dataclass(slots=True, frozen=True)
 class RemovedTenant:
-    """A tenant that was just removed; what it still has in flight is to be answered now."""
+    """A tenant that was just removed, and the number of its requests in flight, to be answered now."""
 
     record: TenantRecord
     in_flight: int
 
 
 class Lifecycle:
-    """All tenants of a node in memory. Used by one thread."""
+    """The tenants in the memory of a node. Only one thread may call it."""
 
     def __init__(self) -> None:
         self._by_name: dict[str, TenantRecord] = {}
         self._by_number: dict[int, TenantRecord] = {}
-        self._draining: dict[int, None] = {}  # by number, in the order of their removals
+        self._draining: dict[int, None] = {}  # by number, in the order of removal; a set that keeps its order
         self._last_number = 0
 
     def __iter__(self) -> Iterator[TenantRecord]:
         return iter(list(self._by_name.values()))
 
     def get(self, name: str) -> TenantRecord | None:
-        """Return one tenant."""
+        """Return the tenant of a name; None where there is none."""
         return self._by_name.get(name)
 
     def admits(self, number: int) -> bool:
-        """Return whether requests of a tenant are admitted, also those read before its state changed."""
+        """Return whether requests of a tenant are admitted.
+
+        This holds for requests that were read before the state of the tenant changed, too.
+        """
         record = self._by_number.get(number)
         return record is not None and record.state is TenantState.ACTIVE
 
@@ -76,16 +80,16 @@
     ) -> tuple[TenantRecord, bool]:
         """Add or replace a tenant; return its record and whether it is new.
 
-        A `number` is passed where the table on the disk assigns numbers; else the next one is assigned.
+        `number` is passed where the table on the disk assigns numbers; otherwise the next one is assigned.
         Raises `TenantStateError` while a tenant of this name is being removed.
         """
-        known = self._by_name.get(tenant.name)
-        if known is None:
+        existing = self._by_name.get(tenant.name)
+        if existing is None:
             self._last_number = number or self._last_number + 1
             return self._store(TenantRecord(tenant, self._last_number, state)), True
-        if known.state is TenantState.DRAINING:
+        if existing.state is TenantState.DRAINING:
             raise TenantStateError(f"{tenant.name!r} is being removed")
-        return self._store(replace(known, tenant=tenant)), False
+        return self._store(replace(existing, tenant=tenant)), False
 
     def set_state(self, name: str, state: TenantState) -> TenantRecord | None:
         """Suspend or resume a tenant; None where there is none of this name.
@@ -102,7 +106,7 @@
     def remove(
         self, name: str, now_us: int, drain_timeout_us: int = DEFAULT_DRAIN_TIMEOUT_US
     ) -> TenantRecord | None:
-        """Start to remove a tenant; a second call may only bring the deadline forward."""
+        """Start to remove a tenant; a further call can bring its deadline forward, but not postpone it."""
         record = self._by_name.get(name)
         if record is None:
             return None
@@ -112,13 +116,13 @@
         return self._store(replace(record, state=TenantState.DRAINING, drain_deadline_us=deadline_us))
 
     def release_name(self, name: str) -> None:
-        """Let a tenant that is being removed drain without its name: a new one may have it at once."""
+        """Release the name of a draining tenant: a new tenant can have it before the old one is removed."""
         record = self._by_name.get(name)
         if record is not None and record.state is TenantState.DRAINING:
             del self._by_name[name]
 
     def evict(self, name: str) -> None:
-        """Forget a tenant that has nothing in flight, until it is put again with its number."""
+        """Drop a tenant without requests in flight from memory; `put` adds it again under its number."""
         record = self._by_name.pop(name, None)
         if record is not None:
             del self._by_number[record.number]
@@ -128,7 +132,7 @@
     ) -> list[RemovedTenant]:
         """Remove and return draining tenants without requests in flight, or past their deadline.
 
-        Only those with these `numbers` are considered, or else all.
+        `numbers` limits this to certain tenants, which must be draining; None means all that are draining.
         """
         removed = []
         for number in list(self._draining if numbers is None else numbers):
@@ -145,11 +149,11 @@
             del self._by_name[record.tenant.name]
 
     def is_draining(self) -> bool:
-        """Return whether a tenant is being removed."""
+        """Return whether any tenant is draining."""
         return bool(self._draining)
 
     def records(self) -> list[TenantRecord]:
-        """Return all tenants, also those that drain without their names."""
+        """Return all tenants, including draining ones whose names were released."""
         return list(self._by_number.values())
 
     def _store(self, record: TenantRecord) -> TenantRecord:
--- a/reelusher/tenancy/quota.py
+++ b/reelusher/tenancy/quota.py
@@ -1,4 +1,4 @@
-"""What a tenant is entitled to."""
+"""The quota of a tenant: its weight, guarantee, ceiling and limits."""
 
 import math
 from collections.abc import Mapping
@@ -7,20 +7,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Quota:
-    """The weight and the limits of a tenant. Fractions are of the node's capacity; a limit of 0 is none."""
+    """The quota of a tenant. Fractions are of the cores of the node; a limit of 0 means no limit."""
 
-    weight: float = 1.0
-    guarantee: float = 0.0  # fraction that it gets before others get more by their weight
-    ceiling: float = 1.0  # fraction past which it gets nothing although cores are free; 1: none
-    burst_us: int = 200_000  # work at its ceiling that it may take at once
-    held: int = 0
-    running: int = 0
-    memory_kb: float = 0.0  # of held and running requests and remembered keys
-    keys: int = 0
+    weight: float = 1.0  # its share of the capacity, relative to other tenants
+    guarantee: float = 0.0  # fraction that it gets before capacity is shared by weight
+    ceiling: float = 1.0  # fraction that it can't exceed even while cores are free; 1: no ceiling
+    burst_us: int = 200_000  # burst: the work of this time at the rate of the ceiling may be taken at once
+    held: int = 0  # limit of its held requests
+    running: int = 0  # limit of its runs
+    memory_kb: float = 0.0  # limit of the memory of its held and running requests and remembered keys
+    keys: int = 0  # limit of its remembered idempotency keys
     class_weights: Mapping[int, float] = field(default_factory=dict)  # empty: the controller's order
 
     def __post_init__(self) -> None:
-        """Reject values that define no order."""
+        """Raise `ValueError` for values that the scheduler can't use."""
         if not (0 < self.weight < math.inf and 0 <= self.guarantee <= 1 and 0 < self.ceiling <= 1):
             raise ValueError("weight must be above 0, guarantee from 0 to 1, ceiling above 0 and at most 1")
         if not all(0 < weight < math.inf for weight in self.class_weights.values()):
--- a/reelusher/tenancy/rate_limit.py
+++ b/reelusher/tenancy/rate_limit.py
@@ -8,22 +8,22 @@
 class Gcra:
     """Generic cell rate algorithm, the virtual scheduling form (ITU-T I.371, annex A).
 
-    It allows `rate` units in each microsecond, and `burst_us` worth of that rate at once. Credit for unused
-    time is limited to `credit_us`. A charge may be corrected later: the theoretical arrival time moves by
-    the difference.
+    It allows `rate` units per microsecond, and a burst of the units of `burst_us` microseconds. Credit for
+    unused time is limited to `credit_us`. A charge may be corrected later: the theoretical arrival time moves
+    by the difference.
     """
 
-    rate: float  # units in each microsecond, above 0
+    rate: float  # units per microsecond, above 0
     burst_us: float
     credit_us: float = 0.0
-    tat_us: float = 0.0  # theoretical arrival time: when everything charged so far has been earned
+    tat_us: float = 0.0  # theoretical arrival time: the time at which all charged units have been earned
 
     def conforms(self, now_us: float) -> bool:
         """Return whether more units may be taken now."""
         return self.tat_us - now_us <= self.burst_us
 
     def charge(self, units: float, now_us: float) -> None:
-        """Charge units that are taken now; a negative amount returns what was charged too much."""
+        """Charge units that are taken now; a negative amount corrects an earlier charge that was too high."""
         if units >= 0:
             self.tat_us = max(self.tat_us, now_us - self.credit_us)
         self.tat_us += units / self.rate
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FlowDemand:
-    """The demand of one flow and what it is entitled to, all in the unit of the capacity."""
+    """The demand, weight and limits of one flow; all but the weight are in the unit of the capacity."""
 
     demand: float
     weight: float
@@ -40,19 +40,19 @@
 
     @property
     def maximum(self) -> float:
-        """The most that it can use."""
+        """Return the largest allocation that the flow can use."""
         return min(self.demand, self.ceiling)
 
     @property
     def minimum(self) -> float:
-        """What it gets before others get more than that by their weight."""
+        """Return the allocation that the flow gets before capacity is shared by weight."""
         return min(self.maximum, self.guarantee)
 
 
 def allocate(demands: Sequence[FlowDemand], capacity: float) -> list[float]:
     """Return the weighted max-min allocation of a capacity, with guarantees and ceilings, in O(n log n).
 
-    Each flow gets min(maximum, max(minimum, level * weight)) for the one level at which that adds up to the
+    Each flow gets min(maximum, max(minimum, level * weight)), at the level where these add up to the
     capacity, or its maximum where the capacity suffices for all (water filling: Bertsekas and Gallager, Data
     Networks, 6.5.2). Guarantees that add up to more than the capacity are reduced in proportion.
     """
@@ -66,8 +66,8 @@
 
 
 def _water_level(demands: Sequence[FlowDemand], capacity: float, minimum: float) -> float:
-    """Return the level at which the allocations add up to the capacity; at 0 they add up to `minimum`."""
-    # as the level rises, a flow starts to grow at `minimum / weight` and stops at `maximum / weight`
+    """Return the level at which the allocations add up to the capacity; at level 0 their sum is `minimum`."""
+    # with a rising level, an allocation grows between the levels `minimum / weight` and `maximum / weight`
     breakpoints = sorted(
         [(demand.minimum / demand.weight, demand.weight) for demand in demands]
         + [(demand.maximum / demand.weight, -demand.weight) for demand in demands]
@@ -84,7 +84,7 @@
 
 
 def jain(values: Sequence[float]) -> float:
-    """Return Jain's fairness index: 1 where all are equal, 1/n where one has everything; 1 for no values.
+    """Return Jain's fairness index: 1 for equal values, 1/n where all but one are 0; 1 for no values.
 
     Source: Jain, Chiu and Hawe, DEC-TR-301, 1984.
     """
