--- a/reelusher/tenancy/cached_registry.py
+++ b/reelusher/tenancy/cached_registry.py
@@ -1,4 +1,4 @@
-"""The tenants of a node that has a table of them on the disk: those in use are in memory."""
+"""The tenants of a node that has a table of tenants on the disk and keeps those in use in memory."""
 
 from collections.abc import Callable, Iterator
 from concurrent.futures import Future
@@ -30,13 +30,13 @@
 )
 
 IDLE_CHECK_INTERVAL_US = 1_000_000
-CROWDED_FRACTION = 7 / 8  # of the cache, past which the shorter time-out below is used
+CROWDED_FRACTION = 7 / 8  # above this fill level of the cache, the shorter idle time-out below applies
 CROWDED_IDLE_TIMEOUT_US = 1_000_000
-GUARANTEE_TOLERANCE = 1e-9  # of the sum of all guarantees, for rounding
+GUARANTEE_TOLERANCE = 1e-9  # allowed excess of the sum of all guarantees over 1, for rounding errors
 
 
 class CachedTenantRegistry(TenantRegistry):
-    """Tenants of a table on the disk. They change by `rows_changed` only."""
+    """The tenants of a table on the disk, which change through `rows_changed` only."""
 
     def __init__(
         self,
@@ -48,24 +48,24 @@
         source: TenantSource,
         idle_timeout_us: int = IDLE_TIMEOUT_US,
     ) -> None:
-        """Start with no tenant in memory."""
+        """Start without any tenant in memory; `source` is the table on the disk."""
         super().__init__((), class_names, runner_of, core, fair_queue, backends)
         self._source = source
         self._idle_timeout_us = idle_timeout_us
         self._readers = ReaderPool(core.counters)
         self.cache = TenantCache(source, self._readers.read, core.clock.now, READ_TIMEOUT_S)
         self.idle_check_scheduled = False
-        self.is_bootstrapping: Callable[[], bool] = lambda: False  # rows of the table are still to come
+        self.is_bootstrapping: Callable[[], bool] = lambda: False  # True while rows of the table are missing
         fair_queue.advances_while_idle = True
 
     # Reads, from any thread
 
     def records(self) -> tuple[TenantRecord, ...]:
-        """Return the tenants that are in memory and their states, in no order."""
+        """Return the tenants that are in memory and their states, in no particular order."""
         return tuple(indexed.record for indexed in self.cache.indexed_tenants())
 
     def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
-        """Return at most `limit` tenants whose names come after one, and the last name where more follow.
+        """Return at most `limit` tenants with names after `after`, and the last name if more follow.
 
         Rows that this node can't serve are left out.
         """
@@ -74,7 +74,7 @@
         return records, rows[limit - 1].name if len(rows) > limit else ""
 
     def record(self, name: str) -> TenantRecord | None:
-        """Return one tenant and its state; from the disk, where it is not in memory."""
+        """Return a tenant and its state, from the disk if it is not in memory; None if it does not exist."""
         cached = self.cache.get(name)
         if cached is not None:
             return cached.indexed.record
@@ -82,7 +82,7 @@
         return None if row is None else self._parse(row)
 
     def unreadable(self) -> dict[str, str]:
-        """Return why requested tenants can't be served, by name; the latest ones."""
+        """Return the most recent reasons why requested tenants can't be served, by name of the tenant."""
         return self.cache.unreadable()
 
     def close(self) -> None:
@@ -112,7 +112,9 @@
 
     @contextmanager
     def pinned_match(self, method: str, host: str, path: str) -> Iterator[Match | None]:
-        """Resolve the tenant of a request, which is to be posted within: the tenant stays in memory.
+        """Resolve the tenant of a request, and keep it in memory until the end of the `with` block.
+
+        The request must be posted to the event loop within the block.
 
         Raises `TenantUnavailableError` where it can't be resolved now.
         """
@@ -124,7 +126,7 @@
                 self.cache.release(match.pin)
 
     def match(self, method: str, host: str, path: str) -> Match | None:
-        """Return the tenant and class of a request, pinned; None where no tenant takes it."""
+        """Return the tenant, pinned, and class of a request; None where it belongs to no tenant."""
         cached = self._find(host.lower(), path)
         return None if cached is None else Match.of(cached.indexed, method, path, cached)
 
@@ -134,13 +136,13 @@
         except TenantUnavailableError as error:
             self._core.counters.warn("tenants.unserved", "tenants: request rejected: {}", error)
             raise
-        if cached is None and self.is_bootstrapping():  # its row may be among those that are to come
+        if cached is None and self.is_bootstrapping():  # its row may be among the missing ones
             self._core.counters.add("tenants.refused_filling")
             raise TenantUnavailableError("the table of tenants is being filled")
         return cached
 
     def _load(self, name: str, load: TenantLoad) -> bool:
-        """Read a tenant and put it in memory; False: there is none, or it has changed since."""
+        """Read a tenant and put it in memory; return False if it does not exist or has changed since."""
         row = load.row or self._readers.read(lambda: self._source.get(name))
         if row is None:
             return False
@@ -154,10 +156,10 @@
             raise TenantUnavailableError("too many tenants are in use")
         return put
 
-    # Changes of the table, by the thread that made them
+    # Changes of the table, called by the thread that made them
 
     def rows_changed(self, names: list[str]) -> None:
-        """Apply changes of the table, from the thread that made them."""
+        """Apply changes of the table to the tenants in memory."""
         self.cache.rows_changed(names, self._row_changed)
 
     def _row_changed(self, name: str, row: TenantRow | None) -> None:
@@ -165,7 +167,7 @@
         self._post(partial(self._apply, name, record, row is not None))
 
     def _post(self, action: Callable[[], None]) -> None:
-        """Have the event loop run an action after all that is in its queue now."""
+        """Have the event loop run an action after everything that is in its queue now."""
         task = EventLoopTask(action)
         task.future.add_done_callback(self._report_failure)
         self._core.post(task)
@@ -177,7 +179,7 @@
     # Called by the event loop
 
     def _add(self, record: TenantRecord) -> None:
-        """Add a tenant that was put in the cache: from now on its requests are admitted."""
+        """Add a tenant that was put in the cache; its requests are admitted from now on."""
         self.lifecycle.put(record.tenant, record.state, record.number)
         self._apply_quota_and_runner(record.tenant, record.number)
         if len(self.cache) >= CROWDED_FRACTION * self.cache.max_tenants:
@@ -187,7 +189,10 @@
             self._core.call_later(IDLE_CHECK_INTERVAL_US, self._check_idle)
 
     def _apply(self, name: str, changed: TenantRecord | None, exists: bool) -> None:
-        """Apply a change of a tenant in memory; without a record it was removed, or can't be served."""
+        """Apply a change of a tenant in memory.
+
+        `changed` is None if the tenant was removed or, where its row exists, can't be served.
+        """
         current = self.lifecycle.get(name)
         if self.cache.get(name) is None or current is None:
             return
@@ -204,7 +209,7 @@
         self.cache.replace(IndexedTenant(record))
 
     def _remove(self, name: str) -> None:
-        """Drain a tenant that is no longer in the table; a new one may have its name at once."""
+        """Drain a tenant that is no longer in the table; a new tenant can have its name at once."""
         record = self.lifecycle.remove(name, self._core.clock.now())
         self.lifecycle.release_name(name)
         self.cache.remove(name)
@@ -221,7 +226,7 @@
             self._core.call_later(IDLE_CHECK_INTERVAL_US, self._check_idle)
 
     def _evict_idle(self, idle_us: int) -> None:
-        """Evict idle tenants after all that is in the event loop's queue now: it may hold their requests."""
+        """Post the eviction of idle tenants to the event loop, behind any queued requests of theirs."""
         idle = self.cache.idle_tenants(idle_us)
         if idle:
             self._core.post(EventLoopTask(partial(self._evict, idle)))
--- a/reelusher/tenancy/host_tables.py
+++ b/reelusher/tenancy/host_tables.py
@@ -1,4 +1,4 @@
-"""Which tenants take the requests of a host: tables in memory of the hosts that were looked up last."""
+"""Tables of the tenants that take the requests of a host, in memory for the most recently used hosts."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -6,63 +6,66 @@
 
 from reelusher.tenancy.index import VirtualHost
 
-MAX_HOST_TABLES = 8192  # in memory
+MAX_HOST_TABLES = 8192  # limit of the tables in memory
 EMPTY_HOST: VirtualHost[str] = VirtualHost({}, ({},), 0)
 
 
 @dataclass(slots=True, frozen=True)
 class HostTable:
-    """Names of the tenants that take requests of a host, by prefix."""
+    """Names of the tenants that take requests of one host, by prefix."""
 
-    named: VirtualHost[str]  # those that name the host
-    default: VirtualHost[str]  # those without hosts of their own
+    named: VirtualHost[str]  # tenants that name the host
+    default: VirtualHost[str]  # tenants without hosts of their own
     tenant_names: frozenset[str]
 
     def find(self, path: str) -> str | None:
-        """Return the name of the tenant that a request for a path belongs to."""
+        """Return the name of the tenant that a request for a path belongs to; None where there is none."""
         return self.named.find(path) or self.default.find(path)
 
 
 def build_host_table(rows: Iterable[tuple[bool, str, str]]) -> HostTable:
-    """Return the table of a host, from the result of `TenantSource.prefixes`."""
+    """Return the table of a host, built from the result of `TenantSource.prefixes`."""
     named = default = EMPTY_HOST
     tenant_names = set()
     for names_host, prefix, name in rows:
         tenant_names.add(name)
         if names_host:
-            named = _with_first(named, prefix, name)
+            named = _with_first_by_name(named, prefix, name)
         else:
-            default = _with_first(default, prefix, name)
+            default = _with_first_by_name(default, prefix, name)
     return HostTable(named, default, frozenset(tenant_names))
 
 
-def _with_first(host: VirtualHost[str], prefix: str, name: str) -> VirtualHost[str]:
-    """Add a tenant; of several with one prefix the first by name gets the requests."""
-    known = host.get(prefix)
-    return host.put(prefix, name if known is None else min(known, name))
+def _with_first_by_name(host: VirtualHost[str], prefix: str, name: str) -> VirtualHost[str]:
+    """Return a copy with a tenant added; of several tenants with one prefix the first by name is kept."""
+    existing = host.get(prefix)
+    return host.put(prefix, name if existing is None else min(existing, name))
 
 
 class HostTables:
-    """The tables of the hosts that were looked up last. Not thread-safe: its owner locks."""
+    """A cache of the host tables that were used most recently. Not thread-safe: the owner holds a lock."""
 
     def __init__(self) -> None:
-        self._tables: OrderedDict[str, HostTable | None] = OrderedDict()  # the last used at the end
-        self._hosts_by_tenant: dict[str, set[str]] = {}  # hosts whose tables name a tenant
+        self._tables: OrderedDict[str, HostTable | None] = OrderedDict()  # least recently used first
+        self._hosts_by_tenant: dict[str, set[str]] = {}  # hosts whose tables contain a tenant, by its name
 
     def __contains__(self, host: str) -> bool:
         return host in self._tables
 
     def hosts(self) -> list[str]:
-        """Return the hosts that have tables, the last used at the end."""
+        """Return the hosts that have tables, least recently used first."""
         return list(self._tables)
 
     def use(self, host: str) -> HostTable | None:
-        """Return the table of a host in memory; None for a host with too many prefixes for a table."""
+        """Return the table of a host, which must be in memory, and mark it as used.
+
+        None stands for a host with too many prefixes for a table.
+        """
         self._tables.move_to_end(host)
         return self._tables[host]
 
     def put(self, host: str, table: HostTable | None) -> None:
-        """Add a table, and drop the one not used for the longest time where there are too many."""
+        """Add a table, and drop the least recently used one where there are too many."""
         self.drop(host)
         self._tables[host] = table
         for name in table.tenant_names if table else ():
@@ -85,5 +88,5 @@
         self._hosts_by_tenant.clear()
 
     def hosts_naming(self, name: str) -> frozenset[str]:
-        """Return the hosts whose tables name a tenant."""
+        """Return the hosts whose tables contain a tenant."""
         return frozenset(self._hosts_by_tenant.get(name, ()))
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -1,11 +1,11 @@
-"""The index of tenants: which tenant and which class a request belongs to. Free of I/O.
+"""The index of tenants, which finds the tenant and the class of a request. Free of I/O.
 
-A request belongs to the most specific tenant: one that names its host before those without hosts, of these
-the one with the longest prefix that its path lies under, of these the first by name. Its class is that of the
-tenant's first route that matches.
+A request belongs to the most specific tenant. Tenants that name its host come before tenants without hosts;
+among these, the longest prefix that the request's path lies under decides, and among equal prefixes the first
+name. The class of the request is that of the tenant's first matching route.
 
-One thread changes the index. Others read it without a lock: what they read is immutable, and is replaced in
-parts that stay small whatever the size of the whole.
+One thread changes the index. Others read it without a lock: they read immutable objects, which a change
+replaces in parts whose size does not grow with the number of tenants.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -17,19 +17,19 @@
 
 T = TypeVar("T")
 ANY_METHOD = "*"
-ANY_HOST = ""  # of tenants without hosts of their own
-PREFIXES_PER_PART = 64  # of a host's table, about: a change copies one part and the list of parts
-GROWTH_FACTOR = 4  # of the number of parts once they are too full
-MAX_SCANNED_ROUTES = 8  # up to so many, a scan is faster than look-ups by length
+ANY_HOST = ""  # the host of tenants without hosts of their own
+PREFIXES_PER_PART = 64  # mean that a host's table must not exceed: a change copies one part and their list
+GROWTH_FACTOR = 4  # the number of parts is multiplied by this when they are too full
+MAX_SCANNED_ROUTES = 8  # with at most this many routes, a scan is faster than look-ups by length
 
 
 def lies_under(path: str, prefix: str) -> bool:
-    """Return whether a path equals a prefix or lies below it; /visits does not lie below /visit."""
+    """Return whether a path equals a prefix or lies below it. Example: /visits does not lie below /visit."""
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
 def _is_prefix_end(path: str, length: int) -> bool:
-    """Return whether a path lies under the prefix that its first `length` characters are."""
+    """Return whether a path lies under the prefix that its first `length` characters form."""
     return len(path) == length or path[length] == "/" or path[length - 1 : length] == "/"
 
 
@@ -47,7 +47,7 @@
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
         self._routes = routes
-        self._first: dict[tuple[str, str], int] = {}  # by method and path: its first position
+        self._first: dict[tuple[str, str], int] = {}  # position of the first route, by method and path
         self._lengths: tuple[int, ...] = ()
         if len(routes) > MAX_SCANNED_ROUTES:
             for position, route in enumerate(routes):
@@ -86,7 +86,7 @@
 
     @property
     def locations(self) -> set[Location]:
-        """Return the hosts and prefixes at which it is found."""
+        """Return the hosts and prefixes under which the tenant takes requests."""
         tenant = self.record.tenant
         return {Location(host, tenant.prefix) for host in tenant.hosts or (ANY_HOST,)}
 
@@ -97,17 +97,17 @@
 
 
 class VirtualHost(Generic[T]):
-    """The tenants of one host, by prefix. Immutable. A look-up costs one step for each length of a prefix."""
+    """The tenants of one host, by prefix. Immutable. A look-up takes one step per distinct prefix length."""
 
     __slots__ = ("_lengths", "_parts", "_size")
 
     def __init__(self, lengths: dict[int, int], parts: tuple[dict[str, T], ...], size: int) -> None:
-        self._lengths = lengths  # the longest first: how many prefixes have it
-        self._parts = parts  # by the hash of a prefix
+        self._lengths = lengths  # number of prefixes by length, longest first
+        self._parts = parts  # values by prefix; the hash of a prefix selects its part
         self._size = size
 
     def find(self, path: str) -> T | None:
-        """Return the value of the longest prefix that a path is or lies under."""
+        """Return the value of the longest prefix that a path lies under; None where there is none."""
         for length in self._lengths:
             if length <= len(path) and _is_prefix_end(path, length):
                 found = self.get(path[:length])
@@ -116,7 +116,7 @@
         return None
 
     def get(self, prefix: str) -> T | None:
-        """Return the value of one prefix."""
+        """Return the value of one prefix; None where it is unknown."""
         return self._parts[hash(prefix) & len(self._parts) - 1].get(prefix)
 
     def put(self, prefix: str, value: T) -> "VirtualHost[T]":
@@ -131,7 +131,7 @@
         return copy._with_more_parts() if copy._size > PREFIXES_PER_PART * len(copy._parts) else copy
 
     def without(self, prefix: str) -> "VirtualHost[T] | None":
-        """Return a copy without one prefix; None where it was the last."""
+        """Return a copy without one prefix, which must exist; None if it was the last one."""
         if self._size == 1:
             return None
         position = hash(prefix) & len(self._parts) - 1
@@ -165,20 +165,21 @@
 
 
 class TenantIndex:
-    """Tenants by name, in the order of their names, and by the requests that belong to them."""
+    """Tenants by name, sorted by name, and by the hosts and prefixes of their requests."""
 
     def __init__(self) -> None:
         self._tenants: dict[str, IndexedTenant] = {}
         self._names: list[str] = []  # sorted
         self._hosts: dict[str, VirtualHost[IndexedTenant]] = {}
-        self._sharing: dict[Location, list[str]] = {}  # sorted names, where several tenants have one location
-        self._guaranteed = 0  # sum of all guarantees, in units that add up exactly
+        # sorted names of the tenants at each location that several tenants have
+        self._shared_locations: dict[Location, list[str]] = {}
+        self._guaranteed_units = 0  # sum of all guarantees, in integer units that add up exactly
 
     def __len__(self) -> int:
         return len(self._tenants)
 
     def get(self, name: str) -> TenantRecord | None:
-        """Return one tenant."""
+        """Return the tenant of a name; None where there is none."""
         indexed = self._tenants.get(name)
         return indexed.record if indexed else None
 
@@ -187,12 +188,12 @@
         return iter([indexed.record for indexed in tuple(self._tenants.values())])
 
     def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
-        """Return at most `limit` tenants whose names come after one, and the last name where more follow."""
+        """Return at most `limit` tenants with names after `after`, and the last name if more follow."""
         while True:
             start = bisect_right(self._names, after)
             before = min(start, 1)
             names = self._names[start - before : start + limit + 1]
-            # if names were added or removed since the search, the slice starts elsewhere
+            # the slice starts at another name if names were added or removed since the search
             if all(name <= after for name in names[:before]) and all(
                 name > after for name in names[before : before + 1]
             ):
@@ -202,35 +203,35 @@
         return found, names[limit - 1] if len(names) > limit else ""
 
     def guarantee_fits(self, tenant: Tenant) -> bool:
-        """Return whether the guarantees add up to at most 1 with this tenant in place of its namesake."""
+        """Return whether the guarantees add up to at most 1 if this tenant replaces the one of its name."""
         indexed = self._tenants.get(tenant.name)
-        before = guarantee_units(indexed.record.tenant) if indexed else 0
-        return self._guaranteed - before + guarantee_units(tenant) <= FULL_GUARANTEE
+        previous_units = guarantee_units(indexed.record.tenant) if indexed else 0
+        return self._guaranteed_units - previous_units + guarantee_units(tenant) <= FULL_GUARANTEE
 
-    # Changes, by one thread. The new is added before the old is removed: a reader finds one or the other.
+    # Changes, by one thread. New locations are added before old ones are removed: readers always find one.
 
     def put(self, record: TenantRecord) -> None:
-        """Add a tenant, or replace the one of its name."""
+        """Add a tenant, or replace the one with its name."""
         name = record.tenant.name
         previous = self._tenants.get(name)
         same_routes = previous is not None and previous.record.tenant.routes == record.tenant.routes
         indexed = IndexedTenant(record, previous.routes if previous is not None and same_routes else None)
-        self._guaranteed += guarantee_units(record.tenant)
+        self._guaranteed_units += guarantee_units(record.tenant)
         self._tenants[name] = indexed
         if previous is None:
             insort(self._names, name)
         locations, old_locations = indexed.locations, previous.locations if previous else set()
         for location in locations:
             if location not in old_locations:
-                self._add_sharing(location, name)
+                self._add_shared_location(location, name)
             self._publish(location, name)
         for location in old_locations - locations:
             self._remove_location(location, name)
         if previous is not None:
-            self._guaranteed -= guarantee_units(previous.record.tenant)
+            self._guaranteed_units -= guarantee_units(previous.record.tenant)
 
     def remove(self, name: str) -> None:
-        """Remove a tenant, if it is there."""
+        """Remove a tenant, if it exists."""
         indexed = self._tenants.get(name)
         if indexed is None:
             return
@@ -238,27 +239,27 @@
             self._remove_location(location, name)
         del self._names[bisect_left(self._names, name)]
         del self._tenants[name]
-        self._guaranteed -= guarantee_units(indexed.record.tenant)
+        self._guaranteed_units -= guarantee_units(indexed.record.tenant)
 
-    def _add_sharing(self, location: Location, name: str) -> None:
-        """Record that a tenant shares a location with others, if it does."""
-        names = self._sharing.get(location)
+    def _add_shared_location(self, location: Location, name: str) -> None:
+        """Record that a tenant shares a location with others, if any tenant is published there."""
+        names = self._shared_locations.get(location)
         if names is None:
             first = self._hosts.get(location.host, EMPTY_HOST).get(location.prefix)
             if first is None:
                 return
-            names = self._sharing[location] = [first.record.tenant.name]
+            names = self._shared_locations[location] = [first.record.tenant.name]
         insort(names, name)
 
     def _publish(self, location: Location, name: str) -> None:
-        """Let readers find a tenant at a location, if it is the first by name there."""
-        names = self._sharing.get(location)
+        """Make a tenant visible to readers at a location, if its name is the first one there."""
+        names = self._shared_locations.get(location)
         if names is None or names[0] == name:
             host = self._hosts.get(location.host, EMPTY_HOST)
             self._hosts[location.host] = host.put(location.prefix, self._tenants[name])
 
     def _remove_location(self, location: Location, name: str) -> None:
-        names = self._sharing.get(location)
+        names = self._shared_locations.get(location)
         if names is None:
             self._unpublish(location)
             return
@@ -267,7 +268,7 @@
         if first == name:
             self._publish(location, names[0])
         if len(names) == 1:
-            del self._sharing[location]
+            del self._shared_locations[location]
 
     def _unpublish(self, location: Location) -> None:
         remaining = self._hosts[location.host].without(location.prefix)
@@ -279,14 +280,14 @@
     # Look-ups, by any thread
 
     def find(self, host: str, path: str) -> IndexedTenant | None:
-        """Return the tenant that a request belongs to, by its host in lower case and its path."""
+        """Return the tenant of a request, by its host in lower case and its path; None if there is none."""
         while True:
-            own = self._hosts.get(host) if host else None
-            found = own.find(path) if own is not None else None
+            named_host = self._hosts.get(host) if host else None
+            found = named_host.find(path) if named_host is not None else None
             if found is not None:
                 return found
-            default = self._hosts.get(ANY_HOST)
-            found = default.find(path) if default is not None else None
-            # a tenant whose first hosts were added between the two look-ups is found by neither
-            if not host or self._hosts.get(host) is own:
+            any_host = self._hosts.get(ANY_HOST)
+            found = any_host.find(path) if any_host is not None else None
+            # neither look-up finds a tenant that got its first hosts between them
+            if not host or self._hosts.get(host) is named_host:
                 return found
--- a/reelusher/tenancy/reader_pool.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -1,4 +1,4 @@
-"""Threads that read the table of tenants from the disk, for others that wait for a limited time."""
+"""Threads that read the table of tenants from the disk, for callers that wait for a limited time."""
 
 import queue
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 T = TypeVar("T")
-READER_THREADS = 3  # the replica has a connection for each
-MAX_WAITING_READS = 64  # requests that wait for the disk at once; further ones are rejected
-READ_TIMEOUT_S = 0.5  # after which the request that waits for a read is rejected
+READER_THREADS = 3  # the replica has a database connection for each
+MAX_WAITING_READS = 64  # limit of concurrently waiting requests; further ones are rejected
+READ_TIMEOUT_S = 0.5  # a request that waits longer for its read is rejected
 
 
 class ReaderPool:
-    """Reads for threads of front ends. A disk that hangs blocks the threads of the pool, and no request."""
+    """Reads for front ends. If the disk hangs, only the threads of the pool block; callers time out."""
 
     def __init__(
         self, counters: Counters, timeout_s: float = READ_TIMEOUT_S, max_waiting: int = MAX_WAITING_READS
@@ -30,7 +30,10 @@
             start_thread(f"tenant-reader-{number}", self._run)
 
     def read(self, action: Callable[[], T]) -> T:
-        """Run an action that reads; raises `TenantUnavailableError` where it fails or takes too long."""
+        """Run an action in the pool and return its result. Any thread may call.
+
+        Raises `TenantUnavailableError` where the action fails or takes too long, or too many callers wait.
+        """
         if not self._waiting_slots.acquire(blocking=False):
             self._counters.add("tenants.refused_waiting")
             raise TenantUnavailableError("too many requests wait for the table of tenants")
@@ -40,7 +43,7 @@
             try:
                 return done.result(self._timeout_s)
             except TimeoutError:
-                done.cancel()  # if it has not started, it never will
+                done.cancel()  # an action that has not started is skipped
                 self._counters.add("tenants.refused_late")
                 raise TenantUnavailableError("the table of tenants was not read in time") from None
             except Exception as error:
@@ -50,7 +53,7 @@
             self._waiting_slots.release()
 
     def close(self) -> None:
-        """Stop the threads once their current reads have ended."""
+        """Stop the threads once the queued reads have ended; does not wait for that."""
         for _ in range(READER_THREADS):
             self._jobs.put(None)
 
@@ -61,5 +64,5 @@
                 continue
             try:
                 done.set_result(action())
-            except Exception as error:  # the waiting thread handles it
+            except Exception as error:  # the waiting caller handles it
                 done.set_exception(error)
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -21,7 +21,7 @@
 from reelusher.tenancy.quota import Quota
 from reelusher.tenancy.tenant_cache import CachedTenant
 
-DRAIN_CHECK_INTERVAL_US = 50_000  # between checks whether draining tenants have requests in flight
+DRAIN_CHECK_INTERVAL_US = 50_000  # interval of checks for draining tenants without requests in flight
 
 
 @dataclass(slots=True, frozen=True)
@@ -42,7 +42,7 @@
 
 
 class TenantRegistry:
-    """Tenants by name, with their quotas, and the runners of those that have one of their own."""
+    """The tenants of a node with their quotas, and the runners of those whose back end has its own."""
 
     def __init__(
         self,
@@ -53,7 +53,10 @@
         fair_queue: FairQueue,
         backends: frozenset[str],
     ) -> None:
-        """Start with these tenants. `runner_of` returns the runner of a backend that has one."""
+        """Start with these tenants.
+
+        `runner_of` returns the runner of a back end; None where it has none of its own.
+        """
         self._class_names = class_names
         self._runner_of = runner_of
         self._core = core
@@ -73,20 +76,20 @@
         return tuple(record.tenant for record in self.records())
 
     def records(self) -> tuple[TenantRecord, ...]:
-        """Return the tenants that are in memory and their states, in no order."""
+        """Return the tenants that are in memory and their states, in no particular order."""
         return tuple(self._index.records())
 
     def page(self, after: str, limit: int) -> tuple[list[TenantRecord], str]:
-        """Return at most `limit` tenants whose names come after one, and the last name where more follow."""
+        """Return at most `limit` tenants with names after `after`, and the last name if more follow."""
         return self._index.page(after, limit)
 
     def get(self, name: str) -> Tenant | None:
-        """Return one tenant."""
+        """Return the tenant of a name; None where there is none."""
         record = self.record(name)
         return record.tenant if record else None
 
     def record(self, name: str) -> TenantRecord | None:
-        """Return one tenant and its state."""
+        """Return the tenant of a name and its state; None where there is none."""
         return self._index.get(name)
 
     @staticmethod
@@ -95,7 +98,7 @@
         return record.tenant.to_json() | {"state": record.state.value}
 
     def unreadable(self) -> dict[str, str]:
-        """Return why requested tenants can't be served, by name."""
+        """Return the reasons why requested tenants can't be served, by name of the tenant."""
         return {}
 
     def close(self) -> None:
@@ -104,9 +107,12 @@
     # Validation
 
     def parse(self, value: Any, name: str | None = None) -> Tenant:
-        """Validate a tenant in JSON; `name` is the name in the path, where there is one."""
+        """Validate a tenant in JSON; `name` is the name in the path of the call, where there is one.
+
+        Raises `ConfigError`.
+        """
         if isinstance(value, dict):
-            value.pop("state", None)  # a tenant as it was shown; its state has calls of its own
+            value.pop("state", None)  # part of the answers of the API; other calls change the state
         if name is not None and isinstance(value, dict) and value.setdefault("name", name) != name:
             raise ConfigError("name", "is not the name in the path")
         tenant = read_tenant(CheckedTable(value), self._class_names, self._backends)
@@ -114,7 +120,7 @@
         return tenant
 
     def check(self, tenant: Tenant) -> None:
-        """Raise `ConfigError` for a tenant whose guarantee does not fit in with the others."""
+        """Raise `ConfigError` for a tenant with whose guarantee the sum of all guarantees exceeds 1."""
         if not self._guarantee_fits(tenant):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
 
@@ -125,21 +131,23 @@
 
     @contextmanager
     def pinned_match(self, method: str, host: str, path: str) -> Iterator[Match | None]:
-        """Resolve the tenant of a request, which is to be posted within: the tenant stays in memory.
+        """Resolve the tenant of a request, and keep it in memory until the end of the `with` block.
+
+        The request must be posted to the event loop within the block.
 
         Raises `TenantUnavailableError` where it can't be resolved now.
         """
         yield self.match(method, host, path)
 
     def match(self, method: str, host: str, path: str) -> Match | None:
-        """Return the tenant and class of a request; None where no tenant takes it."""
+        """Return the tenant and class of a request; None where it belongs to no tenant."""
         indexed = self._index.find(host.lower(), path)
         return None if indexed is None else Match.of(indexed, method, path)
 
     # Called by the event loop
 
     def usage(self, record: TenantRecord) -> dict[str, Any]:
-        """Return the state of a tenant and what it has used while in memory, as the API shows it."""
+        """Return the state of a tenant and its usage since it was put in memory, as the API shows them."""
         name = record.tenant.name
         usage = self._fair_queue.usage(record.number, self._core.clock.now())
         return {
@@ -171,9 +179,10 @@
         return record
 
     def remove(self, name: str, drain_timeout_us: int = DEFAULT_DRAIN_TIMEOUT_US) -> TenantRecord | None:
-        """Start to remove a tenant: it takes no new requests, and is removed when none are in flight.
+        """Start to remove a tenant: it takes no new requests, and is removed once none are in flight.
 
-        Requests without an answer at the deadline are answered then: rejected if they never ran, else failed.
+        Requests without an answer at the deadline are answered then: those that never ran are rejected, the
+        others fail.
         """
         record = self.lifecycle.remove(name, self._core.clock.now(), drain_timeout_us)
         if record is not None:
@@ -216,9 +225,9 @@
         self._remove_drained()
 
     def _forget(self, removed: RemovedTenant) -> None:
-        """Forget a removed tenant, and answer what it still has in flight."""
+        """Delete what remains of a removed tenant, and answer its requests in flight."""
         name, number = removed.record.tenant.name, removed.record.number
-        if removed.in_flight:  # the requests of all tenants are searched
+        if removed.in_flight:  # the call searches the requests of all tenants
             self._core.requests.end_tenant_requests(number)
         self._fair_queue.remove(number)
         if self.lifecycle.get(name) is None:
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -1,7 +1,7 @@
-"""The replicated table of tenants, as the administration API of any node sees it.
+"""The replicated table of tenants, as the administration API of each node uses it.
 
-Reads are answered from the node's own replica. A change is made by the leader of the partition that the name
-belongs to: it checks the row, numbers it and makes it durable before any other member learns of it.
+Reads are answered from the node's own replica. A change is made by the leader of the partition that the
+tenant's name belongs to, which checks the row, numbers it and makes it durable before it is replicated.
 """
 
 import threading
@@ -25,56 +25,56 @@
 from reelusher.storage.errors import JournalError
 from reelusher.storage.tenant_state import AuditEntry, ChangeKind
 
-LOCK_TIMEOUT_S = 1.0  # that a change waits for another; a forwarded call waits a little longer
-DERIVED_KEYS = "state", "shadowed", "shadows", "unreadable"  # of an answer, beside those of a tenant
-MAX_GUARANTEES = 1 + 1e-8  # sum of all, with a tolerance: each is stored in billionths
-MAX_OVERLAPS = 20  # that are reported of one tenant
-MAX_CHECKED_CHANGES = 100  # at once; more are the bootstrap of a replica
-MAX_ACTOR_LENGTH = 256  # characters, of who made a change
+LOCK_TIMEOUT_S = 1.0  # longest wait of a change for others; a forwarded call waits a little longer
+DERIVED_KEYS = "state", "shadowed", "shadows", "unreadable"  # keys of answers that are no tenant fields
+MAX_GUARANTEE_SUM = 1 + 1e-8  # includes a rounding tolerance: guarantees are stored in billionths
+MAX_OVERLAPS = 20  # limit of the overlaps that are reported for one tenant
+MAX_CHECKED_CHANGES = 100  # a batch of more changes is the bootstrap of a replica and is not checked
+MAX_ACTOR_LENGTH = 256  # characters of the name of a change's author
 
 
 class TableBusyError(Exception):
-    """A change can't be made here at present; nothing was changed."""
+    """This node can't make a change at present; nothing was changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Overlap:
-    """A host and prefix that two tenants name; one of them gets the requests."""
+    """A host and prefix that two tenants name; only one of them receives the requests."""
 
-    host: str  # "*": any, of tenants that name none
-    tenant: str  # the other one
+    host: str  # "*" where neither tenant names a host
+    tenant: str  # name of the other tenant
 
     def to_json(self) -> dict[str, str]:
-        """Return it as the administration API shows it."""
+        """Return the overlap as the administration API shows it."""
         return {"host": self.host, "tenant": self.tenant}
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicatedTenant:
-    """A version of a tenant in the replica."""
+    """One version of a tenant in the replica."""
 
     tenant: dict[str, Any]
     state: str
     version: str  # TERM.INDEX of the change that stored it
-    unreadable: str = ""  # why this node can't serve it
-    shadowed_by: tuple[Overlap, ...] = ()  # where others get the requests of a location that it names
-    shadows: tuple[Overlap, ...] = ()  # where it gets the requests of a location that others name
+    unreadable: str = ""  # reason why this node can't serve it; empty if it can
+    shadowed_by: tuple[Overlap, ...] = ()  # locations that it names where others receive the requests
+    shadows: tuple[Overlap, ...] = ()  # locations that others name where it receives the requests
 
 
 def format_position(position: Position) -> str:
-    """Return a position as text."""
+    """Return a position as text: TERM.INDEX."""
     return f"{position.term}.{position.log_index}"
 
 
 def read_tenant_row(row: ReplicaRow) -> ReplicatedTenant:
     """Return the tenant of a row of the replica."""
     return ReplicatedTenant(
-        _tenant(row.name, row.tenant), row.state, f"{row.term}.{row.index}", row.unreadable
+        _decode_tenant(row.name, row.tenant), row.state, f"{row.term}.{row.index}", row.unreadable
     )
 
 
-def _tenant(name: str, data: bytes) -> dict[str, Any]:
-    """Decode a tenant's JSON; where it is invalid, return the name alone."""
+def _decode_tenant(name: str, data: bytes) -> dict[str, Any]:
+    """Decode a tenant's JSON; return only the name if it is invalid."""
     try:
         value = msgspec.json.decode(data)
     except msgspec.DecodeError:
@@ -85,7 +85,7 @@
 def read_audit_entry(change: ReplicaAuditEntry) -> AuditEntry:
     """Return the audit entry of a change in the replica."""
     before, after = (
-        {**_tenant(change.name, data), "state": state} if state else None
+        {**_decode_tenant(change.name, data), "state": state} if state else None
         for state, data in ((change.before_state, change.before), (change.after_state, change.after))
     )
     kind = ChangeKind.REMOVE if after is None else ChangeKind.PUT
@@ -119,7 +119,7 @@
         return partition_of(name, self.replica.control)
 
     def leader(self, partition: str) -> str:
-        """Return the name of the member that leads a partition, as far as is known here."""
+        """Return the name of the member that leads a partition in the newest term that this node knows."""
         return leader_of(self.replica.states[partition].term, self.replica.control)
 
     def position(self, partition: str) -> Position:
@@ -128,18 +128,18 @@
         return Position(state.term, state.index)
 
     def position_ahead(self, partition: str) -> Position | None:
-        """Return the furthest position announced lately, where it is past this node's."""
+        """Return the highest position that members announced recently; None if it is not ahead."""
         return self.replica.pulls.claimed(partition, time.monotonic())
 
     # Reads, from this node's replica
 
     def get(self, name: str) -> ReplicatedTenant | None:
-        """Return the current version of a tenant."""
+        """Return the current version of a tenant; None if it does not exist."""
         row = self.store.get(name)
         return None if row is None else read_tenant_row(row)
 
     def page(self, after: str, limit: int) -> list[ReplicatedTenant]:
-        """Return at most `limit` tenants whose names come after one, in the order of their names."""
+        """Return at most `limit` tenants with names after `after`, sorted by name."""
         return [read_tenant_row(row) for row in self.store.page(after, limit)]
 
     def created_by(self, idempotency_key: str) -> str | None:
@@ -147,13 +147,16 @@
         return self.store.key(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return at most `limit` changes with a number above one, in the order of their arrival here."""
+        """Return at most `limit` changes with numbers above `after`, in the order of their arrival here."""
         return [read_audit_entry(change) for change in self.store.audit(after, limit)]
 
     # Validation
 
     def parse(self, value: Any, name: str | None = None) -> Tenant:
-        """Validate a tenant in JSON; `name` is the name in the path, where there is one."""
+        """Validate a tenant in JSON; `name` is the name in the path of the call, where there is one.
+
+        Raises `ConfigError`.
+        """
         if isinstance(value, dict):
             for key in DERIVED_KEYS:
                 value.pop(key, None)
@@ -161,10 +164,10 @@
             raise ConfigError("name", "is not the name in the path")
         tenant = read_tenant(CheckedTable(value), self._class_names, self._backends)
         before = self.get(tenant.name)
-        held = _guarantee(before.tenant) if before else 0.0
+        current_guarantee = _guarantee(before.tenant) if before else 0.0
         if (
-            tenant.share.guarantee > held
-            and self.store.guaranteed() - held + tenant.share.guarantee > MAX_GUARANTEES
+            tenant.share.guarantee > current_guarantee
+            and self.store.guaranteed() - current_guarantee + tenant.share.guarantee > MAX_GUARANTEE_SUM
         ):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
         try:
@@ -176,14 +179,14 @@
         return tenant
 
     def with_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
-        """Return a tenant with its overlaps with others."""
+        """Return a tenant together with its overlaps with other tenants."""
         shadowed_by: list[Overlap] = []
         shadows: list[Overlap] = []
-        own, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
+        own_tenant, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
         for host in version.tenant.get("hosts") or [""]:
             for other in self.store.sharing(str(host), prefix)[:MAX_OVERLAPS]:
-                if other != own:
-                    overlaps = shadowed_by if other < own else shadows
+                if other != own_tenant:
+                    overlaps = shadowed_by if other < own_tenant else shadows
                     overlaps.append(Overlap(str(host) or "*", other))
         return replace(
             version, shadowed_by=tuple(shadowed_by[:MAX_OVERLAPS]), shadows=tuple(shadows[:MAX_OVERLAPS])
@@ -193,7 +196,7 @@
 
     @contextmanager
     def exclusive(self) -> Iterator[None]:
-        """Keep others from changing the partitions that this node leads. Raises `TableBusyError`."""
+        """Lock the partitions that this node leads against other changes. Raises `TableBusyError`."""
         if not self._lock.acquire(timeout=LOCK_TIMEOUT_S):
             raise TableBusyError("other changes are being made")
         try:
@@ -210,7 +213,10 @@
         state: str = "active",
         idempotency_key: str = "",
     ) -> ReplicatedTenant | None:
-        """Number one change and make it durable. Raises `TableBusyError` and `JournalError`."""
+        """Number one change, make it durable, and return the tenant after it; None if it was removed.
+
+        Raises `TableBusyError` and `JournalError`.
+        """
         before = self.get(name)
         if kind is ChangeKind.PUT:
             state = before.state if before else state
@@ -220,9 +226,9 @@
             tenant = before.tenant
         data = b"" if tenant is None else msgspec.json.encode(tenant)
         after = None if tenant is None else self.with_overlaps(ReplicatedTenant(tenant, state, ""))
-        wanted = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
+        proposal = LogEntry(0, name, self._wall_ms(), actor[:MAX_ACTOR_LENGTH], state, data, idempotency_key)
         try:
-            entry = self.replication.leadership.accept(self.partition_of(name), wanted)
+            entry = self.replication.leadership.accept(self.partition_of(name), proposal)
         except NotLeaderError as error:
             raise TableBusyError(str(error)) from None
         except ReplicaError as error:
@@ -233,9 +239,9 @@
         return replace(after, version=f"{entry.term}.{entry.index}")
 
     def report_overlaps(self, names: Sequence[str]) -> None:
-        """Log overlaps of changed rows of other leaders with rows of partitions that this node leads.
+        """Log overlaps of rows that other leaders changed with rows of partitions that this node leads.
 
-        A leader learns of another's changes only when it receives them.
+        Overlaps across partitions are detected only when this node receives the changes of other leaders.
         """
         if self.own_name not in self.replica.control or len(names) > MAX_CHECKED_CHANGES:
             return
@@ -245,17 +251,21 @@
             with suppress(ReplicaError):
                 version = self.get(name)
                 if version is not None:
-                    self._log_overlaps(self._with_own_overlaps(version))
+                    self._log_overlaps(self._with_overlaps_in_led_partitions(version))
 
-    def _with_own_overlaps(self, version: ReplicatedTenant) -> ReplicatedTenant:
-        """Return a tenant with its overlaps with those of partitions that this node leads."""
+    def _with_overlaps_in_led_partitions(self, version: ReplicatedTenant) -> ReplicatedTenant:
+        """Return a tenant with its overlaps with tenants of partitions that this node leads."""
         version = self.with_overlaps(version)
         return replace(
-            version, shadowed_by=self._own(version.shadowed_by), shadows=self._own(version.shadows)
+            version,
+            shadowed_by=self._in_led_partitions(version.shadowed_by),
+            shadows=self._in_led_partitions(version.shadows),
         )
 
-    def _own(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
-        return tuple(one for one in overlaps if self.leader(self.partition_of(one.tenant)) == self.own_name)
+    def _in_led_partitions(self, overlaps: tuple[Overlap, ...]) -> tuple[Overlap, ...]:
+        return tuple(
+            overlap for overlap in overlaps if self.leader(self.partition_of(overlap.tenant)) == self.own_name
+        )
 
     def _log_overlaps(self, version: ReplicatedTenant) -> None:
         name = str(version.tenant["name"])
@@ -266,7 +276,11 @@
 
     def _log_overlap(self, winner: str, loser: str, host: str) -> None:
         self._counters.warn(
-            "replication.shadowed", "replication: {} gets requests that {} names too: {}", winner, loser, host
+            "replication.shadowed",
+            "replication: tenant {} gets the requests of a host and prefix that tenant {} also names: {}",
+            winner,
+            loser,
+            host,
         )
 
     def take_over(self, partition: str, force: bool) -> Position:
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -1,6 +1,6 @@
-"""The table of tenants of one node: in memory, and where the operator wants it in a journal on the disk.
+"""The table of tenants of one node: in memory and, if the operator configures it, in a journal on the disk.
 
-Threads of the administration API make one change at a time. The event loop applies a change after it is
+Threads of the administration API make one change at a time. The event loop applies a change once it is
 durable, and the call is answered after that.
 """
 
@@ -32,24 +32,24 @@
     encode,
 )
 
-MIGRATED_SUFFIX = ".migrated"  # of the old state file once its tenants are in the journal
+MIGRATED_SUFFIX = ".migrated"  # added to the name of the old state file once its tenants are in the journal
 OPERATOR_FILE_ACTOR = "the operator's file"
 
 
 class TenantTable(Protocol):
-    """The table of tenants, as the administration API sees it."""
+    """The table of tenants, as the administration API uses it."""
 
     def exclusive(self) -> AbstractContextManager[None]:
-        """Keep others from changing the table: what was checked still holds when it is changed."""
+        """Lock the table against other changes, so that checks remain valid until the change is made."""
 
     def get(self, name: str) -> TenantVersion | None:
-        """Return the current version of a tenant."""
+        """Return the current version of a tenant; None if it does not exist."""
 
     def created_by(self, idempotency_key: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key created."""
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return at most `limit` changes with a number above one, oldest first."""
+        """Return at most `limit` changes with numbers above `after`, oldest first."""
 
     def change(
         self,
@@ -60,7 +60,7 @@
         state: str = "active",
         idempotency_key: str = "",
     ) -> TenantVersion | None:
-        """Make one change durable and return the version of the tenant after it. Raises `JournalError`."""
+        """Make one change durable and return the tenant after it; None if removed. Raises `JournalError`."""
 
 
 class TenantStore:
@@ -74,12 +74,12 @@
         directory: Directory | None,
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """Read the stored state; without a directory it lasts as long as the process.
+        """Read the stored state; without a directory, the state is kept in memory only.
 
         Raises `JournalError`.
         """
         self.state = StoredTenants()
-        self.is_new = True  # nothing was stored
+        self.is_new = True  # whether there was no stored state
         self._lock = threading.RLock()
         self._wall_ms = wall_ms
         self._number = 0
@@ -101,12 +101,12 @@
 
     @contextmanager
     def exclusive(self) -> Iterator[None]:
-        """Keep others from changing the state: what was checked still holds when it is changed."""
+        """Lock the state against other changes, so that checks remain valid until the change is made."""
         with self._lock:
             yield
 
     def get(self, name: str) -> StoredTenant | None:
-        """Return the current version of a tenant."""
+        """Return the current version of a tenant; None if it does not exist."""
         return self.state.tenants.get(name)
 
     def created_by(self, idempotency_key: str) -> str | None:
@@ -114,7 +114,7 @@
         return self.state.idempotency_keys.get(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
-        """Return at most `limit` changes with a number above one, oldest first."""
+        """Return at most `limit` changes with numbers above `after`, oldest first."""
         entries = list(self.state.audit)  # another thread may be adding to it
         return [entry for entry in entries if entry.number > after][:limit]
 
@@ -127,7 +127,7 @@
         state: str = "active",
         idempotency_key: str = "",
     ) -> StoredTenant | None:
-        """Make one change durable and return the version of the tenant after it. Raises `JournalError`."""
+        """Make one change durable and return the tenant after it; None if removed. Raises `JournalError`."""
         with self._lock:
             change = TenantChange(kind, name, actor, self._wall_ms(), tenant, state, idempotency_key)
             self._number = self.journal.append(encode(change)) if self.journal else self._number + 1
@@ -137,7 +137,7 @@
             return self.state.tenants.get(name)
 
     def import_tenants(self, tenants: Iterable[Tenant], actor: str = OPERATOR_FILE_ACTOR) -> None:
-        """Add all of these tenants to an empty store, or none. Raises `JournalError`."""
+        """Add tenants to an empty store and make them durable in one snapshot. Raises `JournalError`."""
         for tenant in tenants:
             self._number += 1
             change = TenantChange(ChangeKind.PUT, tenant.name, actor, self._wall_ms(), tenant.to_json())
@@ -160,7 +160,7 @@
 
 
 class CheckedTenant(NamedTuple):
-    """A stored tenant that fits the configuration."""
+    """A stored tenant that is valid under the configuration, and its state."""
 
     tenant: Tenant
     state: str
@@ -173,10 +173,10 @@
     class_names: tuple[str, ...],
     backends: frozenset[str],
 ) -> TenantStore:
-    """Open the state that an operator's file names; raises `ConfigError` with the position of a fault.
+    """Open the state that an operator's file names; raises `ConfigError` with the key of the faulty setting.
 
-    A new state starts with the tenants of the old state file, if there is one, which is then renamed, or else
-    with those of the operator's file.
+    A new state starts with the tenants of the old state file if there is one, otherwise with those of the
+    operator's file. The old state file is then renamed.
     """
     try:
         store = TenantStore(None if directory is None else LockedDirectory(directory))
@@ -206,7 +206,7 @@
 
 
 def open_key_log(directory: Path) -> KeyLog:
-    """Open the journal of keys in a state directory; raises `ConfigError` with the position of a fault."""
+    """Open the journal of idempotency keys in a state directory; raises `ConfigError`."""
     try:
         return KeyLog(LockedDirectory(directory / "keys"))
     except (JournalError, OSError) as error:
@@ -214,7 +214,7 @@
 
 
 def _read_old_file(path: Path, class_names: tuple[str, ...], backends: frozenset[str]) -> list[Tenant] | None:
-    """Read the state file of versions before the journal; None where there is none."""
+    """Read the state file that versions without a journal wrote; None if it does not exist."""
     if not path.exists():
         return None
     try:
--- a/tests/tenancy/test_index.py
+++ b/tests/tenancy/test_index.py
@@ -181,7 +181,7 @@
     for number in range(5000):
         tenant_index.remove(f"t{number}")
     assert not tenant_index._hosts
-    assert not tenant_index._sharing
+    assert not tenant_index._shared_locations
     assert not len(tenant_index)
     assert tenant_index.find("a", "/p0000") is None
 
@@ -196,7 +196,7 @@
         assert match.record.tenant.name == name
         tenant_index.remove(name)
     assert tenant_index.find("h", "/x/y") is None
-    assert not tenant_index._sharing
+    assert not tenant_index._shared_locations
 
 
 MOVES = [
