--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -36,7 +36,7 @@
             "own": table.own_name,
             "control": list(table.replica.control),
             "tenants": table.store.count(),
-            "guaranteed": table.store.guaranteed(),
+            "guaranteed": table.store.guarantee_sum(),
             "streams": self._partitions(),
             "unreadable": self._unreadable(),
             "orphans": self._orphans(call.integer("after", 0, MAX_ORPHAN_NUMBER)),
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -250,7 +250,7 @@
         """Return the number of tenants."""
         return self.totals.count
 
-    def guaranteed(self) -> float:
+    def guarantee_sum(self) -> float:
         """Return the sum of all guarantees."""
         return self.totals.guarantee / GUARANTEE_UNITS
 
--- a/reelusher/tenancy/cached_registry.py
+++ b/reelusher/tenancy/cached_registry.py
@@ -91,7 +91,7 @@
 
     def _guarantee_fits(self, tenant: Tenant) -> bool:
         before = self.record(tenant.name)
-        others = self._source.guaranteed() - (before.tenant.share.guarantee if before else 0.0)
+        others = self._source.guarantee_sum() - (before.tenant.share.guarantee if before else 0.0)
         return others + tenant.share.guarantee <= 1 + GUARANTEE_TOLERANCE
 
     def _parse(self, row: TenantRow) -> TenantRecord | None:
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -167,7 +167,7 @@
         current_guarantee = _guarantee(before.tenant) if before else 0.0
         if (
             tenant.share.guarantee > current_guarantee
-            and self.store.guaranteed() - current_guarantee + tenant.share.guarantee > MAX_GUARANTEE_SUM
+            and self.store.guarantee_sum() - current_guarantee + tenant.share.guarantee > MAX_GUARANTEE_SUM
         ):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
         try:
--- a/reelusher/tenancy/tenant_source.py
+++ b/reelusher/tenancy/tenant_source.py
@@ -54,7 +54,7 @@
     def page(self, after: str, limit: int) -> Sequence[TenantRow]:
         """Return at most `limit` rows with names after `after`, sorted by name."""
 
-    def guaranteed(self) -> float:
+    def guarantee_sum(self) -> float:
         """Return the sum of the guarantees of all tenants, as a fraction of the capacity."""
 
 
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -119,7 +119,7 @@
     def page(self, after: str, limit: int) -> list[StoredRow]:
         return [self.rows_by_name[name] for name in sorted(self.rows_by_name) if name > after][:limit]
 
-    def guaranteed(self) -> float:
+    def guarantee_sum(self) -> float:
         return float(sum(fields.get("share", {}).get("guarantee", 0.0) for _, fields in self.parsed_rows()))
 
 
--- a/tests/test_sqlite_replica.py
+++ b/tests/test_sqlite_replica.py
@@ -225,7 +225,7 @@
     told = [msgspec.json.decode(row.tenant)["share"]["guarantee"] for row in live]
     for _ in range(2):
         assert store.count() == len(live)
-        assert store.guaranteed() == pytest.approx(sum(told), abs=1e-12)
+        assert store.guarantee_sum() == pytest.approx(sum(told), abs=1e-12)
         store.close()
         store.__init__(path, "f", CONTROL)  # type: ignore[misc]
 
@@ -581,12 +581,12 @@
     pages = store.database.writer.execute("PRAGMA page_count").fetchone()[0]
     store.database.writer.execute(f"PRAGMA max_page_count = {pages}")
     replica = Replica("c1", CONTROL, store, Random(1))
-    before = store.states(), store.count(), store.guaranteed(), replica.announce()
+    before = store.states(), store.count(), store.guarantee_sum(), replica.announce()
     with pytest.raises(ReplicaError, match="full"):
         for name in C1:
             replica.accept("c1", "c1", entry(name, pad="y" * 4000))
-            before = store.states(), store.count(), store.guaranteed(), replica.announce()
-    assert (store.states(), store.count(), store.guaranteed(), replica.announce()) == before
+            before = store.states(), store.count(), store.guarantee_sum(), replica.announce()
+    assert (store.states(), store.count(), store.guarantee_sum(), replica.announce()) == before
     assert not store.damage
     assert store.check()
     store.database.writer.execute("PRAGMA max_page_count = 100000")
@@ -597,10 +597,10 @@
 
 def test_exception_within_a_transaction_rolls_it_back(store: SqliteReplica) -> None:
     put(store, entry("a", 1))
-    before = store.states(), store.count(), store.guaranteed()
+    before = store.states(), store.count(), store.guarantee_sum()
     with pytest.raises(OverflowError):
         put(store, entry("b", 2, share={"guarantee": 0.5}), LogEntry(3, "c", 1 << 70, "", "active", b"{}"))
-    assert (store.states(), store.count(), store.guaranteed()) == before
+    assert (store.states(), store.count(), store.guarantee_sum()) == before
     assert store.get("b") is None
     put(store, entry("b", 2))
     assert store.count() == 2
