--- a/reelusher/tenancy/fair_queue.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -1,4 +1,4 @@
-"""The tenant scheduler: accounts for what each tenant uses and orders their requests. Free of I/O.
+"""The tenant scheduler, which accounts for the usage of each tenant and orders requests. Free of I/O.
 
 The order is start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996). Tags are assigned at dispatch, so
 that a flow needs two numbers however many requests it holds. Guarantees and ceilings are separate clocks, as
--- a/tests/tenancy/__init__.py
+++ b/tests/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the tenancy."""
+"""Tests of tenants that share a node."""
--- a/tests/tenancy/simulated_node.py
+++ b/tests/tenancy/simulated_node.py
@@ -1,4 +1,4 @@
-"""A simulated node of several tenants: controller, fair queue, and runs that take simulated time."""
+"""A simulated node with several tenants: a controller, a fair queue, and runs that take simulated time."""
 
 import heapq
 import itertools
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True)
 class Demand:
-    """The load of one tenant: a request rate, and how long each run takes."""
+    """The load of one tenant. Rates are requests per second."""
 
     rate: float
-    work_us: float = 100_000.0
+    work_us: float = 100_000.0  # duration of each run
     class_index: int = 0
     hint: bool = False  # whether requests state their expected work
     retries: float = 0.0  # probability that a rejected request is retried after 50 ms
@@ -45,7 +45,7 @@
 
 
 class SharedNode:
-    """Simulates arrivals and runs, and counts what each tenant gets."""
+    """Simulates arrivals and runs, and counts the answers and the work of each tenant."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self.random = random.Random(seed)
         self.now_us, self.ids, self.sequence = 0, itertools.count(1), itertools.count()
         self.queue: list[tuple[int, int, Callable[[], list[Event]]]] = []
-        self.arrivals: dict[int, tuple[int, int]] = {}  # by request id: tenant, arrival time
+        self.arrivals: dict[int, tuple[int, int]] = {}  # tenant and arrival time by request id
         self.runs: set[int] = set()
         self.answered: set[int] = set()
         self.counts: dict[int, Counter[str]] = defaultdict(Counter)
@@ -144,5 +144,5 @@
         return self.counts[tenant]["in_time"] / max(1, self.counts[tenant]["requests"])
 
     def utilization(self) -> float:
-        """Return the fraction of the cores' time that was work."""
+        """Return the fraction of the time of all cores that was spent on work."""
         return sum(self.work_us.values()) / (self.cores * self.now_us)
--- a/tests/tenancy/test_fair_queue.py
+++ b/tests/tenancy/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue: a controller of several tenants on a simulated clock."""
+"""Tests of the fair queue, with a controller for several tenants on a simulated clock."""
 
 import math
 
@@ -14,18 +14,20 @@
 from tenancy.simulated_node import SECOND_US, Demand, SharedNode
 
 
-@pytest.mark.parametrize("flood", [60.0, 160.0])  # 150 % and 400 % of four slots of 100 ms
+@pytest.mark.parametrize("flood", [60.0, 160.0])  # 150 % and 400 % of four slots with runs of 100 ms
 @pytest.mark.parametrize("retries", [0.0, 0.9])
 def test_tenant_within_its_quota_keeps_its_service_during_a_flood_of_another(
     flood: float, retries: float
 ) -> None:
-    span = 20 * SECOND_US
-    alone = SharedNode({1: Quota()}, {1: Demand(8.0)}).run(span)
-    both = SharedNode({1: Quota(), 2: Quota()}, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(span)
-    assert both.in_time_fraction(1) >= 0.95 * alone.in_time_fraction(1)
-    assert both.utilization() > 0.95
-    without_quotas = SharedNode(None, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(span)
-    assert without_quotas.in_time_fraction(1) < 0.8  # the test can fail
+    duration_us = 20 * SECOND_US
+    alone = SharedNode({1: Quota()}, {1: Demand(8.0)}).run(duration_us)
+    with_flood = SharedNode(
+        {1: Quota(), 2: Quota()}, {1: Demand(8.0), 2: Demand(flood, retries=retries)}
+    ).run(duration_us)
+    assert with_flood.in_time_fraction(1) >= 0.95 * alone.in_time_fraction(1)
+    assert with_flood.utilization() > 0.95
+    without_quotas = SharedNode(None, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(duration_us)
+    assert without_quotas.in_time_fraction(1) < 0.8  # shows that the load is high enough for the test to fail
 
 
 def test_overloaded_tenants_share_in_proportion_to_their_weights() -> None:
@@ -58,7 +60,7 @@
     assert node.utilization() > 0.95
     assert node.work_us[1] == 0
     before = node.work_us[2]
-    node.run(22 * SECOND_US)  # 20 s of idling must not buy the first seconds
+    node.run(22 * SECOND_US)  # 20 s without requests must not give it more than half of the next 2 s
     assert node.work_us[1] / (node.work_us[1] + node.work_us[2] - before) == pytest.approx(0.5, abs=0.12)
 
 
@@ -141,7 +143,7 @@
         controller.concurrency.limit = 10.0
         assert len(started) == 2
         assert not rejected
-        assert not ids(controller.handle(2, []), Run)  # slots are free, its limit is reached
+        assert not ids(controller.handle(2, []), Run)  # slots are free, but the tenant has reached its limit
     else:
         assert len(rejected) >= 20
     other = controller.handle(3, [Request(100, 0, tenant=2, held_kb=20.0)])
@@ -159,7 +161,7 @@
 
 
 class HeldItem:
-    """A held request."""
+    """A held request, as the controller passes it to the fair queue."""
 
     def __init__(self, request: Request) -> None:
         self.request = request
--- a/tests/tenancy/test_fair_queue_eviction.py
+++ b/tests/tenancy/test_fair_queue_eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of tenants from the fair queue, which must gain them nothing."""
+"""Tests of the eviction of tenants from the fair queue, which must give them no advantage."""
 
 from reelusher.policy.events import Request
 from reelusher.tenancy.fair_queue import FairQueue
@@ -13,42 +13,43 @@
 def test_tenant_ahead_of_virtual_time_or_of_its_clocks_is_not_evicted() -> None:
     fair_queue = FairQueue(1, 1000.0)
     fair_queue.set_quota(1, Quota(guarantee=0.5, ceiling=0.5))
-    one = request(1, 1)
-    fair_queue.request_arrived(one, 0)
+    first_request = request(1, 1)
+    fair_queue.request_arrived(first_request, 0)
     assert not fair_queue.evict(1, 0)  # it has demand
-    fair_queue.run_started(one, 0)
-    fair_queue.run_ended(one, 400_000, 400_000)
-    quiet_us = 20 * DEMAND_TIME_CONSTANT_US
-    assert not fair_queue.evict(1, quiet_us)  # its finish tag is ahead
+    fair_queue.run_started(first_request, 0)
+    fair_queue.run_ended(first_request, 400_000, 400_000)
+    later_us = 20 * DEMAND_TIME_CONSTANT_US
+    assert not fair_queue.evict(1, later_us)  # its finish tag is ahead
     for number in range(3):
-        fair_queue.run_started(request(10 + number, 2), quiet_us)
-        fair_queue.run_ended(request(10 + number, 2), 400_000, quiet_us)
+        fair_queue.run_started(request(10 + number, 2), later_us)
+        fair_queue.run_ended(request(10 + number, 2), 400_000, later_us)
     assert fair_queue.virtual_time >= 400_000
     flow = fair_queue.flows[1]
     assert flow.ceiling_clock
     assert flow.guarantee_clock
-    flow.ceiling_clock.tat_us = quiet_us + 1.0
-    assert not fair_queue.evict(1, quiet_us)  # over its ceiling
+    flow.ceiling_clock.tat_us = later_us + 1.0
+    assert not fair_queue.evict(1, later_us)  # it is over its ceiling
     flow.ceiling_clock.tat_us = 0.0
-    flow.guarantee_clock.tat_us = quiet_us - 1.0
-    assert not fair_queue.evict(1, quiet_us)  # its guarantee has less credit than a fresh one
+    flow.guarantee_clock.tat_us = later_us - 1.0
+    assert not fair_queue.evict(1, later_us)  # its guarantee has less credit than that of a new tenant
     flow.guarantee_clock.tat_us = 0.0
-    assert fair_queue.evict(1, quiet_us)
+    assert fair_queue.evict(1, later_us)
     assert 1 not in fair_queue.flows
-    assert fair_queue.evict(1, quiet_us)
+    assert fair_queue.evict(1, later_us)
 
 
 def test_virtual_time_advances_while_nothing_is_held() -> None:
     fair_queue = FairQueue(1, 1000.0)
     fair_queue.advances_while_idle = True
-    one = request(1, 1)
-    fair_queue.run_started(one, 0)
-    fair_queue.run_ended(one, 400_000, 400_000)
+    first_request = request(1, 1)
+    fair_queue.run_started(first_request, 0)
+    fair_queue.run_ended(first_request, 400_000, 400_000)
     fair_queue.period_elapsed(500_000)
     assert not fair_queue.evict(1, 500_000)
     fair_queue.period_elapsed(850_000)
     assert not fair_queue.evict(1, 850_000)
-    fair_queue.holding_changed(request(2, 2), 1, 20.0)  # now only starts advance virtual time
+    # while a request is held, only the start of runs advances virtual time
+    fair_queue.holding_changed(request(2, 2), 1, 20.0)
     for now_us in range(900_000, 9_000_000, 100_000):
         fair_queue.period_elapsed(now_us)
     assert not fair_queue.evict(1, 9_000_000)
--- a/tests/tenancy/test_index.py
+++ b/tests/tenancy/test_index.py
@@ -1,4 +1,4 @@
-"""The index of tenants: compared with a linear scan, and read while it changes."""
+"""Tests of the index of tenants: comparison with a linear scan, and reads while it changes."""
 
 import threading
 from collections.abc import Callable
@@ -49,7 +49,7 @@
     )
 
 
-# The expected result, by a linear scan of all tenants.
+# The expected result, from a linear scan of all tenants.
 
 
 def lies_under(path: str, prefix: str) -> bool:
@@ -61,17 +61,17 @@
     for record in sorted(
         records, key=lambda record: (not record.tenant.hosts, -len(record.tenant.prefix), record.tenant.name)
     ):
-        one = record.tenant
-        if (not one.hosts or host in one.hosts) and lies_under(path, one.prefix):
+        candidate = record.tenant
+        if (not candidate.hosts or host in candidate.hosts) and lies_under(path, candidate.prefix):
             class_name = next(
                 (
                     route.class_name
-                    for route in one.routes
+                    for route in candidate.routes
                     if route.method in ("*", method) and lies_under(path, route.path)
                 ),
-                one.default_class,
+                candidate.default_class,
             )
-            return Match(one, record.number, class_name, record.state is TenantState.ACTIVE)
+            return Match(candidate, record.number, class_name, record.state is TenantState.ACTIVE)
     return None
 
 
@@ -116,21 +116,21 @@
     steps: list[tuple[str, Tenant]], requests: list[tuple[str, str, str]]
 ) -> None:
     tenant_index, lifecycle = TenantIndex(), Lifecycle()
-    for what, one in steps:
-        known = lifecycle.get(one.name)
-        if what == "put" and (known is None or known.state is not TenantState.DRAINING):
-            tenant_index.put(lifecycle.put(one)[0])
-        elif known is not None and what == "remove":
-            lifecycle.remove(one.name, 0, 0)
-            for gone in lifecycle.remove_drained(0, lambda number: 0):
-                tenant_index.remove(gone.record.tenant.name)
-        elif known is not None and what == "drain":
-            record = lifecycle.remove(one.name, 0)
+    for operation, changed_tenant in steps:
+        existing = lifecycle.get(changed_tenant.name)
+        if operation == "put" and (existing is None or existing.state is not TenantState.DRAINING):
+            tenant_index.put(lifecycle.put(changed_tenant)[0])
+        elif existing is not None and operation == "remove":
+            lifecycle.remove(changed_tenant.name, 0, 0)
+            for removed in lifecycle.remove_drained(0, lambda number: 0):
+                tenant_index.remove(removed.record.tenant.name)
+        elif existing is not None and operation == "drain":
+            record = lifecycle.remove(changed_tenant.name, 0)
             assert record
             tenant_index.put(record)
-        elif known is not None and what != "put" and known.state is not TenantState.DRAINING:
+        elif existing is not None and operation != "put" and existing.state is not TenantState.DRAINING:
             record = lifecycle.set_state(
-                one.name, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
+                changed_tenant.name, TenantState.SUSPENDED if operation == "suspend" else TenantState.ACTIVE
             )
             assert record
             tenant_index.put(record)
@@ -143,17 +143,17 @@
     later = [record for record in records if record.tenant.name > "t1"]
     assert page == later[:3]
     assert last == (later[2].tenant.name if len(later) > 3 else "")
-    for _, one in steps:
-        others = [record.tenant for record in records if record.tenant.name != one.name]
-        assert tenant_index.guarantee_fits(one) is not over_guaranteed([*others, one])
+    for _, changed_tenant in steps:
+        others = [record.tenant for record in records if record.tenant.name != changed_tenant.name]
+        assert tenant_index.guarantee_fits(changed_tenant) is not over_guaranteed([*others, changed_tenant])
 
 
 @given(routes, st.lists(requests_strategy, min_size=1))
 def test_first_matching_route_is_found_among_many(
     first_routes: tuple[Route, ...], requests: list[tuple[str, str, str]]
 ) -> None:
-    never = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.MAX_SCANNED_ROUTES))
-    routes_of_tenant = Routes(first_routes * 3 + never)
+    unmatched = tuple(Route("GET", f"/never/{number}", "x") for number in range(index.MAX_SCANNED_ROUTES))
+    routes_of_tenant = Routes(first_routes * 3 + unmatched)
     for method, _, path in requests:
         assert routes_of_tenant.class_of(method, path) == next(
             (
@@ -199,7 +199,7 @@
     assert not tenant_index._shared_locations
 
 
-MOVES = [
+LOCATION_CHANGES = [
     (tenant("t"), tenant("t", ("h",))),
     (tenant("t", ("h",)), tenant("t", ("h",), "/x")),
     (tenant("t", ("h", "i")), tenant("t", ("g", "h"), "/x/y")),
@@ -207,24 +207,26 @@
 ]
 
 
-@pytest.mark.parametrize(("one", "other"), MOVES)
-def test_reader_never_misses_a_tenant_whose_hosts_or_prefix_change(one: Tenant, other: Tenant) -> None:
+@pytest.mark.parametrize(("old_version", "new_version"), LOCATION_CHANGES)
+def test_reader_never_misses_a_tenant_whose_hosts_or_prefix_change(
+    old_version: Tenant, new_version: Tenant
+) -> None:
     tenant_index, stop, missed = TenantIndex(), threading.Event(), list[int]()
     tenant_index.put(TenantRecord(tenant("zz", (), "/"), 1))
-    tenant_index.put(TenantRecord(one, 2))
+    tenant_index.put(TenantRecord(old_version, 2))
 
-    def look() -> None:
+    def look_up() -> None:
         while not stop.is_set():
             match = tenant_index.find("h", "/x/y/z")
-            if match is None or match.record.tenant not in (one, other):
+            if match is None or match.record.tenant not in (old_version, new_version):
                 missed.append(1)
 
-    threads = [threading.Thread(target=look) for _ in range(2)]
+    threads = [threading.Thread(target=look_up) for _ in range(2)]
     for thread in threads:
         thread.start()
     for _ in range(1500):
-        tenant_index.put(TenantRecord(other, 2))
-        tenant_index.put(TenantRecord(one, 2))
+        tenant_index.put(TenantRecord(new_version, 2))
+        tenant_index.put(TenantRecord(old_version, 2))
     stop.set()
     for thread in threads:
         thread.join()
@@ -236,21 +238,21 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.steps: list[TenantRecord] = []
+        self.pending_changes: list[TenantRecord] = []
 
     def find(self, host: str, path: str) -> index.IndexedTenant | None:
         hosts = self._hosts
 
-        class Watched(dict[str, index.VirtualHost[index.IndexedTenant]]):
-            def get(inner, key: str, default: object = None) -> object:  # type: ignore[override]  # noqa: N805  # `self` is the outer one
+        class ChangingHosts(dict[str, index.VirtualHost[index.IndexedTenant]]):
+            def get(inner, key: str, default: object = None) -> object:  # type: ignore[override]  # noqa: N805  # `self` is the outer index
                 value = hosts.get(key)
-                if self.steps and key:
+                if self.pending_changes and key:
                     self._hosts = hosts
-                    self.put(self.steps.pop())
-                    self._hosts = watched
+                    self.put(self.pending_changes.pop())
+                    self._hosts = changing_hosts
                 return value
 
-        watched = self._hosts = Watched()
+        changing_hosts = self._hosts = ChangingHosts()
         try:
             return super().find(host, path)
         finally:
@@ -260,37 +262,37 @@
 def test_tenant_that_gets_hosts_between_two_lookups_is_found() -> None:
     tenant_index = InterleavedIndex()
     tenant_index.put(TenantRecord(tenant("t"), 1))
-    tenant_index.steps = [TenantRecord(tenant("t", ("h",)), 1)]
+    tenant_index.pending_changes = [TenantRecord(tenant("t", ("h",)), 1)]
     match = tenant_index.find("h", "/")
     assert match
     assert match.record.tenant.hosts == ("h",)
-    assert not tenant_index.steps
+    assert not tenant_index.pending_changes
 
 
 def test_pages_are_complete_while_names_are_added_and_removed() -> None:
-    tenant_index, stop, wrong = TenantIndex(), threading.Event(), list[object]()
+    tenant_index, stop, wrong_pages = TenantIndex(), threading.Event(), list[object]()
     for number in range(300):
         tenant_index.put(TenantRecord(tenant(f"n{number:04d}"), number + 1))
 
-    def look() -> None:
+    def look_up() -> None:
         while not stop.is_set():
             page, _ = tenant_index.page("n0099", 100)
             names = [record.tenant.name for record in page if "x" not in record.tenant.name]
-            if any(one >= other for one, other in pairwise(names)) or names != [
+            if any(name >= next_name for name, next_name in pairwise(names)) or names != [
                 f"n{number:04d}" for number in range(100, 100 + len(names))
             ]:
-                wrong.append(names)
+                wrong_pages.append(names)
 
-    threads = [threading.Thread(target=look) for _ in range(2)]
+    threads = [threading.Thread(target=look_up) for _ in range(2)]
     for thread in threads:
         thread.start()
-    for round_ in range(2000):
-        tenant_index.put(TenantRecord(tenant(f"n{round_ % 100:04d}x"), 1000))
-        tenant_index.remove(f"n{round_ % 100:04d}x")
+    for iteration in range(2000):
+        tenant_index.put(TenantRecord(tenant(f"n{iteration % 100:04d}x"), 1000))
+        tenant_index.remove(f"n{iteration % 100:04d}x")
     stop.set()
     for thread in threads:
         thread.join()
-    assert not wrong
+    assert not wrong_pages
     assert tenant_index.page("n0298", 1)[1] == ""
     assert tenant_index.page("n0297", 1)[1] == "n0298"
 
@@ -298,19 +300,19 @@
 class ConcurrentlyChangedNames(list[str]):
     """Names that change just before a slice of them is taken."""
 
-    def __init__(self, names: list[str], move: Callable[["ConcurrentlyChangedNames"], None]) -> None:
+    def __init__(self, names: list[str], change: Callable[["ConcurrentlyChangedNames"], None]) -> None:
         super().__init__(names)
-        self.move: Callable[[ConcurrentlyChangedNames], None] | None = move
+        self.change: Callable[[ConcurrentlyChangedNames], None] | None = change
 
     def __getitem__(self, key: Any) -> Any:
-        if isinstance(key, slice) and self.move is not None:
-            move, self.move = self.move, None
-            move(self)
+        if isinstance(key, slice) and self.change is not None:
+            change, self.change = self.change, None
+            change(self)
         return super().__getitem__(key)
 
 
 @pytest.mark.parametrize(
-    "move",
+    "change",
     [
         lambda names: names.remove("n0"),
         lambda names: names.insert(0, "m"),
@@ -319,12 +321,12 @@
     ],
 )
 def test_page_is_read_again_when_names_change_meanwhile(
-    move: Callable[[ConcurrentlyChangedNames], None],
+    change: Callable[[ConcurrentlyChangedNames], None],
 ) -> None:
     tenant_index = TenantIndex()
     for number in range(6):
         tenant_index.put(TenantRecord(tenant(f"n{number}"), number + 1))
-    tenant_index._names = ConcurrentlyChangedNames(tenant_index._names, move)
+    tenant_index._names = ConcurrentlyChangedNames(tenant_index._names, change)
     page, last = tenant_index.page("n1", 2)
     assert [record.tenant.name for record in page] == ["n2", "n3"] or "n1x" in tenant_index._names
     assert last == ("n3" if "n1x" not in tenant_index._names else "n2")
@@ -343,9 +345,10 @@
 def test_sum_of_guarantees_follows_changes() -> None:
     tenants_in_memory, _ = registry()
     for number in range(10):
-        tenants_in_memory.put(tenant(f"t{number}", guarantee=0.1))  # in floats this is a little less than 1
+        # the sum of these floats is a little less than 1
+        tenants_in_memory.put(tenant(f"t{number}", guarantee=0.1))
     tenants_in_memory.check(tenant("t3", guarantee=0.1))
-    tenants_in_memory.check(tenant("u", guarantee=1e-10))  # decimal fractions leave a little room
+    tenants_in_memory.check(tenant("u", guarantee=1e-10))  # the limit of 1 has a tolerance of 1e-9
     with pytest.raises(ConfigError, match=r"share.guarantee"):
         tenants_in_memory.check(tenant("u", guarantee=1e-8))
     tenants_in_memory.put(tenant("t3", guarantee=0.05))
@@ -362,8 +365,8 @@
         lifecycle.put(tenant(f"t{number}"))
     lifecycle.remove("t0", 0)
     lifecycle.remove("t1", 0)
-    assert [gone.record.number for gone in lifecycle.remove_drained(0, lambda number: 0, [2])] == [2]
-    assert [gone.record.tenant.name for gone in lifecycle.remove_drained(0, lambda number: 0)] == ["t0"]
+    assert [removed.record.number for removed in lifecycle.remove_drained(0, lambda number: 0, [2])] == [2]
+    assert [removed.record.tenant.name for removed in lifecycle.remove_drained(0, lambda number: 0)] == ["t0"]
     assert not lifecycle.is_draining()
 
 
@@ -381,8 +384,14 @@
     monkeypatch.setattr(counters, "MAX_TENANTS", 2)
     tenant_counters = Counters()
     tenant_counters.add("requests.read", 4)
-    for name, what in (("a", "served"), ("b", "served"), ("a", "refused"), ("c", "served"), ("d", "failed")):
-        tenant_counters.add_for(name, what)
+    for name, outcome in (
+        ("a", "served"),
+        ("b", "served"),
+        ("a", "refused"),
+        ("c", "served"),
+        ("d", "failed"),
+    ):
+        tenant_counters.add_for(name, outcome)
     assert tenant_counters.snapshot() == {
         "requests.read": 4,
         "tenant.c.served": 1,
--- a/tests/tenancy/test_lifecycle.py
+++ b/tests/tenancy/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Removal of tenants: its steps, and its races with requests on a simulated clock."""
+"""Tests of the removal of tenants: state changes, and races with requests on a simulated clock."""
 
 import random
 from collections import Counter
@@ -63,9 +63,12 @@
     assert not lifecycle.admits(record.number)
     assert lifecycle.put(tenant("a"))[0].state is TenantState.SUSPENDED  # replacing it does not resume it
     lifecycle.remove("a", 0)
-    for order in (lambda: lifecycle.put(tenant("a")), lambda: lifecycle.set_state("a", TenantState.ACTIVE)):
+    for operation in (
+        lambda: lifecycle.put(tenant("a")),
+        lambda: lifecycle.set_state("a", TenantState.ACTIVE),
+    ):
         with pytest.raises(TenantStateError, match="is being removed"):
-            order()
+            operation()
 
 
 class Race:
@@ -98,18 +101,17 @@
         self.core.process_batch([])
 
     def request(self) -> RequestArrived:
-        match = self.random.choice([*self.tenants.records(), None])
-        name, number = (
-            (match.tenant.name, match.number) if match else ("a", 1)
-        )  # one read before the tenant was removed
-        call, class_index = f"c{len(self.requests)}", self.random.randrange(2)
-        self.answers[call] = []
-        request = self.requests[call] = IncomingRequest(
-            call,
+        record = self.random.choice([*self.tenants.records(), None])
+        # without a record: a request that was read while tenant 1 existed, which may be removed by now
+        name, number = (record.tenant.name, record.number) if record else ("a", 1)
+        request_id, class_index = f"c{len(self.requests)}", self.random.randrange(2)
+        self.answers[request_id] = []
+        request = self.requests[request_id] = IncomingRequest(
+            request_id,
             class_index,
             b"x",
             self.now_us,
-            self.answers[call].append,
+            self.answers[request_id].append,
             name,
             number,
             held_kb=20.0,
@@ -123,12 +125,14 @@
         )
         if not running:
             return None
-        call = self.random.choice(running)
-        self.ended.add(call)
+        request_id = self.random.choice(running)
+        self.ended.add(request_id)
         outcome = self.random.choice([Outcome.OK, Outcome.OK, Outcome.ERROR])
-        return RunFinished(call, outcome, 40_000, Result(call.encode()) if outcome is Outcome.OK else None)
+        return RunFinished(
+            request_id, outcome, 40_000, Result(request_id.encode()) if outcome is Outcome.OK else None
+        )
 
-    def order(self) -> EventLoopTask:
+    def change_tenants(self) -> EventLoopTask:
         name = self.random.choice("ab")
         if self.random.random() < 0.5:
             return EventLoopTask(
@@ -140,9 +144,9 @@
         self.now_us += self.random.choice([0, 1_000, 30_000, 120_000])
         batch: list[RequestArrived | RunFinished | EventLoopTask] = []
         for _ in range(self.random.randint(1, 4)):
-            what = self.random.choice([self.request, self.request, self.end, self.order])()
-            if what is not None:
-                batch.append(what)
+            message = self.random.choice([self.request, self.request, self.end, self.change_tenants])()
+            if message is not None:
+                batch.append(message)
         self.core.process_batch(list(batch))
 
 
@@ -153,13 +157,13 @@
         race = Race(seed)
         for _ in range(60):
             race.step()
-            for call, answers in race.answers.items():
+            for request_id, answers in race.answers.items():
                 assert len(answers) <= 1
-                alive = {record.number for record in race.tenants.records()}
-                if race.requests[call].tenant_number not in alive:
+                present = {record.number for record in race.tenants.records()}
+                if race.requests[request_id].tenant_number not in present:
                     assert answers, "a tenant was removed, and a request of it has no answer"
-        while (over := race.end()) is not None:
-            race.core.process_batch([over])
+        while (run_finished := race.end()) is not None:
+            race.core.process_batch([run_finished])
         for _ in range(120):
             race.now_us += 100_000
             race.core.process_batch([])
@@ -170,27 +174,27 @@
         runs = Counter(
             (request.tenant, request.idempotency_key) for request in started if request.idempotency_key
         )
-        # the whole race is shorter than the window of a key
+        # the whole race is shorter than the idempotency window, so that no key may run twice
         assert max(runs.values(), default=1) == 1
         served = [
-            (call, answers[0])
-            for call, answers in race.answers.items()
+            (request_id, answers[0])
+            for request_id, answers in race.answers.items()
             if answers[0].verdict is Verdict.SERVED
         ]
-        for call, answer in served:
-            maker = race.requests[answer.result.body.decode()] if answer.result else None
-            assert maker
-            assert (maker.tenant, maker.class_index, maker.idempotency_key) == (
-                race.requests[call].tenant,
-                race.requests[call].class_index,
-                race.requests[call].idempotency_key,
+        for request_id, answer in served:
+            origin = race.requests[answer.result.body.decode()] if answer.result else None
+            assert origin
+            assert (origin.tenant, origin.class_index, origin.idempotency_key) == (
+                race.requests[request_id].tenant,
+                race.requests[request_id].class_index,
+                race.requests[request_id].idempotency_key,
             )
-        live = {record.number for record in race.tenants.records()} | {0}
+        allowed = {record.number for record in race.tenants.records()} | {0}
         race.now_us += 2 * WINDOW_US  # past the window of every key
         for _ in range(2):
             race.now_us += 100_000
             race.core.process_batch([])
-        assert set(race.fair_queue.flows) <= live, "a removed tenant still has accounts"
+        assert set(race.fair_queue.flows) <= allowed, "a removed tenant still has accounts"
         removed += race.core.counters.snapshot().get("tenants.removed", 0)
     assert removed > 20
     assert WINDOW_US > 60 * 120_000
--- a/tests/tenancy/test_rate_limit.py
+++ b/tests/tenancy/test_rate_limit.py
@@ -1,8 +1,8 @@
-"""The arithmetic of fair sharing: allocation, rate limit and fairness index."""
+"""Tests of the arithmetic of fair sharing: allocation, rate limit and fairness index."""
 
 import pytest
 from hypothesis import given
-from hypothesis import settings as effort
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from reelusher.tenancy.rate_limit import FlowDemand, Gcra, allocate, jain
@@ -12,7 +12,7 @@
 )
 
 
-@effort(max_examples=300, derandomize=True, database=None)
+@hypothesis_settings(max_examples=300, derandomize=True, database=None)
 @given(st.lists(FLOW_DEMANDS, min_size=1, max_size=12), st.floats(0.1, 100))
 def test_allocation_is_max_min_fair_and_uses_all_capacity_that_is_demanded(
     demands: list[FlowDemand], capacity: float
@@ -24,19 +24,23 @@
     for demand, amount in zip(demands, allocated, strict=True):
         assert -1e-9 <= amount <= demand.maximum + 1e-9
         assert amount >= demand.minimum * min(1, capacity / total_minimum if total_minimum else 1) - 1e-6
-    # a flow that is cut has no lower level than one above its minimum
+    # a flow with less than its maximum has no lower level than any flow with more than its minimum
     if total_minimum < capacity < total_demand:
-        short = [
+        below_maximum = [
             amount / demand.weight
             for demand, amount in zip(demands, allocated, strict=True)
             if amount < demand.maximum - 1e-6
         ]
-        above = [
+        above_minimum = [
             amount / demand.weight
             for demand, amount in zip(demands, allocated, strict=True)
             if amount > demand.minimum + 1e-6
         ]
-        assert not short or not above or min(short) >= max(above) - 1e-6 * (1 + max(above))
+        assert (
+            not below_maximum
+            or not above_minimum
+            or min(below_maximum) >= max(above_minimum) - 1e-6 * (1 + max(above_minimum))
+        )
 
 
 @pytest.mark.parametrize(
@@ -69,7 +73,7 @@
     while limit.conforms(10_000) and taken < 1000:
         limit.charge(10, 10_000)
         taken += 10
-    assert taken == 60  # the burst, and the one that passes it, however long it was idle before
+    assert taken == 60  # the burst and the charge that exceeds it, regardless of the idle time before
     limit.charge(-30, 10_000)
     assert limit.conforms(10_000)
     assert limit.tat_us == 10_060
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -1,4 +1,4 @@
-"""The tenant cache: which tenants are in memory, and races with changes, removals and evictions."""
+"""Tests of the tenant cache: its contents, and races with changes, removals and evictions."""
 
 import json
 import socket
@@ -37,13 +37,13 @@
 from reelusher.tenancy.tenant_source import TenantUnavailableError, unreadable_reason
 from tenancy.test_index import expected_match, requests_strategy, tenant, tenants
 
-WAIT_S = 10.0  # for what must happen eventually
-IDLE_TIMEOUT_US = 10_000_000  # of the node under test
+WAIT_S = 10.0  # longest wait for an event in another thread
+IDLE_TIMEOUT_US = 10_000_000  # idle time-out of the node under test
 
 
 @dataclass(frozen=True)
 class StoredRow:
-    """A row of the table."""
+    """A row of the table of tenants."""
 
     name: str
     number: int
@@ -51,34 +51,38 @@
     tenant: bytes
 
 
-class SourceDouble:
-    """A table in memory whose reads a test may block."""
+class FakeSource:
+    """A table of tenants in memory whose reads a test may block."""
 
     def __init__(self) -> None:
         self.rows_by_name: dict[str, StoredRow] = {}
-        self.last = 0
+        self.last_number = 0
         self.on_change: Callable[[list[str]], None] = lambda names: None
         self.calls: Counter[str] = Counter()
-        self.held = threading.Event()  # reads of tenants return only once it is set
-        self.held.set()
-        self.reached = threading.Semaphore(0)  # released by each such read once it has read
-        self.prefixes_held, self.prefixes_reached = threading.Event(), threading.Semaphore(0)  # of hosts
-        self.prefixes_held.set()
-
-    def put(self, one: Tenant, state: str = "active", notify: bool = True) -> None:
-        known = self.rows_by_name.get(one.name)
-        if known is None:
-            self.last += 1
+        self.row_reads_allowed = threading.Event()  # reads of rows return only while it is set
+        self.row_reads_allowed.set()
+        self.row_reads = threading.Semaphore(0)  # released by each read of a row before it returns
+        # the same for reads of the prefixes of hosts
+        self.prefix_reads_allowed, self.prefix_reads = threading.Event(), threading.Semaphore(0)
+        self.prefix_reads_allowed.set()
+
+    def put(self, changed_tenant: Tenant, state: str = "active", notify: bool = True) -> None:
+        existing = self.rows_by_name.get(changed_tenant.name)
+        if existing is None:
+            self.last_number += 1
         self.rows_by_name = self.rows_by_name | {
-            one.name: StoredRow(
-                one.name, known.number if known else self.last, state, json.dumps(one.to_json()).encode()
+            changed_tenant.name: StoredRow(
+                changed_tenant.name,
+                existing.number if existing else self.last_number,
+                state,
+                json.dumps(changed_tenant.to_json()).encode(),
             )
         }
         if notify:
-            self.on_change([one.name])
+            self.on_change([changed_tenant.name])
 
     def remove(self, name: str, notify: bool = True) -> None:
-        self.rows_by_name = {known: row for known, row in self.rows_by_name.items() if known != name}
+        self.rows_by_name = {other: row for other, row in self.rows_by_name.items() if other != name}
         if notify:
             self.on_change([name])
 
@@ -105,15 +109,15 @@
             for row, fields in self.parsed_rows()
             if not fields["hosts"] or host in fields["hosts"]
         ]
-        self.prefixes_reached.release()
-        assert self.prefixes_held.wait(WAIT_S)
+        self.prefix_reads.release()
+        assert self.prefix_reads_allowed.wait(WAIT_S)
         return found if len(found) <= limit else None
 
     def get(self, name: str) -> StoredRow | None:
         self.calls["get"] += 1
         found = self.rows_by_name.get(name)
-        self.reached.release()
-        assert self.held.wait(WAIT_S)
+        self.row_reads.release()
+        assert self.row_reads_allowed.wait(WAIT_S)
         return found
 
     def page(self, after: str, limit: int) -> list[StoredRow]:
@@ -124,10 +128,10 @@
 
 
 class SimulatedNode:
-    """A node on a simulated clock, whose event loop runs when the test says so, or while it waits."""
+    """A node on a simulated clock, whose event loop runs only when the test calls or waits for it."""
 
     def __init__(self, source: "SqliteReplica | None" = None, **changes: Any) -> None:
-        self.now_us, self.source = 1_000_000_000_000, SourceDouble()
+        self.now_us, self.source = 1_000_000_000_000, FakeSource()
         node_settings = settings(SAFE, KEYED, **{"cores": 2, **changes})
         self.fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
@@ -155,7 +159,7 @@
         self.answers: dict[str, list[Answer]] = {}
 
     def run_event_loop(self, later_us: int = 0) -> None:
-        """Process all that is in the queue of the event loop as one batch."""
+        """Advance the clock, and process all queued messages of the event loop as one batch."""
         self.now_us += later_us
         batch = self.core.queued_messages()
         self.core.process_batch([message for message in batch if message is not None])
@@ -167,36 +171,36 @@
     def run_in_thread(self, action: Callable[[], Any]) -> "Future[Any]":
         return self.pool.submit(action)
 
-    def wait_for(self, doing: "Future[Any]") -> Any:
+    def wait_for(self, pending: "Future[Any]") -> Any:
         """Run the event loop until a call in another thread has ended, and return its result."""
         for _ in range(2000):
-            if doing.done():
+            if pending.done():
                 break
             self.run_event_loop()
             threading.Event().wait(0.005)
-        return doing.result(0)
+        return pending.result(0)
 
     def find(self, host: str = "h", path: str = "/x", method: str = "GET") -> Match | None:
-        def look() -> Match | None:
+        def look_up() -> Match | None:
             with self.tenants.pinned_match(method, host, path) as match:
                 return match
 
         try:
-            found: Match | None = self.wait_for(self.run_in_thread(look))
+            found: Match | None = self.wait_for(self.run_in_thread(look_up))
         finally:
-            self.run_event_loop()  # nobody waits until the event loop has learnt of a tenant that was put
+            self.run_event_loop()  # adds a tenant that was put in the cache: the look-up doesn't wait for it
         return found
 
-    def post(self, call: str, match: Match, class_index: int = 0, key: str = "") -> None:
-        self.answers[call] = []
+    def post(self, request_id: str, match: Match, class_index: int = 0, key: str = "") -> None:
+        self.answers[request_id] = []
         self.core.post(
             RequestArrived(
                 IncomingRequest(
-                    call,
+                    request_id,
                     class_index,
                     b"x",
                     self.now_us,
-                    self.answers[call].append,
+                    self.answers[request_id].append,
                     match.tenant.name,
                     match.number,
                     held_kb=20.0,
@@ -205,23 +209,23 @@
             )
         )
 
-    def send_request(self, call: str, host: str = "h", class_index: int = 0, key: str = "") -> None:
-        """Post a request as a front end does."""
+    def send_request(self, request_id: str, host: str = "h", class_index: int = 0, key: str = "") -> None:
+        """Look up the tenant and post a request as a front end does, and run the event loop."""
 
-        def hand_over() -> None:
+        def post_request() -> None:
             with self.tenants.pinned_match("GET", host, "/x") as match:
                 assert match
-                self.post(call, match, class_index, key)
+                self.post(request_id, match, class_index, key)
 
-        self.wait_for(self.run_in_thread(hand_over))
+        self.wait_for(self.run_in_thread(post_request))
         self.run_event_loop()
 
-    def finish_run(self, call: str) -> None:
-        self.core.post(RunFinished(call, Outcome.OK, 10_000, Result(call.encode())))
+    def finish_run(self, request_id: str) -> None:
+        self.core.post(RunFinished(request_id, Outcome.OK, 10_000, Result(request_id.encode())))
         self.run_event_loop()
 
-    def verdicts(self, call: str) -> list[Verdict]:
-        return [answer.verdict for answer in self.answers[call]]
+    def verdicts(self, request_id: str) -> list[Verdict]:
+        return [answer.verdict for answer in self.answers[request_id]]
 
     def count(self, name: str) -> int:
         return self.core.counters.snapshot().get(name, 0)
@@ -231,26 +235,29 @@
 def node() -> Any:
     simulated = SimulatedNode()
     yield simulated
-    simulated.source.held.set()
+    simulated.source.row_reads_allowed.set()
     simulated.tenants.close()
     simulated.pool.shutdown()
 
 
-def read_and_held(node: SimulatedNode) -> "tuple[Future[Any], Callable[[], None]]":
-    """Have a thread look up a tenant: it has read the row, and continues when the second result is called."""
-    go_on, read, get = threading.Event(), threading.Event(), node.source.get
+def start_blocked_lookup(node: SimulatedNode) -> "tuple[Future[Any], Callable[[], None]]":
+    """Start a look-up of a tenant in a thread, and return after the thread has read the row.
 
-    def held(name: str) -> StoredRow | None:
+    Returns the look-up, which is blocked at this point, and a function that lets it continue.
+    """
+    may_continue, has_read, get = threading.Event(), threading.Event(), node.source.get
+
+    def blocked_get(name: str) -> StoredRow | None:
         found = get(name)
-        node.source.get = get  # type: ignore[method-assign]  # only the first
-        read.set()
-        assert go_on.wait(WAIT_S)
+        node.source.get = get  # type: ignore[method-assign]  # only the first call
+        has_read.set()
+        assert may_continue.wait(WAIT_S)
         return found
 
-    node.source.get = held  # type: ignore[method-assign]
-    doing = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))
-    assert read.wait(WAIT_S)
-    return doing, go_on.set
+    node.source.get = blocked_get  # type: ignore[method-assign]
+    lookup = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))
+    assert has_read.wait(WAIT_S)
+    return lookup, may_continue.set
 
 
 def make_tenant(name: str, host: str = "h", backend: str = "w", **more: Any) -> Tenant:
@@ -264,7 +271,7 @@
         found = node.find()
         assert found
         assert (found.tenant, found.number, found.admitted) == (make_tenant("a"), 1, True)
-    assert node.source.calls == {"prefixes": 1, "get": 2}  # once by the change that put it
+    assert node.source.calls == {"prefixes": 1, "get": 2}  # the change that put it reads it as well
     assert node.find("elsewhere") is None
     assert node.find("elsewhere") is None
     assert node.source.calls["prefixes"] == 2
@@ -297,12 +304,12 @@
 def test_cache_resolves_as_a_linear_scan_after_any_changes(changes: list[Any]) -> None:
     node = SimulatedNode()
     try:
-        for what, one, requests in changes:
-            one = replace(one, backend="w", routes=(), default_class="safe")
-            if what == "remove":
-                node.source.remove(one.name)
+        for operation, changed_tenant, requests in changes:
+            changed_tenant = replace(changed_tenant, backend="w", routes=(), default_class="safe")
+            if operation == "remove":
+                node.source.remove(changed_tenant.name)
             else:
-                node.source.put(one, "suspended" if what == "suspend" else "active")
+                node.source.put(changed_tenant, "suspended" if operation == "suspend" else "active")
             node.run_event_loop()
             found = [node.tenants.record(name) for name in node.source.rows_by_name]
             records = [record for record in found if record]
@@ -319,28 +326,31 @@
 def test_cache_over_a_replica_resolves_as_a_linear_scan_after_any_changes(
     tmp_path_factory: pytest.TempPathFactory, changes: list[Any]
 ) -> None:
-    copy = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
-    node, number, rows = SimulatedNode(copy), 0, dict[str, tuple[Tenant, TenantState]]()
+    replica = SqliteReplica(tmp_path_factory.mktemp("copy") / "t.db", "f", ["c1"])
+    node, number, rows = SimulatedNode(replica), 0, dict[str, tuple[Tenant, TenantState]]()
     try:
-        for what, one, requests in changes:
-            one = replace(one, backend="w", routes=(), default_class="safe")
-            if what == "remove":
-                rows.pop(one.name, None)
+        for operation, changed_tenant, requests in changes:
+            changed_tenant = replace(changed_tenant, backend="w", routes=(), default_class="safe")
+            if operation == "remove":
+                rows.pop(changed_tenant.name, None)
             else:
-                rows[one.name] = one, TenantState.SUSPENDED if what == "suspend" else TenantState.ACTIVE
+                rows[changed_tenant.name] = (
+                    changed_tenant,
+                    TenantState.SUSPENDED if operation == "suspend" else TenantState.ACTIVE,
+                )
             number += 1
-            state = rows[one.name][1].value if one.name in rows else ""
-            data = json.dumps(one.to_json()).encode() if state else b""
-            copy.notify_changed(
-                copy.apply(
+            state = rows[changed_tenant.name][1].value if changed_tenant.name in rows else ""
+            data = json.dumps(changed_tenant.to_json()).encode() if state else b""
+            replica.notify_changed(
+                replica.apply(
                     "c1",
-                    [Row(number, one.name, 0, "me", state, data)],
+                    [Row(number, changed_tenant.name, 0, "me", state, data)],
                     PartitionState(1, number, covered=number, goal=number),
                 )
             )
             node.run_event_loop()
             for method, host, path in requests:
-                found, wanted = (
+                found, expected = (
                     node.find(host, path, method),
                     expected_match(
                         [TenantRecord(tenant, 0, state) for tenant, state in rows.values()],
@@ -350,12 +360,12 @@
                     ),
                 )
                 assert (found and (found.tenant, found.admitted, found.class_name)) == (
-                    wanted and (wanted.tenant, wanted.admitted, wanted.class_name)
+                    expected and (expected.tenant, expected.admitted, expected.class_name)
                 )
     finally:
         node.tenants.close()
         node.pool.shutdown()
-        copy.close()
+        replica.close()
 
 
 @pytest.mark.parametrize("known_host", [False, True])
@@ -366,16 +376,16 @@
         node.advance_s(14)
         assert len(node.cache) == 0
         node.source.calls.clear()
-        while node.source.reached.acquire(blocking=False):
+        while node.source.row_reads.acquire(blocking=False):
             pass
-    node.source.held.clear()
-    doing = [node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))]
-    assert node.source.reached.acquire(timeout=WAIT_S)
-    doing.append(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")))
-    event: Any = node.cache._loads["a"].done if known_host else node.cache._host_reads["h"]
-    assert soon(lambda: bool(event._cond._waiters))
-    node.source.held.set()
-    found = [node.wait_for(one) for one in doing]
+    node.source.row_reads_allowed.clear()
+    lookups = [node.run_in_thread(lambda: node.tenants.match("GET", "h", "/"))]
+    assert node.source.row_reads.acquire(timeout=WAIT_S)
+    lookups.append(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")))
+    read_ended: Any = node.cache._loads["a"].done if known_host else node.cache._host_reads["h"]
+    assert soon(lambda: bool(read_ended._cond._waiters))
+    node.source.row_reads_allowed.set()
+    found = [node.wait_for(lookup) for lookup in lookups]
     assert found[0] == found[1]
     assert found[0].tenant.name == "a"
     assert node.source.calls["get"] == 1
@@ -383,7 +393,7 @@
     assert found[0].pin.pins == 2
 
 
-CHANGED: list[tuple[Callable[[SourceDouble], None], list[Verdict], str]] = [
+CHANGED: list[tuple[Callable[[FakeSource], None], list[Verdict], str]] = [
     (lambda rows: rows.put(make_tenant("a", backend="v")), [], "v"),
     (lambda rows: rows.put(make_tenant("a"), "suspended"), [Verdict.REJECTED], ""),
     (lambda rows: rows.remove("a"), [Verdict.REJECTED], ""),
@@ -392,14 +402,14 @@
 
 @pytest.mark.parametrize(("change", "verdicts", "runs_on"), CHANGED)
 def test_request_matched_before_a_change_is_handled_by_the_new_row(
-    node: SimulatedNode, change: Callable[[SourceDouble], None], verdicts: list[Verdict], runs_on: str
+    node: SimulatedNode, change: Callable[[FakeSource], None], verdicts: list[Verdict], runs_on: str
 ) -> None:
     node.source.put(make_tenant("a"))
-    old = node.find()
-    assert old
+    old_match = node.find()
+    assert old_match
     change(node.source)
-    node.run_event_loop()  # the owner has taken it up
-    node.post("c", old)
+    node.run_event_loop()  # the event loop has applied the change
+    node.post("c", old_match)
     node.run_event_loop()
     assert node.verdicts("c") == verdicts
     assert [name for name, runner in node.runners.items() if ("start", "c") in runner.commands] == [
@@ -414,8 +424,8 @@
     node.finish_run("one")
     node.source.put(make_tenant("a", backend="v"))
     node.send_request("new")
-    node.send_request("again", class_index=1, key="k")  # of one that is over
-    node.send_request("meanwhile", class_index=1, key="l")  # of one that runs
+    node.send_request("again", class_index=1, key="k")  # a retry of a finished run
+    node.send_request("meanwhile", class_index=1, key="l")  # a retry of a run in progress
     assert node.verdicts("one") == node.verdicts("again") == [Verdict.SERVED]
     node.finish_run("two")
     assert node.verdicts("two") == node.verdicts("meanwhile") == [Verdict.SERVED]
@@ -428,10 +438,10 @@
 
 def test_tenant_removed_during_its_read_is_not_found(node: SimulatedNode) -> None:
     node.source.put(make_tenant("a"), notify=False)
-    doing, go_on = read_and_held(node)
+    lookup, resume = start_blocked_lookup(node)
     node.source.remove("a")
-    go_on()
-    assert node.wait_for(doing) is None
+    resume()
+    assert node.wait_for(lookup) is None
     assert len(node.cache) == 0
     node.run_event_loop()
     assert not node.tenants.lifecycle.records()
@@ -439,12 +449,12 @@
 
 def test_host_table_read_before_a_change_is_not_cached(node: SimulatedNode) -> None:
     node.source.put(make_tenant("a"))
-    node.source.prefixes_held.clear()
-    doing = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/x"))
-    assert node.source.prefixes_reached.acquire(timeout=WAIT_S)
+    node.source.prefix_reads_allowed.clear()
+    lookup = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/x"))
+    assert node.source.prefix_reads.acquire(timeout=WAIT_S)
     node.source.put(replace(make_tenant("b"), prefix="/x"))
-    node.source.prefixes_held.set()
-    before, after = node.wait_for(doing), node.find()
+    node.source.prefix_reads_allowed.set()
+    before, after = node.wait_for(lookup), node.find()
     assert before
     assert before.tenant.name == "a"
     assert after
@@ -453,10 +463,10 @@
 
 def test_row_changed_between_read_and_put_is_read_again(node: SimulatedNode) -> None:
     node.source.put(make_tenant("a"), notify=False)
-    doing, go_on = read_and_held(node)
+    lookup, resume = start_blocked_lookup(node)
     node.source.put(make_tenant("a", backend="v"))
-    go_on()
-    found = node.wait_for(doing)
+    resume()
+    found = node.wait_for(lookup)
     assert found
     assert found.tenant.backend == "v"
     node.run_event_loop()
@@ -467,12 +477,12 @@
 @pytest.mark.parametrize("posted_first", [False, True])
 def test_change_before_the_event_loop_learns_of_the_tenant_applies_in_order(
     node: SimulatedNode,
-    change: Callable[[SourceDouble], None],
+    change: Callable[[FakeSource], None],
     verdicts: list[Verdict],
     runs_on: str,
     posted_first: bool,
 ) -> None:
-    """The event loop adds the tenant, then applies the change; a request is handled by what precedes it."""
+    """A request is handled by the version of its tenant that precedes it in the event loop's queue."""
     node.source.put(make_tenant("a"), notify=False)
     match = node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")).result(WAIT_S)
     if posted_first:
@@ -483,25 +493,25 @@
         node.post("c", match)
     node.run_event_loop()
     started = [name for name, runner in node.runners.items() if ("start", "c") in runner.commands]
-    if posted_first:  # it came before the change: it is run as it was read
+    if posted_first:  # it was posted before the change: the version that was read applies
         assert (node.verdicts("c"), started) == ([], ["w"])
     else:
         assert (node.verdicts("c"), started) == (verdicts, [runs_on] * bool(runs_on))
     node.cache.release(match.pin)
-    later = node.find()
-    assert (later is not None and later.admitted) is not bool(verdicts)
+    later_match = node.find()
+    assert (later_match is not None and later_match.admitted) is not bool(verdicts)
 
 
 def test_request_of_a_new_tenant_is_posted_without_waiting_for_the_event_loop(node: SimulatedNode) -> None:
-    """Waiting for the event loop would cost two more context switches for each such request."""
+    """Waiting for the event loop would cost two more context switches for each request of a new tenant."""
     node.source.put(make_tenant("a"), notify=False)
 
-    def hand_over() -> None:
+    def post_request() -> None:
         with node.tenants.pinned_match("GET", "h", "/x") as match:
             assert match
             node.post("c", match)
 
-    node.run_in_thread(hand_over).result(WAIT_S)  # the event loop has not run
+    node.run_in_thread(post_request).result(WAIT_S)  # the event loop has not run
     node.run_event_loop()
     node.finish_run("c")
     assert node.verdicts("c") == [Verdict.SERVED]
@@ -559,7 +569,7 @@
 
 
 def with_pending_eviction(node: SimulatedNode) -> None:
-    """Leave a tenant idle until its eviction is queued, and not yet carried out."""
+    """Leave a tenant idle until its eviction is queued but not yet executed."""
     node.source.put(make_tenant("a"))
     node.send_request("one")
     node.finish_run("one")
@@ -575,7 +585,7 @@
 
 def test_tenant_used_during_its_eviction_stays(node: SimulatedNode) -> None:
     with_pending_eviction(node)
-    match = node.tenants.match("GET", "h", "/x")  # in memory: returns at once
+    match = node.tenants.match("GET", "h", "/x")  # the tenant is in memory: the call returns at once
     assert match
     assert match.pin
     node.run_event_loop()
@@ -596,11 +606,11 @@
     node.advance_s(9)
     with node.tenants.pinned_match("GET", "h", "/x") as match:
         assert match
-        node.post("two", match)  # queued, and not in flight yet
+        node.post("two", match)  # the request is queued and not yet in flight
     cached = node.cache.get("a")
     assert cached
     assert cached.pins == 0
-    cached.used_us -= 60_000_000  # as if the event loop had been late by a minute
+    cached.used_us -= 60_000_000  # as if the event loop were a minute behind
     node.tenants._evict_idle(IDLE_TIMEOUT_US)  # the eviction is queued behind the request
     node.run_event_loop()
     node.finish_run("two")
@@ -643,27 +653,27 @@
     node.source.put(make_tenant("a"))
     node.source.put(make_tenant("b", "i"))
     assert node.find("i")
-    node.source.held.clear()
+    node.source.row_reads_allowed.clear()
     with pytest.raises(TenantUnavailableError, match="in time"):
         node.find("h")
     assert node.find("i")
     assert node.count("tenants.refused_late") == 1
-    node.source.held.set()
+    node.source.row_reads_allowed.set()
     assert node.find("h")
 
 
 def test_reader_pool_limits_waiting_reads() -> None:
-    counts, held = Counters(), threading.Event()
-    readers = ReaderPool(counts, 5.0, 2)
+    counters, may_end = Counters(), threading.Event()
+    readers = ReaderPool(counters, 5.0, 2)
     with ThreadPoolExecutor(2) as pool:
-        waiting = [pool.submit(readers.read, held.wait) for _ in range(2)]
+        reads = [pool.submit(readers.read, may_end.wait) for _ in range(2)]
         assert soon(lambda: not readers._waiting_slots._value)
         with pytest.raises(TenantUnavailableError, match="too many"):
             readers.read(lambda: 1)
-        held.set()
-        assert [one.result() for one in waiting] == [True, True]
+        may_end.set()
+        assert [read.result() for read in reads] == [True, True]
     assert readers.read(lambda: 1) == 1
-    assert counts.snapshot() == {"tenants.refused_waiting": 1}
+    assert counters.snapshot() == {"tenants.refused_waiting": 1}
     with pytest.raises(TenantUnavailableError, match="no such"):
         readers.read(lambda: [][0] if False else (_ for _ in ()).throw(OSError("no such disk")))
     readers.close()
@@ -683,13 +693,13 @@
     node: SimulatedNode, changed: Callable[[StoredRow], StoredRow]
 ) -> None:
     node.source.put(make_tenant("a"))
-    good = node.source.rows_by_name["a"]
+    readable_row = node.source.rows_by_name["a"]
     assert node.find()
-    node.source.rows_by_name = {"a": changed(good)}
+    node.source.rows_by_name = {"a": changed(readable_row)}
     node.source.on_change(["a"])
     node.run_event_loop()
-    found = node.find()  # it was in memory
-    assert (found is None) is (node.source.rows_by_name["a"].tenant == b"{")  # nobody knows its hosts then
+    found = node.find()  # the tenant was in memory
+    assert (found is None) is (node.source.rows_by_name["a"].tenant == b"{")  # its hosts are unknown then
     assert found is None or not found.admitted
     assert "a" in node.tenants.unreadable()
     assert not node.tenants.lifecycle.admits(1)
@@ -700,7 +710,7 @@
             node.find()
     assert node.count("tenants.unreadable")
     assert node.tenants.page("", 10) == ([], "")
-    node.source.rows_by_name = {"a": good}
+    node.source.rows_by_name = {"a": readable_row}
     node.source.on_change(["a"])
     node.run_event_loop()
     found = node.find()
@@ -756,8 +766,8 @@
 
 
 def test_guarantees_pages_and_usage_come_from_the_source(node: SimulatedNode) -> None:
-    for name, part in (("a", 0.6), ("b", 0.3)):
-        node.source.put(make_tenant(name, name, share=QuotaSettings(guarantee=part)))
+    for name, fraction in (("a", 0.6), ("b", 0.3)):
+        node.source.put(make_tenant(name, name, share=QuotaSettings(guarantee=fraction)))
     node.tenants.check(make_tenant("b", "b", share=QuotaSettings(guarantee=0.4)))
     with pytest.raises(Exception, match=r"share.guarantee"):
         node.tenants.check(make_tenant("c", "c", share=QuotaSettings(guarantee=0.2)))
@@ -767,13 +777,13 @@
     record = node.tenants.record("a")
     assert record
     assert len(node.cache) == 0
-    used = node.tenants.usage(record)
-    assert (used["name"], used["in_hand"], used["state"]) == ("a", 0, "active")
+    usage = node.tenants.usage(record)
+    assert (usage["name"], usage["in_hand"], usage["state"]) == ("a", 0, "active")
     assert not node.fair_queue.flows
-    known = ("safe",), frozenset({"w"})
-    assert unreadable_reason("a", node.source.rows_by_name["a"].tenant, *known) == ""
+    class_names_and_backends = ("safe",), frozenset({"w"})
+    assert unreadable_reason("a", node.source.rows_by_name["a"].tenant, *class_names_and_backends) == ""
     for value in (b"{", b"\xff", b"[" * 100_000, b"[]", node.source.rows_by_name["b"].tenant):
-        assert unreadable_reason("a", value, *known) != ""
+        assert unreadable_reason("a", value, *class_names_and_backends) != ""
 
 
 def test_idle_check_ends_with_the_last_tenant(node: SimulatedNode) -> None:
@@ -797,18 +807,20 @@
 
 
 def test_ajp_front_end_answers_503_while_a_tenant_cannot_be_read_and_serves_others() -> None:
-    node_settings, rows, runner = settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
+    node_settings, source, runner = settings(SAFE, cores=2), FakeSource(), ImmediateBackend()
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
-    registry = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
-    listens = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET_BYTES, 64, 64, 10, 60_000, frozenset())
-    front = AjpFrontend(core, listens, registry)
-    rows.put(make_tenant("a"))
-    rows.put(make_tenant("b", "i"))
+    registry = CachedTenantRegistry(
+        ("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), source
+    )
+    ajp_settings = Ajp(("127.0.0.1", 0), "", ajp13.DEFAULT_PACKET_BYTES, 64, 64, 10, 60_000, frozenset())
+    frontend = AjpFrontend(core, ajp_settings, registry)
+    source.put(make_tenant("a"))
+    source.put(make_tenant("b", "i"))
     core.start()
-    front.start()
+    frontend.start()
     try:
-        with socket.create_connection(front.address, WAIT_S) as sock:
+        with socket.create_connection(frontend.address, WAIT_S) as sock:
 
             def status(host: str) -> int:
                 sock.sendall(ajp13.write_forward(ajp13.ForwardedRequest("GET", "/x", server_name=host)))
@@ -823,20 +835,20 @@
                                 return found
 
             assert [status("h"), status("elsewhere")] == [200, 404]
-            rows.held.clear()
+            source.row_reads_allowed.clear()
             assert [status("i"), status("h")] == [503, 200]
-            rows.held.set()
+            source.row_reads_allowed.set()
             assert status("i") == 200
-        assert not front._in_flight
+        assert not frontend._in_flight
         assert all(not cached.pins for cached in registry.cache._tenants.values())
-        counted = core.counters.snapshot()
-        assert [counted[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
+        counts = core.counters.snapshot()
+        assert [counts[name] for name in ("tenants.unserved", "tenant.a.served", "tenant.b.served")] == [
             1,
             2,
             1,
         ]
     finally:
-        rows.held.set()
-        front.close()
+        source.row_reads_allowed.set()
+        frontend.close()
         core.stop()
         registry.close()
--- a/tests/tenancy/test_tenant_store.py
+++ b/tests/tenancy/test_tenant_store.py
@@ -1,4 +1,4 @@
-"""The table of tenants of one node, over restarts and concurrent changes."""
+"""Tests of the table of tenants of one node: restarts, migration and concurrent changes."""
 
 import json
 import threading
@@ -13,7 +13,7 @@
 from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy.tenant_store import TenantStore, open_store
 
-OPERATOR: dict[str, Any] = {
+OPERATOR_FILE: dict[str, Any] = {
     "classes": [{"name": "day-view", "deadline_ms": 1000}],
     "workers": [{"name": "w1"}],
     "tenants": [{"name": "one", "backend": "w1"}, {"name": "two", "backend": "w1"}],
@@ -21,48 +21,52 @@
 
 
 def test_state_survives_a_restart_with_audit_trail_and_revisions(tmp_path: Path) -> None:
-    own = parse(OPERATOR)
-    names, backends = own.class_names, frozenset({"w1"})
-    store = open_store(tmp_path / "state", None, own.tenants, names, backends)
+    operator_config = parse(OPERATOR_FILE)
+    names, backends = operator_config.class_names, frozenset({"w1"})
+    store = open_store(tmp_path / "state", None, operator_config.tenants, names, backends)
     assert list(store.state.tenants) == ["one", "two"]
     store.change(ChangeKind.SET_STATE, "two", "x", state="suspended", idempotency_key="k1")
     store.change(ChangeKind.REMOVE, "one", "x")
     before = store.state
     assert store.journal is not None
     store.journal._directory.close()  # type: ignore[attr-defined]
-    again = open_store(tmp_path / "state", None, own.tenants, names, backends)
-    assert again.state == before
-    assert again.state.idempotency_keys == {"k1": "two"}
-    assert [(one.name, state) for one, state in again.checked_tenants(names, backends)] == [
+    reopened = open_store(tmp_path / "state", None, operator_config.tenants, names, backends)
+    assert reopened.state == before
+    assert reopened.state.idempotency_keys == {"k1": "two"}
+    assert [(tenant.name, state) for tenant, state in reopened.checked_tenants(names, backends)] == [
         ("two", "suspended")
     ]
-    assert [entry.kind for entry in again.state.audit] == ["put", "put", "state", "remove"]
+    assert [entry.kind for entry in reopened.state.audit] == ["put", "put", "state", "remove"]
 
 
 def test_old_state_file_is_migrated_once(tmp_path: Path) -> None:
-    own, old = parse(OPERATOR), tmp_path / "tenants.json"
-    old.write_text(json.dumps({"tenants": [{"name": "kept", "backend": "w1"}]}))
+    operator_config, old_file = parse(OPERATOR_FILE), tmp_path / "tenants.json"
+    old_file.write_text(json.dumps({"tenants": [{"name": "kept", "backend": "w1"}]}))
     backends = frozenset({"w1"})
-    store = open_store(tmp_path / "tenants.json.d", old, own.tenants, own.class_names, backends)
+    store = open_store(
+        tmp_path / "tenants.json.d", old_file, operator_config.tenants, operator_config.class_names, backends
+    )
     assert list(store.state.tenants) == ["kept"]
-    assert not old.exists()
+    assert not old_file.exists()
     assert (tmp_path / "tenants.json.migrated").exists()
-    old.write_text("{")
+    old_file.write_text("{")
     with pytest.raises(ConfigError, match=r"admin.state_file"):
-        open_store(tmp_path / "other.d", old, own.tenants, own.class_names, backends)
+        open_store(
+            tmp_path / "other.d", old_file, operator_config.tenants, operator_config.class_names, backends
+        )
 
 
 def test_concurrent_changes_are_all_made(tmp_path: Path) -> None:
     store = TenantStore(LockedDirectory(tmp_path / "state"))
 
-    def work(who: str) -> None:
+    def work(actor: str) -> None:
         for number in range(20):
-            store.change(ChangeKind.PUT, f"{who}{number}", who, {"name": f"{who}{number}"})
+            store.change(ChangeKind.PUT, f"{actor}{number}", actor, {"name": f"{actor}{number}"})
 
-    threads = [threading.Thread(target=work, args=(who,)) for who in "abcd"]
+    threads = [threading.Thread(target=work, args=(actor,)) for actor in "abcd"]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    numbers = sorted(kept.revision for kept in store.state.tenants.values())
+    numbers = sorted(stored.revision for stored in store.state.tenants.values())
     assert numbers == list(range(1, 81))
