--- a/reelusher/tenancy/cached_registry.py
+++ b/reelusher/tenancy/cached_registry.py
@@ -90,9 +90,11 @@
         self._readers.close()
 
     def _guarantee_fits(self, tenant: Tenant) -> bool:
-        before = self.record(tenant.name)
-        others = self._source.guarantee_sum() - (before.tenant.share.guarantee if before else 0.0)
-        return others + tenant.share.guarantee <= 1 + GUARANTEE_TOLERANCE
+        previous = self.record(tenant.name)
+        other_guarantees = self._source.guarantee_sum() - (
+            previous.tenant.share.guarantee if previous else 0.0
+        )
+        return other_guarantees + tenant.share.guarantee <= 1 + GUARANTEE_TOLERANCE
 
     def _parse(self, row: TenantRow) -> TenantRecord | None:
         """Return the tenant of a row; None where this node can't serve it."""
--- a/reelusher/tenancy/fair_queue.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -222,7 +222,7 @@
         if not flow.is_below_guarantee(now_us):
             self.virtual_time = start_tag
         flow.finish_tag = start_tag
-        flow.start_class(request.class_index)
+        flow.advance_class_time(request.class_index)
         flow.running += 1
         if work_us > LONG_RUN_US:  # a run that is expected to be long lends its slot at once
             flow.long_runs += 1
--- a/reelusher/tenancy/flow_state.py
+++ b/reelusher/tenancy/flow_state.py
@@ -124,7 +124,7 @@
         if self.ceiling_clock is not None:
             self.ceiling_clock.charge(work_us, now_us)
 
-    def start_class(self, class_index: int) -> None:
+    def advance_class_time(self, class_index: int) -> None:
         """Advance the virtual time of the classes to the start tag of a run, if classes have weights."""
         if self.quota.class_weights:
             start_tag = max(self.class_virtual_time, self.class_tags.get(class_index, 0.0))
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -135,7 +135,7 @@
         if self._size == 1:
             return None
         position = hash(prefix) & len(self._parts) - 1
-        part = {known: value for known, value in self._parts[position].items() if known != prefix}
+        part = {other: value for other, value in self._parts[position].items() if other != prefix}
         return VirtualHost(
             self._with_length(len(prefix), -1), self._with_part(position, part), self._size - 1
         )
@@ -147,10 +147,10 @@
         count = self._lengths.get(length, 0)
         if count and count + change:
             return {**self._lengths, length: count + change}
-        others = [known for known in self._lengths if known != length]
+        others = [other for other in self._lengths if other != length]
         return {
-            known: self._lengths.get(known, 1)
-            for known in sorted([*others, length] if change > 0 else others, reverse=True)
+            other: self._lengths.get(other, 1)
+            for other in sorted([*others, length] if change > 0 else others, reverse=True)
         }
 
     def _with_more_parts(self) -> "VirtualHost[T]":
@@ -191,13 +191,13 @@
         """Return at most `limit` tenants with names after `after`, and the last name if more follow."""
         while True:
             start = bisect_right(self._names, after)
-            before = min(start, 1)
-            names = self._names[start - before : start + limit + 1]
+            preceding = min(start, 1)
+            names = self._names[start - preceding : start + limit + 1]
             # the slice starts at another name if names were added or removed since the search
-            if all(name <= after for name in names[:before]) and all(
-                name > after for name in names[before : before + 1]
+            if all(name <= after for name in names[:preceding]) and all(
+                name > after for name in names[preceding : preceding + 1]
             ):
-                del names[:before]
+                del names[:preceding]
                 break
         found = [indexed.record for name in names[:limit] if (indexed := self._tenants.get(name)) is not None]
         return found, names[limit - 1] if len(names) > limit else ""
--- a/reelusher/tenancy/reader_pool.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -38,12 +38,12 @@
             self._counters.add("tenants.refused_waiting")
             raise TenantUnavailableError("too many requests wait for the table of tenants")
         try:
-            done: Future[T] = Future()
-            self._jobs.put((done, action))
+            future: Future[T] = Future()
+            self._jobs.put((future, action))
             try:
-                return done.result(self._timeout_s)
+                return future.result(self._timeout_s)
             except TimeoutError:
-                done.cancel()  # an action that has not started is skipped
+                future.cancel()  # an action that has not started is skipped
                 self._counters.add("tenants.refused_late")
                 raise TenantUnavailableError("the table of tenants was not read in time") from None
             except Exception as error:
@@ -59,10 +59,10 @@
 
     def _run(self) -> None:
         while (job := self._jobs.get()) is not None:
-            done, action = job
-            if not done.set_running_or_notify_cancel():
+            future, action = job
+            if not future.set_running_or_notify_cancel():
                 continue
             try:
-                done.set_result(action())
+                future.set_result(action())
             except Exception as error:  # the waiting caller handles it
-                done.set_exception(error)
+                future.set_exception(error)
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -181,7 +181,7 @@
     try:
         store = TenantStore(None if directory is None else LockedDirectory(directory))
         if store.is_new:
-            _import_first(store, old_file, tenants, class_names, backends)
+            _import_initial_tenants(store, old_file, tenants, class_names, backends)
         if old_file is not None and directory is not None and old_file.is_file():
             old_file.rename(old_file.with_name(old_file.name + MIGRATED_SUFFIX))
             logger.info("state: migrated the tenants of {} to {}", old_file, directory)
@@ -191,14 +191,14 @@
         raise ConfigError(key, str(error)) from None
 
 
-def _import_first(
+def _import_initial_tenants(
     store: TenantStore,
     old_file: Path | None,
     tenants: Iterable[Tenant],
     class_names: tuple[str, ...],
     backends: frozenset[str],
 ) -> None:
-    old_tenants = None if old_file is None else _read_old_file(old_file, class_names, backends)
+    old_tenants = None if old_file is None else _read_old_state_file(old_file, class_names, backends)
     if old_tenants is None:
         store.import_tenants(tenants)
     else:
@@ -213,7 +213,9 @@
         raise ConfigError("admin.durable_keys", str(error)) from None
 
 
-def _read_old_file(path: Path, class_names: tuple[str, ...], backends: frozenset[str]) -> list[Tenant] | None:
+def _read_old_state_file(
+    path: Path, class_names: tuple[str, ...], backends: frozenset[str]
+) -> list[Tenant] | None:
     """Read the state file that versions without a journal wrote; None if it does not exist."""
     if not path.exists():
         return None
