--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -74,8 +74,8 @@
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
         """Copy rows past an index to the divergent ones and give them the index 0; return how many."""
 
-    def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
-        """Delete tombstones stored before a time, except the `spare` newest indexes; return how many."""
+    def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
+        """Delete tombstones stored before a time, but none of the newest `kept_indexes`; return how many."""
 
     def notify_changed(self, names: Iterable[str]) -> None:
         """Notify the listener that these names changed; no lock is held."""
@@ -200,12 +200,12 @@
         rows.state = state
         return len(names)
 
-    def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
+    def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
         """Delete old tombstones; return how many."""
         rows = self._partitions.get(partition)
         if rows is None:
             return 0
-        through_index = rows.state.index - spare
+        through_index = rows.state.index - kept_indexes
         collected = [
             (index, name)
             for index, name in rows.by_index.items()
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -195,14 +195,14 @@
             self._partitions.write(conn, partition, state)
             return count
 
-    def collect(self, partition: str, before_ms: int, spare: int = MIN_KEPT_INDEXES) -> int:
+    def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
         """Delete old tombstones; return how many."""
         with self._transaction(durable=False) as (conn, writer):
             state = self._partitions.read(conn, partition)
             if state is None:
                 return 0
             partition_id = self._partitions.ids[partition]
-            indexes = writer.collect_tombstones(partition_id, state.index - spare, before_ms)
+            indexes = writer.collect_tombstones(partition_id, state.index - kept_indexes, before_ms)
             if indexes:
                 horizon = max(state.horizon, *indexes)
                 self._partitions.write(conn, partition, replace(state, horizon=horizon))
@@ -241,7 +241,7 @@
             found = queries.list_prefixes(conn, host, limit + 1)
         return None if len(found) > limit else found
 
-    def sharing(self, host: str, prefix: str) -> list[str]:
+    def names_sharing_route(self, host: str, prefix: str) -> list[str]:
         """Return the names of tenants with just this host ("": without any) and prefix; the first wins."""
         with self.database.lookup() as conn:
             return queries.list_sharing(conn, host, prefix)
@@ -259,7 +259,7 @@
         with self.database.lookup() as conn:
             return queries.list_audit(conn, self._partitions.names, after, limit)
 
-    def key(self, text: str) -> str | None:
+    def name_by_key(self, text: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key changed."""
         with self.database.lookup() as conn:
             return queries.name_by_key(conn, text)
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -144,7 +144,7 @@
 
     def created_by(self, idempotency_key: str) -> str | None:
         """Return the name of the tenant that a call with this idempotency key created."""
-        return self.store.key(idempotency_key)
+        return self.store.name_by_key(idempotency_key)
 
     def audit(self, after: int, limit: int) -> list[AuditEntry]:
         """Return at most `limit` changes with a number above one, in the order of their arrival here."""
@@ -181,7 +181,7 @@
         shadows: list[Overlap] = []
         own, prefix = str(version.tenant["name"]), str(version.tenant.get("prefix", "/"))
         for host in version.tenant.get("hosts") or [""]:
-            for other in self.store.sharing(str(host), prefix)[:MAX_OVERLAPS]:
+            for other in self.store.names_sharing_route(str(host), prefix)[:MAX_OVERLAPS]:
                 if other != own:
                     overlaps = shadowed_by if other < own else shadows
                     overlaps.append(Overlap(str(host) or "*", other))
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -374,7 +374,7 @@
         ("divergent", "c2", 11, "active"),
     ]
     assert [(one["name"], one["revision"]) for one in copy.divergent_rows()] == [("divergent", 11)]
-    assert (copy.key("key-1"), copy.key("key-2"), copy.count(), copy.guaranteed()) == (
+    assert (copy.name_by_key("key-1"), copy.name_by_key("key-2"), copy.count(), copy.guaranteed()) == (
         "clinic",
         "gone",
         4,
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -450,7 +450,7 @@
     fleet.settle("c1", "c2", "n2", "n3")
     for name in ("c1", "c2", "n2", "n3"):
         for partition in CONTROL:
-            fleet.stores[name].collect(partition, 1, spare=0)
+            fleet.stores[name].collect(partition, 1, kept_indexes=0)
         fleet.restart(name)
     assert fleet.replicas["c1"].states["c1"].horizon == 6
     fleet.change(C1[2], pad="newer")
@@ -543,7 +543,7 @@
     fleet.pull("n4", "c1")
     assert set(live(fleet, "n4")) == {C1[0], C1[2]}
     assert fleet.replicas["n4"].states["c1"].covered == 5
-    fleet.replicas["c1"].store.collect("c1", 1, spare=0)
+    fleet.replicas["c1"].store.collect("c1", 1, kept_indexes=0)
     fleet.restart("c1")
     taken = fleet.pull("n4", "c1")
     assert taken is not None
@@ -609,8 +609,8 @@
     for name in C1[:4]:
         replica.accept("c1", "c1", entry(name))
         replica.accept("c1", "c1", entry(name, state=""))
-    assert rows.collect("c1", 50, spare=0) == 0
-    assert rows.collect("c1", 51, spare=4) == 2
+    assert rows.collect("c1", 50, kept_indexes=0) == 0
+    assert rows.collect("c1", 51, kept_indexes=4) == 2
     assert rows.states()["c1"].horizon == 4
 
 
@@ -864,7 +864,7 @@
         elif what == "collect":
             for partition in CONTROL:
                 if fleet.replicas[members[first]].states[partition].cursor < 0:
-                    fleet.stores[members[first]].collect(partition, 1, spare=0)
+                    fleet.stores[members[first]].collect(partition, 1, kept_indexes=0)
             fleet.restart(members[first])
         elif what == "restart":
             fleet.restart(members[first])
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import soon
 from replicas import CONTROL, Replicas, entry, names_of
-from test_sqlite_replica import spoil
+from test_sqlite_replica import corrupt_file
 
 from reelusher.config.operator.fleet import Fleet
 from reelusher.core.counters import Counters
@@ -464,7 +464,7 @@
     conn = n1.copy.database.writer
     assert conn is not None
     conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    spoil(n1.copy.path)
+    corrupt_file(n1.copy.path)
     assert not n1.copy.check()
     assert n1.copy.damage
     assert soon(lambda: not n1.copy.damage and n1.copy.count() == 40, 15)
--- a/tests/test_sqlite_replica.py
+++ b/tests/test_sqlite_replica.py
@@ -251,7 +251,7 @@
     assert (trail[-1].before_state, trail[-1].after_state, trail[-1].partition) == ("active", "", "c1")
     assert msgspec.json.decode(trail[-1].before)["pad"] == 7
     assert store.audit(trail[1].number, 2) == trail[2:4]
-    assert [store.key(f"k{number}") for number in (5, 6, 8)] == [None, "a", "a"]
+    assert [store.name_by_key(f"k{number}") for number in (5, 6, 8)] == [None, "a", "a"]
 
 
 def test_tenants_sharing_a_route_are_listed_by_precedence(store: SqliteReplica) -> None:
@@ -260,8 +260,8 @@
             store,
             LogEntry(number, name, 0, "", "active", msgspec.json.encode({"hosts": ["H"], "prefix": "/x"})),
         )
-    assert store.sharing("h", "/x") == ["a", "b", "c"]
-    assert store.sharing("", "/x") == []
+    assert store.names_sharing_route("h", "/x") == ["a", "b", "c"]
+    assert store.names_sharing_route("", "/x") == []
     found = store.match("H", "/x/y")
     assert found is not None
     assert found.name == "a"
@@ -478,7 +478,7 @@
 # Damage and full disks
 
 
-def spoil(path: Path, begin: int = 4096) -> None:
+def corrupt_file(path: Path, begin: int = 4096) -> None:
     """Overwrite what lies past the first page."""
     with path.open("r+b") as file:
         size = file.seek(0, os.SEEK_END)
@@ -497,7 +497,7 @@
 def test_replica_found_damaged_is_quarantined_and_recreated(path: Path, how: str) -> None:
     store = filled(path)
     store.database.writer.execute("PRAGMA wal_checkpoint(TRUNCATE)")  # type: ignore[union-attr]
-    spoil(path)
+    corrupt_file(path)
     if how == "check":
         assert not store.check()
     else:
@@ -538,7 +538,7 @@
 @pytest.mark.parametrize("begin", [0, 4096])
 def test_replica_damaged_at_open_is_quarantined(path: Path, begin: int) -> None:
     filled(path).close()
-    spoil(path, begin)
+    corrupt_file(path, begin)
     store = SqliteReplica(path, "f", CONTROL)
     if (
         not store.quarantined_files
