--- a/reelusher/fleet/replication/sqlite_replica/database.py
+++ b/reelusher/fleet/replication/sqlite_replica/database.py
@@ -1,7 +1,8 @@
-"""The file of a replica and its connections: one that writes, a pool for look-ups, one that reads segments.
+"""The SQLite file of a replica and its connections: one for writes, a pool for look-ups, one for segments.
 
-Any thread may use them. Who finds no free connection in time gets `ReplicaError`. Corruption that any
-statement meets is recorded in `damage`; all use is refused from then on, until the file is replaced.
+Any thread may use them. A thread that gets no free connection for reading in time receives `ReplicaError`.
+When a statement finds the file corrupt, `damage` stores the reason; from then on, look-ups, segment reads and
+transactions raise `DamagedReplicaError` until the file is replaced.
 """
 
 import contextlib
@@ -18,53 +19,53 @@
 from reelusher.fleet.replication.sqlite_replica.errors import DamagedReplicaError
 
 LOOKUP_CONNECTIONS = 3
-LOOKUP_WAIT_S = 0.25
-SEGMENT_WAIT_S = 1.0
-BUSY_TIMEOUT_S = 2.0  # that one connection waits for another
+LOOKUP_WAIT_S = 0.25  # how long a look-up waits for a free connection
+SEGMENT_WAIT_S = 1.0  # how long a segment read waits for its connection
+BUSY_TIMEOUT_S = 2.0  # how long a connection waits for a lock of the file that another one holds
 WRITER_CACHE_KB = 1024
 READER_CACHE_KB = 192
 CACHED_STATEMENTS = 48
-MAX_WAL_BYTES = 8 << 20  # the write-ahead log is truncated to this after a checkpoint
+MAX_WAL_BYTES = 8 << 20  # the write-ahead log is truncated to this size after a checkpoint
 MAX_QUARANTINED_FILES = 2
 CREATE_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
 OWNER_ONLY = 0o600
-PRIMARY_ERROR_CODE = 0xFF  # mask of an extended error code of SQLite
+PRIMARY_ERROR_CODE_MASK = 0xFF  # the low byte of an extended error code of SQLite is the primary code
 
 ConnectionPool = queue.LifoQueue[sqlite3.Connection]
 
 
 class Database:
-    """One file, locked against other processes."""
+    """The connections to one SQLite file, which is locked against other processes."""
 
     def __init__(self, path: Path) -> None:
-        """Lock the file. Raises `ReplicaError`."""
+        """Lock the file without opening it. Raises `ReplicaError`."""
         self.path = path
-        self.damage = ""  # why the file is of no use any more
-        self.quarantined: list[Path] = []  # damaged files, as they are called now
-        self.lock = threading.RLock()  # of the connection that writes
+        self.damage = ""  # why the file is corrupt; "" as long as no statement found it so
+        self.quarantined: list[Path] = []  # new paths of the damaged files, oldest first
+        self.writer_lock = threading.RLock()  # held by the thread that uses `writer`
         self.writer: sqlite3.Connection | None = None
         self.lookup_pool: ConnectionPool = queue.LifoQueue()
         self.segment_pool: ConnectionPool = queue.LifoQueue()
         self._synchronous = ""
-        self._lock_file = _lock_exclusively(path)
+        self._lock_descriptor = _lock_exclusively(path)
 
     def open_writer(self) -> sqlite3.Connection:
-        """Open the connection that writes; create the file where there is none."""
-        if not self.path.exists():  # SQLite gives its other files the mode of this one
+        """Open the connection for writes; create the file if it does not exist."""
+        if not self.path.exists():  # SQLite creates its other files with the mode of this one
             with contextlib.suppress(OSError):
                 os.close(os.open(self.path, CREATE_FLAGS, OWNER_ONLY))
         self.writer = self._connect(WRITER_CACHE_KB)
         return self.writer
 
     def configure_writer(self, writer: sqlite3.Connection) -> None:
-        """Switch to the write-ahead log, with commits that are synced."""
+        """Switch the file to WAL mode, with commits that are synced to the disk."""
         writer.execute("PRAGMA journal_mode = WAL")
         writer.execute(f"PRAGMA journal_size_limit = {MAX_WAL_BYTES}")
         writer.execute("PRAGMA synchronous = FULL")
         self._synchronous = "FULL"
 
     def open_readers(self) -> None:
-        """Open the connections that read."""
+        """Open the connections for look-ups and segments."""
         for pool in (*[self.lookup_pool] * LOOKUP_CONNECTIONS, self.segment_pool):
             reader = self._connect(READER_CACHE_KB)
             reader.execute("PRAGMA query_only = 1")
@@ -83,7 +84,10 @@
         return conn
 
     def disconnect(self) -> None:
-        """Close all connections; one that stays in use for too long is left to its user."""
+        """Close all connections, except readers that are still in use after `LOOKUP_WAIT_S`.
+
+        The thread that uses such a reader returns it to a pool that is no longer used.
+        """
         pools = [self.lookup_pool] * LOOKUP_CONNECTIONS + [self.segment_pool]
         self.lookup_pool, self.segment_pool = queue.LifoQueue(), queue.LifoQueue()
         if self.writer is None:
@@ -96,7 +100,10 @@
         self.writer = None
 
     def quarantine(self, now_ms: int) -> None:
-        """Rename the file and its write-ahead log, and remove the oldest of those renamed before."""
+        """Rename the file and its write-ahead log; delete all but the newest renamed files.
+
+        Raises `ReplicaError`.
+        """
         suffix = f".damaged-{now_ms}"
         try:
             for extension in ("", "-wal"):
@@ -121,14 +128,14 @@
 
     def close(self) -> None:
         """Close all connections and release the lock of the file."""
-        with self.lock:
+        with self.writer_lock:
             self.disconnect()
             with contextlib.suppress(OSError):
-                os.close(self._lock_file)
+                os.close(self._lock_descriptor)
 
     @contextmanager
     def guard(self) -> Iterator[None]:
-        """Translate errors of SQLite, and record damage."""
+        """Raise `ReplicaError` in place of errors of SQLite; record corruption in `damage`."""
         try:
             yield
         except sqlite3.Error as error:
@@ -146,16 +153,16 @@
 
     @contextmanager
     def write_connection(self) -> Iterator[sqlite3.Connection]:
-        """Lend the connection that writes."""
-        with self.lock, self.guard():
+        """Yield the connection for writes, with `writer_lock` held."""
+        with self.writer_lock, self.guard():
             if self.writer is None:
                 raise ReplicaError(f"{self.path} is closed")
             yield self.writer
 
     @contextmanager
     def transaction(self, durable: bool) -> Iterator[sqlite3.Connection]:
-        """Make one transaction, rolled back on any exception. `durable`: synced when it is committed."""
-        with self.lock:
+        """Run one transaction, which any exception rolls back. `durable`: its commit is synced to disk."""
+        with self.writer_lock:
             self._refuse_damaged()
             with self.write_connection() as conn:
                 self._set_synchronous(conn, "FULL" if durable else "NORMAL")
@@ -174,14 +181,14 @@
             conn.execute(f"PRAGMA synchronous = {level}")
             self._synchronous = level
 
-    def lookup(self) -> AbstractContextManager[sqlite3.Connection]:
-        """Lend a connection for look-ups."""
-        return self._lend(self.lookup_pool, LOOKUP_WAIT_S)
+    def lookup_connection(self) -> AbstractContextManager[sqlite3.Connection]:
+        """Borrow a connection for look-ups."""
+        return self._borrow(self.lookup_pool, LOOKUP_WAIT_S)
 
     @contextmanager
-    def segment_read(self) -> Iterator[sqlite3.Connection]:
-        """Lend the connection for segments; all that it reads is of one instant."""
-        with self._lend(self.segment_pool, SEGMENT_WAIT_S) as conn:
+    def segment_transaction(self) -> Iterator[sqlite3.Connection]:
+        """Borrow the connection for segments, in a transaction: all reads see the file at one instant."""
+        with self._borrow(self.segment_pool, SEGMENT_WAIT_S) as conn:
             conn.execute("BEGIN")
             try:
                 yield conn
@@ -190,7 +197,7 @@
                     conn.execute("ROLLBACK")
 
     @contextmanager
-    def _lend(self, pool: ConnectionPool, wait_s: float) -> Iterator[sqlite3.Connection]:
+    def _borrow(self, pool: ConnectionPool, wait_s: float) -> Iterator[sqlite3.Connection]:
         self._refuse_damaged()
         try:
             conn = pool.get(timeout=wait_s)
@@ -204,7 +211,7 @@
 
 
 def _lock_exclusively(path: Path) -> int:
-    """Return the descriptor of a lock file that is held until it is closed."""
+    """Lock a file beside `path` and return its descriptor; closing it releases the lock."""
     try:
         path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
         descriptor = os.open(path.with_name(path.name + ".lock"), CREATE_FLAGS, OWNER_ONLY)
@@ -219,5 +226,5 @@
 
 
 def _is_corruption(error: sqlite3.Error) -> bool:
-    code = getattr(error, "sqlite_errorcode", 0) & PRIMARY_ERROR_CODE
+    code = getattr(error, "sqlite_errorcode", 0) & PRIMARY_ERROR_CODE_MASK
     return code in (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB) or "no such table" in str(error)
--- a/reelusher/fleet/replication/sqlite_replica/integrity.py
+++ b/reelusher/fleet/replication/sqlite_replica/integrity.py
@@ -1,4 +1,4 @@
-"""Checks of the file: positions when it is opened, all pages and all rows now and then."""
+"""Checks of the file: its positions when it is opened, its pages and rows in the course of operation."""
 
 import sqlite3
 from pathlib import Path
@@ -13,18 +13,18 @@
 
 
 def verify_positions(conn: sqlite3.Connection, path: Path, partitions: PartitionTable) -> None:
-    """Raise `DamagedReplicaError` if a row has an index past the position of its partition."""
+    """Raise `DamagedReplicaError` if a row has an index past the position or refill of its partition."""
     for partition, state in partitions.read_all(conn).items():
         last_index = conn.execute(
             "SELECT max(number) FROM rows WHERE stream = ?", (partitions.ids[partition],)
         ).fetchone()[0]
         if (last_index or 0) > max(state.index, state.cursor):
-            reason = f"a row of {partition} is numbered {last_index}, past its position"
+            reason = f"a row of {partition} has the index {last_index}, past its position"
             raise DamagedReplicaError(path, reason)
 
 
 def find_page_damage(conn: sqlite3.Connection) -> str:
-    """Read all pages and return the first fault, or "". Takes long."""
+    """Read all pages, which takes long; return the first fault found, or ""."""
     result = str(conn.execute("PRAGMA quick_check(1)").fetchone()[0])
     return "" if result == INTACT else result
 
@@ -39,7 +39,7 @@
 def recheck_rows(
     conn: sqlite3.Connection, checked_by: str, limit: int, check_tenant: TenantCheck
 ) -> RecheckResult:
-    """Check the next rows by name that were not checked since a refill, or not under these settings."""
+    """Check the next rows, by name, that were not yet checked since a refill or with these settings."""
     after_name = _last_checked_name(conn, checked_by)
     if after_name is None:
         return RecheckResult([], False)
@@ -62,12 +62,12 @@
 
 
 def restart_recheck(conn: sqlite3.Connection) -> None:
-    """Have `recheck_rows` begin with the first row again."""
+    """Make `recheck_rows` begin with the first row again."""
     conn.execute("UPDATE meta SET value = '' WHERE key = 'checked_upto' AND value IS NOT ''")
 
 
 def _last_checked_name(conn: sqlite3.Connection, checked_by: str) -> str | None:
-    """Return the name past which rows are to be checked; None where all are."""
+    """Return the name after which unchecked rows begin, "" for the first row; None if all are checked."""
     stored = dict(conn.execute("SELECT key, value FROM meta WHERE key LIKE 'checked%'"))
     if stored["checked_by"] != checked_by:
         return ""
@@ -76,7 +76,7 @@
 
 
 def _update_reason(conn: sqlite3.Connection, name: str, reason: str) -> bool:
-    """Store why a row is unreadable and return whether that changed."""
+    """Store why a row is unreadable, "" if it is readable; return whether that changed."""
     before = conn.execute("SELECT reason FROM unreadable WHERE name = ?", (name,)).fetchone()
     if reason == (before[0] if before else ""):
         return False
--- a/reelusher/fleet/replication/sqlite_replica/partitions.py
+++ b/reelusher/fleet/replication/sqlite_replica/partitions.py
@@ -12,11 +12,11 @@
 from reelusher.fleet.replication.sqlite_replica.errors import DamagedReplicaError
 
 LOST_FLAG, RESTORED_FLAG = 1, 2  # bits of the column `doubt`
-ALL_PARTITIONS = -1
+ALL_PARTITIONS = -1  # selects all partitions where an id is expected
 
 
 class PartitionTable:
-    """Reads and writes partition states; maps the names of partitions to the ids in the file."""
+    """Reads and writes partition states; maps the names of partitions to their ids in the file."""
 
     def __init__(self, path: Path, control: Sequence[str]) -> None:
         self._path = path
@@ -28,7 +28,7 @@
         return self._read(conn, ALL_PARTITIONS)
 
     def read(self, conn: sqlite3.Connection, partition: str) -> PartitionState | None:
-        """Return the state of one partition; None where it was never written."""
+        """Return the state of one partition; None if it was never written."""
         return self._read(conn, self.ids[partition]).get(partition)
 
     def _read(self, conn: sqlite3.Connection, partition_id: int) -> dict[str, PartitionState]:
--- a/reelusher/fleet/replication/sqlite_replica/queries.py
+++ b/reelusher/fleet/replication/sqlite_replica/queries.py
@@ -32,13 +32,17 @@
     "kept_ms",
 )
 
-Partitions = tuple[str, ...]  # names, by the ids in the file
+PartitionNames = tuple[str, ...]  # names of the partitions, by their ids in the file
 
 
 def find_by_route(
-    conn: sqlite3.Connection, partitions: Partitions, lengths: Iterable[int], host: str, path: str
+    conn: sqlite3.Connection, partitions: PartitionNames, lengths: Iterable[int], host: str, path: str
 ) -> ReplicaRow | None:
-    """Return the tenant of a request: one with the host before one without any, then the longest prefix."""
+    """Return the tenant that a request is routed to; None if there is none.
+
+    A tenant that names the host takes precedence over one without hosts, then the longest prefix, then the
+    first name. `lengths` are the lengths of all prefixes in use.
+    """
     prefixes = candidate_prefixes(path, lengths)
     for key in (host_key(host), ANY_HOST):
         for start in range(0, len(prefixes), PREFIXES_PER_QUERY):
@@ -49,7 +53,7 @@
 
 
 def _longest_match(
-    conn: sqlite3.Connection, partitions: Partitions, key: str, prefixes: Sequence[str]
+    conn: sqlite3.Connection, partitions: PartitionNames, key: str, prefixes: Sequence[str]
 ) -> ReplicaRow | None:
     columns = conn.execute(
         f"SELECT {ROW_COLUMNS} FROM hosts JOIN rows ON rows.name = hosts.name WHERE hosts.host = ?"
@@ -60,8 +64,8 @@
     return None if columns is None else row_from_columns(columns, partitions)
 
 
-def find_by_name(conn: sqlite3.Connection, partitions: Partitions, name: str) -> ReplicaRow | None:
-    """Return one tenant; None where there is none, or it was removed."""
+def find_by_name(conn: sqlite3.Connection, partitions: PartitionNames, name: str) -> ReplicaRow | None:
+    """Return one tenant; None if it does not exist or was removed."""
     columns = conn.execute(
         f"SELECT {ROW_COLUMNS} FROM rows WHERE name = ? AND state <> ''", (name,)
     ).fetchone()
@@ -69,9 +73,9 @@
 
 
 def list_rows(
-    conn: sqlite3.Connection, partitions: Partitions, after_name: str, limit: int
+    conn: sqlite3.Connection, partitions: PartitionNames, after_name: str, limit: int
 ) -> list[ReplicaRow]:
-    """Return tenants with names past one, by name."""
+    """Return at most `limit` tenants with names after `after_name`, sorted by name."""
     rows = conn.execute(
         f"SELECT {ROW_COLUMNS} FROM rows WHERE name > ? AND state <> '' ORDER BY name LIMIT ?",
         (after_name, limit),
@@ -80,7 +84,7 @@
 
 
 def list_prefixes(conn: sqlite3.Connection, host: str, limit: int) -> list[tuple[bool, str, str]]:
-    """Return the tenants that take requests of a host: whether it is named, the prefix, the name."""
+    """Return tenants that serve a host: whether each names the host, its prefix, its name."""
     routes = conn.execute(
         "SELECT host, prefix, name FROM hosts WHERE host IN (?, ?) LIMIT ?",
         (host_key(host), ANY_HOST, limit),
@@ -89,7 +93,7 @@
 
 
 def list_sharing(conn: sqlite3.Connection, host: str, prefix: str) -> list[str]:
-    """Return the names of tenants with just this host ("": without any) and prefix, by name."""
+    """Return the sorted names of tenants with this host ("": those without hosts) and exactly this prefix."""
     names = conn.execute(
         f"SELECT name FROM hosts WHERE host = ? AND prefix = ? ORDER BY name LIMIT {MAX_SHARING_NAMES}",
         (host_key(host) if host else ANY_HOST, prefix),
@@ -98,9 +102,9 @@
 
 
 def list_audit(
-    conn: sqlite3.Connection, partitions: Partitions, after: int, limit: int
+    conn: sqlite3.Connection, partitions: PartitionNames, after: int, limit: int
 ) -> list[ReplicaAuditEntry]:
-    """Return audit entries past a number, oldest first."""
+    """Return at most `limit` audit entries with numbers above `after`, oldest first."""
     entries = conn.execute("SELECT * FROM audit WHERE id > ? ORDER BY id LIMIT ?", (after, limit))
     return [
         ReplicaAuditEntry(number, partitions[partition_id], *columns)
@@ -109,9 +113,9 @@
 
 
 def list_divergent(
-    conn: sqlite3.Connection, partitions: Partitions, after: int, limit: int
+    conn: sqlite3.Connection, partitions: PartitionNames, after: int, limit: int
 ) -> list[dict[str, Any]]:
-    """Return divergent rows past a number, oldest first, as the administration API shows them."""
+    """Return divergent rows with numbers above `after`, oldest first, as the administration API has them."""
     rows = conn.execute("SELECT * FROM orphans WHERE id > ? ORDER BY id LIMIT ?", (after, limit))
     return [
         {**dict(zip(DIVERGENT_ROW_KEYS, columns, strict=True)), "stream": partitions[columns[1]]}
@@ -120,13 +124,13 @@
 
 
 def name_by_key(conn: sqlite3.Connection, key: str) -> str | None:
-    """Return the name of the tenant that a call with this idempotency key changed."""
+    """Return the name of the tenant that a call with this idempotency key changed; None if it is unknown."""
     found = conn.execute("SELECT name FROM keys WHERE key = ?", (key,)).fetchone()
     return None if found is None else str(found[0])
 
 
 def list_unreadable(conn: sqlite3.Connection, limit: int) -> list[tuple[str, str]]:
-    """Return names of the rows that this node can't serve, and why."""
+    """Return the names of rows that this node can't serve, sorted, each with the reason."""
     rows = conn.execute("SELECT name, reason FROM unreadable ORDER BY name LIMIT ?", (limit,))
     return [(name, reason) for name, reason in rows]
 
@@ -137,7 +141,7 @@
 
 
 class EntriesRead(NamedTuple):
-    """Entries in the order of their indexes, and whether there are more."""
+    """Entries sorted by index, and whether the requested range has more."""
 
     entries: list[LogEntry]
     more: bool
@@ -146,7 +150,7 @@
 def read_entries(
     conn: sqlite3.Connection, partition_id: int, since: int, through_index: int, max_bytes: int
 ) -> EntriesRead:
-    """Return entries with indexes in `(since, through_index]`, up to a size but at least one."""
+    """Return entries with indexes in `(since, through_index]`: the first one, and more up to `max_bytes`."""
     entries: list[LogEntry] = []
     bytes_left = max_bytes
     for columns in conn.execute(
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -1,20 +1,21 @@
 """The replica of the tenant table in a SQLite file, in WAL mode.
 
-When it is opened, the header, the schema, the owner and the positions are checked: a few reads, however many
-rows there are. The write-ahead log has checksums of its own. `check` reads all pages; the service calls it
-now and then, since reading 260,000 rows would delay each start.
-
-A file that turns out to be damaged, at any read or write, raises `DamagedReplicaError` from then on.
-`recreate` renames it and creates another; the node serves what it has in memory meanwhile and pulls all rows
-again. Every partition is then marked `lost`: the new file can't tell which indexes were given, so a leader
-accepts no change until an operator has ordered a take-over, which begins a new term (see `leadership`).
-
-On a full disk or a failed write, the transaction is rolled back and `ReplicaError` raised: a pull is retried
-later, a change is rejected.
-
-What a leader accepts is synced before `apply` returns (`synchronous=FULL`). What was pulled may be lost by a
-power cut (`NORMAL`), together with the position that counts it, and is pulled again. A kill of the process
-loses neither.
+Opening a file checks its header, schema, owner and positions, which takes a few reads however many rows there
+are. The write-ahead log has checksums of its own. `check` reads all pages. The service calls it periodically,
+but not at the start, since reading 260,000 rows would delay each start.
+
+Once a read or write finds the file damaged, look-ups and transactions raise `DamagedReplicaError`. `recreate`
+renames the file and creates a new one; meanwhile the node serves the tenants that it has in memory, and then
+it pulls all rows again. Every partition of the new file is marked `lost`: the file doesn't tell which indexes
+were assigned before, so a leader accepts no change until an operator has ordered a take-over, which begins a
+new term (see `leadership`).
+
+If the disk is full or a write fails, the transaction is rolled back and `ReplicaError` raised: a pull is
+retried later, a change is rejected.
+
+A change that a leader accepts is synced before `apply` returns (`synchronous=FULL`). Pulled entries are not
+(`NORMAL`): a power cut may lose them together with the position that includes them, and they are pulled
+again. Killing the process loses neither.
 """
 
 import sqlite3
@@ -53,14 +54,15 @@
         check_tenant: TenantCheck = lambda name, tenant: "",
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """Open or create the file; a damaged one is renamed first. Raises `ReplicaError`.
+        """Open the file, or create it; a damaged file is renamed and replaced. Raises `ReplicaError`.
 
-        `check_tenant` returns "" or why this node can't serve a tenant.
+        `check_tenant` receives a tenant's name and JSON and returns "" or why this node can't serve it.
+        `wall_ms` returns Unix time in milliseconds.
         """
         self.path, self._fleet, self._wall_ms = path, fleet, wall_ms
         self.check_tenant = check_tenant
-        self.on_change: Callable[[list[str]], None] = lambda names: None
-        self.damage_at_open = ""
+        self.on_change: Callable[[list[str]], None] = lambda names: None  # called with no lock held
+        self.damage_at_open = ""  # why the file was replaced when it was opened; "" if it was not
         self.totals = RowTotals()  # replaced as a whole when a transaction is committed
         self._partitions = PartitionTable(path, control)
         self.database = Database(path)
@@ -80,7 +82,7 @@
             self.damage_at_open = str(error)
 
     def _open(self, lost: bool) -> None:
-        """Open the file. `lost`: it replaces a damaged one, and its partitions are marked if it is new."""
+        """Open and check the file. `lost`: if it is new, it replaces a damaged one; mark its partitions."""
         with self.database.guard():
             writer = self.database.open_writer()
             schema.verify_header(writer, self.path)
@@ -94,7 +96,7 @@
 
     def _create(self, lost: bool) -> None:
         control = self._partitions.names
-        last_row_id = self._wall_ms() * 1000  # past all ids of a file that this one replaces
+        last_row_id = self._wall_ms() * 1000  # above all ids of a file that this one replaces
         writer = self.database.writer
         assert writer is not None
         writer.execute("BEGIN IMMEDIATE")
@@ -103,7 +105,7 @@
             for partition in control:
                 state = PartitionState(first_term(partition, control), lost=True)
                 self._partitions.write(writer, partition, state)
-        schema.mark_header(writer)
+        schema.write_header(writer)
         writer.execute("COMMIT")
 
     def _replace_file(self) -> None:
@@ -113,18 +115,21 @@
         self.database.damage = ""
 
     def recreate(self) -> Path:
-        """Rename a damaged file and create another; return the new name. Raises `ReplicaError`."""
-        with self.database.lock:
+        """Rename the damaged file and create a new one; return the path of the renamed file.
+
+        Raises `ReplicaError`.
+        """
+        with self.database.writer_lock:
             self._replace_file()
             return self.quarantined_files[-1]
 
     def close(self) -> None:
-        """Release the file."""
+        """Close the file and release its lock."""
         self.database.close()
 
     @property
     def damage(self) -> str:
-        """Why the file is of no use until `recreate`; "" while it is intact."""
+        """Why the file is damaged, until `recreate` replaces it; "" if no damage was found."""
         return self.database.damage
 
     @property
@@ -142,8 +147,8 @@
     def read_batch(
         self, partition: str, since: int, max_bytes: int = MAX_SEGMENT_BYTES
     ) -> SegmentBatch | None:
-        """Return entries past an index, and the state of the partition at that instant."""
-        with self.database.segment_read() as conn:
+        """Return entries past `since` and up to the position; None for a partition never written."""
+        with self.database.segment_transaction() as conn:
             state = self._partitions.read(conn, partition)
             if state is None:
                 return None
@@ -153,8 +158,8 @@
 
     @contextmanager
     def _transaction(self, durable: bool) -> Iterator[tuple[sqlite3.Connection, RowWriter]]:
-        """Make one transaction; the totals change only if it is committed."""
-        with self.database.lock:
+        """Run one transaction; the totals change only if it is committed."""
+        with self.database.writer_lock:
             with self.database.transaction(durable) as conn:
                 writer = RowWriter(conn, self.totals.copy(), self.check_tenant)
                 yield conn, writer
@@ -186,7 +191,7 @@
             return names
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Set rows past an index aside as divergent; return how many."""
+        """Copy rows past an index to the divergent ones and give them the index 0; return how many."""
         with self._transaction(durable=True) as (conn, writer):
             count = writer.set_aside_divergent(
                 self._partitions.ids[partition], past_index, state.term, self._wall_ms()
@@ -196,7 +201,7 @@
             return count
 
     def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
-        """Delete old tombstones; return how many."""
+        """Delete tombstones stored before a time, but none of the newest `kept_indexes`; return how many."""
         with self._transaction(durable=False) as (conn, writer):
             state = self._partitions.read(conn, partition)
             if state is None:
@@ -209,7 +214,7 @@
             return len(indexes)
 
     def notify_changed(self, names: Iterable[str]) -> None:
-        """Notify `on_change` of names that changed."""
+        """Call `on_change` with the names that changed, if there are any."""
         changed_names = list(names)
         if changed_names:
             self.on_change(changed_names)
@@ -217,33 +222,36 @@
     # Look-ups for serving and the administration API
 
     def match(self, host: str, path: str) -> ReplicaRow | None:
-        """Return the tenant of a request: one with the host before one without any, longest prefix first."""
+        """Return the tenant that a request is routed to, see `find_by_route`; None if there is none."""
         lengths = [length for length, count in self.totals.prefix_lengths.items() if count]
-        with self.database.lookup() as conn:
+        with self.database.lookup_connection() as conn:
             return queries.find_by_route(conn, self._partitions.names, lengths, host, path)
 
     def get(self, name: str) -> ReplicaRow | None:
-        """Return one tenant; None where there is none, or it was removed."""
-        with self.database.lookup() as conn:
+        """Return one tenant; None if it does not exist or was removed."""
+        with self.database.lookup_connection() as conn:
             return queries.find_by_name(conn, self._partitions.names, name)
 
     def page(self, after: str = "", limit: int = 100) -> list[ReplicaRow]:
-        """Return tenants with names past one, by name."""
-        with self.database.lookup() as conn:
+        """Return at most `limit` tenants with names after `after`, sorted by name."""
+        with self.database.lookup_connection() as conn:
             return queries.list_rows(conn, self._partitions.names, after, limit)
 
     def prefixes(self, host: str, limit: int) -> list[tuple[bool, str, str]] | None:
-        """Return the tenants that take requests of a host: whether it is named, prefix, name.
+        """Return the tenants that serve a host: whether each names the host, its prefix, its name.
 
-        None where there are more than `limit`.
+        None if there are more than `limit`.
         """
-        with self.database.lookup() as conn:
+        with self.database.lookup_connection() as conn:
             found = queries.list_prefixes(conn, host, limit + 1)
         return None if len(found) > limit else found
 
     def names_sharing_route(self, host: str, prefix: str) -> list[str]:
-        """Return the names of tenants with just this host ("": without any) and prefix; the first wins."""
-        with self.database.lookup() as conn:
+        """Return the names of tenants with this host ("": those without hosts) and exactly this prefix.
+
+        The names are sorted; the first tenant gets the requests.
+        """
+        with self.database.lookup_connection() as conn:
             return queries.list_sharing(conn, host, prefix)
 
     def count(self) -> int:
@@ -251,40 +259,40 @@
         return self.totals.count
 
     def guaranteed(self) -> float:
-        """Return the sum of all guarantees."""
+        """Return the sum of the guarantees of all tenants."""
         return self.totals.guarantee / GUARANTEE_UNITS
 
     def audit(self, after: int = 0, limit: int = 100) -> list[ReplicaAuditEntry]:
-        """Return audit entries past a number, oldest first."""
-        with self.database.lookup() as conn:
+        """Return at most `limit` audit entries with numbers above `after`, oldest first."""
+        with self.database.lookup_connection() as conn:
             return queries.list_audit(conn, self._partitions.names, after, limit)
 
-    def name_by_key(self, text: str) -> str | None:
-        """Return the name of the tenant that a call with this idempotency key changed."""
-        with self.database.lookup() as conn:
-            return queries.name_by_key(conn, text)
+    def name_by_key(self, key: str) -> str | None:
+        """Return the name of the tenant that a call with this idempotency key changed; None if unknown."""
+        with self.database.lookup_connection() as conn:
+            return queries.name_by_key(conn, key)
 
     def divergent_rows(self, after: int = 0, limit: int = 100) -> list[dict[str, Any]]:
-        """Return divergent rows past a number, oldest first, as the administration API shows them."""
-        with self.database.lookup() as conn:
+        """Return divergent rows with numbers above `after`, oldest first; see `queries.list_divergent`."""
+        with self.database.lookup_connection() as conn:
             return queries.list_divergent(conn, self._partitions.names, after, limit)
 
     def unreadable(self, limit: int = 100) -> list[tuple[str, str]]:
-        """Return names of rows that this node can't serve, and why."""
-        with self.database.lookup() as conn:
+        """Return the names of rows that this node can't serve, sorted, each with the reason."""
+        with self.database.lookup_connection() as conn:
             return queries.list_unreadable(conn, limit)
 
     def unreadable_count(self) -> int:
         """Return the number of rows that this node can't serve."""
-        with self.database.lookup() as conn:
+        with self.database.lookup_connection() as conn:
             return queries.count_unreadable(conn)
 
     # Checks, called by the service
 
     def recheck(self, checked_by: str, limit: int = 100) -> bool:
-        """Check rows not checked since a refill or under other settings; return whether there are more.
+        """Check at most `limit` rows not yet checked since a refill or with the present settings.
 
-        `checked_by` identifies the settings that rows are checked by.
+        `checked_by` identifies the settings. Return whether there are more such rows.
         """
         with self._transaction(durable=False) as (conn, _):
             result = integrity.recheck_rows(conn, checked_by, limit, self.check_tenant)
@@ -292,8 +300,8 @@
         return result.more
 
     def check(self) -> bool:
-        """Read all pages; return whether the file is intact. Takes long."""
-        with suppress(DamagedReplicaError), self.database.lookup() as conn:
+        """Read all pages, which takes long; return whether the file is intact."""
+        with suppress(DamagedReplicaError), self.database.lookup_connection() as conn:
             fault = integrity.find_page_damage(conn)
             if not fault:
                 return True
--- a/reelusher/fleet/replication/sqlite_replica/rows.py
+++ b/reelusher/fleet/replication/sqlite_replica/rows.py
@@ -1,4 +1,4 @@
-"""Rows and audit entries as the replica returns them, and the routing keys of a tenant's JSON."""
+"""Rows and audit entries as the replica returns them, and the routing keys in a tenant's JSON."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 import msgspec
 
 ANY_HOST = ""  # host key of tenants that name no host; the keys of named hosts begin with "="
-GUARANTEE_UNITS = 1_000_000_000  # guarantees are added up as whole numbers of this: sums are exact
+GUARANTEE_UNITS = 1_000_000_000  # units in a guarantee of 1.0; summed as integers, so that sums are exact
 
 ROW_COLUMNS = (
     "rows.name, rows.id, rows.state, rows.tenant, rows.epoch, rows.number, rows.stream,"
@@ -17,33 +17,38 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaRow:
-    """A tenant as it is stored."""
+    """A tenant as the replica stores it."""
 
     name: str
-    number: int  # local to this file; stays while the tenant exists, and is never reused
+    number: int  # id in this file; it stays the same while the tenant exists and is never reused
     state: str
     tenant: bytes  # JSON
-    term: int  # with `index`: the change that wrote this row
-    index: int
+    term: int  # term of the change that wrote this row
+    index: int  # index of that change in the partition; 0 once the row was set aside as divergent
     partition: str
-    unreadable: str = ""  # why this node can't serve it
+    unreadable: str = ""  # why this node can't serve the tenant; "" if it can
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicaAuditEntry:
-    """One change, in the order in which changes reached this node. The leader has all of its partition."""
+    """One change of a tenant, as this node's audit trail records it.
+
+    Entries are numbered in the order in which the changes reached this node. The leader of a partition
+    records all of its changes; other nodes miss those that were superseded before they pulled them, and those
+    that they received while they caught up.
+    """
 
-    number: int  # local to this file
+    number: int  # id in this file
     partition: str
     term: int
     index: int
     name: str
     who: str
     at_ms: int
-    before_state: str  # "", with empty JSON: the tenant did not exist
-    before: bytes
-    after_state: str  # "", with empty JSON: the tenant was removed
-    after: bytes
+    before_state: str  # "" if the tenant did not exist; `before` is then empty
+    before: bytes  # JSON
+    after_state: str  # "" if the tenant was removed; `after` is then empty
+    after: bytes  # JSON
 
 
 class _Share(msgspec.Struct, frozen=True):
@@ -62,7 +67,7 @@
 
 
 class RoutingKeys(NamedTuple):
-    """What a row contributes to look-ups and totals."""
+    """The values that a row adds to the look-up tables and the totals."""
 
     host_keys: tuple[str, ...]
     prefix: str
@@ -78,7 +83,7 @@
 
 
 def routing_keys(state: str, tenant: bytes) -> RoutingKeys | None:
-    """Return the routing keys of a row; None where its JSON can't be read."""
+    """Return the routing keys of a row; None if its JSON can't be decoded."""
     if not state:
         return _TOMBSTONE_KEYS
     try:
@@ -91,7 +96,7 @@
 
 
 def candidate_prefixes(path: str, lengths: Iterable[int]) -> list[str]:
-    """Return the prefixes of these lengths that a path equals or lies below, the longest first."""
+    """Return the prefixes of a path that have one of these lengths and end at a segment, longest first."""
     candidates = []
     for length in lengths:
         prefix = path[:length]
@@ -101,6 +106,6 @@
 
 
 def row_from_columns(columns: Any, partitions: tuple[str, ...]) -> ReplicaRow:
-    """Return the row of a result of `ROW_COLUMNS`."""
+    """Return the row that the columns `ROW_COLUMNS` describe; `partitions` are the names, by id."""
     name, number, state, tenant, term, index, partition_id, reason = columns
     return ReplicaRow(name, number, state, tenant, term, index, partitions[partition_id], reason)
--- a/reelusher/fleet/replication/sqlite_replica/schema.py
+++ b/reelusher/fleet/replication/sqlite_replica/schema.py
@@ -1,7 +1,9 @@
-"""The tables of a replica's file: creation, and the check that a file belongs to this replica.
+"""The tables of a replica's file: their creation, and the checks that a file belongs to this replica.
 
-Names of columns and keys are those of stored data and stay as they are: `stream` holds the position of a
-partition in the sorted control list, `epoch` a term, `number` the index of a log entry.
+The names of tables, columns and keys are part of the stored format. `stream` is the ordinal of a partition in
+the sorted control list, `epoch` a term, `number` the index of a log entry. `orphans` holds divergent rows,
+each with the term that set it aside (`past_by`). `taken_ms` and `kept_ms` are Unix times at which this node
+stored a row or set it aside.
 """
 
 import sqlite3
@@ -9,7 +11,7 @@
 
 from reelusher.fleet.replication.sqlite_replica.errors import ForeignReplicaError
 
-APPLICATION_ID = 0x7265656C  # in the header of the file
+APPLICATION_ID = 0x7265656C  # "reel" in ASCII; identifies the program in the header of the file
 FORMAT_VERSION = 1
 
 SCHEMA = """
@@ -39,7 +41,7 @@
 
 
 def verify_header(conn: sqlite3.Connection, path: Path) -> None:
-    """Raise `ForeignReplicaError` for a file of another program or of a newer format."""
+    """Raise `ForeignReplicaError` if the file belongs to another program or has a newer format."""
     application_id = conn.execute("PRAGMA application_id").fetchone()[0]
     version = conn.execute("PRAGMA user_version").fetchone()[0]
     if not is_empty(conn) and application_id != APPLICATION_ID:
@@ -51,7 +53,7 @@
 
 
 def create_tables(conn: sqlite3.Connection, fleet: str, control: tuple[str, ...], last_row_id: int) -> None:
-    """Create the tables and their settings, within a transaction. Row ids are given past `last_row_id`."""
+    """Create the tables and fill `meta`, within an open transaction. New rows get ids above `last_row_id`."""
     for statement in SCHEMA.split(";\n"):
         if statement.strip():
             conn.execute(statement)
@@ -69,14 +71,14 @@
     )
 
 
-def mark_header(conn: sqlite3.Connection) -> None:
-    """Write what `verify_header` looks for."""
+def write_header(conn: sqlite3.Connection) -> None:
+    """Write the application id and the format version that `verify_header` checks."""
     conn.execute(f"PRAGMA application_id = {APPLICATION_ID}")
     conn.execute(f"PRAGMA user_version = {FORMAT_VERSION}")
 
 
 def verify_owner(conn: sqlite3.Connection, path: Path, fleet: str, control: tuple[str, ...]) -> None:
-    """Raise `ForeignReplicaError` for a file of another fleet or control list."""
+    """Raise `ForeignReplicaError` if the file was created for another fleet or control list."""
     stored = dict(conn.execute("SELECT key, value FROM meta"))
     if stored.get("fleet") != fleet:
         raise ForeignReplicaError(f"{path} is of the fleet {stored.get('fleet')!r}")
--- a/reelusher/fleet/replication/sqlite_replica/totals.py
+++ b/reelusher/fleet/replication/sqlite_replica/totals.py
@@ -1,4 +1,4 @@
-"""Totals over all rows, updated with each change so that nothing is added up at a start or a request."""
+"""Totals over all rows, updated with each change so that no start and no request has to read all rows."""
 
 import sqlite3
 from dataclasses import dataclass, field
@@ -9,21 +9,21 @@
 
 @dataclass(slots=True)
 class RowTotals:
-    """Totals over the rows that are no tombstones."""
+    """Totals over the rows that are not tombstones."""
 
     count: int = 0
     guarantee: int = 0  # in `rows.GUARANTEE_UNITS`
-    prefix_lengths: dict[int, int] = field(default_factory=dict)  # length of a prefix: rows that have it
-    changed_lengths: set[int] = field(default_factory=set)
+    prefix_lengths: dict[int, int] = field(default_factory=dict)  # number of rows by length of prefix
+    changed_lengths: set[int] = field(default_factory=set)  # keys of `prefix_lengths` that are to be stored
 
     def copy(self) -> "RowTotals":
         """Return a copy that a transaction may change."""
         return RowTotals(self.count, self.guarantee, dict(self.prefix_lengths))
 
-    def add_prefix(self, prefix: str, rows: int) -> None:
-        """Count rows with a prefix in, or with a negative number out."""
+    def add_prefix(self, prefix: str, row_count: int) -> None:
+        """Add a number of rows with a prefix; a negative number removes them."""
         length = len(prefix)
-        self.prefix_lengths[length] = self.prefix_lengths.get(length, 0) + rows
+        self.prefix_lengths[length] = self.prefix_lengths.get(length, 0) + row_count
         self.changed_lengths.add(length)
 
 
@@ -38,7 +38,7 @@
 
 
 def write_totals(conn: sqlite3.Connection, totals: RowTotals, before: RowTotals) -> None:
-    """Store what differs from the totals before."""
+    """Store the totals that differ from `before`."""
     if (totals.count, totals.guarantee) != (before.count, before.guarantee):
         conn.executemany(
             "UPDATE meta SET value = ? WHERE key = ?",
--- a/reelusher/fleet/replication/sqlite_replica/writes.py
+++ b/reelusher/fleet/replication/sqlite_replica/writes.py
@@ -1,4 +1,4 @@
-"""What one transaction changes: rows, their look-up tables, totals, the audit trail and divergent rows."""
+"""Writes within one transaction: rows, look-up tables, totals, audit trail, and divergent rows."""
 
 import sqlite3
 from collections.abc import Callable, Iterable
@@ -12,11 +12,11 @@
 MAX_IDEMPOTENCY_KEYS = 10_000
 MAX_DIVERGENT_ROWS = 10_000
 
-TenantCheck = Callable[[str, bytes], str]
+TenantCheck = Callable[[str, bytes], str]  # given name and JSON: "" or why this node can't serve the tenant
 
 
 class StoredRow(NamedTuple):
-    """What a change needs of the row that it replaces."""
+    """The columns of a stored row that are needed to replace or delete it."""
 
     row_id: int
     log_index: int
@@ -26,23 +26,26 @@
 
 
 class SegmentContext(NamedTuple):
-    """What all entries of one segment have in common."""
+    """Values that apply to all entries of one segment."""
 
     partition_id: int
     generation: int
-    now_ms: int
-    audited: bool  # entered into the audit trail, and checked at once; else `integrity` checks them later
+    now_ms: int  # Unix time
+    audited: bool  # entries are audited and checked at once; otherwise `recheck_rows` checks them later
 
 
 class RowWriter:
     """Writes rows within one transaction."""
 
     def __init__(self, conn: sqlite3.Connection, totals: RowTotals, check_tenant: TenantCheck) -> None:
-        """`totals` are changed; the caller stores them. `check_tenant` see `SqliteReplica`."""
+        """`totals` are changed in place and must be stored at the end. `check_tenant`: see `TenantCheck`."""
         self._conn, self.totals, self._check_tenant = conn, totals, check_tenant
 
     def apply(self, entries: Iterable[LogEntry], segment: SegmentContext) -> list[str]:
-        """Write the entries that are newer than the rows of their names; return those names."""
+        """Write the entries that are newer than the stored rows of their names; return those names.
+
+        A row that equals its entry only gets the generation of the segment, so that `drop_older` keeps it.
+        """
         names = []
         last_id = stored_last_id = self._last_row_id()
         for entry in entries:
@@ -72,7 +75,7 @@
     def _replace(
         self, entry: LogEntry, segment: SegmentContext, before: StoredRow | None, new_id: int
     ) -> None:
-        """Write an entry over the row of its name, if there is one."""
+        """Write an entry in place of the stored row `before`, or as a new row if that is None."""
         if before is not None:
             self._remove_from_lookups(entry.name, before)
         keys = routing_keys(entry.state, entry.tenant)
@@ -82,7 +85,7 @@
             self.totals.count += 1
             self.totals.guarantee += guarantee
             self._mark_unreadable(entry, keys, segment.audited)
-            if keys is not None:  # an unreadable row keeps its requests from other tenants
+            if keys is not None:  # even if it is unreadable: its requests must not go to other tenants
                 self._add_to_lookups(entry.name, keys)
         if segment.audited:
             self._audit(entry, segment, before)
@@ -122,11 +125,11 @@
             (row_id, *columns, before.row_id),
         )
 
-    def _mark_unreadable(self, entry: LogEntry, keys: RoutingKeys | None, checked: bool) -> None:
+    def _mark_unreadable(self, entry: LogEntry, keys: RoutingKeys | None, check_now: bool) -> None:
         if keys is None:
             reason = "no tenant's JSON"
         else:
-            reason = reason_unreadable(self._check_tenant, entry.name, entry.tenant) if checked else ""
+            reason = reason_unreadable(self._check_tenant, entry.name, entry.tenant) if check_now else ""
         if reason:
             self._conn.execute("INSERT INTO unreadable VALUES(?, ?)", (entry.name, reason))
 
@@ -178,7 +181,7 @@
             self._conn.execute("INSERT INTO keys VALUES(NULL, ?, ?)", (entry.key, entry.name))
 
     def drop_older(self, partition_id: int, generation: int) -> list[str]:
-        """Delete the rows that a refill did not renew; return their names."""
+        """Delete rows of older generations, which a refill did not renew; return their names."""
         dropped = self._conn.execute(
             "SELECT name, id, number, state, tenant, guarantee FROM rows WHERE stream = ? AND generation < ?",
             (partition_id, generation),
@@ -190,7 +193,10 @@
         return [name for name, *_ in dropped]
 
     def set_aside_divergent(self, partition_id: int, past_index: int, term: int, now_ms: int) -> int:
-        """Copy the rows past an index to the divergent ones and give them the index 0; return how many."""
+        """Copy rows with indexes above `past_index` to the divergent rows; return how many.
+
+        The rows themselves stay, with the index 0. `term` is the term that sets them aside.
+        """
         count = self._conn.execute(
             "INSERT INTO orphans"
             " SELECT NULL, stream, epoch, ?, number, name, at_ms, who, state, tenant, ?"
@@ -213,7 +219,7 @@
             self._conn.execute(f"DELETE FROM {table} WHERE id <= (SELECT max(id) FROM {table}) - {limit}")
 
     def collect_tombstones(self, partition_id: int, through_index: int, before_ms: int) -> list[int]:
-        """Delete tombstones stored before a time; return their indexes."""
+        """Delete tombstones with indexes up to `through_index` stored before a time; return their indexes."""
         collected = self._conn.execute(
             "SELECT id, number FROM rows WHERE stream = ? AND state = '' AND number > 0"
             " AND number <= ? AND taken_ms < ?",
@@ -224,7 +230,7 @@
 
 
 def reason_unreadable(check_tenant: TenantCheck, name: str, tenant: bytes) -> str:
-    """Return why this node can't serve a tenant, or ""; a fault of the check itself is a reason."""
+    """Return why this node can't serve a tenant, or ""; an exception that the check raises is a reason."""
     try:
         return check_tenant(name, tenant)
     except Exception as error:
