--- a/reelusher/storage/__init__.py
+++ b/reelusher/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state on the local disk: checksummed frames, a journal with snapshots, and its contents."""
+"""Durable state on the local disk: checksummed frames, a journal with snapshots, and what it stores."""
--- a/reelusher/storage/errors.py
+++ b/reelusher/storage/errors.py
@@ -6,11 +6,11 @@
 
 
 class JournalError(StorageError):
-    """The state can't be read, or can't be changed any more; the text names file and position."""
+    """The state can't be read, or a change can't be stored; the text names file and position, if known."""
 
 
 class DamagedFileError(StorageError):
-    """A file holds data that can't be read and is no incomplete append."""
+    """A file holds invalid data that is not an incomplete append."""
 
     def __init__(self, position: int, reason: str) -> None:
         super().__init__(f"at byte {position}: {reason}")
@@ -18,7 +18,10 @@
 
 
 class UnreadableStateError(StorageError):
-    """A change or a state has a form that this version does not know; the text names the field."""
+    """A stored state or change has a format that this version does not know, or does not fit the others.
+
+    The text names the field or the change.
+    """
 
 
 class DirectoryLockedError(StorageError, OSError):
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -1,13 +1,14 @@
-"""A write-ahead journal of changes with snapshots: what is acknowledged survives a crash.
+"""A write-ahead journal of changes with snapshots: acknowledged changes survive a crash.
 
     snapshot-N   one frame, numbered N: the state after change N
-    journal-N    frames N+1, N+2, …: the changes since
+    journal-N    frames N+1, N+2, …: the changes after snapshot-N
 
-A change is written and synced, then acknowledged. After enough changes a new journal is created, a snapshot
-is written under another name, synced, and renamed, and files older than the previous snapshot are removed. So
-a snapshot always has its journal, and a journal without its snapshot is empty, unless a file was lost.
+A change is written and synced before it is acknowledged. After a number of changes or bytes, a new journal is
+created; then a snapshot is written to a temporary file, synced and renamed, and files older than the previous
+snapshot are removed. So a snapshot always has its journal, and a journal without its snapshot is empty
+(except journal-0, which begins with no state), unless a file was lost.
 
-Recovery reads the newest snapshot and every change after it. The previous snapshot is kept for recovery by
+Recovery reads the newest snapshot and all changes after it. The previous snapshot is kept for recovery by
 hand in case the disk damages the newest one; it is never used automatically, because acknowledged changes
 would be lost.
 """
@@ -23,33 +24,36 @@
 from reelusher.storage.frames import MAGIC, Frame, ScanResult, encode_frame, scan_frames
 
 FILE_NAME = re.compile(r"(snapshot|journal)-(\d{1,19})")
-NEW_SNAPSHOT = "snapshot.new"  # while it is written
-COMPACT_AFTER_CHANGES = 1000  # since the last snapshot
-COMPACT_AFTER_BYTES = 1 << 22  # of the journal
+UNFINISHED_SNAPSHOT = "snapshot.new"  # name of a snapshot until it is complete and renamed
+COMPACT_AFTER_CHANGES = 1000  # changes since the last snapshot
+COMPACT_AFTER_BYTES = 1 << 22  # size of the journal
 
 
 class Recovery(NamedTuple):
-    """What a journal holds."""
+    """The stored state: the newest snapshot and the changes after it."""
 
-    snapshot: bytes | None
-    changes: list[Frame]  # after the snapshot
+    snapshot: bytes | None  # its payload; None before the first one was written
+    changes: list[Frame]  # changes after the snapshot
 
 
 class Journal:
-    """The journal of one directory. Not thread-safe. The last byte of a payload is never zero."""
+    """The journal of one directory. Not thread-safe. Payloads must not end in a zero byte."""
 
     def __init__(
-        self, directory: Directory, snapshot: Callable[[], bytes], compact_after: int = COMPACT_AFTER_CHANGES
+        self,
+        directory: Directory,
+        encode_snapshot: Callable[[], bytes],
+        compact_after: int = COMPACT_AFTER_CHANGES,
     ) -> None:
-        """`snapshot` returns the current state."""
+        """`encode_snapshot` returns the current state as a payload. `compact_after`: a number of changes."""
         self._directory = directory
-        self._snapshot = snapshot
+        self._encode_snapshot = encode_snapshot
         self._compact_after = compact_after
-        self._snapshot_number = 0  # of the newest one
+        self._snapshot_number = 0  # number of the last change in the newest snapshot
         self._journal_bytes = 0
         self._changes_since_snapshot = 0
-        self.failure = ""  # why the journal is closed to changes; empty while it is open
-        self.number = 0  # of the last change
+        self.failure = ""  # why the journal accepts no more changes; "" while it accepts them
+        self.number = 0  # number of the last change
 
     # Recovery
 
@@ -81,9 +85,9 @@
         self._directory.sync(name)
         self._directory.sync_directory()
 
-    def _scan(self, name: str, first: int) -> ScanResult:
+    def _scan(self, name: str, first_number: int) -> ScanResult:
         try:
-            return scan_frames(self._directory.read(name), first)
+            return scan_frames(self._directory.read(name), first_number)
         except DamagedFileError as error:
             raise JournalError(f"{name}: {error}") from None
 
@@ -98,7 +102,7 @@
     def _read_snapshot(self) -> bytes:
         name = f"snapshot-{self._snapshot_number}"
         result = self._scan(name, self._snapshot_number)
-        if len(result.frames) != 1 or result.incomplete_bytes:  # it was synced before it got its name
+        if len(result.frames) != 1 or result.incomplete_bytes:  # it was synced before it was renamed
             raise JournalError(
                 f"{name}: at byte {result.end}: it holds {len(result.frames)} whole frames, not one"
             )
@@ -127,10 +131,10 @@
         return f"journal-{self._snapshot_number}"
 
     def append(self, payload: bytes) -> int:
-        """Make a change durable and return its number. Raises `JournalError` if it was not made.
+        """Make a change durable and return its number. Raises `JournalError` if that fails.
 
-        A write that fails, for example on a full disk, is undone, and the next may succeed. If that fails, or
-        a sync fails, the contents of the disk are unknown: the journal is then closed to changes until a
+        A write that fails, for example on a full disk, is undone, and the next may succeed. If the undo or a
+        sync fails, the contents of the disk are unknown: the journal then accepts no more changes until a
         restart has read it again.
         """
         if self.failure:
@@ -165,9 +169,10 @@
     # Snapshots
 
     def compact_if_due(self) -> bool:
-        """Write a snapshot after enough changes since the last; return whether one was written.
+        """Write a snapshot after enough changes or bytes since the last; return whether one was written.
 
         A failure does no harm: changes continue in the current journal, and the snapshot is retried later.
+        Only if the rename of the snapshot may not be durable, the journal accepts no more changes.
         """
         due = (
             self._changes_since_snapshot >= self._compact_after or self._journal_bytes >= COMPACT_AFTER_BYTES
@@ -178,26 +183,26 @@
         """Write a snapshot of the current state and start a new journal; return whether that succeeded."""
         number = self.number
         try:
-            data = MAGIC + encode_frame(number, self._snapshot())
+            data = MAGIC + encode_frame(number, self._encode_snapshot())
             if number != self._snapshot_number:
                 self._create(number)
-            self._directory.remove(NEW_SNAPSHOT)  # of an earlier attempt
-            self._directory.append(NEW_SNAPSHOT, data, 0)
-            self._directory.sync(NEW_SNAPSHOT)
-            self._directory.rename(NEW_SNAPSHOT, f"snapshot-{number}")
+            self._directory.remove(UNFINISHED_SNAPSHOT)  # left by an earlier attempt
+            self._directory.append(UNFINISHED_SNAPSHOT, data, 0)
+            self._directory.sync(UNFINISHED_SNAPSHOT)
+            self._directory.rename(UNFINISHED_SNAPSHOT, f"snapshot-{number}")
             self._directory.sync_directory()
         except OSError as error:
             logger.warning("state: snapshot failed: {}", error)
             if f"snapshot-{number}" in self._directory.file_names():  # the rename may not be durable
                 self.failure = f"snapshot-{number}: its name may not last: {error}"
             else:
-                self._changes_since_snapshot = 0  # retry after as many more
+                self._changes_since_snapshot = 0  # retried after `compact_after` more changes
             return False
         previous, self._snapshot_number = self._snapshot_number, number
         self._journal_bytes, self._changes_since_snapshot = len(MAGIC), 0
         try:
             self._remove_older(previous)
-        except OSError as error:  # they take space only, and are removed after the next snapshot
+        except OSError as error:  # old files only take space, and are removed after the next snapshot
             logger.warning("state: removing old files failed: {}", error)
         return True
 
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -1,8 +1,8 @@
-"""Durable idempotency keys: no keyed run starts before its key is on the disk.
+"""Durable idempotency keys: the run of a request with a key starts only after the key is on the disk.
 
-A thread writes the keys that the event loop hands over, all that wait in one sync, and reports when that is
-done; only then does the event loop start a run. After a restart within the window a retry finds that its
-request may have run, and fails: the result of the run is not stored.
+The event loop passes keys to a thread, which writes all pending keys with one sync and reports the result.
+Only then does the event loop start a run. If the process restarts before a key expires, a retry finds that
+its request may have run, and fails: the result of the run is not stored.
 """
 
 import queue
@@ -19,13 +19,13 @@
 from reelusher.storage.errors import JournalError
 from reelusher.storage.journal import Journal
 
-MAX_BATCH = 500  # keys in one write
+MAX_KEYS_PER_WRITE = 500
 VERSION = 1
-WITHDRAWN_US = 0  # in place of the expiry of a key that never ran
+WITHDRAWN_US = 0  # `expires_us` of a record that withdraws a key whose request never ran
 
 
 class KeyRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """One key, as it is stored: an array in the order of these fields."""
+    """One key as it is stored: an array in the order of these fields."""
 
     tenant: str
     class_index: int
@@ -35,12 +35,12 @@
 
     @property
     def idempotency_key(self) -> IdempotencyKey:
-        """Return the key of the idempotency table."""
+        """Return the key as the idempotency table has it."""
         return IdempotencyKey(self.tenant, self.class_index, self.key)
 
 
 class KeyBatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The payload of a change, or of a snapshot."""
+    """The payload of a change or of a snapshot."""
 
     keys: list[KeyRecord]
     version: int = msgspec.field(default=VERSION, name="v")
@@ -48,10 +48,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingWrite:
-    """A key that is to be written, and whom to notify."""
+    """A key to write, and a callback for the result."""
 
     record: KeyRecord
-    done: Callable[[bool], None]  # called in the thread of the log
+    done: Callable[[bool], None]  # called with whether the write succeeded, on the thread of the log
 
 
 def _decode(payload: bytes) -> KeyBatch:
@@ -65,19 +65,19 @@
 
 
 def _ignore(succeeded: bool) -> None:
-    """Ignore whether a write succeeded."""
+    """Discard the result of a write."""
 
 
 class KeyLog:
-    """The journal of keys. `persist` and `forget` never block; its thread does all else."""
+    """The journal of keys. `persist` and `forget` never block; the thread of the log does the writing."""
 
     def __init__(
         self, directory: Directory, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
     ) -> None:
-        """Read the stored keys; raises `JournalError`."""
+        """Read the stored keys; raises `JournalError`. `now_us` returns Unix time in microseconds."""
         self._now_us = now_us
         self._records: dict[IdempotencyKey, KeyRecord] = {}
-        self._journal = Journal(directory, self._snapshot)
+        self._journal = Journal(directory, self._encode_snapshot)
         self._pending: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()
         recovery = self._journal.recover()
         if recovery.snapshot:
@@ -86,7 +86,7 @@
             self._apply(_decode(change.payload).keys)
 
     def unexpired(self) -> list[KeyRecord]:
-        """Return the keys whose window has not ended."""
+        """Return the keys that have not expired."""
         now_us = self._now_us()
         return [record for record in self._records.values() if record.expires_us > now_us]
 
@@ -95,7 +95,7 @@
         start_thread("key-log", self.run)
 
     def close(self) -> None:
-        """Stop the thread once it has written what is pending now."""
+        """Make the thread stop once it has written the keys that are pending now."""
         self._pending.put(None)
 
     def persist(
@@ -105,14 +105,14 @@
         self._pending.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
     def forget(self, key: IdempotencyKey) -> None:
-        """Withdraw a key that never ran after all. If that is lost, its retries fail, nothing worse."""
+        """Withdraw a key whose request never ran. If the withdrawal is lost, retries fail, nothing worse."""
         self._pending.put(PendingWrite(KeyRecord(*key, WITHDRAWN_US, ""), _ignore))
 
     def run(self) -> None:
         """Write pending keys until the log is closed; the body of the thread."""
         while True:
             batch = [self._pending.get()]
-            while len(batch) < MAX_BATCH and not self._pending.empty():
+            while len(batch) < MAX_KEYS_PER_WRITE and not self._pending.empty():
                 batch.append(self._pending.get())
             writes = [write for write in batch if write is not None]
             if writes:
@@ -142,6 +142,6 @@
             else:
                 self._records[record.idempotency_key] = record
 
-    def _snapshot(self) -> bytes:
+    def _encode_snapshot(self) -> bytes:
         self._records = {record.idempotency_key: record for record in self.unexpired()}
         return msgspec.json.encode(KeyBatch(list(self._records.values())))
--- a/reelusher/storage/tenant_state.py
+++ b/reelusher/storage/tenant_state.py
@@ -1,4 +1,4 @@
-"""The stored state of tenants: changes, their application, and format versions. Free of I/O."""
+"""The stored state of tenants: changes, how they are applied, format versions. This module does no I/O."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -10,15 +10,15 @@
 
 T = TypeVar("T")
 VERSION = 1
-MAX_AUDIT_ENTRIES = 1000  # the latest
-MAX_IDEMPOTENCY_KEYS = 1000  # the latest
+MAX_AUDIT_ENTRIES = 1000  # the latest ones are kept
+MAX_IDEMPOTENCY_KEYS = 1000  # the latest ones are kept
 
 
 class ChangeKind(StrEnum):
     """What a change does to a tenant."""
 
-    PUT = "put"  # adds or replaces it
-    SET_STATE = "state"  # suspends or resumes it
+    PUT = "put"  # adds or replaces the tenant
+    SET_STATE = "state"  # suspends or resumes the tenant
     REMOVE = "remove"
 
 
@@ -29,14 +29,14 @@
     name: str
     actor: str = msgspec.field(name="who")  # who made the change, for the audit trail
     at_ms: int
-    tenant: dict[str, Any] | None = None  # of a put
+    tenant: dict[str, Any] | None = None  # the tenant that a put stores
     state: str = "active"
-    idempotency_key: str = msgspec.field(default="", name="key")  # of the API call
+    idempotency_key: str = msgspec.field(default="", name="key")  # key of the API call; "" if it had none
     version: int = msgspec.field(default=VERSION, name="v")
 
 
 class StoredTenant(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """One tenant, as a snapshot stores it."""
+    """One tenant as a snapshot stores it."""
 
     tenant: dict[str, Any]
     state: str
@@ -61,16 +61,16 @@
 
 
 class StoredTenants(msgspec.Struct, forbid_unknown_fields=True):
-    """The state, as a snapshot stores it. Only `apply` changes it."""
+    """The state of all tenants as a snapshot stores it. Only `apply` changes it."""
 
     tenants: dict[str, StoredTenant] = {}
     audit: list[AuditEntry] = []
-    # by key, oldest first: the tenant that it created
+    # names of the tenants that calls changed, by idempotency key of the call, oldest first
     idempotency_keys: dict[str, str] = msgspec.field(default_factory=dict, name="keys")
     version: int = msgspec.field(default=VERSION, name="v")
 
     def apply(self, number: int, change: TenantChange) -> None:
-        """Apply a change; raises `UnreadableStateError` where it does not follow from this state."""
+        """Apply a change; raises `UnreadableStateError` if it does not fit this state."""
         before = self.tenants.get(change.name)
         if change.kind is ChangeKind.PUT and change.tenant is not None:
             state = before.state if before else change.state
@@ -96,7 +96,7 @@
         del self.audit[:-MAX_AUDIT_ENTRIES]
 
     def _remember_key(self, key: str, name: str) -> None:
-        self.idempotency_keys.pop(key, None)  # so that it becomes the latest
+        self.idempotency_keys.pop(key, None)  # a known key becomes the latest
         self.idempotency_keys[key] = name
         while len(self.idempotency_keys) > MAX_IDEMPOTENCY_KEYS:
             del self.idempotency_keys[next(iter(self.idempotency_keys))]
@@ -107,15 +107,15 @@
 
     @property
     def tenant(self) -> dict[str, Any]:
-        """Return the tenant in JSON."""
+        """Return the tenant as JSON values."""
 
     @property
     def state(self) -> str:
-        """Return whether it is active or suspended."""
+        """Return the state of the tenant, active or suspended."""
 
     @property
     def version(self) -> str:
-        """Return its version, for `ETag`."""
+        """Return the version of the tenant, for `ETag`."""
 
 
 def to_json(version: TenantVersion | None) -> dict[str, Any] | None:
@@ -123,22 +123,23 @@
     return None if version is None else {**version.tenant, "state": version.state}
 
 
-# By format version: converts a value to the next version. There is only one version so far.
+# Functions that convert a value from one format version to the next, by the version that they convert from.
+# There is only one version so far.
 MIGRATIONS: dict[int, Callable[[dict[str, Any]], dict[str, Any]]] = {}
 
 
 def decode_state(payload: bytes) -> StoredTenants:
-    """Return the state of a snapshot's payload; raises `UnreadableStateError`."""
+    """Return the state in the payload of a snapshot; raises `UnreadableStateError`."""
     return _decode(payload, StoredTenants)
 
 
 def decode_change(payload: bytes) -> TenantChange:
-    """Return the change of a journal's payload; raises `UnreadableStateError`."""
+    """Return the change in a payload of a journal; raises `UnreadableStateError`."""
     return _decode(payload, TenantChange)
 
 
 def encode(value: StoredTenants | TenantChange) -> bytes:
-    """Return a payload. It is JSON, which a person can read, and its last byte is never zero."""
+    """Return a payload. It is JSON, so that people can read it, and its last byte is never zero."""
     return msgspec.json.encode(value)
 
 
