--- a/tests/storage/faulty_directory.py
+++ b/tests/storage/faulty_directory.py
@@ -1,4 +1,4 @@
-"""A directory in memory that crashes the process, or fails, at a given step."""
+"""Fault injection for stored state: a directory in memory that crashes or fails at a given step."""
 
 import random
 from typing import Any
@@ -9,17 +9,18 @@
 
 
 class Inode:
-    """A file: its contents, and what of them is durable."""
+    """A file: its contents, and the contents as of the last sync."""
 
     def __init__(self) -> None:
         self.data, self.synced = bytearray(), b""
 
 
 class FaultyDirectory:
-    """A directory in memory that crashes the process, or fails, at a given step.
+    """A directory in memory. At a given step, it simulates a crash of the process, or a call fails.
 
-    After a crash, data that was not synced is there in part: any prefix of the bytes, the rest zeros or
-    missing, and any prefix of the changes to names.
+    After a crash, changes that were not synced are there in part: of the data, any prefix, with the rest
+    missing or zeros; of the changes to names, any prefix. A file that was never synced is empty, and one of
+    which synced bytes were changed has its synced contents.
     """
 
     def __init__(self, crash_at: int = -1, fail_at: int = -1) -> None:
@@ -28,16 +29,16 @@
         self.durable_files: dict[str, Inode] = {}
         self.name_changes: list[tuple[str, Inode | None]] = []
 
-    def step(self, what: Any = None) -> None:
-        """Count a step; even crash points lie before it is carried out, odd ones after."""
-        at, self.steps = self.steps, self.steps + 1
-        if at == self.fail_at:
+    def step(self, operation: Any = None) -> None:
+        """Count a step and carry it out; even crash points are before its operation, odd ones after it."""
+        number, self.steps = self.steps, self.steps + 1
+        if number == self.fail_at:
             raise OSError(28, "No space left on device")
-        if 2 * at == self.crash_at:
+        if 2 * number == self.crash_at:
             raise SimulatedCrashError
-        if what is not None:
-            what()
-        if 2 * at + 1 == self.crash_at:
+        if operation is not None:
+            operation()
+        if 2 * number + 1 == self.crash_at:
             raise SimulatedCrashError
 
     def file_names(self) -> list[str]:
@@ -62,43 +63,43 @@
         self.step(lambda: setattr(inode, "synced", bytes(inode.data)))
 
     def rename(self, name: str, new_name: str) -> None:
-        def work() -> None:
+        def operation() -> None:
             inode = self.files[new_name] = self.files.pop(name)
             self.name_changes += [(new_name, inode), (name, None)]
 
-        self.step(work)
+        self.step(operation)
 
     def remove(self, name: str) -> None:
-        def work() -> None:
+        def operation() -> None:
             if self.files.pop(name, None):
                 self.name_changes.append((name, None))
 
-        self.step(work)
+        self.step(operation)
 
     def sync_directory(self) -> None:
-        def work() -> None:
+        def operation() -> None:
             self.durable_files, self.name_changes = dict(self.files), []
 
-        self.step(work)
+        self.step(operation)
 
     def restart(self, rng: random.Random) -> "FaultyDirectory":
-        """Return the directory as the next process finds it."""
-        after = FaultyDirectory()
-        kept = dict(self.durable_files)
+        """Return the directory as the next process finds it after a crash."""
+        restarted = FaultyDirectory()
+        surviving = dict(self.durable_files)
         for name, inode in self.name_changes[: rng.randint(0, len(self.name_changes))]:
             if inode is None:
-                kept.pop(name, None)
+                surviving.pop(name, None)
             else:
-                kept[name] = inode
-        for name, inode in kept.items():
-            after.files[name] = after.durable_files[name] = found = Inode()
+                surviving[name] = inode
+        for name, inode in surviving.items():
+            restarted.files[name] = restarted.durable_files[name] = found = Inode()
             found.data = bytearray(inode.synced)
             if bytes(inode.data) != inode.synced:
-                common = len(inode.synced) if inode.data.startswith(inode.synced) else 0
-                more = inode.data[common:]
-                came = rng.randint(0, len(more))
-                grown = rng.choice([0, rng.randint(0, len(more) - came)])
-                if common:
-                    found.data += more[:came] + bytes(grown)
+                synced_bytes = len(inode.synced) if inode.data.startswith(inode.synced) else 0
+                unsynced = inode.data[synced_bytes:]
+                written_bytes = rng.randint(0, len(unsynced))
+                zero_bytes = rng.choice([0, rng.randint(0, len(unsynced) - written_bytes)])
+                if synced_bytes:
+                    found.data += unsynced[:written_bytes] + bytes(zero_bytes)
             found.synced = bytes(found.data)
-        return after
+        return restarted
--- a/tests/storage/test_directory.py
+++ b/tests/storage/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of the file system."""
+"""The directory of the file system: its lock."""
 
 from pathlib import Path
 
--- a/tests/storage/test_frames.py
+++ b/tests/storage/test_frames.py
@@ -14,13 +14,13 @@
 @effort(max_examples=200, derandomize=True, database=None, deadline=None)
 @given(PAYLOADS, st.data())
 def test_flipped_bit_raises_with_its_position(payloads: list[bytes], data: st.DataObject) -> None:
-    whole = MAGIC + b"".join(encode_frame(number, payload) for number, payload in enumerate(payloads, 1))
-    at = data.draw(st.integers(0, len(whole) - 1))
-    bad = bytearray(whole)
-    bad[at] ^= 1 << data.draw(st.integers(0, 7))
+    intact = MAGIC + b"".join(encode_frame(number, payload) for number, payload in enumerate(payloads, 1))
+    offset = data.draw(st.integers(0, len(intact) - 1))
+    damaged = bytearray(intact)
+    damaged[offset] ^= 1 << data.draw(st.integers(0, 7))
     with pytest.raises(DamagedFileError) as caught:
-        scan_frames(bytes(bad), 1)
-    assert caught.value.position <= at
+        scan_frames(bytes(damaged), 1)
+    assert caught.value.position <= offset
 
 
 @effort(max_examples=200, derandomize=True, database=None, deadline=None)
@@ -29,13 +29,13 @@
     payloads: list[bytes], data: st.DataObject
 ) -> None:
     frames = [encode_frame(number, payload) for number, payload in enumerate(payloads, 1)]
-    whole, last = MAGIC + b"".join(frames), len(frames[-1])
-    cut = data.draw(st.integers(1, last))
-    zeros = data.draw(st.integers(0, cut))
-    found = scan_frames(whole[:-cut] + bytes(zeros), 1)
-    assert [frame.payload for frame in found.frames] == payloads[:-1]
-    assert found.end == len(whole) - last
-    assert found.incomplete_bytes == last - cut + zeros
+    intact, last_bytes = MAGIC + b"".join(frames), len(frames[-1])
+    cut_bytes = data.draw(st.integers(1, last_bytes))
+    zero_bytes = data.draw(st.integers(0, cut_bytes))
+    result = scan_frames(intact[:-cut_bytes] + bytes(zero_bytes), 1)
+    assert [frame.payload for frame in result.frames] == payloads[:-1]
+    assert result.end == len(intact) - last_bytes
+    assert result.incomplete_bytes == last_bytes - cut_bytes + zero_bytes
 
 
 def test_gaps_between_frames_and_files_of_another_format_raise() -> None:
--- a/tests/storage/test_journal.py
+++ b/tests/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: crashes and disk faults at any step."""
+"""The journal: crashes and disk faults at any step, lost and damaged files."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 
 
 class JournaledList:
-    """A state that is the list of its changes."""
+    """A state that consists of its changes, in the order in which they were made."""
 
     def __init__(self, disk: FaultyDirectory, compact_after: int = 4) -> None:
         self.items: list[str] = []
@@ -30,31 +30,31 @@
 @pytest.mark.parametrize("compact_after", [1, 3, 100])
 def test_acknowledged_changes_survive_a_crash_at_any_step(compact_after: int) -> None:
     """Every crash point of a process that makes 12 changes, and a second crash in the next process."""
-    whole = FaultyDirectory()
-    journaled = JournaledList(whole, compact_after)
+    uncrashed = FaultyDirectory()
+    journaled = JournaledList(uncrashed, compact_after)
     for number in range(12):
         journaled.add(f"change {number}")
-    for crash_at in range(2 * whole.steps):
-        for remains in range(3):
-            rng = random.Random(1000 * crash_at + remains)
-            disk, acknowledged, tried = FaultyDirectory(crash_at), list[str](), list[str]()
-            for second in (-1, rng.randint(0, 40)):
+    for crash_at in range(2 * uncrashed.steps):
+        for repeat in range(3):
+            rng = random.Random(1000 * crash_at + repeat)
+            disk, acknowledged, attempted = FaultyDirectory(crash_at), list[str](), list[str]()
+            for second_crash in (-1, rng.randint(0, 40)):
                 try:
                     journaled = JournaledList(disk, compact_after)
                     assert journaled.items[: len(acknowledged)] == acknowledged
-                    assert journaled.items in (acknowledged, tried), "a change is there in part"
-                    acknowledged = list(journaled.items)  # what was read stays, acknowledged or not
+                    assert journaled.items in (acknowledged, attempted), "a change was recovered in part"
+                    acknowledged = list(journaled.items)  # a recovered change stays, acknowledged or not
                     for number in range(12):
-                        tried = [*journaled.items, f"{second} {number}"]
-                        journaled.add(tried[-1])
+                        attempted = [*journaled.items, f"{second_crash} {number}"]
+                        journaled.add(attempted[-1])
                         acknowledged = list(journaled.items)
                 except SimulatedCrashError:
                     pass
                 disk = disk.restart(rng)
-                disk.crash_at = second if second >= 0 else rng.randint(0, 40)
+                disk.crash_at = second_crash if second_crash >= 0 else rng.randint(0, 40)
             disk.crash_at = -1
-            made = JournaledList(disk, compact_after).items
-            assert made in (acknowledged, tried)
+            recovered = JournaledList(disk, compact_after).items
+            assert recovered in (acknowledged, attempted)
 
 
 @pytest.mark.parametrize("fail_at", range(60))
@@ -64,17 +64,17 @@
     try:
         journaled = JournaledList(disk)
     except OSError:
-        journaled = JournaledList(disk)  # the first journal could not be created: the next start does it
-    refused = 0
+        journaled = JournaledList(disk)  # the first start could not create the journal, the second one does
+    rejected = 0
     for number in range(12):
         try:
             journaled.add(f"change {number}")
             acknowledged.append(f"change {number}")
         except JournalError:
-            refused += 1
-    again = JournaledList(disk.restart(random.Random(fail_at))).items
-    assert [text for text in again if text in acknowledged] == acknowledged
-    assert refused <= 1 or journaled.journal.failure  # after a failed sync it stays closed until a restart
+            rejected += 1
+    recovered = JournaledList(disk.restart(random.Random(fail_at))).items
+    assert [text for text in recovered if text in acknowledged] == acknowledged
+    assert rejected <= 1 or journaled.journal.failure  # after a failed sync it rejects all until a restart
 
 
 def directory_with(disk: FaultyDirectory, changes: int) -> FaultyDirectory:
--- a/tests/storage/test_key_log.py
+++ b/tests/storage/test_key_log.py
@@ -1,4 +1,4 @@
-"""Durable idempotency keys: runs start after their keys are on the disk."""
+"""Durable idempotency keys: runs start only after their keys are on the disk."""
 
 import random
 
@@ -22,24 +22,25 @@
 
 
 def test_keyed_run_starts_after_its_key_is_durable_and_not_again_after_a_restart() -> None:
-    now = [CoreHarness().time]
+    now_us = [CoreHarness().time]
     disk = FaultyDirectory()
-    log = KeyLog(disk, lambda: now[0])
+    log = KeyLog(disk, lambda: now_us[0])
     harness = core_with(log)
     harness.process(harness.request("a", 2, "k"), harness.request("b", 2, "other"))
     assert not [command for command in harness.backend.commands if command[0] == "start"]
     log.close()
-    log.run()  # in place of its thread
+    log.run()  # writes the pending keys, in place of the thread
     harness.core.process_batch(list(harness.core.next_batch()))  # type: ignore[arg-type]
     assert {command[1] for command in harness.backend.commands if command[0] == "start"} == {"a", "b"}
-    again = core_with(KeyLog(disk.restart(random.Random(1)), lambda: now[0]))  # crashed while they run
-    again.process(again.request("c", 2, "k"), again.request("d", 2, "new"))
-    again.process(later_us=100_000)
-    assert again.verdicts("c") == [Verdict.FAILED]
-    assert not again.verdicts("d")
-    assert not [command for command in again.backend.commands if command[0] == "start"]
-    now[0] += 40_000_000
-    assert KeyLog(disk.restart(random.Random(1)), lambda: now[0]).unexpired() == []
+    # the process crashes during the runs and restarts
+    restarted = core_with(KeyLog(disk.restart(random.Random(1)), lambda: now_us[0]))
+    restarted.process(restarted.request("c", 2, "k"), restarted.request("d", 2, "new"))
+    restarted.process(later_us=100_000)
+    assert restarted.verdicts("c") == [Verdict.FAILED]
+    assert not restarted.verdicts("d")
+    assert not [command for command in restarted.backend.commands if command[0] == "start"]
+    now_us[0] += 40_000_000
+    assert KeyLog(disk.restart(random.Random(1)), lambda: now_us[0]).unexpired() == []
 
 
 @pytest.mark.parametrize("succeeded", [True, False])
@@ -48,8 +49,8 @@
     harness.process(harness.request("a", 2, "k"))
     if succeeded:
         harness.process(later_us=9_000_000)  # past its due time
-    number = next(iter(harness.core.attempts)).id
-    harness.process(KeyPersisted(number, succeeded))
+    attempt_id = next(iter(harness.core.attempts)).id
+    harness.process(KeyPersisted(attempt_id, succeeded))
     assert len(harness.verdicts("a")) == 1
     assert not [command for command in harness.backend.commands if command[0] == "start"]
     assert not succeeded or harness.verdicts("a") == [Verdict.FAILED]
