--- a/reelusher/fleet/replication/sqlite_replica/database.py
+++ b/reelusher/fleet/replication/sqlite_replica/database.py
@@ -40,7 +40,7 @@
     def __init__(self, path: Path) -> None:
         """Lock the file without opening it. Raises `ReplicaError`."""
         self.path = path
-        self.damage = ""  # why the file is corrupt; "" as long as no statement found it so
+        self.damage = ""  # why the file is corrupt; "" as long as no corruption was found
         self.quarantined: list[Path] = []  # new paths of the damaged files, oldest first
         self.writer_lock = threading.RLock()  # held by the thread that uses `writer`
         self.writer: sqlite3.Connection | None = None
--- a/reelusher/fleet/replication/sqlite_replica/queries.py
+++ b/reelusher/fleet/replication/sqlite_replica/queries.py
@@ -84,7 +84,7 @@
 
 
 def list_prefixes(conn: sqlite3.Connection, host: str, limit: int) -> list[tuple[bool, str, str]]:
-    """Return tenants that serve a host: whether each names the host, its prefix, its name."""
+    """Return at most `limit` tenants that serve a host: whether each names it, their prefixes and names."""
     routes = conn.execute(
         "SELECT host, prefix, name FROM hosts WHERE host IN (?, ?) LIMIT ?",
         (host_key(host), ANY_HOST, limit),
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -238,7 +238,7 @@
             return queries.list_rows(conn, self._partitions.names, after, limit)
 
     def prefixes(self, host: str, limit: int) -> list[tuple[bool, str, str]] | None:
-        """Return the tenants that serve a host: whether each names the host, its prefix, its name.
+        """Return the tenants that serve a host: whether each names it, their prefixes and names.
 
         None if there are more than `limit`.
         """
--- a/reelusher/storage/directory.py
+++ b/reelusher/storage/directory.py
@@ -36,7 +36,7 @@
         """Remove a file, if it exists. Not durable until `sync_directory`."""
 
     def sync_directory(self) -> None:
-        """Make it durable which files exist, and their names."""
+        """Make the creation, renaming and removal of files durable."""
 
 
 class LockedDirectory:
@@ -96,7 +96,7 @@
             os.unlink(self._path / name)
 
     def sync_directory(self) -> None:
-        """Make it durable which files exist, and their names."""
+        """Make the creation, renaming and removal of files durable."""
         os.fsync(self._directory_descriptor)
 
     def _descriptor(self, name: str) -> int:
--- a/reelusher/storage/errors.py
+++ b/reelusher/storage/errors.py
@@ -18,7 +18,7 @@
 
 
 class UnreadableStateError(StorageError):
-    """A stored state or change has a format that this version does not know, or does not fit the others.
+    """A stored state or change has an unknown format, or a change does not fit the state before it.
 
     The text names the field or the change.
     """
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -172,7 +172,7 @@
         """Write a snapshot after enough changes or bytes since the last; return whether one was written.
 
         A failure does no harm: changes continue in the current journal, and the snapshot is retried later.
-        Only if the rename of the snapshot may not be durable, the journal accepts no more changes.
+        The exception is a rename that may not be durable: the journal then accepts no more changes.
         """
         due = (
             self._changes_since_snapshot >= self._compact_after or self._journal_bytes >= COMPACT_AFTER_BYTES
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -105,11 +105,11 @@
         self._pending.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
     def forget(self, key: IdempotencyKey) -> None:
-        """Withdraw a key whose request never ran. If the withdrawal is lost, retries fail, nothing worse."""
+        """Withdraw a key whose request never ran. The loss of a withdrawal only makes its retries fail."""
         self._pending.put(PendingWrite(KeyRecord(*key, WITHDRAWN_US, ""), _ignore))
 
     def run(self) -> None:
-        """Write pending keys until the log is closed; the body of the thread."""
+        """Write pending keys until the log is closed. The thread of the log runs this function."""
         while True:
             batch = [self._pending.get()]
             while len(batch) < MAX_KEYS_PER_WRITE and not self._pending.empty():
