--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import soon
 from replicas import CONTROL, Replicas, entry, names_of
-from test_sqlite_replica import spoil
+from test_sqlite_replica import corrupt_file
 
 from reelusher.config.operator.fleet import Fleet
 from reelusher.core.counters import Counters
@@ -476,7 +476,7 @@
     conn = n1.store.database.writer
     assert conn is not None
     conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    spoil(n1.store.path)
+    corrupt_file(n1.store.path)
     assert not n1.store.check()
     assert n1.store.damage
     assert soon(lambda: not n1.store.damage and n1.store.count() == 40, 15)
