--- a/reelusher/drain/__init__.py
+++ b/reelusher/drain/__init__.py
@@ -1,1 +1,1 @@
-"""Graceful shutdown: its schedule, the signals that start it, and the shutdown of client connections."""
+"""Graceful shutdown: its schedule, the signals that start it, and the shutdown of callers' connections."""
--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -1,4 +1,4 @@
-"""The shutdown of the connections of a front end by the schedule of a drain, on the thread of its poller."""
+"""Shutdown of the connections of a front end by the schedule of a drain, on the thread of its poller."""
 
 import array
 import contextlib
@@ -24,7 +24,7 @@
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """Return how many received bytes of a socket are unread; 0 for a closed one."""
+    """Return the number of received bytes that were not read from a socket; 0 if it is closed."""
     count = array.array("i", [0])
     with contextlib.suppress(OSError, ValueError):
         fcntl.ioctl(sock.fileno(), termios.FIONREAD, count)
@@ -39,10 +39,10 @@
 
     @property
     def state(self) -> ConnectionState:
-        """What is still to be done on it."""
+        """The work that is left on this connection."""
 
     def send_last_call(self, now: float) -> None:
-        """Tell the caller to send nothing more."""
+        """Ask the caller to send nothing more on this connection."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=DrainableConnection)
@@ -52,7 +52,7 @@
     """A front end whose poller shuts down its connections. All methods are called on the poller's thread."""
 
     def stop_listening(self) -> None:
-        """Accept the connections that wait now, and no others."""
+        """Accept the connections that are pending now, then no more."""
 
     def connections(self) -> list[ConnectionT]:
         """Return the open connections."""
@@ -61,10 +61,10 @@
         """Reject all requests that are read from now on."""
 
     def read_pending(self, connection: ConnectionT) -> None:
-        """Read what a connection has received."""
+        """Read the bytes that a connection has received."""
 
     def fail_open_requests(self, connection: ConnectionT) -> None:
-        """Answer all open requests of a connection with an error, whatever their runs come to."""
+        """Answer all open requests of a connection with an error, whatever the outcome of their runs."""
 
 
 def total_state(states: Iterable[ConnectionState]) -> ConnectionState:
@@ -80,8 +80,8 @@
 class ConnectionShutdown(Generic[ConnectionT]):
     """Takes the connections of one front end through the phases of their shutdown.
 
-    It runs on the thread that reads them: so nothing arrives between a check for unread bytes and the
-    shutdown that relies on it, and no other thread can delay it.
+    It runs on the thread that reads the connections, so that no request is read between a check for unread
+    bytes and the shutdown that relies on that check, and no other thread can delay the shutdown.
     """
 
     def __init__(self, poller: Poller, frontend: PolledFrontend[ConnectionT]) -> None:
@@ -89,10 +89,10 @@
         self._frontend = frontend
         self._schedule: DrainSchedule | None = None
         self._stopped_listening = False
-        self.observation: DrainObservation | None = None  # the latest one
+        self.observation: DrainObservation | None = None  # latest observation of all connections
 
     def follow(self, schedule: DrainSchedule) -> None:
-        """Follow this schedule from now on; any thread may call this."""
+        """Follow this schedule from now on. Any thread may call this method."""
         first, self._schedule = self._schedule is None, schedule
         if first:
             self._poller.call(self._start)
@@ -119,7 +119,7 @@
     def _ordered_connections(
         self, now: float, schedule: DrainSchedule
     ) -> list[tuple[ConnectionT, ConnectionState]]:
-        """Return connections with their states, the cheapest first once they are being shut down."""
+        """Return the connections with their states; from `shutdown_s` on, sorted by `shutdown_cost`."""
         states = [(connection, connection.state) for connection in self._frontend.connections()]
         if now >= schedule.shutdown_s:
             states.sort(key=lambda pair: shutdown_cost(pair[1]))
@@ -128,20 +128,20 @@
     def _advance(
         self, connection: ConnectionT, state: ConnectionState, now: float, schedule: DrainSchedule
     ) -> None:
-        """Take one connection through the phases that it may enter now."""
+        """Move one connection through the phases that it may enter now."""
         if connection.phase is ConnectionPhase.SERVING:
             connection.phase = next_phase(connection.phase, state, now, schedule)
             connection.send_last_call(now)
         if now >= schedule.shutdown_s and state.unread_bytes:
             self._frontend.read_pending(connection)
             state = connection.state
-        if now >= schedule.shutdown_s and state.unanswered:  # the controller, or its thread, came too late
+        if now >= schedule.shutdown_s and state.unanswered:  # the controller or its thread is too late
             self._frontend.fail_open_requests(connection)
             state = connection.state
         self._enter(connection, next_phase(connection.phase, state, now, schedule))
 
     def _enter(self, connection: ConnectionT, phase: ConnectionPhase) -> None:
-        """Enter a phase; SHUT_DOWN only if the send buffer could be shut down."""
+        """Enter a phase; `SHUT_DOWN` is entered only if the send buffer could be shut down."""
         shuts_down = phase is ConnectionPhase.SHUT_DOWN and connection.phase is not phase
         if not shuts_down or connection.send_buffer.shutdown_write():
             connection.phase = phase
--- a/reelusher/drain/graceful_shutdown.py
+++ b/reelusher/drain/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of a node, from its signal to the end of the process."""
+"""Graceful shutdown of a node, from the signal that requests it to the end of the process."""
 
 import time
 from collections.abc import Callable, Collection
@@ -6,9 +6,9 @@
 
 from reelusher.drain.schedule import DrainObservation, DrainSchedule, QuietPeriod, make_schedule
 
-POLL_INTERVAL_S = 0.02
-EXIT_POLL_INTERVAL_S = 0.005  # while connections close
-MIN_CHANGE_S = 0.02  # a schedule that ends earlier by less than this is not announced again
+POLL_INTERVAL_S = 0.02  # time between two checks whether the drain may end
+EXIT_POLL_INTERVAL_S = 0.005  # time between two checks whether all connections are closed
+MIN_CHANGE_S = 0.02  # a newer schedule that ends earlier by less than this is not announced
 
 
 class DrainableFrontend(Protocol):
@@ -21,7 +21,7 @@
         """Return the latest observation of all connections."""
 
     def open_connections(self) -> int:
-        """Return the number of connections."""
+        """Return the number of open connections."""
 
 
 class GracefulShutdown:
@@ -35,15 +35,20 @@
     ) -> None:
         """Prepare a shutdown.
 
-        `drain_core(time_left_s, elapsed_s)` tells the core its stop and the time since the signal.
-        It is called again when the scheduling lag `lag_s()` turns out to be larger than before.
+        `drain_core(time_left_s, elapsed_s)` notifies the core of the time left until its stop and of the time
+        since the signal. It is called again if the scheduling lag, which `lag_s()` returns in seconds, turns
+        out to be so much larger that the drain must end earlier.
         """
         self._frontends = frontends
         self._drain_core = drain_core
         self._lag_s = lag_s
 
     def run(self, signal_s: float, duration_s: float, grace_s: float) -> DrainSchedule:
-        """Drain since a signal, by the monotonic clock; return the schedule that was followed."""
+        """Drain the node, and return the schedule that was followed.
+
+        `signal_s` is the time of the signal by the monotonic clock. The drain must be over `duration_s`
+        later, and callers may learn of it `grace_s` late.
+        """
         schedule = make_schedule(signal_s, duration_s, grace_s, self._lag_s())
         quiet_period = QuietPeriod()
         self._announce(schedule)
--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -1,13 +1,14 @@
-"""The schedule of a graceful shutdown, and the state machine of a connection during it; free of I/O.
+"""Schedule of a graceful shutdown, and the state machine of a connection during it; free of I/O.
 
-The process is killed `stop_ms` after the signal. All times count back from there, and the later this process
-runs what is due, the earlier each phase starts.
+The process is killed `stop_ms` after the signal. The phases from *reject* on are scheduled backwards from
+that time, and the larger the scheduling lag of this process is, the earlier each of them starts.
 
     signal -- serve --> notify -- read, run --> reject --> answered --> shutdown --> exit --> (stop)
 
-- until *notify* the node serves as usual: callers learn late that it drains;
-- from *notify* on nothing new is accepted, and callers are told to send nothing more;
-- from *reject* on requests are rejected where they are read: that costs least and proves that nothing ran;
+- until *notify* the node serves as usual, since callers learn only after a delay that it drains;
+- from *notify* on no new connection is accepted, and callers are asked to send nothing more;
+- from *reject* on requests are rejected as soon as they are read, which costs least and guarantees that they
+  did not run;
 - by *answered* the controller has given its last answer;
 - from *shutdown* on each connection is read, flushed and shut down, the cheapest first; requests that still
   have no answer are failed;
@@ -18,20 +19,20 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_LAG_FRACTION = 0.08  # of the whole drain, by which the scheduling lag may move a phase
-EXIT_MARGIN_S = 0.25  # between the end of the process and the stop
-SHUTDOWN_S = 0.10  # for reading, flushing and shutting down all connections
-ANSWERED_S = 0.05  # between the last answer and the shutdown of connections
-REJECT_S = 0.20  # between the first rejection on reading and the last answer of the controller
-CONTROLLER_MARGIN_S = 0.24  # by which the controller answers before the stop that it is given
-CROSSING_S = 0.2  # how long requests may still arrive after callers were told to send nothing more
-OBSERVATION_TTL_S = 0.15
-NOTIFY_FRACTION = 0.5  # of the drain, after which callers are told at the latest
+MAX_LAG_FRACTION = 0.08  # scheduling lag beyond this fraction of a drain's duration is not planned for
+EXIT_MARGIN_S = 0.25  # time between the end of the process and the stop
+SHUTDOWN_DURATION_S = 0.10  # time for reading, flushing and shutting down all connections
+ANSWERED_MARGIN_S = 0.05  # time between the last answer and the shutdown of connections
+REJECT_DURATION_S = 0.20  # time between the first rejection on reading and the controller's last answer
+CONTROLLER_MARGIN_S = 0.24  # time between the controller's last answer and the stop that it is given
+MAX_ARRIVAL_DELAY_S = 0.2  # requests may arrive this long after callers were asked to send nothing more
+OBSERVATION_TTL_S = 0.15  # an older observation says nothing about the present state
+NOTIFY_FRACTION = 0.5  # fraction of a drain's duration, after which callers are notified at the latest
 
 
 @dataclass(slots=True, frozen=True)
 class DrainSchedule:
-    """When each phase of a drain starts, in seconds of one clock. The times are in order."""
+    """Times at which the phases of a drain start, in ascending order, in seconds of one clock."""
 
     signal_s: float
     notify_s: float
@@ -43,23 +44,23 @@
 
     @property
     def controller_stop_s(self) -> float:
-        """The stop that the controller is given, so that its last answer comes by `answered_s`."""
+        """The stop that the controller is given so that it gives its last answer by `answered_s`."""
         return self.answered_s + CONTROLLER_MARGIN_S
 
     def completed_at(self, now_s: float) -> "DrainSchedule":
-        """Return the schedule once nothing is unanswered any more: all connections are shut down now."""
+        """Return the schedule of a drain with no work left: all connections are shut down at `now_s`."""
         return DrainSchedule(
             self.signal_s,
             min(self.notify_s, now_s),
             now_s,
             now_s,
             now_s,
-            min(self.exit_s, now_s + SHUTDOWN_S),
+            min(self.exit_s, now_s + SHUTDOWN_DURATION_S),
             self.stop_s,
         )
 
     def no_later_than(self, other: "DrainSchedule") -> "DrainSchedule":
-        """Return the earlier time of each phase: callers may have acted on those of either schedule."""
+        """Return the earlier time of each phase, since a phase may have begun already by either schedule."""
         return DrainSchedule(
             self.signal_s,
             min(self.notify_s, other.notify_s),
@@ -74,40 +75,42 @@
 def make_schedule(signal_s: float, duration_s: float, grace_s: float, lag_s: float) -> DrainSchedule:
     """Schedule a drain that was requested at `signal_s` and must be over `duration_s` later.
 
-    Callers may learn of it `grace_s` late; `lag_s` is the scheduling lag of this process. A duration too
-    short for all phases is divided in the same proportions.
+    Callers may learn of it `grace_s` late; `lag_s` is the scheduling lag of this process. If the duration is
+    too short for all phases, the phases after *notify* are shortened in proportion.
     """
-    spare_s = NOTIFY_FRACTION * duration_s - (EXIT_MARGIN_S + SHUTDOWN_S + ANSWERED_S + REJECT_S)
+    spare_s = NOTIFY_FRACTION * duration_s - (
+        EXIT_MARGIN_S + SHUTDOWN_DURATION_S + ANSWERED_MARGIN_S + REJECT_DURATION_S
+    )
     lag_s = max(0.0, min(lag_s, MAX_LAG_FRACTION * duration_s, spare_s / 3))
     scale = min(1.0, 1 + spare_s / (NOTIFY_FRACTION * duration_s - spare_s))
     stop_s = signal_s + duration_s
     exit_s = stop_s - (EXIT_MARGIN_S + lag_s) * scale
-    shutdown_s = exit_s - (SHUTDOWN_S + lag_s) * scale
-    answered_s = shutdown_s - ANSWERED_S * scale
-    reject_s = answered_s - (REJECT_S + lag_s) * scale
+    shutdown_s = exit_s - (SHUTDOWN_DURATION_S + lag_s) * scale
+    answered_s = shutdown_s - ANSWERED_MARGIN_S * scale
+    reject_s = answered_s - (REJECT_DURATION_S + lag_s) * scale
     notify_s = signal_s + max(0.0, min(grace_s, NOTIFY_FRACTION * duration_s))
     return DrainSchedule(signal_s, min(notify_s, reject_s), reject_s, answered_s, shutdown_s, exit_s, stop_s)
 
 
 class ConnectionPhase(IntEnum):
-    """How far the shutdown of a connection has come."""
+    """Phase of the shutdown of a connection."""
 
     SERVING = 0
-    NOTIFIED = 1  # its caller was told to send nothing more
+    NOTIFIED = 1  # its caller was asked to send nothing more
     SHUT_DOWN = 2  # all requests are answered and flushed, and its writing side is shut down
-    CLOSED = 3  # its caller has closed it too, or no time is left
+    CLOSED = 3  # its caller has closed it as well, or no time is left
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionState:
-    """What is still to be done on a connection, or on several together."""
+    """The work that is left on a connection, or on several connections together."""
 
-    unanswered: int  # requests
-    unsent_bytes: int  # of answers
-    unread_bytes: int
+    unanswered: int  # requests without an answer
+    unsent_bytes: int  # bytes of answers that are not sent yet
+    unread_bytes: int  # received bytes that are not read yet
 
     def is_idle(self) -> bool:
-        """Return whether nothing is left to be done."""
+        """Return whether no work is left."""
         return not (self.unanswered or self.unsent_bytes or self.unread_bytes)
 
 
@@ -124,8 +127,8 @@
 ) -> ConnectionPhase:
     """Return the phase that a connection may enter now.
 
-    It is shut down once it has nothing unanswered or unsent, and otherwise not before the time for answers is
-    over. It is never shut down while it holds unread bytes.
+    From `shutdown_s` on, it is shut down once all its requests are answered and all answers are sent; at
+    `exit_s` it is shut down even if they are not. It is never shut down while it holds unread bytes.
     """
     if phase is ConnectionPhase.SERVING and now_s >= schedule.notify_s:
         return ConnectionPhase.NOTIFIED
@@ -138,26 +141,28 @@
 
 
 def shutdown_cost(state: ConnectionState) -> tuple[int, int, int]:
-    """Return the sort key of connections when time is short, the cheapest first.
+    """Return the key by which connections are sorted when time is short, the cheapest first.
 
-    An idle one costs a system call, one with few unread bytes a rejection or two, one with unsent bytes waits
-    for its reader. So most connections are complete when the time is up, whatever the others cost.
+    An idle connection costs one system call, one with few unread bytes costs a rejection or two, and one with
+    unsent bytes has to wait for its reader. In this order most connections are shut down completely before
+    the time is up, however long the others take.
     """
     return state.unsent_bytes, state.unread_bytes, state.unanswered
 
 
 class QuietPeriod:
-    """Detects that a drain may end early: all was idle for as long as requests may still arrive."""
+    """Detects that a drain may end early: all front ends were idle while requests could still arrive."""
 
     def __init__(self) -> None:
-        self._busy_s = 0.0  # when something was last pending, or unknown
+        self._last_busy_s = 0.0  # when a front end was last busy, or its state unknown
 
     def is_over(
         self, observations: Sequence[DrainObservation | None], now_s: float, schedule: DrainSchedule
     ) -> bool:
-        """Take the latest observation of each front end, and return whether the quiet period is over.
+        """Record the latest observation of each front end, and return whether the quiet period is over.
 
-        An observation older than `OBSERVATION_TTL_S` proves nothing: its front end had no time for another.
+        A front end whose latest observation is missing, or older than `OBSERVATION_TTL_S` because it had no
+        time to make another, counts as busy.
         """
         for observation in observations:
             if (
@@ -165,5 +170,5 @@
                 or now_s - observation.observed_s > OBSERVATION_TTL_S
                 or not observation.state.is_idle()
             ):
-                self._busy_s = now_s
-        return now_s - max(self._busy_s, schedule.notify_s) >= CROSSING_S
+                self._last_busy_s = now_s
+        return now_s - max(self._last_busy_s, schedule.notify_s) >= MAX_ARRIVAL_DELAY_S
--- a/tests/drain/__init__.py
+++ b/tests/drain/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the graceful shutdown."""
+"""Tests of graceful shutdown."""
--- a/tests/drain/test_node_drain.py
+++ b/tests/drain/test_node_drain.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of a whole process, also with little processor time."""
+"""Graceful shutdown of a whole process, also on a core that it shares with busy processes."""
 
 import contextlib
 import json
@@ -18,8 +18,8 @@
 ROOT = Path(__file__).parents[2]
 
 
-# A thread that was there before the program, as one of a preloaded library is, and blocks no signal.
-FOREIGN = """
+# Starts a thread that blocks no signals before the program itself, as a preloaded library may do.
+PROGRAM_WITH_FOREIGN_THREAD = """
 import runpy, sys, threading, time
 threading.Thread(target=time.sleep, args=(60,), daemon=True).start()
 runpy.run_module("reelusher", run_name="__main__", alter_sys=True)
@@ -28,9 +28,9 @@
 
 @contextlib.contextmanager
 def program(
-    folder: Path, stop_ms: int, words: Sequence[str] = ("-m", "reelusher")
+    folder: Path, stop_ms: int, arguments: Sequence[str] = ("-m", "reelusher")
 ) -> Iterator["subprocess.Popen[bytes]"]:
-    """Run the program until the end of the block; it serves when that begins."""
+    """Run the program until the end of the block, which is entered once the program listens."""
     path = folder / "config.json"
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = "{}:{}".format(*free.getsockname())
@@ -46,7 +46,7 @@
         )
     )
     process = subprocess.Popen(
-        [sys.executable, "-O", *words],
+        [sys.executable, "-O", *arguments],
         cwd=ROOT,
         env={**os.environ, "PROXY_CONFIG": str(path)},
         stderr=subprocess.PIPE,
@@ -54,18 +54,21 @@
     try:
         assert process.stderr is not None
         while b"listens on" not in (line := process.stderr.readline()):
-            assert line, "it has ended"
+            assert line, "the program ended before it listened"
         yield process
     finally:
         process.kill()
 
 
 def test_signals_are_received_after_the_process_was_stopped_and_continued(tmp_path: Path) -> None:
-    """A platform that limits CPU does so; an interrupted wait once ended the thread for signals."""
+    """Guard against an interrupted wait that ends the thread that receives signals.
+
+    A platform that limits processor time stops and continues processes in this way.
+    """
     with program(tmp_path, 1000) as process:
-        for _ in range(20):  # longer than a look, so that each wait is over when it goes on
+        for _ in range(20):
             process.send_signal(signal.SIGSTOP)
-            time.sleep(0.06)
+            time.sleep(0.06)  # longer than the poll interval, so that each wait has expired afterwards
             process.send_signal(signal.SIGCONT)
             time.sleep(0.01)
         process.send_signal(signal.SIGTERM)
@@ -75,8 +78,12 @@
 
 
 def test_signal_delivered_to_a_thread_that_blocks_none_drains_the_node(tmp_path: Path) -> None:
-    """The fleet's bench delivers signals past the mask: SIGTERM ended nodes at once, with all in hand."""
-    with program(tmp_path, 1000, ("-c", FOREIGN)) as process:
+    """Guard against SIGTERM ending the node at once, with all its open requests.
+
+    Signals bypass the mask of the program's threads if another thread blocks none; those of the fleet's bench
+    did so.
+    """
+    with program(tmp_path, 1000, ("-c", PROGRAM_WITH_FOREIGN_THREAD)) as process:
         process.send_signal(signal.SIGHUP)
         time.sleep(0.3)
         assert process.poll() is None
@@ -88,7 +95,10 @@
 
 
 def test_drain_starts_while_a_reload_waits_for_its_file(tmp_path: Path) -> None:
-    """One thread took all signals, so a file that could not be read held SIGTERM up until the kill."""
+    """Guard against a reload that delays SIGTERM until the process is killed.
+
+    A single thread handled all signals, so a configuration file that could not be read blocked it.
+    """
     with program(tmp_path, 2000) as process:
         path = tmp_path / "config.json"
         path.unlink()
@@ -109,7 +119,7 @@
 )
 def test_drain_on_a_tenth_of_a_core_meets_the_requirements(load: starved.Load) -> None:
     tally = starved.play(load)
-    broken = tally.broken()
-    broken.pop("late", None)  # how late a starved node answers depends on the machine
-    assert broken == {}, f"{dict(tally)}\n{tally.log}"
+    violations = tally.broken()
+    violations.pop("late", None)  # the delay of a starved node's answers depends on the machine
+    assert violations == {}, f"{dict(tally)}\n{tally.log}"
     assert tally["served"] > 0, f"{dict(tally)}\n{tally.log}"
--- a/tests/drain/test_poller_during_drain.py
+++ b/tests/drain/test_poller_during_drain.py
@@ -1,4 +1,4 @@
-"""What a drain relies on: the timers and calls of the poller, and send buffers that end completely."""
+"""Guarantees that drains rely on: the timely timers and calls of the poller, and complete send buffers."""
 
 import socket
 import threading
@@ -10,81 +10,87 @@
 from reelusher.net.send_buffer import SendBuffer
 
 
-def test_send_buffer_is_shut_down_only_when_all_is_sent_and_closed_by_its_last_user() -> None:
+def test_send_buffer_is_shut_down_only_when_all_is_sent_and_closed_on_release() -> None:
     near, far = socket.socketpair()
     send_buffer = SendBuffer(near, limit=32 << 20)
     send_buffer.send(b"x" * (8 << 20))
     assert send_buffer.backlog
     assert not send_buffer.shutdown_write()
-    got = 0
-    while got < 8 << 20:
-        got += len(far.recv(1 << 20))
-    until = time.monotonic() + 10
+    received = 0
+    while received < 8 << 20:
+        received += len(far.recv(1 << 20))
+    deadline_s = time.monotonic() + 10
     while not send_buffer.shutdown_write():
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline_s
         time.sleep(0.01)
     assert far.recv(10) == b""
     send_buffer.release()
     far.close()
 
 
-def test_poller_runs_its_timers_however_much_arrives() -> None:
-    """A round through all sockets took seconds on a starved core, and the stages of a drain came too late."""
-    poller, looks, pairs = Poller("test-poller", Counters()), list[float](), []
+def test_poller_runs_its_timers_on_time_with_many_readable_sockets() -> None:
+    """Guard against phases of a drain that start too late.
+
+    On a starved core, one pass over all readable sockets took seconds, and no timer ran meanwhile.
+    """
+    poller, timer_runs_s, sockets = Poller("test-poller", Counters()), list[float](), []
     for _ in range(40):
         near, far = socket.socketpair()
         far.send(b"never read")
         poller.watch(near, lambda: time.sleep(0.02))
-        pairs += [near, far]
-    poller.every(0.05, lambda: looks.append(time.monotonic()))
+        sockets += [near, far]
+    poller.every(0.05, lambda: timer_runs_s.append(time.monotonic()))
     poller.start()
     time.sleep(1.0)
     poller.close()
-    gaps = [b - a for a, b in pairwise(looks)]
-    assert len(looks) >= 4
-    assert sorted(gaps)[len(gaps) // 2] < 0.4
-    for sock in pairs:
+    intervals_s = [b - a for a, b in pairwise(timer_runs_s)]
+    assert len(timer_runs_s) >= 4
+    assert sorted(intervals_s)[len(intervals_s) // 2] < 0.4
+    for sock in sockets:
         sock.close()
 
 
-def test_poller_runs_calls_before_it_reads_what_arrived_meanwhile() -> None:
-    """A drain that was asked for while the poller was late came behind what the poller had found to read."""
-    poller, order, over = Poller("test-poller", Counters()), list[str](), threading.Event()
+def test_poller_runs_calls_before_it_reads_ready_sockets() -> None:
+    """Guard against a drain that starts late.
+
+    A drain that was requested while the poller was busy ran only after the sockets that were ready by then.
+    """
+    poller, order, finished = Poller("test-poller", Counters()), list[str](), threading.Event()
     near, far = socket.socketpair()
 
     def slow() -> None:
-        poller.call(lambda: order.append("asked for meanwhile"))  # as another thread would meanwhile
+        poller.call(lambda: order.append("call during the slow call"))  # as another thread may do
         order.append("slow")
 
     def read() -> None:
         near.recv(100)
         order.append("read")
-        over.set()
+        finished.set()
 
     poller.watch(near, read)
     far.send(b"here before the poller looks")
     poller.call(slow)
     poller.start()
-    assert over.wait(10)
+    assert finished.wait(10)
     poller.close()
-    assert order == ["slow", "asked for meanwhile", "read"]
+    assert order == ["slow", "call during the slow call", "read"]
     near.close()
     far.close()
 
 
-def test_poller_reads_although_each_call_calls_again() -> None:
-    poller, over = Poller("test-poller", Counters()), threading.Event()
+def test_poller_reads_sockets_although_each_call_queues_another() -> None:
+    poller, finished = Poller("test-poller", Counters()), threading.Event()
     near, far = socket.socketpair()
 
-    def again() -> None:
-        if not over.is_set():
-            poller.call(again)
+    def queue_again() -> None:
+        if not finished.is_set():
+            poller.call(queue_again)
 
-    poller.watch(near, over.set)
+    poller.watch(near, finished.set)
     far.send(b"here")
-    poller.call(again)
+    poller.call(queue_again)
     poller.start()
-    assert over.wait(10)
+    assert finished.wait(10)
     poller.close()
     near.close()
     far.close()
--- a/tests/drain/test_schedule.py
+++ b/tests/drain/test_schedule.py
@@ -19,7 +19,7 @@
 
 
 def times(schedule: DrainSchedule) -> list[float]:
-    """Return the times of a schedule in their order."""
+    """Return the times of a schedule in the order of its phases."""
     return [
         schedule.signal_s,
         schedule.notify_s,
@@ -33,20 +33,22 @@
 
 @given(st.floats(0, 1e6), st.floats(0.05, 60), st.floats(0, 20), st.floats(-1, 100), st.floats(0, 100))
 def test_drain_phases_are_in_order_and_never_later_with_more_scheduling_lag(
-    signal_s: float, duration_s: float, grace_s: float, lag_s: float, later_s: float
+    signal_s: float, duration_s: float, grace_s: float, lag_s: float, other_lag_s: float
 ) -> None:
     schedule = make_schedule(signal_s, duration_s, grace_s, lag_s)
     assert times(schedule) == sorted(times(schedule))
     assert schedule.stop_s == signal_s + duration_s
     assert schedule.exit_s < schedule.stop_s or duration_s < 1e-6 * signal_s
     assert schedule.notify_s - signal_s <= min(grace_s, duration_s / 2) + 1e-6 * (1 + signal_s)
-    worse = make_schedule(signal_s, duration_s, grace_s, max(lag_s, later_s))
-    assert all(a <= b + 1e-9 * (1 + signal_s) for a, b in zip(times(worse), times(schedule), strict=True))
-    joined = worse.no_later_than(schedule)
-    assert times(joined) == sorted(times(joined))
-    over = schedule.completed_at(schedule.notify_s)
-    assert times(over) == sorted(times(over))
-    assert over.exit_s <= schedule.exit_s
+    with_more_lag = make_schedule(signal_s, duration_s, grace_s, max(lag_s, other_lag_s))
+    assert all(
+        a <= b + 1e-9 * (1 + signal_s) for a, b in zip(times(with_more_lag), times(schedule), strict=True)
+    )
+    earlier = with_more_lag.no_later_than(schedule)
+    assert times(earlier) == sorted(times(earlier))
+    completed = schedule.completed_at(schedule.notify_s)
+    assert times(completed) == sorted(times(completed))
+    assert completed.exit_s <= schedule.exit_s
 
 
 @pytest.mark.parametrize(
@@ -54,27 +56,15 @@
     [
         (ConnectionPhase.SERVING, ConnectionState(0, 0, 0), 0.5, ConnectionPhase.SERVING),
         (ConnectionPhase.SERVING, ConnectionState(3, 0, 0), 1.0, ConnectionPhase.NOTIFIED),
-        (
-            ConnectionPhase.NOTIFIED,
-            ConnectionState(0, 0, 0),
-            3.9,
-            ConnectionPhase.NOTIFIED,
-        ),  # a request may still cross what it was told
+        # before `shutdown_s`, a request may still arrive that was sent before the caller was notified
+        (ConnectionPhase.NOTIFIED, ConnectionState(0, 0, 0), 3.9, ConnectionPhase.NOTIFIED),
         (ConnectionPhase.NOTIFIED, ConnectionState(0, 0, 0), 4.0, ConnectionPhase.SHUT_DOWN),
         (ConnectionPhase.NOTIFIED, ConnectionState(1, 0, 0), 4.5, ConnectionPhase.NOTIFIED),
         (ConnectionPhase.NOTIFIED, ConnectionState(0, 9, 0), 4.5, ConnectionPhase.NOTIFIED),
-        (
-            ConnectionPhase.NOTIFIED,
-            ConnectionState(1, 9, 0),
-            5.0,
-            ConnectionPhase.SHUT_DOWN,
-        ),  # no time is left for what is owed
-        (
-            ConnectionPhase.NOTIFIED,
-            ConnectionState(0, 0, 1),
-            5.0,
-            ConnectionPhase.NOTIFIED,
-        ),  # never with bytes that nobody has read
+        # from `exit_s` on, no time is left for open requests and unsent answers
+        (ConnectionPhase.NOTIFIED, ConnectionState(1, 9, 0), 5.0, ConnectionPhase.SHUT_DOWN),
+        # a connection with unread bytes is never shut down
+        (ConnectionPhase.NOTIFIED, ConnectionState(0, 0, 1), 5.0, ConnectionPhase.NOTIFIED),
         (ConnectionPhase.SHUT_DOWN, ConnectionState(0, 0, 0), 4.9, ConnectionPhase.SHUT_DOWN),
         (ConnectionPhase.SHUT_DOWN, ConnectionState(0, 0, 0), 5.0, ConnectionPhase.CLOSED),
     ],
@@ -96,7 +86,7 @@
     assert [states.index(state) for state in sorted(states, key=shutdown_cost)] == [3, 2, 4, 1, 0]
 
 
-def test_drain_ends_early_only_after_recent_observations_were_idle_while_requests_may_arrive() -> None:
+def test_drain_ends_early_only_after_all_front_ends_were_idle_while_requests_could_arrive() -> None:
     quiet_period = QuietPeriod()
 
     def idle(observed_s: float) -> DrainObservation:
@@ -106,9 +96,8 @@
     assert not quiet_period.is_over([idle(1.0)], 1.0, SCHEDULE)
     assert not quiet_period.is_over([idle(1.1), unread], 1.1, SCHEDULE)
     assert not quiet_period.is_over([idle(1.25)], 1.25, SCHEDULE)
-    assert not quiet_period.is_over(
-        [idle(1.25), None], 1.32, SCHEDULE
-    )  # a front end without an observation yet
-    assert not quiet_period.is_over([idle(1.3)], 1.5, SCHEDULE)  # an old observation
+    # None: a front end that has made no observation yet
+    assert not quiet_period.is_over([idle(1.25), None], 1.32, SCHEDULE)
+    assert not quiet_period.is_over([idle(1.3)], 1.5, SCHEDULE)  # the observation is too old
     assert not quiet_period.is_over([idle(1.69)], 1.69, SCHEDULE)
     assert quiet_period.is_over([idle(1.71)], 1.71, SCHEDULE)
--- a/tests/drain/test_signals.py
+++ b/tests/drain/test_signals.py
@@ -8,7 +8,7 @@
 
 
 def test_earliest_time_of_a_signal_is_proved_however_late_the_watch_polls() -> None:
-    """The thread that looks gets its turn two seconds late each time; the signal comes at 103.4."""
+    """Each poll runs two seconds late, as on a starved core; the signal is sent at 103.4 seconds."""
     now, polls = 100.0, list[float]()
 
     def sleep(seconds: float) -> None:
@@ -19,30 +19,33 @@
         polls.append(now)
         return {signal.SIGUSR1, signal.SIGCHLD} if now >= 103.4 else {signal.SIGCHLD}
 
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
     try:
         signal.raise_signal(signal.SIGUSR1)
         watch = SignalWatch([signal.SIGUSR1], lambda: now, pending)
         while (received := watch.poll()) is None:
             sleep(0.05)
-        came, earliest_s = received
+        signal_received, earliest_s = received
     finally:
-        signal.pthread_sigmask(signal.SIG_SETMASK, before)
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
         signal.signal(signal.SIGUSR1, signal.SIG_DFL)
-    assert came is signal.SIGUSR1
+    assert signal_received is signal.SIGUSR1
     assert earliest_s == polls[-2] <= 103.4 < polls[-1]
 
 
 def test_pending_signal_that_another_thread_takes_first_does_not_block() -> None:
-    """A thread that blocks nothing may take it between the look and the wait, which then never ended."""
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
+    """Guard against a poll that never returns.
+
+    A thread that blocks no signals may take the signal between the check that finds it pending and the wait.
+    """
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGUSR1])
     try:
-        watch = SignalWatch([signal.SIGUSR1], pending=lambda: {signal.SIGUSR1})  # which is gone by then
-        found: list[object] = []
-        thread = threading.Thread(target=lambda: found.append(watch.poll()), daemon=True)
+        watch = SignalWatch([signal.SIGUSR1], pending=lambda: {signal.SIGUSR1})  # none is pending in fact
+        results: list[object] = []
+        thread = threading.Thread(target=lambda: results.append(watch.poll()), daemon=True)
         thread.start()
         thread.join(5)
-        assert found == [None]
+        assert results == [None]
     finally:
-        signal.pthread_sigmask(signal.SIG_SETMASK, before)
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
         signal.signal(signal.SIGUSR1, signal.SIG_DFL)
