--- a/reelusher/pacing/__init__.py
+++ b/reelusher/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""When periodic work is done again, so that many nodes do not do it in step; see docs/pacing.md."""
+"""Pacing of periodic work and retries, so that many nodes do not act in step; see docs/pacing.md."""
--- a/reelusher/pacing/retry_budget.py
+++ b/reelusher/pacing/retry_budget.py
@@ -2,19 +2,20 @@
 
 
 class RetryBudget:
-    """A budget of immediate retries: each success earns a fraction of one, up to a maximum.
+    """A budget of immediate retries: each success earns some, up to a maximum.
 
-    With a target that always fails, there are `max_retries`, and then as many as its successes earn: none.
+    A target that always fails is retried `max_retries` times at once and then no more, since only successes
+    earn further retries.
     """
 
     def __init__(self, max_retries: float, earned_per_success: float) -> None:
-        """Start with the maximum."""
+        """Start with the maximum. `earned_per_success` may be a fraction of a retry."""
         self._max_retries = max_retries
         self._earned_per_success = earned_per_success
         self._retries = max_retries
 
     def record_success(self) -> None:
-        """Earn the fraction of a success."""
+        """Add what a success earns."""
         self._retries = min(self._max_retries, self._retries + self._earned_per_success)
 
     def try_acquire(self) -> bool:
--- a/reelusher/pacing/token_bucket.py
+++ b/reelusher/pacing/token_bucket.py
@@ -2,24 +2,24 @@
 
 
 class TokenBucket:
-    """Refills at a rate up to its capacity, with which it starts. Not for several threads at once."""
+    """A bucket that starts full and refills at a rate, up to its capacity. It is not thread-safe."""
 
     def __init__(self, rate_per_s: float, capacity: float, now_s: float = 0.0) -> None:
-        """`now_s` here and below is by any clock that never goes back."""
+        """Start full. `now_s`, also that of the methods, is the time of any monotonic clock, in seconds."""
         self._rate_per_s = rate_per_s
         self._capacity = capacity
         self._tokens = capacity
         self._refilled_s = now_s
 
     def available(self, now_s: float) -> float:
-        """Return how many tokens there are; negative while more were taken than there were."""
+        """Return the number of available tokens; negative while more were taken than were available."""
         elapsed_s = max(0.0, now_s - self._refilled_s)
         self._tokens = min(self._capacity, self._tokens + elapsed_s * self._rate_per_s)
         self._refilled_s = max(now_s, self._refilled_s)
         return self._tokens
 
     def take(self, tokens: float) -> None:
-        """Take tokens, even more than there are: the refill then pays off the debt first."""
+        """Take tokens, even more than are available: refills then pay off the debt first."""
         self._tokens -= tokens
 
     def try_take(self, now_s: float) -> bool:
--- a/tests/pacing/__init__.py
+++ b/tests/pacing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of pacing."""
+"""Tests of backoff, retry budgets, token buckets and the report schedule."""
--- a/tests/pacing/test_backoff.py
+++ b/tests/pacing/test_backoff.py
@@ -11,24 +11,26 @@
 
 
 @given(st.integers(0, 2**32), st.floats(0.001, 10), st.floats(1, 50), st.integers(1, 60))
-def test_backoff_stays_between_base_and_cap(seed: int, base: float, times: float, n: int) -> None:
-    backoff = Backoff(Random(seed), base, base * times)
-    waits = [backoff.next_s() for _ in range(n)]
-    assert max(waits) <= base * times
-    assert min(waits) >= min(base, base * times / 2)
-    assert waits[0] <= 1.5 * base
+def test_backoff_stays_between_base_and_cap(
+    seed: int, base_s: float, cap_factor: float, delay_count: int
+) -> None:
+    backoff = Backoff(Random(seed), base_s, base_s * cap_factor)
+    delays_s = [backoff.next_s() for _ in range(delay_count)]
+    assert max(delays_s) <= base_s * cap_factor
+    assert min(delays_s) >= min(base_s, base_s * cap_factor / 2)
+    assert delays_s[0] <= 1.5 * base_s
     backoff.reset()
-    assert backoff.next_s() <= 1.5 * base
+    assert backoff.next_s() <= 1.5 * base_s
 
 
-def test_nodes_that_failed_at_one_instant_are_apart_after_one_backoff() -> None:
-    at = []
+def test_attempts_of_nodes_that_failed_at_one_instant_are_spread_by_backoff() -> None:
+    attempt_times_s = []
     for seed in range(200):
-        backoff, now = Backoff(Random(seed), 0.02, 0.25), 0.0
+        backoff, now_s = Backoff(Random(seed), 0.02, 0.25), 0.0
         for number in count():
-            now += backoff.next_s()
-            if number and now > 4:
+            now_s += backoff.next_s()
+            if number and now_s > 4:
                 break
-            at.append(now)
-    later = [time for time in at if 2 < time < 4]
-    assert max_count(later, 0.01) < 3 * len(later) / 200  # against the mean of 10 ms
+            attempt_times_s.append(now_s)
+    later_times_s = [time_s for time_s in attempt_times_s if 2 < time_s < 4]
+    assert max_count(later_times_s, 0.01) < 3 * len(later_times_s) / 200  # three times the mean in 10 ms
--- a/tests/pacing/test_retry_budget.py
+++ b/tests/pacing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of immediate retries."""
+"""Budget of immediate retries."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 
 @given(st.lists(st.booleans(), max_size=300))
-def test_retry_budget_is_its_maximum_and_what_successes_earn(outcomes: list[bool]) -> None:
+def test_retries_never_exceed_the_maximum_plus_those_earned_by_successes(outcomes: list[bool]) -> None:
     budget, retries, successes = RetryBudget(3, 0.5), 0, 0
     for success in outcomes:
         if success:
--- a/tests/pacing/test_users.py
+++ b/tests/pacing/test_users.py
@@ -1,4 +1,4 @@
-"""Registry reports and worker probes, which are paced."""
+"""Paced work: reports to the service registry and probes of workers."""
 
 import socket
 import time
@@ -18,12 +18,15 @@
 def registry_with(
     monkeypatch: pytest.MonkeyPatch, *errors: OSError | None
 ) -> tuple[ServiceRegistry, list[float]]:
-    """Return one on an open connection whose exchanges raise these errors in turn, and their times."""
-    made: list[float] = []
+    """Return a registry client with an open connection, and the list of the times of its exchanges.
+
+    Its exchanges raise these errors in turn; None is a success, and so are all further exchanges.
+    """
+    exchange_times_s: list[float] = []
 
     def exchange(self: ServiceRegistry, *args: Any) -> None:
-        made.append(time.monotonic())
-        error = errors[len(made) - 1] if len(made) <= len(errors) else None
+        exchange_times_s.append(time.monotonic())
+        error = errors[len(exchange_times_s) - 1] if len(exchange_times_s) <= len(errors) else None
         if error:
             raise error
 
@@ -31,43 +34,44 @@
     monkeypatch.setattr(ServiceRegistry, "_disconnect", lambda self: None)
     registry = ServiceRegistry(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
     vars(registry).update(_sock=socket.socket(), _connected_to=("127.0.0.1", 1))
-    return registry, made
+    return registry, exchange_times_s
 
 
 def test_report_is_retried_at_once_on_a_stale_connection_but_not_after_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     stale = ConnectionResetError("stale")
-    registry, made = registry_with(
+    registry, exchange_times_s = registry_with(
         monkeypatch, RegistryUnavailableError("500", 0.0), TimeoutError(), stale, None, stale
     )
-    for wanted in (1, 2, 4, 5):  # the last: one such retry is all until reports have earned another
+    # the last report is not retried: the budget allows one such retry until reports have earned another
+    for exchange_count in (1, 2, 4, 5):
         raised: OSError | None = None
         try:
             registry._put()
         except OSError as error:
             raised = error
-        assert raised is None or wanted != 4, raised
-        assert len(made) == wanted
+        assert raised is None or exchange_count != 4, raised
+        assert len(exchange_times_s) == exchange_count
 
 
 def test_change_is_reported_before_the_next_report_is_due(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ReportSchedule, "on_success", lambda self, sent_s, now_s: 1000.0)
-    registry, made = registry_with(monkeypatch)
+    registry, exchange_times_s = registry_with(monkeypatch)
     registry.start()
     try:
         for number in (1, 2):
-            until = time.monotonic() + 10
-            while len(made) < number and time.monotonic() < until:
+            deadline_s = time.monotonic() + 10
+            while len(exchange_times_s) < number and time.monotonic() < deadline_s:
                 time.sleep(0.005)
-            assert len(made) == number
+            assert len(exchange_times_s) == number
             registry.health_changed()
     finally:
         registry.stop()
 
 
 def test_one_request_at_a_time_probes_an_unreachable_worker_and_less_often_with_time() -> None:
-    own = parse_operator(
+    operator_config = parse_operator(
         {
             "node": {"name": "h"},
             "capacity": {"cores": 2, "memory_kb": 1000},
@@ -75,31 +79,33 @@
             "workers": [{"name": "w", "recover_ms": 1000}],
         }
     )
-    pool = WorkerPool(own.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1))
-    member: PooledWorker = pool.workers["w"]
-
-    def pick() -> PooledWorker | None:
-        return pool.load_balancer.acquire([member], set(), "", "requests")
-
-    assert pick()
-    assert pick()
-    member.record_unreachable()
-    first = member.down_until
-    member.record_unreachable()
-    assert member.down_until == first
-    assert pick() is None
-    waits = []
+    pool = WorkerPool(
+        operator_config.workers, (), 2, lambda message: None, Counters(), 1024, lambda: 0, Random(1)
+    )
+    probed_worker: PooledWorker = pool.workers["w"]
+
+    def acquire_worker() -> PooledWorker | None:
+        return pool.load_balancer.acquire([probed_worker], set(), "", "requests")
+
+    assert acquire_worker()
+    assert acquire_worker()
+    probed_worker.record_unreachable()
+    first_down_until = probed_worker.down_until
+    probed_worker.record_unreachable()
+    assert probed_worker.down_until == first_down_until
+    assert acquire_worker() is None
+    down_times_s = []
     for _ in range(6):
-        member.down_until = 0.0
-        assert pick() is member
-        assert pick() is None
+        probed_worker.down_until = 0.0
+        assert acquire_worker() is probed_worker
+        assert acquire_worker() is None
         failed_s = time.monotonic()
-        member.record_unreachable()
-        waits.append(member.down_until - failed_s)
-    assert max(waits) <= 4.1
-    assert sum(waits[3:]) > 1.5 * waits[0]
-    member.down_until = 0.0
-    assert pick() is member
-    member.record_reached()
-    assert pick()
-    assert pick()
+        probed_worker.record_unreachable()
+        down_times_s.append(probed_worker.down_until - failed_s)
+    assert max(down_times_s) <= 4.1
+    assert sum(down_times_s[3:]) > 1.5 * down_times_s[0]
+    probed_worker.down_until = 0.0
+    assert acquire_worker() is probed_worker
+    probed_worker.record_reached()
+    assert acquire_worker()
+    assert acquire_worker()
