--- a/reelusher/upgrade/__init__.py
+++ b/reelusher/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""Upgrades: one process of a node takes over from another while both serve; see docs/operation.md."""
+"""Upgrades: a new process of a node takes over from the old one while both serve; see docs/operation.md."""
--- a/reelusher/upgrade/key_lock_directory.py
+++ b/reelusher/upgrade/key_lock_directory.py
@@ -1,4 +1,4 @@
-"""The directory of key locks that the processes of one node share: a JSON file for each locked key."""
+"""Directory of key locks that the processes of one node share, with a JSON file for each locked key."""
 
 import base64
 import contextlib
@@ -14,17 +14,17 @@
 
 from reelusher.core.messages import IdempotencyKey, Result
 
-DIRECTORY_LOCK = "lock"  # name of the file that processes lock while they create or remove others
-NAME_BYTES = 16  # of the digest that names the file of a key
+DIRECTORY_LOCK = "lock"  # name of the file that a process locks while it creates or removes the file of a key
+NAME_BYTES = 16  # size of the digest that is the file name of a key
 DIRECTORY_MODE, FILE_MODE = 0o700, 0o600
 
 
 class KeyLockError(Exception):
-    """The file of a key lock can't be understood."""
+    """The file of a key lock can't be read, or its content is malformed."""
 
 
 class RunState(Enum):
-    """The state of the run of a locked key, as files hold it."""
+    """The state of the run of a locked key, as it is stored in files."""
 
     RUNNING = "runs"
     SUCCEEDED = "ok"
@@ -35,21 +35,21 @@
 class KeyLock:
     """A locked key and the state of its run."""
 
-    expires_us: int  # Unix time
-    digest: str  # of the body, hexadecimal
+    expires_us: int  # Unix time at which the lock expires
+    digest: str  # hexadecimal digest of the request's body
     state: RunState = RunState.RUNNING
-    result: Result | None = None  # of a run that succeeded
+    result: Result | None = None  # result of a run that succeeded
 
 
 class KeyLockDirectory:
     """Reads and writes the files of key locks."""
 
     def __init__(self, folder: Path) -> None:
-        """Make the directory, if it is not there; raises OSError."""
+        """Create the directory if it does not exist. Raises OSError."""
         self._folder = folder
         self._folder.mkdir(mode=DIRECTORY_MODE, exist_ok=True)
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
-        self._lock_file = os.open(self._folder / DIRECTORY_LOCK, flags, FILE_MODE)
+        self._lock_descriptor = os.open(self._folder / DIRECTORY_LOCK, flags, FILE_MODE)
 
     def path(self, key: IdempotencyKey) -> Path:
         """Return the path of the file of a key."""
@@ -57,16 +57,17 @@
         return self._folder / blake2b(name, digest_size=NAME_BYTES).hexdigest()
 
     def read(self, key: IdempotencyKey, at_us: int) -> KeyLock | None:
-        """Return the lock of a key, if there is one that had not expired at that time.
+        """Return the lock of a key, or None if there is none or it had expired at `at_us` (Unix time).
 
-        Raises KeyLockError or OSError if there is a file that can't be read.
+        Raises KeyLockError if the file is malformed, and OSError if it can't be read.
         """
         return _read(self.path(key), at_us)
 
     def create(self, key: IdempotencyKey, lock: KeyLock, received_us: int) -> KeyLock | None:
-        """Create the lock of a key, unless there is one that had not expired at `received_us`: return that.
+        """Create the lock of a key and return None, or return the lock that exists.
 
-        Raises KeyLockError if there is a file that can't be read, and OSError if none can be written.
+        A lock that had expired at `received_us` is replaced. Raises KeyLockError if an existing file can't be
+        read, and OSError if the file can't be written.
         """
         with self._exclusive():
             try:
@@ -78,25 +79,25 @@
             return existing
 
     def finish(self, key: IdempotencyKey, result: Result | None) -> None:
-        """Record the result of the run of a key, None for one that failed."""
+        """Record the result of the run of a key; None means that the run failed."""
         lock = self.read(key, 0)
         if lock is not None and lock.state is RunState.RUNNING:
             state = RunState.FAILED if result is None else RunState.SUCCEEDED
             self.write(key, replace(lock, state=state, result=result))
 
     def write(self, key: IdempotencyKey, lock: KeyLock) -> None:
-        """Replace the file of a key in one step: another process may read it at any moment."""
+        """Replace the file of a key atomically, since another process may read it at any moment."""
         path = self.path(key)
-        temporary = path.with_suffix(f".{os.getpid()}")
-        temporary.write_text(json.dumps(_to_fields(lock), separators=(",", ":")))
-        temporary.rename(path)
+        temporary_path = path.with_suffix(f".{os.getpid()}")
+        temporary_path.write_text(json.dumps(_to_fields(lock), separators=(",", ":")))
+        temporary_path.rename(path)
 
     def remove(self, key: IdempotencyKey) -> None:
         """Remove the lock of a key."""
         self.path(key).unlink(missing_ok=True)
 
     def remove_expired(self, at_us: int) -> None:
-        """Remove the locks that had expired at that time."""
+        """Remove the locks that had expired at `at_us` (Unix time)."""
         for path in self._folder.iterdir():
             if path.name == DIRECTORY_LOCK:
                 continue
@@ -106,12 +107,12 @@
 
     @contextlib.contextmanager
     def _exclusive(self) -> Iterator[None]:
-        """Exclude other processes; held no longer than it takes to handle one file."""
-        fcntl.flock(self._lock_file, fcntl.LOCK_EX)
+        """Exclude other processes. Hold this lock no longer than it takes to handle one file."""
+        fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX)
         try:
             yield
         finally:
-            fcntl.flock(self._lock_file, fcntl.LOCK_UN)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_UN)
 
 
 def _read(path: Path, at_us: int) -> KeyLock | None:
@@ -122,7 +123,7 @@
     except ValueError as error:
         raise KeyLockError(f"{path.name}: {error}") from None
     if not isinstance(fields, dict) or not isinstance(fields.get("until_us"), int):
-        raise KeyLockError(f"{path.name} is no key lock")
+        raise KeyLockError(f"{path.name} is not a key lock")
     if fields["until_us"] < at_us:
         return None
     try:
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -1,8 +1,9 @@
-"""Locks of idempotency keys between the processes of one node, so that only one of them runs a key.
+"""Locks on idempotency keys between the processes of one node, so that only one process runs each key.
 
-A key is locked before its run starts, and its file then records the result. Another process that receives
-the same key finds the lock, waits for the end of the run, and serves the result; if none comes in time, the
-request fails, since it may have run. A thread does all of this, so that the event loop never waits.
+A key is locked before its run starts, and its file later records the result. Another process that receives
+the same key finds the lock, waits for the end of the run, and serves the result; if there is no result in
+time, the request fails, since it may have run. A separate thread accesses the files, so that the event loop
+never blocks.
 """
 
 import heapq
@@ -18,9 +19,10 @@
 from reelusher.upgrade.key_lock_directory import KeyLock, KeyLockDirectory, KeyLockError, RunState
 from reelusher.upgrade.process_registry import file_name_of
 
-POLL_INTERVAL_S = 0.05  # between two reads of the lock of another process whose run has not ended
-EXPIRY_INTERVAL_S = 5.0  # between two looks for expired locks
-RETENTION_US = 20_000_000  # of an expired lock: a request may be read that long after it was received
+POLL_INTERVAL_S = 0.05  # time between two reads of another process's lock while its run has not ended
+EXPIRY_INTERVAL_S = 5.0  # minimum time between two removals of expired locks
+# an expired lock is kept this long, since a request may be read that long after it was received
+RETENTION_US = 20_000_000
 
 
 class KeyLockFiles:
@@ -29,18 +31,22 @@
     def __init__(
         self, folder: Path, name: str, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
     ) -> None:
-        """Open the locks of the node of that name; raises OSError if the folder can't be used."""
+        """Open the locks of the node of that name. Raises OSError if the folder can't be used.
+
+        `now_us` returns the Unix time.
+        """
         self._now_us = now_us
         self.directory = KeyLockDirectory(folder / f"{file_name_of(name)}.keys")
-        self._tasks: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()  # None: end
-        self._polls: list[tuple[float, int, KeyLockRequest]] = []  # heap by due time and sequence number
+        # None ends the thread
+        self._tasks: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
+        self._polls: list[tuple[float, int, KeyLockRequest]] = []  # heap; due time and sequence number first
         self._last_sequence = 0
         self._expiry_checked_s = time.monotonic()
 
-    # Called on the event loop thread
+    # Methods that are called on the event loop's thread
 
     def acquire(self, request: KeyLockRequest) -> None:
-        """Lock a key, or wait for its result in another process; see `KeyLockRequest`."""
+        """Lock a key, or wait for the result of its run in another process; see `KeyLockRequest`."""
         self._tasks.put(lambda: self._acquire(request))
 
     def complete(self, key: IdempotencyKey, result: Result | None) -> None:
@@ -52,14 +58,14 @@
         self._tasks.put(lambda: self.directory.remove(key))
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the thread that accesses the files."""
         start_thread("key-locks", self._run)
 
     def close(self) -> None:
-        """End the thread after the tasks that are queued now."""
+        """End the thread once the tasks that are queued now are done."""
         self._tasks.put(None)
 
-    # The thread
+    # Methods that run on the thread that accesses the files
 
     def _run(self) -> None:
         while True:
@@ -81,7 +87,7 @@
             existing = self.directory.create(request.key, lock, request.received_us)
         except KeyLockError as error:
             self._fail(request, error)
-        except OSError as error:  # such as a full disk: nothing is locked, so nothing is run
+        except OSError as error:  # such as a full disk: the key is not locked, so it must not run
             logger.error("upgrade: a key can't be locked, its request is rejected: {}", error)
             request.on_decided(False)
         else:
@@ -92,7 +98,7 @@
 
     def _on_locked_elsewhere(self, request: KeyLockRequest, lock: KeyLock) -> None:
         """Report the result of the run in another process, or wait for it."""
-        if lock.digest != request.digest or self._now_us() >= request.due_us:  # another body, or too late
+        if lock.digest != request.digest or self._now_us() >= request.due_us:  # another body, or overdue
             request.on_result_elsewhere(None)
         elif lock.state is RunState.RUNNING:
             self._last_sequence += 1
@@ -102,12 +108,12 @@
             request.on_result_elsewhere(lock.result)
 
     def _fail(self, request: KeyLockRequest, error: Exception) -> None:
-        """Fail a request whose lock can't be read: it may have run, and it must get an answer."""
+        """Fail a request whose lock can't be read: it may have run already, and it must be answered."""
         logger.error("upgrade: a key lock can't be read, its request fails: {}", error)
         request.on_result_elsewhere(None)
 
     def _poll(self) -> None:
-        """Read the locks of other processes that are due, and remove expired locks now and then."""
+        """Read the locks whose next poll is due, and remove expired locks every `EXPIRY_INTERVAL_S`."""
         now_s = time.monotonic()
         while self._polls and self._polls[0][0] <= now_s:
             self._poll_request(heapq.heappop(self._polls)[2])
@@ -121,7 +127,7 @@
         except (OSError, KeyLockError) as error:
             self._fail(request, error)
             return
-        if lock is None:  # released there: it never ran
+        if lock is None:  # the other process released it, so the key never ran
             self._acquire(request)
         else:
             self._on_locked_elsewhere(request, lock)
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -17,9 +17,9 @@
 
 
 class Process:
-    """A process of the node, with a runtime that ends every run at once."""
+    """A process of the node, with a fake runtime that ends every run at once."""
 
-    def __init__(self, folder: Path, number: int, listen: str, catalog: str) -> None:
+    def __init__(self, folder: Path, number: int, listen: str, registry: str) -> None:
         self.runtime = parties.Runtime({})
         self.runtime.at_once = True
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -32,7 +32,7 @@
                     "listen": listen,
                     "seed": f"{number:x}",
                     "stop_ms": 4000,
-                    "directory": catalog,
+                    "directory": registry,
                     "runtime": "{}:{}".format(*self.runtime.address),
                     "operator": "{}:{}".format(*self.operator),
                     "limits": {"sockets": 256},
@@ -48,6 +48,7 @@
         )
 
     def ready(self) -> bool:
+        """Return whether the health check of the process succeeds."""
         try:
             with socket.create_connection(self.operator, 2) as sock:
                 sock.settimeout(5)
@@ -60,15 +61,15 @@
 def test_callers_lose_nothing_while_one_process_takes_over(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    catalog = parties.CatalogParty({})
-    old = Process(tmp_path, 1, f"127.0.0.1:{port}", "{}:{}".format(*catalog.address))
+    registry = parties.CatalogParty({})
+    old = Process(tmp_path, 1, f"127.0.0.1:{port}", "{}:{}".format(*registry.address))
     new: Process | None = None
-    lost: list[str]
+    lost_requests: list[str]
     answered: list[int]
-    stop, lost, answered = threading.Event(), [], []
+    stop, lost_requests, answered = threading.Event(), [], []
 
     def call(caller: int) -> None:
-        """Ask on new connections and kept ones in turn; a try that can't be sent is made once more."""
+        """Send one request after the other; reconnect after every third one and after a last call."""
         number, sock, decoder = 0, None, msgpack.Decoder(1 << 14)
         while not stop.is_set():
             number += 1
@@ -78,19 +79,19 @@
                     sock.settimeout(10)
                 fields = {"txn": f"{caller:08x}{number:08x}", "lb": str(caller), "ram": "10", "cpu": "1"}
                 sock.sendall(msgpack.pack([0, number, "slot-search", [fields, b"x"]]))
-                got: list[Any] = []
-                while not any(message[0] == 1 for message in got):
+                messages: list[Any] = []
+                while not any(message[0] == 1 for message in messages):
                     data = sock.recv(1 << 12)
                     if not data:
                         raise OSError("closed")
-                    got += decoder.feed(data)
-                last = any(message[0] == 2 for message in got)
+                    messages += decoder.feed(data)
+                got_last_call = any(message[0] == 2 for message in messages)
                 answered.append(caller)
-                if last or number % 3 == 0:
+                if got_last_call or number % 3 == 0:
                     sock.close()
                     sock = None
             except OSError as error:
-                lost.append(f"{caller} {number}: {error!r}")
+                lost_requests.append(f"{caller} {number}: {error!r}")
                 sock = None
 
     threads = [threading.Thread(target=call, args=(caller,), daemon=True) for caller in range(1, 5)]
@@ -99,23 +100,24 @@
         for thread in threads:
             thread.start()
         assert soon(lambda: len(answered) > 50)
-        new = Process(tmp_path, 2, f"127.0.0.1:{port}", "{}:{}".format(*catalog.address))
+        new = Process(tmp_path, 2, f"127.0.0.1:{port}", "{}:{}".format(*registry.address))
         assert soon(new.ready)
         old.process.terminate()
         assert old.process.wait(10) == 0
-        before = len(answered)
-        assert soon(lambda: len(answered) > before + 50)
+        answered_before = len(answered)
+        assert soon(lambda: len(answered) > answered_before + 50)
         stop.set()
         for thread in threads:
             thread.join(10)
-        assert len(lost) <= 2, lost  # a request that crosses a close, or meets the listener's last instant
+        # a request may be in flight when its connection is closed, or arrive as the listener is closed
+        assert len(lost_requests) <= 2, lost_requests
         new.process.terminate()
         assert new.process.wait(10) == 0
     finally:
         stop.set()
-        for one in (old, new):
-            if one is not None:
-                one.process.kill()
-                one.process.wait()
-                one.runtime.close(["listener"])
-        catalog.close(["listener"])
+        for node_process in (old, new):
+            if node_process is not None:
+                node_process.process.kill()
+                node_process.process.wait()
+                node_process.runtime.close(["listener"])
+        registry.close(["listener"])
--- a/tests/upgrade/test_key_locks.py
+++ b/tests/upgrade/test_key_locks.py
@@ -1,4 +1,4 @@
-"""Key locks between two processes."""
+"""Key locks that two processes share."""
 
 import threading
 import time
@@ -14,13 +14,11 @@
 from reelusher.upgrade.key_locks import KeyLockFiles
 
 KEY = IdempotencyKey("platform", 2, "k1")
-
-
 SECOND_US = 1_000_000
 
 
 class TwoProcesses:
-    """The key locks of two processes in one folder, and a clock."""
+    """The key locks of two processes in one folder, with a common clock."""
 
     def __init__(self, folder: Path) -> None:
         self.now_us = 100 * SECOND_US
@@ -29,11 +27,15 @@
             locks.start()
 
     def acquire(
-        self, process: int, digest: str = "b", received_s: float = 0.0, due_s: float = 60.0
+        self, process_index: int, digest: str = "b", received_s: float = 0.0, due_s: float = 60.0
     ) -> list[Any]:
-        """Request the lock in one of the two processes; the list receives the outcome."""
+        """Request the lock in one of the two processes, and return the list that receives the outcome.
+
+        The outcome is True if the key may run there, False if its request is rejected, and otherwise the
+        result of the run in the other process, or None if the request fails.
+        """
         outcomes: list[Any] = []
-        self.locks[process].acquire(
+        self.locks[process_index].acquire(
             KeyLockRequest(
                 KEY,
                 self.now_us + int(received_s * 1e6),
@@ -52,21 +54,21 @@
 
 
 @pytest.fixture
-def both(tmp_path: Path) -> Any:
+def processes(tmp_path: Path) -> Any:
     two_processes = TwoProcesses(tmp_path)
     yield two_processes
     two_processes.close()
 
 
-def test_one_process_runs_a_key_and_the_other_receives_its_result(both: TwoProcesses) -> None:
-    first = both.acquire(0)
+def test_one_process_runs_a_key_and_the_other_receives_its_result(processes: TwoProcesses) -> None:
+    first = processes.acquire(0)
     assert receives(first, True)
-    second = both.acquire(1)
+    second = processes.acquire(1)
     assert not receives_anything(second)
-    both.locks[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
+    processes.locks[0].complete(KEY, Result(b"made", 201, (("a", "b"),)))
     assert receives(second, Result(b"made", 201, (("a", "b"),)))
-    other = both.acquire(1, digest="c")
-    assert receives(other, None)  # another body must not receive the result
+    other_body = processes.acquire(1, digest="c")
+    assert receives(other_body, None)  # another body must not receive the result
 
 
 def receives(outcomes: list[Any], expected: Any) -> bool:
@@ -78,39 +80,39 @@
     return bool(outcomes)
 
 
-def test_key_whose_run_failed_or_never_ended_fails_in_the_other_process(both: TwoProcesses) -> None:
-    assert receives(both.acquire(0), True)
-    waiting = both.acquire(1, due_s=3)
+def test_key_whose_run_failed_or_never_ended_fails_in_the_other_process(processes: TwoProcesses) -> None:
+    assert receives(processes.acquire(0), True)
+    waiting = processes.acquire(1, due_s=3)
     assert not receives_anything(waiting)
-    both.now_us += 4 * SECOND_US  # the process that locked it is gone, and may have run it
+    processes.now_us += 4 * SECOND_US  # the process that locked the key is gone, and may have run it
     assert receives(waiting, None)
-    both.locks[0].complete(KEY, None)
-    assert receives(both.acquire(1), None)
+    processes.locks[0].complete(KEY, None)
+    assert receives(processes.acquire(1), None)
 
 
-def test_released_or_expired_lock_is_acquired_again(both: TwoProcesses) -> None:
-    assert receives(both.acquire(0), True)
-    waiting = both.acquire(1)
-    both.locks[0].release(KEY)
+def test_released_or_expired_lock_is_acquired_again(processes: TwoProcesses) -> None:
+    assert receives(processes.acquire(0), True)
+    waiting = processes.acquire(1)
+    processes.locks[0].release(KEY)
     assert receives(waiting, True)
-    both.now_us += 21 * SECOND_US
-    read_later = both.acquire(0, received_s=-2.0)  # received within the window, read after it
-    assert not receives_anything(read_later)
-    assert receives(both.acquire(0), True)
+    processes.now_us += 21 * SECOND_US
+    late_read = processes.acquire(0, received_s=-2.0)  # received before the lock expired, read afterwards
+    assert not receives_anything(late_read)
+    assert receives(processes.acquire(0), True)
 
 
 @pytest.mark.parametrize("malformed", [b"", b"{", b"[]", b'{"until_us": "x"}'])
-def test_malformed_lock_fails_its_key_and_no_other(both: TwoProcesses, malformed: bytes) -> None:
-    locks = both.locks[0]
+def test_malformed_lock_fails_its_key_and_no_other(processes: TwoProcesses, malformed: bytes) -> None:
+    locks = processes.locks[0]
     locks.directory.path(KEY).write_bytes(malformed)
-    assert receives(both.acquire(0), None)  # it may have run: it is neither run again nor rejected
+    assert receives(processes.acquire(0), None)  # the key may have run: it is neither run again nor rejected
     outcomes: list[Any] = []
     locks.acquire(
         KeyLockRequest(
             IdempotencyKey("platform", 2, "k2"),
             0,
-            both.now_us,
-            both.now_us,
+            processes.now_us,
+            processes.now_us,
             "b",
             outcomes.append,
             outcomes.append,
@@ -121,40 +123,47 @@
 
 @pytest.mark.parametrize("malformed", [b"", b'{"until_us": 9000000000000000}'])
 def test_lock_that_becomes_malformed_while_polled_fails_its_request(
-    both: TwoProcesses, malformed: bytes
+    processes: TwoProcesses, malformed: bytes
 ) -> None:
-    assert receives(both.acquire(0), True)
-    waiting = both.acquire(1)
+    assert receives(processes.acquire(0), True)
+    waiting = processes.acquire(1)
     assert not receives_anything(waiting)
-    both.locks[0].directory.path(KEY).write_bytes(malformed)
+    processes.locks[0].directory.path(KEY).write_bytes(malformed)
     assert receives(waiting, None)
 
 
-def test_key_that_can_not_be_locked_is_rejected(both: TwoProcesses, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_key_that_can_not_be_locked_is_rejected(
+    processes: TwoProcesses, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def full_disk(key: IdempotencyKey, lock: KeyLock) -> None:
         raise OSError(28, "no space left")
 
-    monkeypatch.setattr(both.locks[0].directory, "write", full_disk)
-    assert receives(both.acquire(0), False)
+    monkeypatch.setattr(processes.locks[0].directory, "write", full_disk)
+    assert receives(processes.acquire(0), False)
 
 
 def test_key_locked_by_two_processes_at_once_is_run_by_one(tmp_path: Path) -> None:
     for _ in range(20):
-        both = TwoProcesses(tmp_path)
-        gate = threading.Barrier(2)
+        processes = TwoProcesses(tmp_path)
+        barrier = threading.Barrier(2)
         outcomes: list[list[Any]] = []
 
-        def go(which: int, both: TwoProcesses, gate: threading.Barrier, outcomes: list[list[Any]]) -> None:
-            gate.wait()
-            outcomes.append(both.acquire(which, due_s=0.0))
+        def acquire_lock(
+            process_index: int, processes: TwoProcesses, barrier: threading.Barrier, outcomes: list[list[Any]]
+        ) -> None:
+            barrier.wait()
+            outcomes.append(processes.acquire(process_index, due_s=0.0))
 
-        threads = [threading.Thread(target=go, args=(which, both, gate, outcomes)) for which in range(2)]
+        threads = [
+            threading.Thread(target=acquire_lock, args=(process_index, processes, barrier, outcomes))
+            for process_index in range(2)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
         assert soon(partial(all, outcomes))
-        assert sum(received == [True] for received in outcomes) == 1
-        both.locks[0].release(KEY)
-        both.close()
+        assert sum(outcome == [True] for outcome in outcomes) == 1
+        processes.locks[0].release(KEY)
+        processes.close()
         assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
