--- a/reelusher/simulator/adapter.py
+++ b/reelusher/simulator/adapter.py
@@ -1,7 +1,7 @@
-"""The adapter of the simulator: hosts one controller for each instance, and decides nothing.
+"""Adapter for the simulator: hosts one controller for each instance, and makes no decision of its own.
 
-It reads batches of events from standard input and writes a reply to each to standard output. A malformed
-frame ends it with one line on standard error and a non-zero status.
+It reads batches of events from standard input and writes a reply to each batch to standard output. A
+malformed frame ends the process with one line on standard error and a non-zero exit status.
 """
 
 import sys
@@ -28,16 +28,19 @@
 
 
 class Instance:
-    """A controller and the fields of its gauges in the order of the wire."""
+    """A controller, and the `Gauges` fields of its gauges in the order in which they are sent."""
 
     def __init__(self, settings_text: bytes, seed: int) -> None:
-        """Raise `SettingsError`, ValueError, TypeError or AttributeError for settings that can't be used."""
+        """Create a controller from settings in JSON.
+
+        Raises `SettingsError`, ValueError, TypeError or AttributeError if the settings can't be used.
+        """
         settings, self.gauge_fields = settings_of(settings_text)
         self.controller = Controller(settings, seed)
 
 
 class ControllerHost:
-    """The instances of one process."""
+    """The instances that one adapter process hosts, by their numbers."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -46,78 +49,87 @@
         """Return the reply to a batch. Raises `MalformedFrameError`."""
         events, failures = self._read_batch(header, body)
         writer = ReplyWriter()
-        for number, batch in events.items():
-            if number not in failures:
-                self._handle(number, header.now_us, batch, writer, failures)
-            if number in failures:
-                writer.add_failure(number, failures[number])
+        for instance_number, instance_events in events.items():
+            if instance_number not in failures:
+                self._handle(instance_number, header.now_us, instance_events, writer, failures)
+            if instance_number in failures:
+                writer.add_failure(instance_number, failures[instance_number])
         return writer.finish(header.number)
 
     def _handle(
-        self, number: int, now_us: int, batch: list[Event], writer: ReplyWriter, failures: dict[int, str]
+        self,
+        instance_number: int,
+        now_us: int,
+        instance_events: list[Event],
+        writer: ReplyWriter,
+        failures: dict[int, str],
     ) -> None:
         try:
-            for action in self.instances[number].controller.handle(now_us, batch):
-                writer.add(number, action)
-        except Exception:  # the wire wants any failure of the policy reported as such
-            failures[number] = traceback.format_exc()
+            for action in self.instances[instance_number].controller.handle(now_us, instance_events):
+                writer.add(instance_number, action)
+        except Exception:  # the wire protocol requires a report of every failure of the policy
+            failures[instance_number] = traceback.format_exc()
 
     def _read_batch(self, header: BatchHeader, body: bytes) -> tuple[dict[int, list[Event]], dict[int, str]]:
-        """Return the events of each instance, and the failure of each that could not be created."""
+        """Return the events of each instance, and the error of each instance that could not be created."""
         events: dict[int, list[Event]] = {}
         failures: dict[int, str] = {}
         for start in range(0, header.records_size, EVENT_SIZE):
-            place = f"batch {header.number}, record {start // EVENT_SIZE}"
-            code, number = INSTANCE.unpack_from(body, start)
+            location = f"batch {header.number}, record {start // EVENT_SIZE}"
+            code, instance_number = INSTANCE.unpack_from(body, start)
             if code == HALT:
                 for table in (self.instances, events, failures):
-                    table.pop(number, None)
+                    table.pop(instance_number, None)
             elif code == CREATE:
-                events[number] = []
-                failure = self._create(number, body, start, header.records_size, place)
+                events[instance_number] = []
+                failure = self._create(instance_number, body, start, header.records_size, location)
                 if failure is not None:
-                    failures[number] = failure
+                    failures[instance_number] = failure
             elif not is_event(code):
-                raise MalformedFrameError(f"{place}: unknown event code {code}")
-            elif number in self.instances:
-                fields = self.instances[number].gauge_fields
-                events.setdefault(number, []).append(read_event(code, body, start, fields))
-            elif number not in failures:
-                raise MalformedFrameError(f"{place}: instance {number} was never created")
+                raise MalformedFrameError(f"{location}: unknown event code {code}")
+            elif instance_number in self.instances:
+                fields = self.instances[instance_number].gauge_fields
+                events.setdefault(instance_number, []).append(read_event(code, body, start, fields))
+            elif instance_number not in failures:
+                raise MalformedFrameError(f"{location}: instance {instance_number} was never created")
         return events, failures
 
-    def _create(self, number: int, body: bytes, start: int, tail: int, place: str) -> str | None:
-        """Create an instance; return why it could not be."""
+    def _create(
+        self, instance_number: int, body: bytes, start: int, tail_start: int, location: str
+    ) -> str | None:
+        """Create an instance; return None, or the error if it could not be created."""
         record = read_create(body, start)
-        begin, end = tail + record.offset, tail + record.offset + record.length
-        if end > len(body):
-            raise MalformedFrameError(f"{place}: settings reach past the end of the frame")
+        settings_start, settings_end = tail_start + record.offset, tail_start + record.offset + record.length
+        if settings_end > len(body):
+            raise MalformedFrameError(f"{location}: settings reach past the end of the frame")
         try:
-            self.instances[number] = Instance(body[begin:end], record.seed)
+            self.instances[instance_number] = Instance(body[settings_start:settings_end], record.seed)
         except (SettingsError, ValueError, TypeError, AttributeError) as error:
             return str(error)
         return None
 
 
-def read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
-    """Read so many bytes. Raises `MalformedFrameError` where the input ends before."""
+def read_exactly(source: BinaryIO, size: int, part_name: str) -> bytes:
+    """Read `size` bytes. Raises `MalformedFrameError`, which names the part, if the input ends earlier."""
     data = source.read(size)
     if len(data) < size:
-        raise MalformedFrameError(f"{what} cut short: {len(data)} of {size} bytes")
+        raise MalformedFrameError(f"{part_name} cut short: {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises `MalformedFrameError`."""
+    """Reply to batches until the input ends. Raises `MalformedFrameError`."""
     host = ControllerHost()
     while data := source.read(BATCH_HEADER.size):
         header = read_header(data)
-        where = f"batch {header.number}"
+        batch_name = f"batch {header.number}"
         try:
-            reply = host.reply(header, read_exactly(source, header.body_size, where))
+            reply = host.reply(header, read_exactly(source, header.body_size, batch_name))
         except MalformedFrameError as error:
-            text = str(error)
-            raise MalformedFrameError(text if text.startswith("batch") else f"{where}: {text}") from None
+            message = str(error)
+            raise MalformedFrameError(
+                message if message.startswith("batch") else f"{batch_name}: {message}"
+            ) from None
         sink.write(reply)
         sink.flush()
 
--- a/reelusher/simulator/frames.py
+++ b/reelusher/simulator/frames.py
@@ -1,7 +1,8 @@
-"""Records of the simulator's wire, in the terms of the policy.
+"""Records of the simulator's wire format, and their conversion to events and from actions of the policy.
 
-Frames are little-endian without padding: a header, records of a fixed size, and a tail with what has none.
-The wire's own names of records and fields (knock, dispatch, pin, …) are mapped here, once.
+Frames are little-endian without padding: a header, records of a fixed size, and a tail with the data of
+variable size. The names of records and fields on the wire (knock, dispatch, pin, …) are mapped to those of
+the policy in this module only.
 """
 
 import struct
@@ -41,9 +42,9 @@
 ACTION_SIZE = 24  # bytes of an action record
 
 # headers
-BATCH_HEADER = struct.Struct("<IQII")  # number, clock, bytes after the length field, records
-REPLY_HEADER = struct.Struct("<III")  # number, records, bytes after this header
-LENGTH_FIELD_REST = 4  # bytes of the batch header that follow its length field
+BATCH_HEADER = struct.Struct("<IQII")  # batch number, clock, bytes after the length field, number of records
+REPLY_HEADER = struct.Struct("<III")  # batch number, number of records, bytes after this header
+BYTES_AFTER_LENGTH_FIELD = 4  # bytes of the batch header that follow its length field
 
 # event codes
 DONE, DRAIN, KNOCK, CAME_BACK, CALL_NEEDED, ABORTED, DUE = 1, 3, 5, 6, 7, 8, 9
@@ -58,7 +59,7 @@
 DRAIN_RECORD = struct.Struct("<BII")  # time left
 CAME_BACK_RECORD = struct.Struct("<BIQIH")  # id, duration, outcome
 DUE_RECORD = struct.Struct("<BIQB")  # label, number of gauges
-WORK_KNOWN_BIT, RETRY_BIT = 1, 2  # of a knock's bits
+WORK_KNOWN_BIT, RETRY_BIT = 1, 2  # flags in the bits field of a knock record
 
 # action codes
 CALL, FAIL, DISPATCH, SKIP, CLOSE_IDLE, FORGET, HEALTH, DECLINE, ARM = 1, 2, 3, 4, 5, 6, 8, 9, 10
@@ -85,7 +86,7 @@
     306: Outcome.CANCELLED,
     307: Outcome.NOT_STARTED,
 }
-CODES_OF_REQUEST_ACTIONS: dict[type, int] = {
+REQUEST_ACTION_CODES: dict[type, int] = {
     Run: DISPATCH,
     Preempt: PAUSE,
     SkipCall: SKIP,
@@ -96,11 +97,11 @@
 
 
 class MalformedFrameError(Exception):
-    """The input is not what the wire page describes."""
+    """The input does not follow the simulator's wire format."""
 
 
 class BatchHeader(NamedTuple):
-    """Header of a batch of events."""
+    """The header of a batch of events."""
 
     number: int
     now_us: int
@@ -109,21 +110,21 @@
 
     @property
     def records_size(self) -> int:
-        """Return the bytes of all records; the tail follows."""
+        """Return the size of all records in bytes; the tail follows them."""
         return self.record_count * EVENT_SIZE
 
     @property
     def body_size(self) -> int:
-        """Return the bytes after the header."""
-        return self.size - LENGTH_FIELD_REST
+        """Return the number of bytes after the header."""
+        return self.size - BYTES_AFTER_LENGTH_FIELD
 
 
 class CreateRecord(NamedTuple):
-    """Starts an instance."""
+    """A record that starts an instance."""
 
     seed: int
-    offset: int  # of the settings in the tail
-    length: int
+    offset: int  # offset of the settings in the tail, in bytes
+    length: int  # length of the settings in bytes
 
 
 def read_header(data: bytes) -> BatchHeader:
@@ -145,9 +146,10 @@
 
 
 def read_event(code: int, body: bytes, start: int, gauge_fields: Sequence[str]) -> Event:
-    """Read the record of an event. `gauge_fields` names the fields of `Gauges` in the order of the wire.
+    """Read the record of an event. Raises `MalformedFrameError`.
 
-    Raises `MalformedFrameError`.
+    `gauge_fields` names the fields of `Gauges` in the order in which their values are sent; it is "" for each
+    gauge that is ignored.
     """
     reader = READERS.get(code)
     if reader is not None:
@@ -156,7 +158,7 @@
 
 
 def is_event(code: int) -> bool:
-    """Return whether a code is one of an event."""
+    """Return whether a code is that of an event."""
     return code in READERS or code == DUE
 
 
@@ -239,42 +241,44 @@
 }
 
 
-def write_action(instance: int, action: Action) -> bytes:
-    """Write the record of an action."""
+def write_action(instance_number: int, action: Action) -> bytes:
+    """Return the record of an action."""
     match action:
         case Call():
-            return CALL_ACTION.pack(CALL, instance, action.id, action.until_us)
+            return CALL_ACTION.pack(CALL, instance_number, action.id, action.until_us)
         case Reject():
-            return DECLINE_ACTION.pack(DECLINE, instance, action.id, action.retry_after_us, action.no_retry)
+            return DECLINE_ACTION.pack(
+                DECLINE, instance_number, action.id, action.retry_after_us, action.no_retry
+            )
         case SetTimer():
-            return ARM_ACTION.pack(ARM, instance, action.delay_us, action.label)
+            return ARM_ACTION.pack(ARM, instance_number, action.delay_us, action.label)
         case RememberKey():
-            return PIN_ACTION.pack(PIN, instance, action.id, action.ttl_us)
+            return PIN_ACTION.pack(PIN, instance_number, action.id, action.ttl_us)
         case ReportHealth():
-            return HEALTH_ACTION.pack(HEALTH, instance, action.healthy, action.cached)
+            return HEALTH_ACTION.pack(HEALTH, instance_number, action.healthy, action.cached)
         case AdvertiseCapacity():
-            return SIGNAL_ACTION.pack(SIGNAL, instance, action.value)
+            return SIGNAL_ACTION.pack(SIGNAL, instance_number, action.value)
         case CloseIdleConnections():
-            return CLOSE_IDLE_ACTION.pack(CLOSE_IDLE, instance, action.idle_timeout_us)
+            return CLOSE_IDLE_ACTION.pack(CLOSE_IDLE, instance_number, action.idle_timeout_us)
         case _:
-            return REQUEST_ACTION.pack(CODES_OF_REQUEST_ACTIONS[type(action)], instance, action.id)
+            return REQUEST_ACTION.pack(REQUEST_ACTION_CODES[type(action)], instance_number, action.id)
 
 
 class ReplyWriter:
-    """Gathers the records and the tail of one reply."""
+    """Collects the records and the tail of one reply."""
 
     def __init__(self) -> None:
         self._records = bytearray()
         self._tail = bytearray()
 
-    def add(self, instance: int, action: Action) -> None:
-        """Add an action."""
-        self._records += write_action(instance, action)
+    def add(self, instance_number: int, action: Action) -> None:
+        """Add the record of an action."""
+        self._records += write_action(instance_number, action)
 
-    def add_failure(self, instance: int, text: str) -> None:
-        """Add that the controller of an instance failed."""
+    def add_failure(self, instance_number: int, text: str) -> None:
+        """Add a record of the failure of an instance's controller, and the text that describes it."""
         data = text.encode()
-        self._records += FATAL_ACTION.pack(FATAL, instance, len(self._tail), len(data))
+        self._records += FATAL_ACTION.pack(FATAL, instance_number, len(self._tail), len(data))
         self._tail += data
 
     def finish(self, number: int) -> bytes:
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the simulator's adapter."""
+"""Tests of the adapter for the simulator."""
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: bytes in, bytes out."""
+"""Adapter for the simulator, tested by the bytes that it reads and writes."""
 
 import io as streams
 import json
@@ -42,29 +42,35 @@
 }
 
 
-def frame(number: int, now: int, records: list[bytes], tail: bytes = b"") -> bytes:
+def frame(number: int, now_us: int, records: list[bytes], tail: bytes = b"") -> bytes:
+    """Return a batch of events."""
     body = b"".join(record.ljust(frames.EVENT_SIZE, b"\0") for record in records) + tail
-    return frames.BATCH_HEADER.pack(number, now, len(body) + 4, len(records)) + body
+    return frames.BATCH_HEADER.pack(number, now_us, len(body) + 4, len(records)) + body
 
 
-def create(instance: int, text: bytes, offset: int = 0) -> bytes:
-    return frames.CREATE_RECORD.pack(4, instance, 1, offset, len(text))
+def create(instance_number: int, text: bytes, offset: int = 0) -> bytes:
+    """Return a record that starts an instance."""
+    return frames.CREATE_RECORD.pack(4, instance_number, 1, offset, len(text))
 
 
-def knock(instance: int, ref: int) -> bytes:
-    return frames.KNOCK_RECORD.pack(5, instance, ref, 0, 0, 0, 0, 0, 10.0, 0.5, 0, 3, 1_000, 0)
+def knock(instance_number: int, request_id: int) -> bytes:
+    """Return a record of an arriving request."""
+    return frames.KNOCK_RECORD.pack(5, instance_number, request_id, 0, 0, 0, 0, 0, 10.0, 0.5, 0, 3, 1_000, 0)
 
 
 def replies(data: bytes) -> list[tuple[int, list[bytes], bytes]]:
+    """Return the number, the action records and the tail of each reply to these batches."""
     sink = streams.BytesIO()
     adapter.serve(streams.BytesIO(data), sink)
-    out, rest = [], sink.getvalue()
-    while rest:
-        number, count, size = frames.REPLY_HEADER.unpack_from(rest)
-        body, rest = rest[12 : 12 + size], rest[12 + size :]
-        cut = count * frames.ACTION_SIZE
-        out.append((number, [body[n : n + 24] for n in range(0, cut, 24)], body[cut:]))
-    return out
+    parsed, remaining = [], sink.getvalue()
+    while remaining:
+        number, count, size = frames.REPLY_HEADER.unpack_from(remaining)
+        body, remaining = remaining[12 : 12 + size], remaining[12 + size :]
+        records_size = count * frames.ACTION_SIZE
+        parsed.append(
+            (number, [body[start : start + 24] for start in range(0, records_size, 24)], body[records_size:])
+        )
+    return parsed
 
 
 def settings_text(**changes: Any) -> bytes:
@@ -84,8 +90,8 @@
     assert request == Request(
         0x3781F5D3A91C4, 0, 17, 0x91F03B7C55D20A64, 0, 24.5, 12_000, 240_000, 1_850, 0xED1D10E6F2B19, False
     )
-    done = bytes.fromhex("0103000000c4913a5d1f780300640044480000").ljust(56, b"\0")
-    assert frames.read_event(1, done, 0, []) == RunEnded(0x3781F5D3A91C4, Outcome.OK, 18_500)
+    done_record = bytes.fromhex("0103000000c4913a5d1f780300640044480000").ljust(56, b"\0")
+    assert frames.read_event(1, done_record, 0, []) == RunEnded(0x3781F5D3A91C4, Outcome.OK, 18_500)
 
 
 def test_gauges_are_mapped_by_name() -> None:
@@ -112,7 +118,7 @@
         (SetTimer(500_000, 77), "0a 01000000 20a10700 4d00000000000000"),
     ],
 )
-def test_actions_are_encoded_as_the_wire_page_says(action: Action, expected: str) -> None:
+def test_actions_are_encoded_as_the_wire_page_specifies(action: Action, expected: str) -> None:
     assert frames.write_action(1, action) == bytes.fromhex(expected.replace(" ", "")).ljust(24, b"\0")
 
 
@@ -121,13 +127,16 @@
     first = frame(1, 10, [create(1, text), create(2, text)], text)
     second = frame(2, 20, [knock(1, 5), knock(2, 6), frames.INSTANCE.pack(2, 1), create(1, text)], text)
     third = frame(3, 30, [knock(1, 5)])
-    got = replies(first + second + third)
-    assert [number for number, _, _ in got] == [1, 2, 3]
-    ran = [[record[1] for record in records if record[0] == 3] for _, records, _ in got]
-    assert ran == [[], [2], [1]]
+    parsed_replies = replies(first + second + third)
+    assert [number for number, _, _ in parsed_replies] == [1, 2, 3]
+    instances_that_ran = [
+        [record[1] for record in records if record[0] == 3] for _, records, _ in parsed_replies
+    ]
+    assert instances_that_ran == [[], [2], [1]]
 
 
 def failure_text(text: bytes) -> str:
+    """Return the failure that is reported for an instance with these settings."""
     ((_, (record,), tail),) = replies(frame(1, 10, [create(1, text)], text))
     assert record[0] == 11
     return tail.decode()
@@ -159,22 +168,22 @@
         (frame(1, 0, [knock(9, 1)]), "instance 9 was never created"),
     ],
 )
-def test_malformed_input_is_one_line_on_stderr_and_an_error_status(
+def test_malformed_input_yields_one_line_on_stderr_and_an_error_status(
     data: bytes, message: str, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    class Standard:
+    class StandardInput:
         buffer = streams.BytesIO(data)
 
-    class Output:
+    class StandardOutput:
         buffer = streams.BytesIO()
 
-    monkeypatch.setattr("sys.stdin", Standard)
-    monkeypatch.setattr("sys.stdout", Output)
+    monkeypatch.setattr("sys.stdin", StandardInput)
+    monkeypatch.setattr("sys.stdout", StandardOutput)
     assert adapter.main() == 1
     error = capsys.readouterr().err
     assert message in error
     assert error.count("\n") == 1
-    assert Output.buffer.getvalue() == b""
+    assert StandardOutput.buffer.getvalue() == b""
 
 
 def test_names_and_other_instances_leave_the_actions_unchanged() -> None:
@@ -185,13 +194,15 @@
             layers=[name],
             tenants=[{"name": name, "share": 1.0, "allowance_per_s": 5.0}],
         )
-        batches = [frame(1, 10, [create(n, text) for n in instances], text)]
-        times = range(20, 400_000, 20_000)
-        batches += [frame(now, now, [knock(n, now) for n in instances]) for now in times]
+        batches = [frame(1, 10, [create(instance, text) for instance in instances], text)]
+        times_us = range(20, 400_000, 20_000)
+        batches += [
+            frame(now_us, now_us, [knock(instance, now_us) for instance in instances]) for now_us in times_us
+        ]
         return [
             record[5:] for _, records, _ in replies(b"".join(batches)) for record in records if record[1] == 1
         ]
 
-    alone = actions("one", (1,))
-    assert len(alone) > 3
-    assert actions("other", (1,)) == alone == actions("one", (3, 1, 2))
+    actions_alone = actions("one", (1,))
+    assert len(actions_alone) > 3
+    assert actions("other", (1,)) == actions_alone == actions("one", (3, 1, 2))
