--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -20,7 +20,7 @@
 from reelusher.net.poller import Poller
 from reelusher.net.send_buffer import SendBuffer
 
-POLL_INTERVAL_S = 0.02
+POLL_INTERVAL_S = 0.02  # time between two checks which connections may enter their next phase
 
 
 def unread_bytes(sock: socket.socket) -> int:
@@ -93,8 +93,8 @@
 
     def follow(self, schedule: DrainSchedule) -> None:
         """Follow this schedule from now on. Any thread may call this method."""
-        first, self._schedule = self._schedule is None, schedule
-        if first:
+        is_first, self._schedule = self._schedule is None, schedule
+        if is_first:
             self._poller.call(self._start)
 
     def _start(self) -> None:
--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -81,6 +81,7 @@
     spare_s = NOTIFY_FRACTION * duration_s - (
         EXIT_MARGIN_S + SHUTDOWN_DURATION_S + ANSWERED_MARGIN_S + REJECT_DURATION_S
     )
+    # the lag lengthens three phases
     lag_s = max(0.0, min(lag_s, MAX_LAG_FRACTION * duration_s, spare_s / 3))
     scale = min(1.0, 1 + spare_s / (NOTIFY_FRACTION * duration_s - spare_s))
     stop_s = signal_s + duration_s
@@ -151,7 +152,7 @@
 
 
 class QuietPeriod:
-    """Detects that a drain may end early: all front ends were idle while requests could still arrive."""
+    """Detects that a drain may end early, since all front ends were idle for `MAX_ARRIVAL_DELAY_S`."""
 
     def __init__(self) -> None:
         self._last_busy_s = 0.0  # when a front end was last busy, or its state unknown
--- a/reelusher/pacing/backoff.py
+++ b/reelusher/pacing/backoff.py
@@ -3,9 +3,8 @@
 from random import Random
 
 MAX_GROWTH_FACTOR = 3.0  # each delay is drawn from the base up to this many times the previous delay
-MIN_CAPPED_FRACTION = (
-    0.5  # delays that would reach the cap are drawn again, from this fraction of it up to it
-)
+# a delay that would reach the cap is drawn again, from this fraction of the cap up to the cap
+MIN_CAPPED_FRACTION = 0.5
 
 
 class Backoff:
--- a/reelusher/pacing/retry_budget.py
+++ b/reelusher/pacing/retry_budget.py
@@ -4,8 +4,8 @@
 class RetryBudget:
     """A budget of immediate retries: each success earns some, up to a maximum.
 
-    A target that always fails is retried `max_retries` times at once and then no more, since only successes
-    earn further retries.
+    A target that always fails is retried immediately `max_retries` times and then no more, since only
+    successes earn further retries.
     """
 
     def __init__(self, max_retries: float, earned_per_success: float) -> None:
--- a/reelusher/pacing/token_bucket.py
+++ b/reelusher/pacing/token_bucket.py
@@ -5,7 +5,7 @@
     """A bucket that starts full and refills at a rate, up to its capacity. It is not thread-safe."""
 
     def __init__(self, rate_per_s: float, capacity: float, now_s: float = 0.0) -> None:
-        """Start full. `now_s`, also that of the methods, is the time of any monotonic clock, in seconds."""
+        """Start full. `now_s`, here and in the methods, is the time of one monotonic clock in seconds."""
         self._rate_per_s = rate_per_s
         self._capacity = capacity
         self._tokens = capacity
--- a/tests/drain/test_node_drain.py
+++ b/tests/drain/test_node_drain.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-# Starts a thread that blocks no signals before the program itself, as a preloaded library may do.
+# Starts a thread that blocks no signals, as a preloaded library may do, and then runs the program.
 PROGRAM_WITH_FOREIGN_THREAD = """
 import runpy, sys, threading, time
 threading.Thread(target=time.sleep, args=(60,), daemon=True).start()
--- a/tests/drain/test_signals.py
+++ b/tests/drain/test_signals.py
@@ -1,4 +1,4 @@
-"""The earliest time of a signal."""
+"""Signals, and the earliest time at which each can have been sent."""
 
 import signal
 import threading
