--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -171,7 +171,9 @@
         table = CheckedTable(call.body)
         table.reject_unknown_keys("activation")
         activation = table.choice("activation", ACTIVATIONS)
-        if not self._context.core.run_on_loop(lambda: self._context.workers.activate(call.name, activation)):
+        if not self._context.core.run_on_loop(
+            lambda: self._context.workers.set_activation(call.name, activation)
+        ):
             raise ApiError(404, f"no worker is named {call.name!r}")
         return self._worker(call)
 
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -15,7 +15,7 @@
 from reelusher.backends.ajp.worker_pool import BalancedRunner, WorkerPool
 from reelusher.backends.downstream_client import DownstreamClient
 from reelusher.backends.runtime import RuntimeLink
-from reelusher.backends.service_registry import ServiceRegistry
+from reelusher.backends.service_registry import ServiceRegistryClient
 from reelusher.config import PLATFORM_TENANT, Config
 from reelusher.config.platform_config import Platform
 from reelusher.core.clock import Clock
@@ -183,10 +183,10 @@
             self.fair_queue,
         )
 
-    def _build_service_registry(self, platform: Platform | None) -> ServiceRegistry | None:
+    def _build_service_registry(self, platform: Platform | None) -> ServiceRegistryClient | None:
         if platform is None or platform.directory is None:
             return None
-        registry = ServiceRegistry(
+        registry = ServiceRegistryClient(
             platform.directory,
             platform.name,
             lambda: self.core.notices.reports_healthy,
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -72,7 +72,7 @@
         """Return what runs requests on a worker or balancer; None where none has this name."""
         return self._runners.get(backend)
 
-    def activate(self, name: str, activation: str) -> bool:
+    def set_activation(self, name: str, activation: str) -> bool:
         """Change whether a worker gets requests; return False where none has this name."""
         worker = self.workers.get(name)
         if worker is None:
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -72,7 +72,7 @@
         self._lock = threading.Lock()
         self._send_buffer: SendBuffer | None = None
         self._ready = False  # all missed notices were read on this link
-        self._sent = UnacknowledgedCommands()
+        self._unacknowledged = UnacknowledgedCommands()
         self._serial = 0  # of the last notice that was handled
         self._malformed_serial: object = None  # serial of the newest malformed notice
         self._link_count = 0
@@ -159,13 +159,13 @@
         with self._lock:
             if not self._ready or self._send_buffer is None:
                 return False
-            self._sent.mark(cookie)
+            self._unacknowledged.mark(cookie)
             return self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
     def _command(self, name: str, call: str, **more: Any) -> None:
         line = lines.encode_json_line({"msg": name, "call": call, **more})
         with self._lock:
-            self._sent.add(call, line)
+            self._unacknowledged.add(call, line)
             if self._ready and self._send_buffer is not None:
                 self._send_buffer.send(line)
 
@@ -266,7 +266,7 @@
             logger.warning("runtime: restarted, its runs are lost")
             self._counters.add("runtime.restarted")
             with self._lock:
-                self._sent.clear()
+                self._unacknowledged.clear()
             self._serial = 0
             self._post(RunsLost(self))
         self._runtime_started_s = started_s
@@ -278,7 +278,7 @@
     def _resend(self) -> None:
         """Send again what may have been lost; all missed notices are read."""
         with self._lock:
-            resent = self._sent.lines_to_resend()
+            resent = self._unacknowledged.lines_to_resend()
             self._ready = True
             if self._send_buffer is not None:
                 for line in resent:
@@ -292,13 +292,13 @@
             self._resend()
             return
         with self._lock:
-            self._sent.acknowledge_gauges(cookie)
+            self._unacknowledged.acknowledge_gauges(cookie)
         self._post(GaugesReceived(cookie, tuple(float(value) for value in message["stats"])))
 
     def _acknowledge(self, call: str) -> None:
         """Record that the runtime has read the commands for a run."""
         with self._lock:
-            self._sent.acknowledge_run(call)
+            self._unacknowledged.acknowledge_run(call)
 
     def _on_end(self, message: dict[str, Any]) -> None:
         call, outcome = str(message["call"]), OUTCOMES[message["how"]]
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -34,7 +34,7 @@
         self.retry_after_s = retry_after_s
 
 
-class ServiceRegistry:
+class ServiceRegistryClient:
     """Reports the health of the node, through outages of the service registry."""
 
     def __init__(
--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -68,20 +68,22 @@
         return value
 
     def number(
-        self, key: str, default: float | None = None, least: float = 0.0, most: float = float("inf")
+        self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = float("inf")
     ) -> float:
         """Read a number within bounds."""
         if default is not None and key not in self:
             return default
         value = self.raw(key)
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value <= most:
-            bounds = f"at least {least:g}" if most == float("inf") else f"from {least:g} to {most:g}"
+        if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value <= maximum:
+            bounds = (
+                f"at least {minimum:g}" if maximum == float("inf") else f"from {minimum:g} to {maximum:g}"
+            )
             raise self._error(key, f"a number {bounds}")
         return float(value)
 
-    def integer(self, key: str, default: int | None = None, least: int = 0, most: int = 1 << 53) -> int:
+    def integer(self, key: str, default: int | None = None, minimum: int = 0, maximum: int = 1 << 53) -> int:
         """Read a whole number within bounds."""
-        value = self.number(key, default, least, most)
+        value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise self._error(key, "a whole number")
         return int(value)
--- a/reelusher/config/operator/classes.py
+++ b/reelusher/config/operator/classes.py
@@ -27,12 +27,12 @@
         keyed = effect is Idempotency.IDEMPOTENCY_KEY
         classes.append(
             RequestClass(
-                deadline_us=entry.integer("deadline_ms", least=1) * 1000,
+                deadline_us=entry.integer("deadline_ms", minimum=1) * 1000,
                 latency_objective_us=entry.integer("aim_ms", 0) * 1000,
                 priority_weight=entry.number("worth", 1.0, 0.0, 1e6),
                 late_value_fraction=entry.number("late_share", 0.0, 0.0, 1.0),
                 idempotency=effect,
-                idempotency_window_us=entry.integer("window_ms", None if keyed else 0, least=int(keyed))
+                idempotency_window_us=entry.integer("window_ms", None if keyed else 0, minimum=int(keyed))
                 * 1000,
             )
         )
--- a/reelusher/config/operator/file.py
+++ b/reelusher/config/operator/file.py
@@ -86,7 +86,7 @@
     return Operator(
         name=node.string("name", "reelusher"),
         seed=seed_of(node.string("seed", "1"), "node.seed"),
-        stop_ms=node.integer("stop_ms", 10_000, least=100),
+        stop_ms=node.integer("stop_ms", 10_000, minimum=100),
         memory_mb=node.number("memory_mb", 192.0, 16),
         sockets=node.integer("sockets", 1024, 64, 1 << 20),
         ajp=read_ajp(table.table("ajp")) if "ajp" in table else None,
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from reelusher.config.checked_table import Address, CheckedTable, ConfigError, address_of
-from reelusher.config.platform_settings import SettingsError, settings_from
+from reelusher.config.platform_settings import SettingsError, settings_from_parsed
 from reelusher.policy.settings import Settings
 
 
@@ -39,7 +39,7 @@
     folder: str = ""  # that processes of this node share during an upgrade; empty: there are none
     paths: frozenset[str] = frozenset()  # of all keys that the file has
 
-    def lacks(self, other: "Platform") -> str | None:
+    def first_missing_key(self, other: "Platform") -> str | None:
         """Return a key that the other file has and this one does not; one cut short may still be JSON."""
         return min(other.paths - self.paths, default=None)
 
@@ -54,7 +54,7 @@
 
 def _settings(value: Any) -> tuple[Settings, list[str], list[str]]:
     try:
-        settings, gauges = settings_from(value)
+        settings, gauges = settings_from_parsed(value)
         names = [str(entry.get("name", place)) for place, entry in enumerate(value["categories"])]
     except SettingsError as error:
         raise ConfigError("settings", str(error).removeprefix("settings: ")) from None
@@ -94,11 +94,11 @@
         if "operator" in table
         else None,
         seed=seed_of(table.string("seed", "0"), "seed"),
-        stop_ms=table.integer("stop_ms", 3000, least=100),
+        stop_ms=table.integer("stop_ms", 3000, minimum=100),
         limits=Limits(
-            limits.number("cores", 1.0, least=0.01),
-            limits.number("memory_mb", 192.0, least=16),
-            limits.integer("sockets", 1024, least=32),
+            limits.number("cores", 1.0, minimum=0.01),
+            limits.number("memory_mb", 192.0, minimum=16),
+            limits.integer("sockets", 1024, minimum=32),
         ),
         settings=settings,
         gauges=gauges,
--- a/reelusher/config/platform_settings.py
+++ b/reelusher/config/platform_settings.py
@@ -56,7 +56,7 @@
     return int(value) or 1
 
 
-def settings_of(text: bytes) -> tuple[Settings, list[str]]:
+def settings_from_json(text: bytes) -> tuple[Settings, list[str]]:
     """Read settings from JSON; also return the field of `Gauges` that each gauge is, "" for unknown ones.
 
     Raises `SettingsError`, and ValueError or TypeError for values that no worker can run with.
@@ -65,10 +65,10 @@
         parsed = json.loads(text)
     except ValueError as error:
         raise SettingsError(f"settings: not JSON: {error}") from None
-    return settings_from(parsed)
+    return settings_from_parsed(parsed)
 
 
-def settings_from(parsed: Any) -> tuple[Settings, list[str]]:
+def settings_from_parsed(parsed: Any) -> tuple[Settings, list[str]]:
     """Do the same with settings that are parsed already."""
     worker, rules = required(parsed, "family_info"), required(parsed, "rules")
     limits, goal = parsed.get("limits", {}), parsed.get("goal", {})
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from reelusher.config.checked_table import ConfigError
-from reelusher.config.platform_settings import settings_from
+from reelusher.config.platform_settings import settings_from_parsed
 from reelusher.core.clock import Clock
 from reelusher.core.event_loop import Core
 from reelusher.core.messages import (
@@ -67,7 +67,7 @@
         self.calls: dict[str, int] = {}
         self.open: dict[str, tuple[Caller, Try]] = {}
         self.serial, self._turn_s = 0, float("inf")
-        made, gauges = settings_from(stage.settings[stage.is_fresh(name)])
+        made, gauges = settings_from_parsed(stage.settings[stage.is_fresh(name)])
         clock = Clock(*[lambda: int((EPOCH_S + self.line.time()) * 1e9)] * 2)  # both clocks are the model's
         self.core = ModelCore(
             made,
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -24,7 +24,7 @@
 
 def bounded(default: float | None = None, least: float = 0.0, most: float = math.inf) -> Any:
     """Return a field with a default (None: it must be given) and bounds."""
-    bounds = {"least": least, "most": most}
+    bounds = {"minimum": least, "maximum": most}
     return field(metadata=bounds) if default is None else field(default=default, metadata=bounds)
 
 
--- a/reelusher/reload.py
+++ b/reelusher/reload.py
@@ -68,7 +68,7 @@
         current, new = self.config.platform, config.platform
         if current is None or new is None or _has_other_parts(current, new):
             raise ReloadError("parts can be added or removed only by a restart")
-        if missing_key := new.lacks(current):
+        if missing_key := new.first_missing_key(current):
             raise ReloadError(f"{missing_key}: missing")
         if (new.settings, new.class_names) != (current.settings, current.class_names):
             self._apply_settings(new)
--- a/reelusher/simulator/adapter.py
+++ b/reelusher/simulator/adapter.py
@@ -8,7 +8,7 @@
 import traceback
 from typing import BinaryIO
 
-from reelusher.config.platform_settings import SettingsError, settings_of
+from reelusher.config.platform_settings import SettingsError, settings_from_json
 from reelusher.policy.controller import Controller
 from reelusher.policy.events import Event
 from reelusher.simulator.frames import (
@@ -32,7 +32,7 @@
 
     def __init__(self, settings_text: bytes, seed: int) -> None:
         """Raise `SettingsError`, ValueError, TypeError or AttributeError for settings that can't be used."""
-        settings, self.gauge_fields = settings_of(settings_text)
+        settings, self.gauge_fields = settings_from_json(settings_text)
         self.controller = Controller(settings, seed)
 
 
--- a/tests/pacing/test_users.py
+++ b/tests/pacing/test_users.py
@@ -9,7 +9,7 @@
 
 from reelusher.backends.ajp.worker import PooledWorker
 from reelusher.backends.ajp.worker_pool import WorkerPool
-from reelusher.backends.service_registry import RegistryUnavailableError, ServiceRegistry
+from reelusher.backends.service_registry import RegistryUnavailableError, ServiceRegistryClient
 from reelusher.config.operator.file import parse as parse_operator
 from reelusher.core.counters import Counters
 from reelusher.pacing.report_schedule import ReportSchedule
@@ -17,19 +17,19 @@
 
 def registry_with(
     monkeypatch: pytest.MonkeyPatch, *errors: OSError | None
-) -> tuple[ServiceRegistry, list[float]]:
+) -> tuple[ServiceRegistryClient, list[float]]:
     """Return one on an open connection whose exchanges raise these errors in turn, and their times."""
     made: list[float] = []
 
-    def exchange(self: ServiceRegistry, *args: Any) -> None:
+    def exchange(self: ServiceRegistryClient, *args: Any) -> None:
         made.append(time.monotonic())
         error = errors[len(made) - 1] if len(made) <= len(errors) else None
         if error:
             raise error
 
-    monkeypatch.setattr(ServiceRegistry, "_exchange", exchange)
-    monkeypatch.setattr(ServiceRegistry, "_disconnect", lambda self: None)
-    registry = ServiceRegistry(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
+    monkeypatch.setattr(ServiceRegistryClient, "_exchange", exchange)
+    monkeypatch.setattr(ServiceRegistryClient, "_disconnect", lambda self: None)
+    registry = ServiceRegistryClient(("127.0.0.1", 1), "n1", lambda: True, Counters(), Random(1))
     vars(registry).update(_sock=socket.socket(), _connected_to=("127.0.0.1", 1))
     return registry, made
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from reelusher.config.platform_settings import settings_of
+from reelusher.config.platform_settings import settings_from_json
 from reelusher.policy.actions import (
     Action,
     AdvertiseCapacity,
@@ -90,7 +90,7 @@
 
 def test_gauges_are_mapped_by_name() -> None:
     body = struct.pack("<BIQB3f", 9, 1, 5, 3, 40.0, 9.0, 0.5).ljust(56, b"\0")
-    _, names = settings_of(settings_text())
+    _, names = settings_from_json(settings_text())
     assert frames.read_event(9, body, 0, names) == Tick(5, Gauges(busy_fraction=0.5, connections=40.0))
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -411,7 +411,7 @@
         for _ in range(18):  # two may wait for their deadline
             peer.answer()
     most = node.config.settings.max_runnable_per_core * node.config.settings.cores
-    assert len(node.parts.runtime._sent) <= 3 * most
+    assert len(node.parts.runtime._unacknowledged) <= 3 * most
 
 
 def test_runtime_that_answers_no_gauges_fills_no_memory() -> None:
