--- a/reelusher/backends/__init__.py
+++ b/reelusher/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backends: the parties that a node talks to on behalf of its requests."""
+"""Clients for the services that a node uses: the runtime, AJP workers, downstream service, registry."""
--- a/reelusher/backends/ajp/__init__.py
+++ b/reelusher/backends/ajp/__init__.py
@@ -1,1 +1,1 @@
-"""AJP workers behind the node: connections, pools and load balancing."""
+"""Client side of AJP13: connections to workers, the worker pool and load balancing."""
--- a/reelusher/backends/ajp/exchange.py
+++ b/reelusher/backends/ajp/exchange.py
@@ -1,4 +1,4 @@
-"""One request and its response over a connection to an AJP worker."""
+"""Sends one request over a connection to an AJP worker and reads the response."""
 
 import re
 from typing import NamedTuple
@@ -9,12 +9,12 @@
 from reelusher.core.messages import IncomingRequest, Result
 
 HOP_BY_HOP = frozenset({"connection", "keep-alive", "transfer-encoding", "upgrade", "proxy-connection", "te"})
-SESSION_ROUTE = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
-BODY_PIECE_BYTES = ajp13.DEFAULT_PACKET_BYTES - ajp13.BODY_OVERHEAD
+SESSION_ROUTE_PATTERN = re.compile(r"JSESSIONID=[^;,\s]*?\.([^;,\s]+)", re.IGNORECASE)
+MAX_BODY_CHUNK_BYTES = ajp13.DEFAULT_PACKET_BYTES - ajp13.BODY_OVERHEAD
 
 
 class Response(NamedTuple):
-    """A response, and whether its connection may be used again."""
+    """A response, and whether the worker keeps the connection open for another request."""
 
     result: Result
     reuse: bool
@@ -27,22 +27,26 @@
     body: bytes,
     max_response_bytes: int,
 ) -> Response:
-    """Send a request and read its response; raise OSError, ValueError or `MalformedError`."""
+    """Send a request and read its response.
+
+    Raises OSError if the connection fails, `MalformedError` for an invalid packet, ValueError for a response
+    of more than `max_response_bytes`.
+    """
     if secret:
         forward.attributes["secret"] = secret
-    sent_bytes = min(len(body), BODY_PIECE_BYTES)
-    first_piece = ajp13.write_body(body[:sent_bytes]) if body else b""
-    connection.sock.sendall(ajp13.write_forward(forward) + first_piece)
+    sent_bytes = min(len(body), MAX_BODY_CHUNK_BYTES)
+    first_chunk = ajp13.write_body(body[:sent_bytes]) if body else b""
+    connection.sock.sendall(ajp13.write_forward(forward) + first_chunk)
     head: ajp13.ResponseHead | None = None
     response_body = bytearray()
     while True:
-        match connection.reply():
+        match connection.next_reply():
             case ajp13.BodyRequest(size):
-                piece = body[sent_bytes : sent_bytes + min(size, BODY_PIECE_BYTES)]
-                sent_bytes += len(piece)
-                connection.sock.sendall(ajp13.write_body(piece))
-            case ajp13.ResponseHead() as received if received.status >= 200:
-                head = received
+                chunk = body[sent_bytes : sent_bytes + min(size, MAX_BODY_CHUNK_BYTES)]
+                sent_bytes += len(chunk)
+                connection.sock.sendall(ajp13.write_body(chunk))
+            case ajp13.ResponseHead() as response_head if response_head.status >= 200:
+                head = response_head
             case ajp13.ResponseBody(data):
                 response_body += data
                 if len(response_body) > max_response_bytes:
@@ -55,13 +59,17 @@
 
 def _result_of(head: ajp13.ResponseHead | None, body: bytes) -> Result:
     if head is None:
-        raise MalformedError("an end without a head")
+        raise MalformedError("the response ended without its headers")
     headers = tuple((name, value) for name, value in head.headers if name.lower() not in HOP_BY_HOP)
     return Result(body, head.status, headers)
 
 
 def forwarded_request(request: IncomingRequest, class_name: str) -> ajp13.ForwardedRequest:
-    """Return a request as it is forwarded: with the length of its body, which is known by now."""
+    """Return the request to forward: as received, without hop-by-hop headers and the front end's secret.
+
+    Its content-length is that of the received body, also if the web server announced none. A request that did
+    not arrive over AJP is forwarded as a POST to a path named after its class.
+    """
     original = request.backend_data
     if not isinstance(original, ajp13.ForwardedRequest):
         headers = [("content-type", "application/octet-stream")]
@@ -91,9 +99,9 @@
 
 
 def session_route(forward: ajp13.ForwardedRequest) -> str:
-    """Return the route of the session that a request carries, or nothing."""
+    """Return the route in the JSESSIONID of the URI or of a cookie; empty if there is none."""
     for text in (forward.uri, *(value for name, value in forward.headers if name == "cookie")):
-        found = SESSION_ROUTE.search(text)
-        if found:
-            return found.group(1)
+        match = SESSION_ROUTE_PATTERN.search(text)
+        if match:
+            return match.group(1)
     return ""
--- a/reelusher/backends/ajp/load_balancer.py
+++ b/reelusher/backends/ajp/load_balancer.py
@@ -6,11 +6,14 @@
 
 from reelusher.backends.ajp.worker import PooledWorker
 
-MAX_WEIGHTED_REQUESTS = 1e6  # after which the least of all is subtracted, so that differences stay exact
+MAX_WEIGHTED_REQUESTS = 1e6  # above it the minimum is subtracted from all, to keep float differences exact
 
 
 class LoadBalancer:
-    """Selects by the fewest requests, or by the fewest in progress, each divided by a worker's factor."""
+    """Selects the worker with the fewest requests so far, or with the fewest in progress.
+
+    Both counts are divided by the factor of the worker, its weight. Any thread may call.
+    """
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -18,18 +21,22 @@
     def acquire(
         self, workers: Collection[PooledWorker], excluded: Collection[str], route: str, method: str
     ) -> PooledWorker | None:
-        """Select a worker and count the request as its own; None where there is none to be used."""
+        """Select a worker and count the request as in progress there; return None if no worker is usable.
+
+        `excluded` are names of workers; `route` is that of the request's session, empty without a session;
+        `method` is `requests` or `busyness`. Each selection needs a `release`.
+        """
         now = time.monotonic()
         with self._lock:
             usable = [
                 worker for worker in workers if worker.config.name not in excluded and worker.is_usable(now)
             ]
-            # sessions stay where they are, also on a disabled worker
+            # a session stays on its worker, even a disabled one
             sticky = [worker for worker in usable if route and worker.config.route == route]
             candidates = sticky or [worker for worker in usable if worker.activation == "active"]
             if not candidates:
                 return None
-            selected = min(candidates, key=_busyness if method == "busyness" else _requests)
+            selected = min(candidates, key=_by_busyness if method == "busyness" else _by_requests)
             selected.busy += 1
             selected.sent += 1
             selected.probing = selected.suspected
@@ -39,26 +46,29 @@
             return selected
 
     def release(self, worker: PooledWorker) -> None:
-        """Count a request as over."""
+        """Record that a request is no longer in progress."""
         with self._lock:
             worker.busy -= 1
 
     def reactivate(self, worker: PooledWorker, workers: Collection[PooledWorker]) -> None:
-        """Let a worker start level with the others: it must not be given all requests that it missed."""
+        """Raise a worker's request count to the highest of all, before it is activated.
+
+        Otherwise it would get every request until it had caught up with the others.
+        """
         with self._lock:
             worker.weighted_requests = max((other.weighted_requests for other in workers), default=0.0)
 
 
-def _requests(worker: PooledWorker) -> tuple[float, float]:
+def _by_requests(worker: PooledWorker) -> tuple[float, float]:
     return worker.weighted_requests, worker.weighted_requests
 
 
-def _busyness(worker: PooledWorker) -> tuple[float, float]:
+def _by_busyness(worker: PooledWorker) -> tuple[float, float]:
     return worker.busy / worker.config.factor, worker.weighted_requests
 
 
 def _rebase(workers: Collection[PooledWorker]) -> None:
-    least = min(worker.weighted_requests for worker in workers)
-    if least > MAX_WEIGHTED_REQUESTS:
+    minimum = min(worker.weighted_requests for worker in workers)
+    if minimum > MAX_WEIGHTED_REQUESTS:
         for worker in workers:
-            worker.weighted_requests -= least
+            worker.weighted_requests -= minimum
--- a/reelusher/backends/ajp/worker.py
+++ b/reelusher/backends/ajp/worker.py
@@ -1,4 +1,4 @@
-"""One AJP worker: its idle connections, its health, and how much it is used."""
+"""An AJP worker as this node sees it: idle connections, health and load."""
 
 import threading
 import time
@@ -13,29 +13,32 @@
     from reelusher.config.operator.workers import Worker
 
 
-MAX_RECOVERY_FACTOR = 4  # times `recover_ms`: the longest time between two probes of an unreachable worker
+MAX_RECOVERY_FACTOR = 4  # the longest backoff of an unreachable worker, as a multiple of `recover_ms`
 
 
 class PooledWorker:
     """A worker and its state in this node."""
 
     def __init__(self, config: "Worker", random: Random) -> None:
-        """`random` spreads the probes."""
+        """Take a worker in use. `random` adds jitter to the times of probes."""
         self.config = config
         recover_s = config.recover_ms / 1000
         self._backoff = Backoff(random, recover_s, MAX_RECOVERY_FACTOR * recover_s)
-        self.suspected = False  # it could not be reached: one request at a time probes it
-        self.probing = False  # such a request is in progress
+        self.suspected = False  # True since a failed connection: one request at a time probes the worker
+        self.probing = False  # whether a request that probes the worker is in progress
         self.activation = config.activation
-        self.busy = self.sent = self.errors = 0
-        self.observed_s = 0.0  # when a connection was last tried, Unix time
-        self.weighted_requests = 0.0  # requests it was given, divided by its factor
-        self.down_until = 0.0
+        self.busy = self.sent = self.errors = 0  # requests in progress, requests assigned, failures
+        self.observed_s = 0.0  # Unix time when a connection was last obtained or failed; 0: never
+        self.weighted_requests = 0.0  # requests assigned, each counted as 1 / factor, less a common offset
+        self.down_until = 0.0  # monotonic time before which no request is sent
         self._idle: list[WorkerConnection] = []
         self._lock = threading.Lock()
 
     def is_usable(self, now: float) -> bool:
-        """Return whether new requests may go to it."""
+        """Return whether the worker may be sent a request at monotonic time `now`.
+
+        A disabled worker may, but gets only requests of its sessions.
+        """
         return (
             self.busy < self.config.connections
             and now >= self.down_until
@@ -44,15 +47,18 @@
         )
 
     def acquire_connection(self) -> WorkerConnection:
-        """Return a connection, tested by CPing if that is on; raise `WorkerUnreachableError`."""
+        """Return an idle or a new connection, validated by a CPing unless that is turned off.
+
+        Raises `WorkerUnreachableError` if a new connection fails; idle ones that fail are discarded.
+        """
         while True:
             with self._lock:
                 connection = self._idle.pop() if self._idle else None
-            cached = connection is not None
+            was_idle = connection is not None
             try:
                 if connection is None:
                     connection = WorkerConnection(self.config)
-                if cached and connection.is_stale():
+                if was_idle and connection.is_stale():
                     connection.close()
                     continue
                 if self.config.cping_timeout_ms:
@@ -61,11 +67,11 @@
             except (OSError, MalformedError) as error:
                 if connection is not None:
                     connection.close()
-                if not cached:  # only a new connection shows the state of the worker
+                if not was_idle:  # an idle connection may fail although the worker is reachable
                     raise WorkerUnreachableError(str(error)) from None
 
     def release_connection(self, connection: WorkerConnection, reuse: bool) -> None:
-        """Cache a connection for the next request, or close it."""
+        """Keep a connection for the next request, or close it if it can't be reused."""
         with self._lock:
             if reuse and len(self._idle) < self.config.connections:
                 self._idle.append(connection)
@@ -73,13 +79,13 @@
         connection.close()
 
     def record_unreachable(self) -> None:
-        """Record that a connection failed; those in progress at once count as one failure."""
+        """Record that connecting failed. Connections that fail at the same time lengthen the backoff once."""
         self.observed_s = time.time()
         self.errors += 1
         self.suspend()
 
     def suspend(self) -> None:
-        """Send nothing to it for a while, then one request."""
+        """Send no request to the worker during the backoff, and then a single one as a probe."""
         with self._lock:
             now = time.monotonic()
             if now >= self.down_until:
@@ -87,7 +93,7 @@
             self.probing = False
 
     def record_reached(self) -> None:
-        """Record that a connection was made and works."""
+        """Record that a connection was made and validated: the worker is no longer suspected."""
         self.observed_s = time.time()
         if self.suspected:
             with self._lock:
@@ -95,7 +101,7 @@
                 self._backoff.reset()
 
     def status(self) -> dict[str, Any]:
-        """Return its state for operators."""
+        """Return the state of the worker as the administration API reports it."""
         now = time.monotonic()
         return {
             "name": self.config.name,
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -1,7 +1,7 @@
-"""The AJP workers of a node: containers that requests are forwarded to, alone or balanced.
+"""The AJP workers of a node, which requests are forwarded to directly or through a balancer.
 
-A worker that can't be reached has run nothing, so another is tried. Once a byte of a request has been
-written it may have run, so then there is neither a retry nor a failover.
+If a worker can't be reached, the request has not run and another worker is tried. Once a byte of the request
+has been written it may have run, so there is neither a retry nor a failover after that.
 """
 
 import socket
@@ -31,14 +31,14 @@
 
 
 class RunResult(NamedTuple):
-    """How a run ended."""
+    """The outcome of a run, with the result if it succeeded."""
 
     outcome: Outcome
     result: Result | None = None
 
 
 class WorkerPool:
-    """All workers of a node, and the threads that wait for them."""
+    """All workers of a node, and the threads that forward requests to them."""
 
     def __init__(
         self,
@@ -51,7 +51,11 @@
         open_connections: Callable[[], int],
         random: Random,
     ) -> None:
-        """`random` spreads the probes of unreachable workers, so each node needs a seed of its own."""
+        """Create the pool; runs and gauges are reported through `post`.
+
+        `open_connections` returns the number of connections that callers have open. `random` adds jitter to
+        the probes of unreachable workers, so it must be seeded differently on each node.
+        """
         self.workers = {worker.name: PooledWorker(worker, Random(random.random())) for worker in workers}
         self.post = post
         self.counters = counters
@@ -69,22 +73,25 @@
             self._runners[name] = BalancedRunner(self, [worker], False, "requests")
 
     def runner(self, backend: str) -> Runner | None:
-        """Return what runs requests on a worker or balancer; None where none has this name."""
+        """Return the runner for the worker or balancer of this name, or None if there is none."""
         return self._runners.get(backend)
 
     def set_activation(self, name: str, activation: str) -> bool:
-        """Change whether a worker gets requests; return False where none has this name."""
+        """Set a worker to active, disabled or stopped; return False if there is no worker of this name."""
         worker = self.workers.get(name)
         if worker is None:
             return False
         if activation == "active":
             self.load_balancer.reactivate(worker, self.workers.values())
         worker.activation, worker.down_until = activation, 0.0
-        worker.record_reached()  # the operator overrides what was observed
+        worker.record_reached()  # the operator overrides the observed state
         return True
 
     def observations(self) -> dict[str, tuple[float, float]]:
-        """Return which workers are unreachable, 1 or 0, and when that was observed."""
+        """Return 1 or 0 for each worker that was tried, and the Unix time of that observation.
+
+        1 means unreachable. The keys are the subjects under which nodes exchange observations.
+        """
         now = time.monotonic()
         return {
             f"away:{name}": (float(now < worker.down_until), worker.observed_s)
@@ -96,15 +103,18 @@
         """Suspend a worker that other nodes can't reach, unless this node has observed it itself."""
         worker = self.workers.get(name)
         if worker is not None and not worker.observed_s:
-            worker.suspend()  # that is no observation, so it is not passed on as one
+            worker.suspend()  # `observed_s` stays 0, so this is not passed on as an observation
             self.counters.add("workers.doubted")
 
     def status(self) -> list[dict[str, Any]]:
-        """Return the state of all workers for operators."""
+        """Return the state of all workers as the administration API reports it."""
         return [worker.status() for worker in self.workers.values()]
 
     def post_gauges(self, cookie: str) -> None:
-        """Post the gauges where no runtime does: a request at a worker counts as a busy core."""
+        """Post gauges derived from the workers, for a node without a runtime.
+
+        Each request in progress at a worker counts as one busy core.
+        """
         running = sum(worker.busy for worker in self.workers.values())
         busy_fraction = min(1.0, running / self._cores)
         connections = float(self._open_connections())
@@ -112,67 +122,67 @@
 
 
 class BalancedRunner:
-    """Runs requests on one worker or on those of a balancer."""
+    """Runs requests on a single worker or on the members of a balancer."""
 
     def __init__(self, pool: WorkerPool, workers: list[PooledWorker], sticky: bool, method: str) -> None:
         self._pool = pool
         self._workers = workers
         self._sticky = sticky
         self._method = method
-        self._runs: dict[str, WorkerConnection | None] = {}  # by run id: the connection once there is one
-        self._stopped: set[str] = set()
+        self._runs: dict[str, WorkerConnection | None] = {}  # by run id; None until the run has a connection
+        self._stopped: set[str] = set()  # ids of runs to report as cancelled
 
     # Called on the event loop's thread
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        """Start a run."""
+        """Start a run on a thread of the pool."""
         self._runs[request.run_id] = None
         self._pool.executor.submit(self._run, request, class_name)
 
-    def stop(self, call: str) -> None:
-        """Stop a run by ending its connection."""
-        if call not in self._runs:
+    def stop(self, run_id: str) -> None:
+        """Stop a run by shutting its connection down."""
+        if run_id not in self._runs:
             return
-        self._stopped.add(call)
-        connection = self._runs.get(call)
+        self._stopped.add(run_id)
+        connection = self._runs.get(run_id)
         if connection is not None:
             try:
                 connection.sock.shutdown(socket.SHUT_RDWR)
             except OSError as error:
                 logger.debug("workers: {}", error)
 
-    def resume(self, call: str) -> None:
-        """Do nothing: a stopped run is over."""
+    def resume(self, run_id: str) -> None:
+        """Do nothing: a stopped run has ended and can't be resumed."""
 
-    def deliver_reply(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, run_id: str, body: bytes) -> None:
         """Do nothing: workers make their calls themselves."""
 
-    def skip_call(self, call: str, serial: int) -> None:
+    def skip_call(self, run_id: str, serial: int) -> None:
         """Do nothing: workers make their calls themselves."""
 
     def request_gauges(self, cookie: str) -> bool:
-        """Post the gauges of the pool."""
+        """Post the gauges of the pool; always possible."""
         self._pool.post_gauges(cookie)
         return True
 
-    # In a thread of the pool
+    # Called on a thread of the pool
 
     def _run(self, request: IncomingRequest, class_name: str) -> None:
         run_id, started_s = request.run_id, time.monotonic()
         try:
-            ended = self._forward(request, class_name)
-        except Exception:  # whatever it was, the run is over and its request needs an answer
+            run_result = self._forward(request, class_name)
+        except Exception:  # the end of the run must be reported, or its request would never be answered
             logger.exception("workers: request {} failed", run_id)
-            ended = RunResult(Outcome.ERROR)
+            run_result = RunResult(Outcome.ERROR)
         self._runs.pop(run_id, None)
         if run_id in self._stopped:
             self._stopped.discard(run_id)
-            ended = RunResult(Outcome.CANCELLED)
+            run_result = RunResult(Outcome.CANCELLED)
         duration_us = int((time.monotonic() - started_s) * 1e6)
-        self._pool.post(RunFinished(run_id, ended.outcome, duration_us, ended.result))
+        self._pool.post(RunFinished(run_id, run_result.outcome, duration_us, run_result.result))
 
     def _forward(self, request: IncomingRequest, class_name: str) -> RunResult:
-        """Forward a request to the first worker that can be reached."""
+        """Forward a request to the first worker that can be reached; without one, return NOT_STARTED."""
         pool = self._pool
         forward = forwarded_request(request, class_name)
         route = session_route(forward) if self._sticky else ""
@@ -190,7 +200,7 @@
         return RunResult(Outcome.NOT_STARTED)
 
     def _connect(self, worker: PooledWorker) -> WorkerConnection | None:
-        """Return a connection to a worker; None where it can't be reached."""
+        """Return a connection to a worker, or None if it can't be reached."""
         try:
             connection = worker.acquire_connection()
         except WorkerUnreachableError as error:
@@ -208,7 +218,10 @@
         request: IncomingRequest,
         forward: ajp13.ForwardedRequest,
     ) -> RunResult:
-        """Send the request and read the response. From here on it may have run."""
+        """Send the request and read the response.
+
+        A failure from here on counts as ERROR, since the request may have run.
+        """
         reuse = False
         try:
             connection.sock.settimeout(worker.config.reply_timeout_ms / 1000)
