--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -1,4 +1,4 @@
-"""Calls to the downstream service, each with a connection to itself while it is in progress."""
+"""Client of the downstream service. Each connection carries one call at a time."""
 
 import socket
 import threading
@@ -20,15 +20,15 @@
 from reelusher.net.threads import start_thread
 from reelusher.policy.events import Outcome
 
-# The service drops connections that are idle for longer, and resets the next call there. From a reset it
-# can't be told that the call never ran.
+# The service drops connections that are idle for longer than this and resets the next call on them. A reset
+# does not prove that the call never ran, so it could not be made again.
 MAX_IDLE_S = 0.05
 CONNECT_TIMEOUT_S = 1.0
 MAX_BACKLOG_BYTES = 1 << 20
 READ_BYTES = 1 << 14
-MAX_CONNECTIONS = 24  # at once, each with a descriptor
-MAX_CALLS_PER_CONNECTION = 500  # which it remembers, after which it is replaced
-MIN_TIME_LEFT_US = 1000  # a call with less is not sent
+MAX_CONNECTIONS = 24  # open at the same time; each needs a file descriptor
+MAX_CALLS_PER_CONNECTION = 500  # a connection remembers their run ids, so it is replaced then
+MIN_TIME_LEFT_US = 1000  # a call with less time left is not sent
 OUTCOMES = {
     "yes": Outcome.OK,
     "notnow": Outcome.REJECTED,
@@ -40,50 +40,51 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingCall:
-    """A call that is to be made."""
+    """A call that waits for a connection or is in progress."""
 
-    call: str
-    ticket: int
-    until_us: int
+    run_id: str
+    ticket: int  # unique number of the call, assigned by the core
+    until_us: int  # deadline of the call, by the clock of the node
     body: bytes
 
 
 class DownstreamConnection:
-    """One connection to the service, which carries one call at a time.
+    """A connection to the service, which carries one call at a time.
 
-    The service may garble a reply or never send it, and then the connection is of no use to any other call.
-    With a connection to itself, such a call costs no other.
+    If the service garbles a reply or never sends it, the connection can't be used for other calls. No
+    other call shares it, so none is lost with it.
     """
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.send_buffer: SendBuffer | None = None  # once it is connected
+        self.send_buffer: SendBuffer | None = None  # None until it is connected
         self.current: PendingCall | None = None  # the call in progress
-        self.calls: set[str] = set()  # made here: a duplicate of a reply must not be taken for a later call's
-        self.last_used_s = time.monotonic()
-        self.ended = False
+        self.run_ids: set[str] = set()  # of calls made here, so that no duplicate reply matches a later call
+        self.last_used_s = time.monotonic()  # when it was created or last received a reply
+        self.ended = False  # whether no further call may use it
 
     def can_carry(self, pending: PendingCall, address: Address) -> bool:
-        """Return whether this idle connection may carry a call."""
+        """Return whether this idle connection can be used for a call at this address."""
         return (
             not self.ended
             and self.address == address
-            and pending.call not in self.calls
-            and len(self.calls) < MAX_CALLS_PER_CONNECTION
+            and pending.run_id not in self.run_ids
+            and len(self.run_ids) < MAX_CALLS_PER_CONNECTION
             and time.monotonic() - self.last_used_s < MAX_IDLE_S
         )
 
     def end(self) -> None:
-        """Use it for no further call; its thread closes it."""
+        """Prevent further calls and shut the connection down; its thread then closes the socket."""
         self.ended = True
         if self.send_buffer is not None:
             self.send_buffer.close()
 
 
 class DownstreamClient:
-    """Makes calls over a bounded number of connections; calls past that wait for one.
+    """Makes calls over a bounded number of connections; further calls wait for a free one.
 
-    The event loop sends; each connection has a thread that opens and reads it.
+    The event loop calls `call` and `cancel`, which don't block; each connection has a thread that opens and
+    reads it. Each call ends with a `CallFinished`, unless it is cancelled or the client is closed.
     """
 
     def __init__(
@@ -100,10 +101,10 @@
         self._clock = clock
         self._max_connections = max_connections
         self._lock = threading.Lock()
-        self._idle: list[DownstreamConnection] = []  # the one used last at the end
-        self._busy: dict[str, DownstreamConnection] = {}  # by the call in progress
+        self._idle: list[DownstreamConnection] = []  # the most recently used one is last
+        self._busy: dict[str, DownstreamConnection] = {}  # by run id of the call in progress
         self._waiting: deque[PendingCall] = deque()
-        self._connection_count = 0  # of those that have a thread
+        self._connection_count = 0  # connections whose thread has not ended
 
     def close(self) -> None:
         """End all connections."""
@@ -113,34 +114,34 @@
                 connection.end()
 
     def move(self, address: Address) -> None:
-        """Make new calls at another address; those in progress end where they were made."""
+        """Make new calls at another address; calls in progress end at the old one."""
         with self._lock:
             self._address = address
             self._end_unusable()
 
-    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
-        """Make a call."""
+    def call(self, run_id: str, ticket: int, until_us: int, body: bytes) -> None:
+        """Make a call for a run, or queue it until a connection is free."""
         with self._lock:
-            self._waiting.append(PendingCall(call, ticket, until_us, body))
+            self._waiting.append(PendingCall(run_id, ticket, until_us, body))
             self._start_waiting()
 
-    def cancel(self, call: str, ticket: int) -> None:
-        """Cancel a call. Its connection ends with it: a reply may still come."""
+    def cancel(self, run_id: str, ticket: int) -> None:
+        """Cancel a call. If it was started, its connection is closed: a late reply may still arrive there."""
         with self._lock:
-            connection = self._busy.get(call)
+            connection = self._busy.get(run_id)
             if connection is None or connection.current is None or connection.current.ticket != ticket:
                 self._waiting = deque(pending for pending in self._waiting if pending.ticket != ticket)
                 return
-            del self._busy[call]
+            del self._busy[run_id]
             connection.current = None
             if connection.send_buffer is not None:
-                connection.send_buffer.send(lines.encode_cancel(call))
+                connection.send_buffer.send(lines.encode_cancel(run_id))
             connection.end()
 
-    # With the lock held
+    # Called with the lock held
 
     def _start_waiting(self) -> None:
-        """Start the calls that wait, as far as there are connections."""
+        """Start waiting calls as long as there is a connection for the next one."""
         while self._waiting:
             pending = self._waiting[0]
             if pending.until_us - self._clock.now() < MIN_TIME_LEFT_US:
@@ -157,16 +158,16 @@
                 self._finish_unsent(pending, Outcome.UNREACHABLE)
                 continue
             connection.current = pending
-            connection.calls.add(pending.call)
-            self._busy[pending.call] = connection
+            connection.run_ids.add(pending.run_id)
+            self._busy[pending.run_id] = connection
             if connection.send_buffer is not None:
                 self._send(connection, connection.send_buffer, pending)
 
     def _finish_unsent(self, pending: PendingCall, outcome: Outcome) -> None:
-        self._post(CallFinished(pending.call, pending.ticket, outcome))
+        self._post(CallFinished(pending.run_id, pending.ticket, outcome))
 
     def _take_idle(self, pending: PendingCall) -> DownstreamConnection | None:
-        """Return the idle connection that was used last, of those that may carry a call."""
+        """Take the most recently used idle connection that can carry a call; None without one."""
         for connection in reversed(self._idle):
             if connection.can_carry(pending, self._address):
                 self._idle.remove(connection)
@@ -175,7 +176,10 @@
         return None
 
     def _open_connection(self) -> DownstreamConnection | None:
-        """Return a connection that is being opened; its thread takes its call once the lock is free."""
+        """Return a connection that its thread is opening, or None if no thread can be started.
+
+        The thread sends the call of the connection once it is open.
+        """
         connection = DownstreamConnection(self._address)
         try:
             start_thread("downstream", partial(self._run, connection))
@@ -187,15 +191,15 @@
 
     def _send(self, connection: DownstreamConnection, send_buffer: SendBuffer, pending: PendingCall) -> None:
         remaining_ms = max((pending.until_us - self._clock.now()) // 1000, 1)
-        if not send_buffer.send(lines.encode_call(pending.call, remaining_ms, pending.body)):
-            # nothing was sent, so it never ran: it goes out on the next connection
+        if not send_buffer.send(lines.encode_call(pending.run_id, remaining_ms, pending.body)):
+            # nothing was sent, so the call can't have run: it is made on another connection
             connection.end()
             connection.current = None
-            del self._busy[pending.call]
+            del self._busy[pending.run_id]
             self._waiting.appendleft(pending)
 
     def _end_unusable(self) -> None:
-        """End idle connections that no call may use."""
+        """End idle connections that are closed, too old, or at an old address."""
         oldest_s = time.monotonic() - MAX_IDLE_S
         usable = []
         for connection in self._idle:
@@ -205,7 +209,7 @@
                 usable.append(connection)
         self._idle = usable
 
-    # The thread of a connection
+    # Called on the thread of a connection
 
     def _run(self, connection: DownstreamConnection) -> None:
         sock = self._connect(connection)
@@ -218,17 +222,17 @@
                 self._idle.remove(connection)
             interrupted, connection.current = connection.current, None
             if interrupted is not None:
-                del self._busy[interrupted.call]
+                del self._busy[interrupted.run_id]
             self._connection_count -= 1
             self._start_waiting()
-        if interrupted is not None:  # it may have run, so it is not made again
+        if interrupted is not None:  # the call may have run, so it is not made again
             self._counters.warn(
-                "vault.broken", "downstream: a connection broke during call {}", interrupted.call
+                "vault.broken", "downstream: a connection broke during call {}", interrupted.run_id
             )
-            self._post(CallFinished(interrupted.call, interrupted.ticket, Outcome.CONNECTION_LOST))
+            self._post(CallFinished(interrupted.run_id, interrupted.ticket, Outcome.CONNECTION_LOST))
 
     def _connect(self, connection: DownstreamConnection) -> socket.socket | None:
-        """Open a connection and send its call."""
+        """Open the connection and send its call; return None if that fails."""
         sock = None
         try:
             sock = connect(connection.address, CONNECT_TIMEOUT_S)
@@ -240,20 +244,23 @@
                 return None
             self._counters.add("vault.connected")
             connection.send_buffer = SendBuffer(sock, MAX_BACKLOG_BYTES)
-            if connection.current is None or connection.ended:  # cancelled or closed meanwhile
+            if connection.current is None or connection.ended:  # cancelled or closed in the meantime
                 connection.end()
             else:
                 self._send(connection, connection.send_buffer, connection.current)
         return sock
 
     def _on_unreachable(self, connection: DownstreamConnection) -> None:
-        """Take back the call of a connection that was not made: it never ran. The lock is held."""
+        """End the call of a connection that could not be opened, or queue it again for a new address.
+
+        The call never ran. The lock is held.
+        """
         pending, connection.current = connection.current, None
         if pending is None:
             return
-        del self._busy[pending.call]
+        del self._busy[pending.run_id]
         if connection.address != self._address:
-            self._waiting.appendleft(pending)  # the address has changed meanwhile
+            self._waiting.appendleft(pending)  # the address has changed in the meantime
         else:
             self._finish_unsent(pending, Outcome.UNREACHABLE)
 
@@ -276,11 +283,11 @@
             raise MalformedError(f"an unknown reply {reply.status!r}")
         with self._lock:
             current = connection.current
-            if current is None or current.call != reply.run_id:  # a duplicate, or one to no call
+            if current is None or current.run_id != reply.run_id:  # a duplicate or an unknown reply
                 self._counters.add("vault.stray_reply")
                 return
             connection.current = None
-            del self._busy[current.call]
+            del self._busy[current.run_id]
             connection.last_used_s = time.monotonic()
             if not connection.ended:
                 self._idle.append(connection)
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -1,4 +1,4 @@
-"""The link to the runtime: commands out, notices in, and recovery after a broken link."""
+"""The link to the runtime: sends commands, reads notices, and recovers from a broken link."""
 
 import contextlib
 import socket
@@ -30,12 +30,12 @@
 from reelusher.policy.events import Outcome
 
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.25  # between attempts to connect
-MIN_LINK_S = 1.0  # a link that ended sooner is opened again with backoff only
+MIN_LINK_S = 1.0  # a link that broke sooner is reopened after a backoff, others at once
 CONNECT_TIMEOUT_S = 2.0
-DESCRIPTORS = 3  # the link, and those of two changes of address at once
+DESCRIPTORS = 3  # the link, and two that are being opened for changes of its address
 MAX_BACKLOG_BYTES = 8 << 20
 READ_BYTES = 1 << 16
-MIN_RESTART_S = 5.0  # a start time later by this is a restart, and no inaccuracy of clocks
+MIN_RESTART_S = 5.0  # a smaller difference between two start times is inaccuracy of clocks, not a restart
 OUTCOMES = {
     "ok": Outcome.OK,
     "failed": Outcome.ERROR,
@@ -45,7 +45,7 @@
 
 
 class OpenedLink(NamedTuple):
-    """A connection that is not in use yet."""
+    """An open connection that is not in use yet."""
 
     address: Address
     sock: socket.socket
@@ -54,30 +54,31 @@
 class RuntimeLink:
     """Runs attempts on the runtime.
 
-    The runtime reads a link in order, so an answer to gauges acknowledges all that was sent before them,
-    and a notice acknowledges the commands for its run. The others are sent again on the next link, after
-    the missed notices have come: `sync` is followed by gauges, whose answer comes after these.
+    The runtime reads a link in order, so its reply to a gauge request acknowledges all commands sent before
+    that request, and a notice acknowledges the commands for its run. All other commands are sent again on the
+    next link, once the missed notices have been read: there `sync` requests the notices again and is followed
+    by a gauge request, and the reply to that comes after them.
     """
 
     def __init__(
         self, address: Address, post: Callable[[Message], None], counters: Counters, random: Random
     ) -> None:
-        """`random` spreads attempts to connect, so each node needs a seed of its own."""
+        """`random` adds jitter to attempts to connect, so it must be seeded differently on each node."""
         self._random = random
-        self._address = address  # that the link is to have
-        self._linked_address: Address | None = None  # that it has
-        self._next: OpenedLink | None = None  # after a change of address: replaces the link in use
+        self._address = address  # the configured address
+        self._linked_address: Address | None = None  # the address of the link in use
+        self._next: OpenedLink | None = None  # replaces the link in use after a change of address
         self._post = post
         self._counters = counters
         self._lock = threading.Lock()
         self._send_buffer: SendBuffer | None = None
-        self._ready = False  # all missed notices were read on this link
+        self._ready = False  # whether all missed notices have been read on this link
         self._unacknowledged = UnacknowledgedCommands()
-        self._serial = 0  # of the last notice that was handled
-        self._malformed_serial: object = None  # serial of the newest malformed notice
+        self._serial = 0  # serial number of the last notice that was handled
+        self._malformed_serial: object = None  # serial number of the last malformed notice
         self._link_count = 0
         self._closed = False
-        self._runtime_started_s = 0.0  # when the runtime started, by the monotonic clock
+        self._runtime_started_s = 0.0  # monotonic time at which the runtime started; 0: unknown
         self._handlers: dict[str, Callable[[dict[str, Any]], None]] = {
             "ready": self._on_ready,
             "end": self._on_end,
@@ -88,11 +89,11 @@
         }
 
     def connect(self) -> None:
-        """Start the thread that keeps the link open."""
+        """Start the thread that opens the link, reads it, and reopens it when it breaks."""
         start_thread("runtime", self._run)
 
     def move(self, address: Address) -> None:
-        """Change the address. The old link is used until the new one is open; runs continue."""
+        """Change the address. The old link stays in use until the new one is open; runs continue."""
         with self._lock:
             if address == self._address:
                 return
@@ -100,8 +101,8 @@
         start_thread("runtime-move", lambda: self._open_next(address))
 
     def _open_next(self, address: Address) -> None:
-        """Open the link that is to replace the one in use, unless that is done or obsolete."""
-        backoff = Backoff(Random(self._random.random()), MIN_BACKOFF_S, MAX_BACKOFF_S)  # of this thread alone
+        """Open a link to replace the one in use; retry until it is open or the address is obsolete."""
+        backoff = Backoff(Random(self._random.random()), MIN_BACKOFF_S, MAX_BACKOFF_S)  # for this thread only
         while True:
             sock = None
             with contextlib.suppress(OSError):
@@ -109,11 +110,11 @@
             with self._lock:
                 needed = address == self._address != self._linked_address and not self._closed
                 if needed and sock is not None:
-                    superseded = self._next  # of an earlier change, not in use yet
+                    superseded = self._next  # opened for an earlier change of address, not in use yet
                     self._next = OpenedLink(address, sock)
                     sock, needed = superseded.sock if superseded else None, False
                     if self._send_buffer is not None:
-                        self._send_buffer.close()  # its reader sees the end and uses the next link
+                        self._send_buffer.close()  # ends `_read`, and `_run` then uses the next link
             if sock is not None:
                 sock.close()
             if not needed:
@@ -121,7 +122,7 @@
             time.sleep(backoff.next_s())
 
     def close(self) -> None:
-        """Close the link for good."""
+        """Close the link; it is not reopened."""
         with self._lock:
             self._closed = True
             if self._send_buffer is not None:
@@ -129,57 +130,58 @@
 
     @property
     def up(self) -> bool:
-        """Whether the runtime is connected and all missed notices are read."""
+        """Whether the runtime is connected and all missed notices have been read."""
         return self._ready
 
     # Commands, called on the event loop's thread
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self._command("start", request.run_id, service=class_name, blob=lines.encode_body(request.body))
+        self._send_command("start", request.run_id, service=class_name, blob=lines.encode_body(request.body))
 
-    def stop(self, call: str) -> None:
+    def stop(self, run_id: str) -> None:
         """Stop a run."""
-        self._command("stop", call)
+        self._send_command("stop", run_id)
 
-    def resume(self, call: str) -> None:
+    def resume(self, run_id: str) -> None:
         """Resume a paused run."""
-        self._command("cont", call)
+        self._send_command("cont", run_id)
 
-    def deliver_reply(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, run_id: str, body: bytes) -> None:
         """Deliver the reply to a call."""
-        self._command("give", call, blob=lines.encode_body(body))
+        self._send_command("give", run_id, blob=lines.encode_body(body))
 
-    def skip_call(self, call: str, serial: int) -> None:
-        """Resume a run without its call."""
-        self._command("omit", call, serial=serial)
+    def skip_call(self, run_id: str, serial: int) -> None:
+        """Let a run continue without the call that the notice `serial` requested."""
+        self._send_command("omit", run_id, serial=serial)
 
     def request_gauges(self, cookie: str) -> bool:
-        """Request the gauges."""
+        """Request the gauges; return False if the link is not ready or the request was not sent."""
         with self._lock:
             if not self._ready or self._send_buffer is None:
                 return False
             self._unacknowledged.mark(cookie)
             return self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
-    def _command(self, name: str, call: str, **more: Any) -> None:
-        line = lines.encode_json_line({"msg": name, "call": call, **more})
+    def _send_command(self, name: str, run_id: str, **fields: Any) -> None:
+        """Send a command, or keep it until the link is ready; it is resent until it is acknowledged."""
+        line = lines.encode_json_line({"msg": name, "call": run_id, **fields})
         with self._lock:
-            self._unacknowledged.add(call, line)
+            self._unacknowledged.add(run_id, line)
             if self._ready and self._send_buffer is not None:
                 self._send_buffer.send(line)
 
     # The link
 
     def _open(self) -> socket.socket | None:
-        """Return the next link: one that was opened after a change of address, or a new one."""
+        """Return a link opened after a change of address, or a new one; None if connecting fails."""
         with self._lock:
             address = self._address
             next_link, self._next = self._next, None
             if next_link is not None and next_link.address == address:
                 self._linked_address = address
                 return next_link.sock
-        if next_link is not None:  # the address has changed again
+        if next_link is not None:  # the address changed again after it was opened
             next_link.sock.close()
         try:
             sock = connect(address, CONNECT_TIMEOUT_S)
@@ -189,7 +191,7 @@
             if self._next is None:
                 self._linked_address = address
                 return sock
-        sock.close()  # a change of address was faster
+        sock.close()  # meanwhile a link for a changed address was opened
         return None
 
     def _run(self) -> None:
@@ -199,7 +201,7 @@
             if sock is None:
                 time.sleep(backoff.next_s())
                 continue
-            send_buffer, opened = SendBuffer(sock, MAX_BACKLOG_BYTES), time.monotonic()
+            send_buffer, opened_s = SendBuffer(sock, MAX_BACKLOG_BYTES), time.monotonic()
             with self._lock:
                 self._send_buffer, self._link_count = send_buffer, self._link_count + 1
                 if self._next is not None or self._closed:
@@ -216,9 +218,9 @@
                 logger.info("runtime: the link changes to {}:{}", *self._address)
                 continue
             self._counters.warn("runtime.link_lost", "runtime: link lost, connecting again")
-            if time.monotonic() - opened < MIN_LINK_S:
+            if time.monotonic() - opened_s < MIN_LINK_S:
                 time.sleep(backoff.next_s())
-            else:  # at once, since runs wait for their commands
+            else:  # reconnect at once, since runs wait for their commands
                 backoff.reset()
 
     def _read(self, sock: socket.socket) -> None:
@@ -235,6 +237,10 @@
             logger.debug("runtime: {}", error)
 
     def _on_message(self, message: dict[str, Any]) -> None:
+        """Handle a notice, unless it was handled before. Raises `MalformedError`, which closes the link.
+
+        A notice that is still malformed when it is repeated on the next link fails its run instead.
+        """
         name = message.get("msg")
         handler = self._handlers.get(name) if isinstance(name, str) else None
         if handler is None:
@@ -247,19 +253,20 @@
             handler(message)
         except (KeyError, TypeError, ValueError) as error:
             if not isinstance(serial, int) or self._malformed_serial != serial:
-                self._malformed_serial = serial  # it may be damaged in transit: the next link repeats it
+                self._malformed_serial = serial  # possibly corrupted in transit: the next link repeats it
                 raise MalformedError(f"a notice {name} with a bad field: {error!r}") from None
             self._counters.warn(
                 "runtime.spoilt_twice",
                 "runtime: the notice {} is malformed, its run counts as failed",
                 serial,
             )
-            if isinstance(call := message.get("call"), str):
-                self._post(RunFinished(call, Outcome.ERROR))
+            if isinstance(run_id := message.get("call"), str):
+                self._post(RunFinished(run_id, Outcome.ERROR))
         if isinstance(serial, int):
-            self._serial = serial  # not before it is handled: the next link repeats one that was not
+            self._serial = serial  # only once handled, so that the next link repeats notices that were not
 
     def _on_ready(self, message: dict[str, Any]) -> None:
+        """Detect whether the runtime has restarted, and request the gauges that follow the missed notices."""
         started_s = time.monotonic() - float(message.get("duration", 0)) / 1000
         logger.info("runtime: ready, {}", message.get("how"))
         if self._runtime_started_s and started_s > self._runtime_started_s + MIN_RESTART_S:
@@ -276,7 +283,7 @@
                 self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
     def _resend(self) -> None:
-        """Send again what may have been lost; all missed notices are read."""
+        """Send all unacknowledged commands again, now that all missed notices have been read."""
         with self._lock:
             resent = self._unacknowledged.lines_to_resend()
             self._ready = True
@@ -287,6 +294,7 @@
                     self._counters.add("runtime.sent_again", len(resent))
 
     def _on_load(self, message: dict[str, Any]) -> None:
+        """Handle the reply to a gauge request; the one made after `sync` follows all missed notices."""
         cookie = str(message["cookie"])
         if cookie == f"sync{self._link_count}":
             self._resend()
@@ -295,25 +303,25 @@
             self._unacknowledged.acknowledge_gauges(cookie)
         self._post(GaugesReceived(cookie, tuple(float(value) for value in message["stats"])))
 
-    def _acknowledge(self, call: str) -> None:
-        """Record that the runtime has read the commands for a run."""
+    def _acknowledge(self, run_id: str) -> None:
+        """Record that the runtime has read all commands for a run."""
         with self._lock:
-            self._unacknowledged.acknowledge_run(call)
+            self._unacknowledged.acknowledge_run(run_id)
 
     def _on_end(self, message: dict[str, Any]) -> None:
-        call, outcome = str(message["call"]), OUTCOMES[message["how"]]
-        self._acknowledge(call)
+        run_id, outcome = str(message["call"]), OUTCOMES[message["how"]]
+        self._acknowledge(run_id)
         result = Result(lines.decode_body(message.get("blob", ""))) if outcome is Outcome.OK else None
-        self._post(RunFinished(call, outcome, int(float(message.get("duration", 0)) * 1000), result))
+        self._post(RunFinished(run_id, outcome, int(float(message.get("duration", 0)) * 1000), result))
 
     def _on_wants(self, message: dict[str, Any]) -> None:
-        call = str(message["call"])
-        self._acknowledge(call)
-        self._post(CallRequested(call, int(message["serial"]), lines.decode_body(message.get("blob", ""))))
+        run_id = str(message["call"])
+        self._acknowledge(run_id)
+        self._post(CallRequested(run_id, int(message["serial"]), lines.decode_body(message.get("blob", ""))))
 
     def _on_nack(self, message: dict[str, Any]) -> None:
-        call, name = str(message.get("call", "")), message.get("how")
-        self._counters.warn("runtime.nack", "runtime: the command {} for {} was rejected", name, call)
-        self._acknowledge(call)
-        if name == "start":  # nothing was started, and nothing will be
-            self._post(RunFinished(call, Outcome.NOT_STARTED))
+        run_id, name = str(message.get("call", "")), message.get("how")
+        self._counters.warn("runtime.nack", "runtime: the command {} for {} was rejected", name, run_id)
+        self._acknowledge(run_id)
+        if name == "start":  # the run was not started and will not be
+            self._post(RunFinished(run_id, Outcome.NOT_STARTED))
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -1,4 +1,4 @@
-"""Health reports to the service registry, so that callers find this node."""
+"""Client of the service registry: reports the health of the node, so that callers find it."""
 
 import json
 import socket
@@ -19,54 +19,57 @@
 
 DESCRIPTORS = 1
 READ_BYTES = 1 << 12
-NO_CONTENT = "204"
+STATUS_NO_CONTENT = "204"
 MAX_RETRY_AFTER_DIGITS = 8
-PATH = "/catalog/register/"
-MAX_STALE_RETRIES = 1.0  # at once on a new connection, where a cached one was stale
+REGISTER_PATH = "/catalog/register/"
+MAX_STALE_RETRIES = 1.0  # immediate retries on a new connection after a reused one was stale
 STALE_RETRIES_PER_SUCCESS = 0.5
 
 
 class RegistryUnavailableError(OSError):
-    """The service registry answered with an error, perhaps with a Retry-After."""
+    """The service registry responded with an error status, possibly with a Retry-After."""
 
     def __init__(self, status: str, retry_after_s: float) -> None:
-        super().__init__(f"answered {status}")
+        super().__init__(f"responded with status {status}")
         self.retry_after_s = retry_after_s
 
 
 class ServiceRegistryClient:
-    """Reports the health of the node, through outages of the service registry."""
+    """Reports the health of the node periodically and after changes, with backoff during outages."""
 
     def __init__(
         self, address: Address, name: str, is_healthy: Callable[[], bool], counters: Counters, random: Random
     ) -> None:
-        """`is_healthy` is called for each report; `random` spreads reports, other ones on each node."""
+        """`is_healthy` is called for each report, on a thread of the client.
+
+        `random` adds jitter to the times of reports, so it must be seeded differently on each node.
+        """
         self._address = address
-        self._path = PATH + quote(name, safe="")
+        self._path = REGISTER_PATH + quote(name, safe="")
         self._is_healthy = is_healthy
         self._counters = counters
         self._schedule = ReportSchedule(random)
         self._stale_retries = RetryBudget(MAX_STALE_RETRIES, STALE_RETRIES_PER_SUCCESS)
         self._sock: socket.socket | None = None
         self._connected_to: Address | None = None
-        self._wakeup = threading.Event()  # a change is to be reported, or reports are to stop
+        self._wakeup = threading.Event()  # set when the health has changed or reporting is to stop
         self._stopped = threading.Event()
-        self._failing = False
+        self._failing = False  # whether the last report failed
 
     def move(self, address: Address) -> None:
-        """Report to another address from the next report on."""
+        """Send the next report, and all after it, to another address."""
         self._address = address
 
     def start(self) -> None:
-        """Start to report."""
+        """Start the thread that reports."""
         start_thread("service-registry", self._run)
 
     def health_changed(self) -> None:
-        """Report sooner, since the health has changed; from any thread, without blocking."""
+        """Bring the next report forward after a change. Any thread may call; this does not block."""
         self._wakeup.set()
 
     def stop(self) -> None:
-        """Report no more, so that the entry of the node expires."""
+        """Stop reporting, so that the entry of the node expires."""
         self._stopped.set()
         self._wakeup.set()
 
@@ -74,7 +77,7 @@
         due_s = time.monotonic() + self._schedule.first_delay_s()
         while not self._stopped.is_set():
             if self._wakeup.wait(max(0.0, due_s - time.monotonic())) and not self._failing:
-                now = time.monotonic()  # after a failure the backoff goes on
+                now = time.monotonic()  # only after a success: a change does not cut a backoff short
                 due_s = min(due_s, now + self._schedule.change_delay_s(now))
             if not self._stopped.wait(max(0.0, due_s - time.monotonic())):
                 self._wakeup.clear()
@@ -85,7 +88,7 @@
         self._disconnect()
 
     def _report(self) -> float:
-        """Make one report; return the seconds until the next."""
+        """Send one report; return the seconds until the next is due."""
         sent_s = time.monotonic()
         try:
             self._put()
@@ -95,9 +98,9 @@
             if not self._failing:
                 logger.warning("service registry: report failed: {}", error)
             self._failing = True
-            lost = isinstance(error, (TimeoutError, http1.MalformedHttpError))
+            no_reply = isinstance(error, (TimeoutError, http1.MalformedHttpError))
             return self._schedule.on_failure(
-                ReportFailure.NO_REPLY if lost else ReportFailure.UNAVAILABLE,
+                ReportFailure.NO_REPLY if no_reply else ReportFailure.UNAVAILABLE,
                 time.monotonic(),
                 error.retry_after_s if isinstance(error, RegistryUnavailableError) else 0.0,
             )
@@ -109,7 +112,7 @@
         return self._schedule.on_success(sent_s, time.monotonic())
 
     def _put(self) -> None:
-        """Send one report; where a cached connection is stale, once more on a new one."""
+        """Send one report; if a reused connection turns out stale, send it once more on a new one."""
         body = json.dumps(
             {"status": "passing" if self._is_healthy() else "critical"}, separators=(",", ":")
         ).encode()
@@ -117,35 +120,40 @@
         if address != self._connected_to:
             self._disconnect()
         host = f"{address[0]}:{address[1]}"
-        message = http1.request("PUT", self._path, body, {"Host": host, "Content-Type": "application/json"})
-        cached = self._sock is not None
+        request = http1.request("PUT", self._path, body, {"Host": host, "Content-Type": "application/json"})
+        reused = self._sock is not None
         try:
-            self._exchange(address, message)
-        except (RegistryUnavailableError, TimeoutError):  # of the service registry, not the connection
+            self._exchange(address, request)
+        except (RegistryUnavailableError, TimeoutError):  # the service registry failed, not the connection
             raise
         except OSError:
-            if not cached or not self._stale_retries.try_acquire():
+            if not reused or not self._stale_retries.try_acquire():
                 raise
             self._disconnect()
-            self._exchange(address, message)
+            self._exchange(address, request)
+
+    def _exchange(self, address: Address, request: bytes) -> None:
+        """Send a request and read the response, connecting first if needed.
 
-    def _exchange(self, address: Address, message: bytes) -> None:
+        Raises `RegistryUnavailableError` for any status but 204, OSError or `MalformedHttpError` for other
+        failures.
+        """
         timeout_s = self._schedule.timeout_s()
         if self._sock is None:
             self._sock, self._connected_to = connect(address, timeout_s), address
         self._sock.settimeout(timeout_s)
-        self._sock.sendall(message)
+        self._sock.sendall(request)
         decoder = http1.Decoder()
         while data := self._sock.recv(READ_BYTES):
-            for answer in decoder.feed(data):
-                if answer.start[1] != NO_CONTENT:
+            for response in decoder.feed(data):
+                if response.start[1] != STATUS_NO_CONTENT:
                     raise RegistryUnavailableError(
-                        answer.start[1], _seconds(answer.headers.get("retry-after", ""))
+                        response.start[1], _retry_after_s(response.headers.get("retry-after", ""))
                     )
-                if not answer.keep_alive:
+                if not response.keep_alive:
                     self._disconnect()
                 return
-        raise OSError("closed before the answer")
+        raise OSError("connection closed before the response")
 
     def _disconnect(self) -> None:
         if self._sock is not None:
@@ -153,6 +161,6 @@
             self._sock = None
 
 
-def _seconds(text: str) -> float:
-    """Return a Retry-After in seconds; 0 for a date, or anything else."""
+def _retry_after_s(text: str) -> float:
+    """Return the value of a Retry-After in seconds; 0 for a date or anything else but digits."""
     return float(text) if text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS else 0.0
