--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -1,4 +1,4 @@
-"""Checked access to parsed configuration: each fault is a `ConfigError` that names the key by its path."""
+"""Validated access to parsed configuration. A `ConfigError` names the faulty key by its path."""
 
 from collections.abc import Collection, Mapping, Sequence, Set
 from typing import Any
@@ -7,15 +7,18 @@
 
 
 class ConfigError(Exception):
-    """A key is missing or has an unusable value; the text starts with its path."""
+    """A key is missing or has an invalid value; the text starts with the path of the key."""
 
-    def __init__(self, key: str, why: str) -> None:
-        super().__init__(f"{key}: {why}")
+    def __init__(self, key: str, reason: str) -> None:
+        super().__init__(f"{key}: {reason}")
         self.key = key
 
 
 class CheckedTable:
-    """A table of the configuration and its path. All reading methods raise `ConfigError`."""
+    """A table of the configuration, with the path of its key. All methods that read raise `ConfigError`.
+
+    A required key is one that is read without a default.
+    """
 
     def __init__(self, value: Any, path: str = "") -> None:
         if not isinstance(value, Mapping):
@@ -24,7 +27,7 @@
         self._path = path
 
     def path(self, key: str) -> str:
-        """Return the full path of a key."""
+        """Return the path of a key from the root of the configuration, separated by dots."""
         return f"{self._path}.{key}" if self._path else key
 
     def __contains__(self, key: str) -> bool:
@@ -36,22 +39,22 @@
         return not self._value
 
     def raw(self, key: str) -> Any:
-        """Return the value of a required key."""
+        """Return the value of a required key, unchecked."""
         if key not in self:
             raise ConfigError(self.path(key), "missing")
         return self._value[key]
 
     def reject_unknown_keys(self, *known: str) -> None:
-        """Raise `ConfigError` for a key that nothing reads: most are typing errors."""
+        """Raise `ConfigError` for a key that is not known, which is most likely misspelled."""
         for key in self._value:
             if key not in known:
                 raise ConfigError(self.path(str(key)), "unknown key")
 
-    def _error(self, key: str, wanted: str) -> ConfigError:
-        return ConfigError(self.path(key), f"{wanted} is wanted, not {self._value[key]!r:.60}")
+    def _error(self, key: str, expected: str) -> ConfigError:
+        return ConfigError(self.path(key), f"{expected} is wanted, not {self._value[key]!r:.60}")
 
     def string(self, key: str, default: str | None = None) -> str:
-        """Read a string that is not empty."""
+        """Return a string that is not empty."""
         if default is not None and key not in self:
             return default
         value = self.raw(key)
@@ -60,7 +63,7 @@
         return value
 
     def choice(self, key: str, choices: Collection[str], default: str | None = None) -> str:
-        """Read one of several strings."""
+        """Return a string that is one of `choices`."""
         value = self.string(key, default)
         if value not in choices:
             listed = sorted(choices) if isinstance(choices, Set) else choices
@@ -70,7 +73,7 @@
     def number(
         self, key: str, default: float | None = None, minimum: float = 0.0, maximum: float = float("inf")
     ) -> float:
-        """Read a number within bounds."""
+        """Return a number from `minimum` to `maximum`, both included. The default is not checked."""
         if default is not None and key not in self:
             return default
         value = self.raw(key)
@@ -82,21 +85,21 @@
         return float(value)
 
     def integer(self, key: str, default: int | None = None, minimum: int = 0, maximum: int = 1 << 53) -> int:
-        """Read a whole number within bounds."""
+        """Return an integer from `minimum` to `maximum`, both included."""
         value = self.number(key, default, minimum, maximum)
         if value != int(value):
             raise self._error(key, "a whole number")
         return int(value)
 
     def boolean(self, key: str, default: bool) -> bool:
-        """Read true or false."""
+        """Return true or false."""
         value = self._value.get(key, default)
         if not isinstance(value, bool):
             raise self._error(key, "true or false")
         return value
 
     def strings(self, key: str, default: Sequence[str] | None = None) -> tuple[str, ...]:
-        """Read a list of strings."""
+        """Return a list of strings, none of them empty."""
         if default is not None and key not in self:
             return tuple(default)
         value = self.raw(key)
@@ -105,23 +108,23 @@
         return tuple(value)
 
     def table(self, key: str) -> "CheckedTable":
-        """Read a table; an absent one is empty."""
+        """Return a table within this one; an empty one if the key is absent."""
         return CheckedTable(self._value.get(key, {}), self.path(key))
 
     def tables(self, key: str) -> list["CheckedTable"]:
-        """Read a list of tables; an absent one is empty."""
+        """Return a list of tables; an empty one if the key is absent."""
         value = self._value.get(key, [])
         if not isinstance(value, list):
             raise self._error(key, "a list of tables")
         return [CheckedTable(item, f"{self.path(key)}[{index}]") for index, item in enumerate(value)]
 
     def address(self, key: str) -> Address:
-        """Read HOST:PORT."""
+        """Return the address of a required key, which is written as HOST:PORT."""
         return address_of(self.raw(key), self.path(key))
 
 
 def address_of(value: Any, key: str) -> Address:
-    """Return an address from HOST:PORT. Raises `ConfigError` that names the key."""
+    """Parse HOST:PORT. Raises a `ConfigError` that names `key`."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ConfigError(key, f"HOST:PORT is wanted, not {value!r:.60}")
--- a/reelusher/config/load.py
+++ b/reelusher/config/load.py
@@ -1,4 +1,4 @@
-"""Puts the platform's and the operator's configuration together."""
+"""Loads the configuration of a node and merges the platform's file with the operator's."""
 
 import os
 from collections.abc import Mapping
@@ -15,23 +15,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """The configuration of a node: by the platform, by an operator, or by both."""
+    """The configuration of a node, from the platform's file, the operator's file, or both."""
 
     platform: platform_config.Platform | None
     operator: "Operator | None"
     name: str
     seed: int
-    stop_ms: int
-    memory_mb: float
-    sockets: int  # descriptors that the process may hold
+    stop_ms: int  # time from the signal to stop until the process is killed
+    memory_mb: float  # memory that the process may use
+    sockets: int  # file descriptors that the process may hold open
     settings: Settings
-    gauges: list[str]
+    gauges: list[str]  # field of `Gauges` for each reported gauge, in order; empty for unknown ones
     class_names: list[str]
 
 
 def merge(platform: platform_config.Platform | None, operator: "Operator | None") -> Config:
-    """Combine both; where both set something, the platform's value holds. Raises `ConfigError`."""
-    _check_replication_alone(platform, operator)
+    """Merge both; the platform's values take precedence over the operator's. Raises `ConfigError`."""
+    _check_replication_without_fleet(platform, operator)
     if platform is not None:
         return Config(
             platform=platform,
@@ -47,11 +47,13 @@
         )
     if operator is None:
         raise ConfigError("PROXY_CONFIG", "not set, and neither is REELUSHER_OPERATOR: one of them is needed")
-    return _of_operator(operator)
+    return _from_operator(operator)
 
 
-def _check_replication_alone(platform: platform_config.Platform | None, operator: "Operator | None") -> None:
-    """Raise `ConfigError` where a node without a fleet names other control members than itself."""
+def _check_replication_without_fleet(
+    platform: platform_config.Platform | None, operator: "Operator | None"
+) -> None:
+    """Raise `ConfigError` if a node without a fleet names any control member other than itself."""
     if operator is None or operator.replication is None or operator.fleet is not None:
         return
     name = platform.name if platform else operator.name
@@ -59,8 +61,8 @@
         raise ConfigError("replication.control", f"without [fleet] it can name this node only, {name}")
 
 
-def _of_operator(operator: "Operator") -> Config:
-    """Return the configuration of a node without a platform."""
+def _from_operator(operator: "Operator") -> Config:
+    """Return the configuration of a node that has only an operator's file."""
     from reelusher.config.operator.classes import GAUGES
 
     if operator.settings is None:
@@ -80,13 +82,13 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read what PROXY_CONFIG, REELUSHER_OPERATOR or both point to. Raises `ConfigError`."""
+    """Read the files that PROXY_CONFIG and REELUSHER_OPERATOR name, at least one. Raises `ConfigError`."""
     platform = None
     if environ.get("PROXY_CONFIG"):
         platform = platform_config.read(environ["PROXY_CONFIG"], environ)
     operator = None
     if path := environ.get("REELUSHER_OPERATOR"):
-        from reelusher.config.operator import file as operator_file  # not loaded on the platform
+        from reelusher.config.operator import file as operator_file  # not loaded without this file
 
         class_names = tuple(platform.class_names) if platform else ()
         operator = operator_file.read(path, class_names, has_runtime=platform is not None)
--- a/reelusher/config/operator/__init__.py
+++ b/reelusher/config/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file, one module a section; `file` reads and checks it as a whole."""
+"""The operator's file: a module for each section, and `file`, which reads and validates it as a whole."""
--- a/reelusher/config/operator/ajp.py
+++ b/reelusher/config/operator/ajp.py
@@ -1,4 +1,4 @@
-"""The AJP13 front end in the operator's file."""
+"""The section `ajp` of the operator's file: the AJP13 front end."""
 
 from dataclasses import dataclass
 
@@ -9,20 +9,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Ajp:
-    """The AJP13 front."""
+    """Configuration of the AJP13 front end."""
 
     listen: Address
-    secret: str
-    packet_size: int
+    secret: str  # shared with the web servers; empty: none is required
+    packet_size: int  # maximum size of a packet in bytes
     max_body_kb: int
     max_response_kb: int
     max_connections: int
-    idle_ms: int
-    allowed_attributes: frozenset[str]
+    idle_ms: int  # connections idle for longer are closed
+    allowed_attributes: frozenset[str]  # named attributes that requests may have
 
 
 def read_ajp(table: CheckedTable) -> Ajp:
-    """Check the section `ajp`. Raises `ConfigError`."""
+    """Validate the section `ajp`. Raises `ConfigError`."""
     table.reject_unknown_keys(
         "listen",
         "secret",
@@ -33,7 +33,7 @@
         "idle_ms",
         "allowed_attributes",
     )
-    made = Ajp(
+    ajp = Ajp(
         listen=table.address("listen"),
         secret=table.string("secret", " ").strip(),
         packet_size=table.integer(
@@ -45,6 +45,6 @@
         idle_ms=table.integer("idle_ms", 60_000, 100),
         allowed_attributes=DEFAULT_ALLOWED_ATTRIBUTES | set(table.strings("allowed_attributes", ())),
     )
-    if not made.secret and not is_loopback(made.listen[0]):
+    if not ajp.secret and not is_loopback(ajp.listen[0]):
         raise ConfigError(table.path("secret"), "required when listening beyond loopback")
-    return made
+    return ajp
--- a/reelusher/config/operator/checks.py
+++ b/reelusher/config/operator/checks.py
@@ -1,4 +1,4 @@
-"""Checks that several sections share."""
+"""Checks that several sections of the operator's file use."""
 
 from ipaddress import ip_address
 
@@ -6,7 +6,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Return whether an address can be reached from this machine only."""
+    """Return whether a host is a loopback address or `localhost`."""
     try:
         return ip_address(host).is_loopback
     except ValueError:
@@ -14,7 +14,7 @@
 
 
 def require_distinct(key: str, names: list[str]) -> None:
-    """Raise `ConfigError` for a key whose entries have a name twice."""
+    """Raise a `ConfigError` that names `key` if a name occurs twice."""
     seen = set[str]()
     for name in names:
         if name in seen:
--- a/reelusher/config/operator/classes.py
+++ b/reelusher/config/operator/classes.py
@@ -1,20 +1,20 @@
-"""Request classes and capacity in the operator's file: the settings of a node without a platform."""
+"""The sections `classes` and `capacity` of the operator's file: settings of a node without a platform."""
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
 from reelusher.policy.settings import Idempotency, RequestClass, Settings
 
-EFFECTS = {  # the values of `effect` in the operator's file
+EFFECTS = {  # by value of the key `effect`
     "safe": Idempotency.IDEMPOTENT,
     "keyed": Idempotency.IDEMPOTENCY_KEY,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
 
 
-GAUGES = ["busy_fraction", "runnable", "memory_fraction", "connections"]  # that workers report, in order
+GAUGES = ["busy_fraction", "runnable", "memory_fraction", "connections"]  # as `WorkerPool` posts them
 
 
 def read_settings(table: CheckedTable) -> tuple[Settings | None, tuple[str, ...]]:
-    """Check `classes` and `capacity`; return no settings where there is no class. Raises `ConfigError`."""
+    """Return the settings and the names of the classes; without classes, None. Raises `ConfigError`."""
     entries, names, classes = table.tables("classes"), [], []
     for entry in entries:
         entry.reject_unknown_keys(
@@ -38,8 +38,8 @@
         )
     if not classes:
         return None, ()
-    part = table.table("capacity")
-    part.reject_unknown_keys(
+    capacity = table.table("capacity")
+    capacity.reject_unknown_keys(
         "cores",
         "memory_kb",
         "run_factor",
@@ -51,17 +51,17 @@
     )
     return Settings(
         classes=classes,
-        cores=part.integer("cores", 4, 1, 1024),
-        memory_kb=part.number("memory_kb", 65_536.0, 1),
-        running_memory_factor=part.number("run_factor", 4.0, 1.0),
-        max_runnable_per_core=part.number("crowd_per_core", 6.0, 1.0),
+        cores=capacity.integer("cores", 4, 1, 1024),
+        memory_kb=capacity.number("memory_kb", 65_536.0, 1),
+        running_memory_factor=capacity.number("run_factor", 4.0, 1.0),
+        max_runnable_per_core=capacity.number("crowd_per_core", 6.0, 1.0),
         runnable_window_us=2_000_000,
         initial_speed=1.0,
         warm_up_us=0,
-        drain_grace_us=part.integer("drain_grace_ms", 2500) * 1000,
+        drain_grace_us=capacity.integer("drain_grace_ms", 2500) * 1000,
         answer_slack_us=80_000,
         tick_us=5_000,
-        key_entry_kb=part.number("entry_kb", 16.0),
-        idle_timeout_us=part.integer("idle_ms", 60_000) * 1000,
-        max_retry_after_us=part.integer("retry_after_ms", 10_000) * 1000,
+        key_entry_kb=capacity.number("entry_kb", 16.0),
+        idle_timeout_us=capacity.integer("idle_ms", 60_000) * 1000,
+        max_retry_after_us=capacity.integer("retry_after_ms", 10_000) * 1000,
     ), tuple(names)
--- a/reelusher/config/operator/file.py
+++ b/reelusher/config/operator/file.py
@@ -1,4 +1,4 @@
-"""The operator's file as a whole: TOML, checked by section."""
+"""Reads the operator's file, which is TOML, and validates it section by section."""
 
 import tomllib
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 from reelusher.config.operator.fleet import Fleet, Replication, read_fleet, read_replication
 from reelusher.config.operator.tenants import Tenant, over_guaranteed, read_tenant
 from reelusher.config.operator.workers import Balancer, Worker, backend_names, read_balancer, read_worker
-from reelusher.config.platform_config import seed_of
+from reelusher.config.platform_config import parse_seed
 from reelusher.policy.settings import Settings
 
 SECTIONS = (
@@ -32,28 +32,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Operator:
-    """The content of an operator's file."""
+    """The validated content of an operator's file."""
 
     name: str
     seed: int
-    stop_ms: int
-    memory_mb: float
-    sockets: int
+    stop_ms: int  # time from the signal to stop until the process is killed
+    memory_mb: float  # memory that the process may use
+    sockets: int  # file descriptors that the process may hold open
     ajp: Ajp | None
     admin: Admin | None
     fleet: Fleet | None
-    replication: Replication | None  # None: the tenants are this node's own
+    replication: Replication | None  # None: tenants are stored by this node alone
     workers: tuple[Worker, ...]
     balancers: tuple[Balancer, ...]
     tenants: tuple[Tenant, ...]
-    settings: Settings | None  # None: the platform's hold
+    settings: Settings | None  # None: the platform's are used
     class_names: tuple[str, ...]
 
 
 def _require_no_other_tenants(
     replication: Replication, admin: Admin | None, tenants: tuple[Tenant, ...]
 ) -> None:
-    """Raise `ConfigError` for other sources of tenants: they are in the replicated table only."""
+    """Raise `ConfigError` if tenants, or keys, are also configured or stored outside the replicated table."""
     if tenants:
         raise ConfigError("tenants", "with [replication] they are added through the administration API")
     if admin and admin.state_file:
@@ -65,16 +65,17 @@
 
 
 def parse(value: Any, class_names: tuple[str, ...] = (), has_runtime: bool = False) -> Operator:
-    """Check an operator's file. Raises `ConfigError`.
+    """Validate the content of an operator's file. Raises `ConfigError`.
 
-    The class names are the platform's, which take precedence over the file's own.
+    `class_names` are the platform's, which take precedence over the file's own; without a platform there are
+    none. `has_runtime` tells whether tenants may use the platform's runtime as their backend.
     """
     table = CheckedTable(value)
     table.reject_unknown_keys(*SECTIONS)
     node = table.table("node")
     node.reject_unknown_keys("name", "seed", "stop_ms", "memory_mb", "sockets")
-    settings, own_names = read_settings(table)
-    names = class_names or own_names
+    settings, file_class_names = read_settings(table)
+    names = class_names or file_class_names
     if not names:
         raise ConfigError("classes", "at least one is needed where no platform tells them")
     workers, balancers = _read_backends(table)
@@ -85,7 +86,7 @@
         _require_no_other_tenants(replication, admin, tenants)
     return Operator(
         name=node.string("name", "reelusher"),
-        seed=seed_of(node.string("seed", "1"), "node.seed"),
+        seed=parse_seed(node.string("seed", "1"), "node.seed"),
         stop_ms=node.integer("stop_ms", 10_000, minimum=100),
         memory_mb=node.number("memory_mb", 192.0, 16),
         sockets=node.integer("sockets", 1024, 64, 1 << 20),
@@ -124,7 +125,7 @@
 
 
 def read(path: str, class_names: tuple[str, ...], has_runtime: bool) -> Operator:
-    """Read and check the file that REELUSHER_OPERATOR names. Raises `ConfigError`."""
+    """Read and validate the file that REELUSHER_OPERATOR names. Raises `ConfigError`."""
     try:
         value = tomllib.loads(Path(path).read_text())
     except OSError as error:
--- a/reelusher/config/operator/fleet.py
+++ b/reelusher/config/operator/fleet.py
@@ -1,4 +1,4 @@
-"""Membership and replication in the operator's file."""
+"""The sections `fleet` and `replication` of the operator's file."""
 
 from dataclasses import dataclass
 from ipaddress import ip_address
@@ -6,20 +6,18 @@
 from reelusher.config.checked_table import Address, CheckedTable, ConfigError, address_of
 from reelusher.config.operator.checks import require_distinct
 
-MAX_LABEL_LENGTH = 64  # characters of a fleet's name, a zone and a region: they go into each datagram
-MAX_CONTROL_MEMBERS = (
-    8  # members that write the replicated table: each datagram tells how far each of them is
-)
+MAX_LABEL_LENGTH = 64  # characters of the names of fleet, zone and region, which each datagram carries
+MAX_CONTROL_MEMBERS = 8  # members that write the replicated table; each datagram carries a position for each
 
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """Membership among the nodes of a fleet."""
+    """Configuration of the membership in a fleet."""
 
-    name: str  # nodes of another fleet are not heard
-    listen: Address  # UDP and TCP
-    advertise: Address  # where others reach this node; port 0: the one that it listens on
-    seeds: tuple[Address, ...]
+    name: str  # name of the fleet; messages of other fleets are ignored
+    listen: Address  # for UDP and TCP
+    advertise: Address  # address given to other nodes; port 0: the port that it listens on
+    seeds: tuple[Address, ...]  # nodes through which this one joins
     zone: str
     region: str
     secret_file: str
@@ -27,16 +25,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Replication:
-    """The table of tenants that all nodes of a fleet have a copy of."""
+    """Configuration of the replicated table of tenants, of which each node of a fleet has a replica."""
 
     store: str  # file of this node's replica
-    control: tuple[str, ...]  # names of the members that write it, the same list on every node
+    control: tuple[str, ...]  # names of the members that write the table; the same list on every node
 
 
 def read_fleet(table: CheckedTable) -> Fleet:
-    """Check the section `fleet`. Raises `ConfigError`."""
+    """Validate the section `fleet`. Raises `ConfigError`."""
     table.reject_unknown_keys("name", "listen", "advertise", "seeds", "zone", "region", "secret_file")
-    listen = _ip(table.address("listen"), table.path("listen"))
+    listen = _require_ip_address(table.address("listen"), table.path("listen"))
     labels = [
         table.string(key, default).strip()
         for key, default in (("name", "reelusher"), ("zone", " "), ("region", " "))
@@ -44,32 +42,38 @@
     for key, label in zip(("name", "zone", "region"), labels, strict=True):
         if len(label) > MAX_LABEL_LENGTH:
             raise ConfigError(table.path(key), f"at most {MAX_LABEL_LENGTH} characters are wanted")
-    advertise = _ip(table.address("advertise"), table.path("advertise")) if "advertise" in table else listen
+    advertise = (
+        _require_ip_address(table.address("advertise"), table.path("advertise"))
+        if "advertise" in table
+        else listen
+    )
     seeds = tuple(
-        _ip(address_of(seed, f"{table.path('seeds')}[{index}]"), f"{table.path('seeds')}[{index}]")
+        _require_ip_address(
+            address_of(seed, f"{table.path('seeds')}[{index}]"), f"{table.path('seeds')}[{index}]"
+        )
         for index, seed in enumerate(table.strings("seeds", ()))
     )
     return Fleet(labels[0], listen, advertise, seeds, labels[1], labels[2], table.string("secret_file"))
 
 
 def read_replication(table: CheckedTable) -> Replication:
-    """Check the section `replication`. Raises `ConfigError`."""
+    """Validate the section `replication`. Raises `ConfigError`."""
     table.reject_unknown_keys("copy", "control")
-    made = Replication(table.string("copy"), table.strings("control"))
-    if not 1 <= len(made.control) <= MAX_CONTROL_MEMBERS:
+    replication = Replication(table.string("copy"), table.strings("control"))
+    if not 1 <= len(replication.control) <= MAX_CONTROL_MEMBERS:
         raise ConfigError(table.path("control"), f"1 to {MAX_CONTROL_MEMBERS} names are wanted")
-    for index, name in enumerate(made.control):
-        if len(name) > MAX_LABEL_LENGTH or "/" in name:  # it stands in paths of the administration API
+    for index, name in enumerate(replication.control):
+        if len(name) > MAX_LABEL_LENGTH or "/" in name:  # names are parts of paths in the administration API
             raise ConfigError(
                 f"{table.path('control')}[{index}]",
                 f"a member's name of at most {MAX_LABEL_LENGTH} characters is wanted, without /",
             )
-    require_distinct(table.path("control"), list(made.control))
-    return made
+    require_distinct(table.path("control"), list(replication.control))
+    return replication
 
 
-def _ip(address: Address, key: str) -> Address:
-    """Take an address of numbers only: looking a name up could hold up all that is due."""
+def _require_ip_address(address: Address, key: str) -> Address:
+    """Return the address. Raises `ConfigError` for a host name, whose look-up could block for long."""
     try:
         ip_address(address[0])
     except ValueError:
--- a/reelusher/config/operator/tenants.py
+++ b/reelusher/config/operator/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in the operator's file and the administration API: routes, quotas, guarantees."""
+"""Tenants in the operator's file and the administration API: routes, quotas and guarantees."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, fields
@@ -11,16 +11,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """Requests of one class, by method and the beginning of the path."""
+    """Assigns requests to a class, by their method and a prefix of their path."""
 
-    method: str  # or * for any
+    method: str  # in upper case; * matches any method
     path: str
     class_name: str
 
 
 @dataclass(slots=True, frozen=True)
 class QuotaSettings:
-    """A tenant's quota as operators write it: fractions of the capacity; a limit of 0 is none."""
+    """A tenant's quota as operators write it.
+
+    Guarantee and ceiling are fractions of the capacity. For `held`, `running`, `memory_kb`, `keys` and
+    `connections`, 0 means no limit.
+    """
 
     weight: float = 1.0
     guarantee: float = 0.0
@@ -31,52 +35,54 @@
     memory_kb: float = 0.0
     keys: int = 0
     connections: int = 0
-    classes: tuple[tuple[str, float], ...] = ()  # weights of classes within the tenant
+    classes: tuple[tuple[str, float], ...] = ()  # weight of each class among the tenant's classes
 
     def to_json(self) -> dict[str, Any]:
-        """Return what differs from the standard quota."""
-        made = {
+        """Return the keys whose values differ from the standard quota."""
+        changed = {
             key: value for key in QUOTA_KEYS if (value := getattr(self, key)) != getattr(STANDARD_QUOTA, key)
         }
-        return made | ({"classes": dict(self.classes)} if self.classes else {})
+        return changed | ({"classes": dict(self.classes)} if self.classes else {})
 
 
 STANDARD_QUOTA = QuotaSettings()
-QUOTA_KEYS = tuple(one.name for one in fields(QuotaSettings) if one.name != "classes")
+QUOTA_KEYS = tuple(field.name for field in fields(QuotaSettings) if field.name != "classes")
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant: which requests are its own, their classes, and the backend that runs them."""
+    """A tenant: how its requests are recognized and classified, their backend, and the quota."""
 
     name: str
     backend: str  # a worker, a balancer or `runtime`
-    hosts: tuple[str, ...]  # none: any
-    prefix: str
-    key_header: str
-    default_class: str  # of requests that no route names; empty: they are answered 404
-    max_open: int  # open requests, above which more are rejected; 0: no limit of its own
-    held_kb: float  # memory reserved for a held request beside its body
+    hosts: tuple[str, ...]  # host names in lower case; empty: any host
+    prefix: str  # of the paths of its requests
+    key_header: str  # header with the idempotency key, in lower case
+    default_class: str  # class of requests that match no route; empty: they are answered with 404
+    max_open: int  # maximum number of open requests, further ones are rejected; 0: no limit of its own
+    held_kb: float  # memory accounted for a held request in addition to its body
     routes: tuple[Route, ...]
     share: QuotaSettings = STANDARD_QUOTA
 
     def to_json(self) -> dict[str, Any]:
-        """Return it as the administration API and the operator's file write it."""
-        made = {key: getattr(self, key) for key in TENANT_KEYS}
+        """Return the tenant in the form of the administration API and the operator's file."""
+        table = {key: getattr(self, key) for key in TENANT_KEYS}
         if self.share != STANDARD_QUOTA:
-            made["share"] = self.share.to_json()
-        made["hosts"] = list(self.hosts)
-        made["routes"] = [{"method": r.method, "path": r.path, "class": r.class_name} for r in self.routes]
+            table["share"] = self.share.to_json()
+        table["hosts"] = list(self.hosts)
+        table["routes"] = [
+            {"method": route.method, "path": route.path, "class": route.class_name} for route in self.routes
+        ]
         if not self.default_class:
-            del made["default_class"]
-        return made
+            del table["default_class"]
+        return table
 
 
-TENANT_KEYS = tuple(one.name for one in fields(Tenant) if one.name != "share")
+TENANT_KEYS = tuple(field.name for field in fields(Tenant) if field.name != "share")
 
 
 def read_tenant(table: CheckedTable, class_names: tuple[str, ...], backends: frozenset[str]) -> Tenant:
-    """Check a tenant, from the operator's file or the administration API. Raises `ConfigError`."""
+    """Validate a tenant from the operator's file or the administration API. Raises `ConfigError`."""
     table.reject_unknown_keys(
         "name",
         "backend",
@@ -115,7 +121,7 @@
 
 
 def _read_quota(table: CheckedTable, class_names: tuple[str, ...]) -> QuotaSettings:
-    if table.is_empty:  # as of most of many tenants
+    if table.is_empty:  # most tenants share the standard quota
         return STANDARD_QUOTA
     table.reject_unknown_keys(
         "weight",
@@ -154,19 +160,20 @@
     return path
 
 
-def _units(part: float) -> int:
-    top, bottom = part.as_integer_ratio()
-    return (top << UNIT_BITS) // bottom  # without a rest: the bottom is a power of two, and no greater
+def _units(fraction: float) -> int:
+    """Return a fraction in units of 2 to the power of -1074, exactly."""
+    numerator, denominator = fraction.as_integer_ratio()
+    return (numerator << UNIT_BITS) // denominator  # exact: the denominator divides 2 ** UNIT_BITS
 
 
-FULL_GUARANTEE = _units(1 + 1e-9)  # all guarantees together, with some room for decimal fractions
+FULL_GUARANTEE = _units(1 + 1e-9)  # maximum sum of all guarantees; 1e-9 absorbs rounding of decimals
 
 
 def guarantee_units(tenant: Tenant) -> int:
-    """Return a tenant's guarantee in units that add up exactly, in any order."""
+    """Return a tenant's guarantee in integer units, which add up exactly in any order."""
     return _units(tenant.share.guarantee) if tenant.share.guarantee else 0
 
 
 def over_guaranteed(tenants: Iterable[Tenant]) -> bool:
-    """Return whether guarantees add up to more than the capacity."""
+    """Return whether the guarantees of all tenants add up to more than the capacity."""
     return sum(map(guarantee_units, tenants)) > FULL_GUARANTEE
--- a/reelusher/config/operator/workers.py
+++ b/reelusher/config/operator/workers.py
@@ -1,43 +1,43 @@
-"""AJP workers and balancers in the operator's file."""
+"""The sections `workers` and `balancers` of the operator's file: AJP back-end servers."""
 
 from dataclasses import dataclass
 
 from reelusher.config.checked_table import CheckedTable, ConfigError
 
-RUNTIME = "runtime"  # the backend of tenants whose requests run on the platform's runtime
+RUNTIME = "runtime"  # backend of tenants whose requests run on the platform's runtime
 ACTIVATIONS = ("active", "disabled", "stopped")
 
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """An AJP13 worker that requests are forwarded to."""
+    """Configuration of an AJP13 worker, a server that requests are forwarded to."""
 
     name: str
     host: str
     port: int
-    secret: str
-    route: str  # that its sessions carry
+    secret: str  # sent with each request; empty: none
+    route: str  # suffix of the ids of its sessions, by which later requests find the worker
     factor: int  # weight among the members of a balancer
-    connections: int
+    connections: int  # maximum number of requests in progress, each with a connection
     connect_timeout_ms: int
-    cping_timeout_ms: int  # 0: no CPing before a request
+    cping_timeout_ms: int  # for the reply to the CPing before each request; 0: no CPing is sent
     reply_timeout_ms: int
-    recover_ms: int  # how long an unreachable worker is skipped
-    activation: str
+    recover_ms: int  # base of the backoff between probes of an unreachable worker
+    activation: str  # one of `ACTIVATIONS`
 
 
 @dataclass(slots=True, frozen=True)
 class Balancer:
-    """Workers that share requests."""
+    """Configuration of a balancer, which distributes requests among workers."""
 
     name: str
-    members: tuple[str, ...]
-    sticky: bool
-    method: str
+    members: tuple[str, ...]  # names of workers
+    sticky: bool  # whether requests of a session go to the worker of the session
+    method: str  # `requests` or `busyness`, by which the load balancer selects
 
 
 def read_worker(table: CheckedTable) -> Worker:
-    """Check an entry of `workers`. Raises `ConfigError`."""
+    """Validate an entry of `workers`. Raises `ConfigError`."""
     table.reject_unknown_keys(
         "name",
         "host",
@@ -72,7 +72,7 @@
 
 
 def read_balancer(table: CheckedTable) -> Balancer:
-    """Check an entry of `balancers`. Raises `ConfigError`."""
+    """Validate an entry of `balancers`. Raises `ConfigError`."""
     table.reject_unknown_keys("name", "members", "sticky", "method")
     return Balancer(
         table.string("name"),
@@ -85,9 +85,9 @@
 def backend_names(
     workers: tuple[Worker, ...], balancers: tuple[Balancer, ...], has_runtime: bool
 ) -> frozenset[str]:
-    """Return what tenants may name as their backend."""
+    """Return the names that tenants may use as their backend."""
     return frozenset(
-        {one.name for one in workers}
-        | {one.name for one in balancers}
+        {worker.name for worker in workers}
+        | {balancer.name for balancer in balancers}
         | ({RUNTIME} if has_runtime else set())
     )
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -1,4 +1,7 @@
-"""The platform's configuration: PROXY_CONFIG names a JSON file; PROXY_NAME and PROXY_LISTEN go before it."""
+"""The platform's configuration: a JSON file that PROXY_CONFIG names.
+
+PROXY_NAME, PROXY_LISTEN and PROXY_OPERATOR override its keys.
+"""
 
 import json
 from collections.abc import Mapping
@@ -13,49 +16,53 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the platform lets the process use."""
+    """The resources that the platform grants the process."""
 
     cores: float
     memory_mb: float
-    sockets: int
+    sockets: int  # open file descriptors
 
 
 @dataclass(slots=True, frozen=True)
 class Platform:
-    """What the platform tells a node."""
+    """The configuration that the platform gives a node."""
 
     name: str
     listen: Address
     runtime: Address
-    directory: Address | None
-    vault: Address | None
-    operator: Address | None  # the second address, for operators alone
+    directory: Address | None  # service registry; None: the node does not register
+    vault: Address | None  # downstream service; None: there is none
+    operator: Address | None  # second address to listen on, for operators only; None: there is none
     seed: int
-    stop_ms: int
+    stop_ms: int  # time from the signal to stop until the process is killed
     limits: Limits
     settings: Settings
-    gauges: list[str]
+    gauges: list[str]  # field of `Gauges` for each reported gauge, in order; empty for unknown ones
     class_names: list[str]
-    folder: str = ""  # that processes of this node share during an upgrade; empty: there are none
-    paths: frozenset[str] = frozenset()  # of all keys that the file has
+    folder: str = ""  # directory that processes of this node share during an upgrade; empty: no upgrades
+    paths: frozenset[str] = frozenset()  # paths of all keys in the file
 
     def first_missing_key(self, other: "Platform") -> str | None:
-        """Return a key that the other file has and this one does not; one cut short may still be JSON."""
+        """Return the path of a key that the other file has and this one lacks; None if there is none.
+
+        A truncated file may still be valid JSON, and is detected by its missing keys.
+        """
         return min(other.paths - self.paths, default=None)
 
 
-def seed_of(text: str, key: str) -> int:
-    """Read a seed, which is a hexadecimal number."""
+def parse_seed(text: str, key: str) -> int:
+    """Parse a seed, a hexadecimal number. Raises a `ConfigError` that names `key`."""
     try:
         return int(text, 16) % (1 << 64)
     except ValueError:
         raise ConfigError(key, f"a hexadecimal number is wanted, not {text!r:.40}") from None
 
 
-def _settings(value: Any) -> tuple[Settings, list[str], list[str]]:
+def _read_settings(value: Any) -> tuple[Settings, list[str], list[str]]:
+    """Return the settings, the fields of the gauges, and the names of the classes."""
     try:
         settings, gauges = settings_from_parsed(value)
-        names = [str(entry.get("name", place)) for place, entry in enumerate(value["categories"])]
+        names = [str(entry.get("name", index)) for index, entry in enumerate(value["categories"])]
     except SettingsError as error:
         raise ConfigError("settings", str(error).removeprefix("settings: ")) from None
     except (TypeError, ValueError, AttributeError) as error:
@@ -65,22 +72,22 @@
     return settings, gauges, names
 
 
-def paths_of(value: Any, path: str = "") -> frozenset[str]:
-    """Return the paths of all keys; of the entries of a list, those that all have."""
+def key_paths(value: Any, path: str = "") -> frozenset[str]:
+    """Return the paths of all keys; for a list of tables, those of the keys that all its entries have."""
     if isinstance(value, Mapping):
-        below = [paths_of(part, f"{path}.{key}" if path else str(key)) for key, part in value.items()]
-        return frozenset([path] if path else []).union(*below)
+        children = [key_paths(child, f"{path}.{key}" if path else str(key)) for key, child in value.items()]
+        return frozenset([path] if path else []).union(*children)
     if isinstance(value, list) and value and all(isinstance(entry, Mapping) for entry in value):
-        shared = frozenset.intersection(*(paths_of(entry, f"{path}[]") for entry in value))
+        shared = frozenset.intersection(*(key_paths(entry, f"{path}[]") for entry in value))
         return shared | {path}
     return frozenset([path])
 
 
 def parse(value: Any, environ: Mapping[str, str]) -> Platform:
-    """Check what the file says. Keys that are not known are left alone: the platform may add some."""
+    """Validate the content of the file. Unknown keys are ignored, since the platform may add some."""
     table = CheckedTable(value)
     limits = table.table("limits")
-    settings, gauges, names = _settings(table.raw("settings"))
+    settings, gauges, names = _read_settings(table.raw("settings"))
     listen, operator = environ.get("PROXY_LISTEN"), environ.get("PROXY_OPERATOR")
     return Platform(
         name=environ.get("PROXY_NAME") or table.string("name"),
@@ -93,7 +100,7 @@
         else table.address("operator")
         if "operator" in table
         else None,
-        seed=seed_of(table.string("seed", "0"), "seed"),
+        seed=parse_seed(table.string("seed", "0"), "seed"),
         stop_ms=table.integer("stop_ms", 3000, minimum=100),
         limits=Limits(
             limits.number("cores", 1.0, minimum=0.01),
@@ -104,12 +111,12 @@
         gauges=gauges,
         class_names=names,
         folder=environ.get("TMPDIR", "") if operator or "operator" in table else "",
-        paths=paths_of(value),
+        paths=key_paths(value),
     )
 
 
 def read(path: str, environ: Mapping[str, str]) -> Platform:
-    """Read the file that PROXY_CONFIG names."""
+    """Read and validate the file that PROXY_CONFIG names. Raises `ConfigError`."""
     try:
         value = json.loads(Path(path).read_bytes())
     except OSError as error:
--- a/reelusher/config/platform_settings.py
+++ b/reelusher/config/platform_settings.py
@@ -1,6 +1,7 @@
-"""Reads the settings object of the platform, for the adapter and the node.
+"""Reads the settings object of the platform, for the simulator's adapter and the node.
 
-The platform's own names of fields and values are mapped to those of `policy.settings` here, once.
+The platform's names of fields and values are mapped to those of `policy.settings` in this module only.
+A worker is the node itself here, as in `policy`.
 """
 
 import json
@@ -28,38 +29,38 @@
     "mem_used": "memory_fraction",
     "sockets": "connections",
 }
-SHARED_DOWNSTREAM = "common"  # the value of `below` of a worker that shares a downstream service
+SHARED_DOWNSTREAM = "common"  # value of `below` for a worker that shares a downstream service with others
 
 
 class SettingsError(Exception):
-    """A key that is needed is missing or has a value that can't be used; the text names it."""
+    """A required key is missing or a value is invalid; the text names the key."""
 
 
 def required(table: Mapping[str, Any], key: str, path: str = "") -> Any:
-    """Return the value of a key. Raises `SettingsError` where it is missing."""
+    """Return the value of a key. Raises `SettingsError` if it is missing."""
     if not isinstance(table, Mapping) or key not in table:
         raise SettingsError(f"settings: missing key {path}{key}")
     return table[key]
 
 
 def mapped(values: Mapping[str, Any], value: Any, path: str) -> Any:
-    """Return what one of the platform's values stands for. Raises `SettingsError`."""
+    """Map one of the platform's values to ours. Raises `SettingsError` if it is unknown."""
     if value not in values:
         raise SettingsError(f"settings: {path} has the unknown value {value!r}")
     return values[value]
 
 
-def positive_time(value: Any, path: str) -> int:
-    """Return a time in microseconds. Raises `SettingsError` where it is no number above 0."""
+def positive_time_us(value: Any, path: str) -> int:
+    """Return a time in whole microseconds, at least 1. Raises `SettingsError` if it is no number above 0."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 < value < math.inf:
         raise SettingsError(f"settings: {path} is no number above 0: {value!r:.40}")
     return int(value) or 1
 
 
 def settings_from_json(text: bytes) -> tuple[Settings, list[str]]:
-    """Read settings from JSON; also return the field of `Gauges` that each gauge is, "" for unknown ones.
+    """Parse settings; also return for each reported gauge its field of `Gauges`, "" for an unknown one.
 
-    Raises `SettingsError`, and ValueError or TypeError for values that no worker can run with.
+    Raises `SettingsError`, or ValueError, TypeError or AttributeError for values that no worker can run with.
     """
     try:
         parsed = json.loads(text)
@@ -69,7 +70,7 @@
 
 
 def settings_from_parsed(parsed: Any) -> tuple[Settings, list[str]]:
-    """Do the same with settings that are parsed already."""
+    """Return what `settings_from_json` does, from JSON that is already parsed."""
     worker, rules = required(parsed, "family_info"), required(parsed, "rules")
     limits, goal = parsed.get("limits", {}), parsed.get("goal", {})
     classes = _classes(required(parsed, "categories"), worker)
@@ -108,7 +109,7 @@
 
 
 def _dependency_quota(worker: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the quota of a worker that shares a downstream service; others have none."""
+    """Return the fields of the quota on calls to a shared downstream service; none if it is not shared."""
     if worker.get("below", "silent") != SHARED_DOWNSTREAM:
         return {}
     return {
@@ -118,15 +119,15 @@
 
 
 def _classes(categories: Any, worker: Mapping[str, Any]) -> list[RequestClass]:
-    calls, values_without = worker.get("class_calls", []), worker.get("class_skip_worth", [])
+    makes_calls, degraded_values = worker.get("class_calls", []), worker.get("class_skip_worth", [])
     return [
         _request_class(
             category,
-            f"categories[{number}].",
-            bool(calls[number]) if number < len(calls) else False,
-            values_without[number] if number < len(values_without) else 0.0,
+            f"categories[{index}].",
+            bool(makes_calls[index]) if index < len(makes_calls) else False,
+            degraded_values[index] if index < len(degraded_values) else 0.0,
         )
-        for number, category in enumerate(categories)
+        for index, category in enumerate(categories)
     ]
 
 
@@ -134,7 +135,7 @@
     category: Any, path: str, makes_calls: bool, degraded_value_fraction: float
 ) -> RequestClass:
     idempotency = mapped(IDEMPOTENCY, required(category, "effect", path), path + "effect")
-    deadline_us = positive_time(required(category, "deadline_us", path), path + "deadline_us")
+    deadline_us = positive_time_us(required(category, "deadline_us", path), path + "deadline_us")
     window_us = category.get("repeat_window_us", 0)
     if idempotency is Idempotency.IDEMPOTENCY_KEY:
         window_us = required(category, "repeat_window_us", path)
