--- a/reelusher/backends/ajp/worker.py
+++ b/reelusher/backends/ajp/worker.py
@@ -20,7 +20,7 @@
     """A worker and its state in this node."""
 
     def __init__(self, config: "Worker", random: Random) -> None:
-        """Take a worker in use. `random` adds jitter to the times of probes."""
+        """`random` adds jitter to the times of probes."""
         self.config = config
         recover_s = config.recover_ms / 1000
         self._backoff = Backoff(random, recover_s, MAX_RECOVERY_FACTOR * recover_s)
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -182,7 +182,7 @@
         self._pool.post(RunFinished(run_id, run_result.outcome, duration_us, run_result.result))
 
     def _forward(self, request: IncomingRequest, class_name: str) -> RunResult:
-        """Forward a request to the first worker that can be reached; without one, return NOT_STARTED."""
+        """Forward a request to the first worker that can be reached; NOT_STARTED if there is none."""
         pool = self._pool
         forward = forwarded_request(request, class_name)
         route = session_route(forward) if self._sticky else ""
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -29,7 +29,7 @@
 MAX_CONNECTIONS = 24  # open at the same time; each needs a file descriptor
 MAX_CALLS_PER_CONNECTION = 500  # a connection remembers their run ids, so it is replaced then
 MIN_TIME_LEFT_US = 1000  # a call with less time left is not sent
-OUTCOMES = {
+OUTCOMES = {  # by status of a reply
     "yes": Outcome.OK,
     "notnow": Outcome.REJECTED,
     "failed": Outcome.ERROR,
@@ -59,7 +59,7 @@
         self.address = address
         self.send_buffer: SendBuffer | None = None  # None until it is connected
         self.current: PendingCall | None = None  # the call in progress
-        self.run_ids: set[str] = set()  # of calls made here, so that no duplicate reply matches a later call
+        self.run_ids: set[str] = set()  # runs that called here: a duplicate reply would match a later call
         self.last_used_s = time.monotonic()  # when it was created or last received a reply
         self.ended = False  # whether no further call may use it
 
@@ -167,7 +167,7 @@
         self._post(CallFinished(pending.run_id, pending.ticket, outcome))
 
     def _take_idle(self, pending: PendingCall) -> DownstreamConnection | None:
-        """Take the most recently used idle connection that can carry a call; None without one."""
+        """Take the most recently used idle connection that can carry a call, or None if there is none."""
         for connection in reversed(self._idle):
             if connection.can_carry(pending, self._address):
                 self._idle.remove(connection)
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -29,14 +29,14 @@
 from reelusher.pacing.backoff import Backoff
 from reelusher.policy.events import Outcome
 
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.25  # between attempts to connect
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.25  # range of the delay between attempts to connect
 MIN_LINK_S = 1.0  # a link that broke sooner is reopened after a backoff, others at once
 CONNECT_TIMEOUT_S = 2.0
-DESCRIPTORS = 3  # the link, and two that are being opened for changes of its address
+DESCRIPTORS = 3  # file descriptors: the link, and two being opened for changes of its address
 MAX_BACKLOG_BYTES = 8 << 20
 READ_BYTES = 1 << 16
 MIN_RESTART_S = 5.0  # a smaller difference between two start times is inaccuracy of clocks, not a restart
-OUTCOMES = {
+OUTCOMES = {  # by the value of `how` in the notice `end`
     "ok": Outcome.OK,
     "failed": Outcome.ERROR,
     "halted": Outcome.CANCELLED,
--- a/reelusher/backends/service_registry.py
+++ b/reelusher/backends/service_registry.py
@@ -17,7 +17,7 @@
 from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
 from reelusher.pacing.retry_budget import RetryBudget
 
-DESCRIPTORS = 1
+DESCRIPTORS = 1  # file descriptors: the connection to the service registry
 READ_BYTES = 1 << 12
 STATUS_NO_CONTENT = "204"
 MAX_RETRY_AFTER_DIGITS = 8
@@ -162,5 +162,5 @@
 
 
 def _retry_after_s(text: str) -> float:
-    """Return the value of a Retry-After in seconds; 0 for a date or anything else but digits."""
+    """Return a Retry-After in seconds; 0 unless it is a whole number of a few digits."""
     return float(text) if text.isascii() and text.isdigit() and len(text) <= MAX_RETRY_AFTER_DIGITS else 0.0
--- a/reelusher/config/load.py
+++ b/reelusher/config/load.py
@@ -82,7 +82,10 @@
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """Read the files that PROXY_CONFIG and REELUSHER_OPERATOR name, at least one. Raises `ConfigError`."""
+    """Read the files that PROXY_CONFIG and REELUSHER_OPERATOR name; at least one is required.
+
+    Raises `ConfigError`.
+    """
     platform = None
     if environ.get("PROXY_CONFIG"):
         platform = platform_config.read(environ["PROXY_CONFIG"], environ)
--- a/reelusher/config/platform_settings.py
+++ b/reelusher/config/platform_settings.py
@@ -43,8 +43,8 @@
     return table[key]
 
 
-def mapped(values: Mapping[str, Any], value: Any, path: str) -> Any:
-    """Map one of the platform's values to ours. Raises `SettingsError` if it is unknown."""
+def map_value(values: Mapping[str, Any], value: Any, path: str) -> Any:
+    """Return what a value of the platform is mapped to. Raises `SettingsError` if it is unknown."""
     if value not in values:
         raise SettingsError(f"settings: {path} has the unknown value {value!r}")
     return values[value]
@@ -90,8 +90,8 @@
         cold_start=worker.get("fresh_start", False),
         key_entry_kb=required(worker, "entry_kb", "family_info.") if keyed else worker.get("entry_kb", 0.0),
         abandoned_call_us=worker.get("linger_us", 0),
-        preemption=mapped(PREEMPTION, worker.get("halt", "silent"), "family_info.halt"),
-        capacity_hint=mapped(CAPACITY_HINT, worker.get("say", "silent"), "family_info.say"),
+        preemption=map_value(PREEMPTION, worker.get("halt", "silent"), "family_info.halt"),
+        capacity_hint=map_value(CAPACITY_HINT, worker.get("say", "silent"), "family_info.say"),
         hint_ttl_us=worker.get("heard_for_us", 0),
         caller_count=worker.get("clients_total", 0),
         worker_count=parsed.get("group_size", 0),
@@ -134,7 +134,7 @@
 def _request_class(
     category: Any, path: str, makes_calls: bool, degraded_value_fraction: float
 ) -> RequestClass:
-    idempotency = mapped(IDEMPOTENCY, required(category, "effect", path), path + "effect")
+    idempotency = map_value(IDEMPOTENCY, required(category, "effect", path), path + "effect")
     deadline_us = positive_time_us(required(category, "deadline_us", path), path + "deadline_us")
     window_us = category.get("repeat_window_us", 0)
     if idempotency is Idempotency.IDEMPOTENCY_KEY:
