--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -129,7 +129,7 @@
         if self._listener.sock.fileno() >= 0:
             while self._accept(draining=True):
                 pass
-            self._poller.forget(self._listener.sock)
+            self._poller.unwatch(self._listener.sock)
             self._listener.stop()
 
     def connections(self) -> list[Connection]:
@@ -189,7 +189,7 @@
 
     def _pause_accepting(self) -> None:
         """Accept nothing until the next sweep; callers wait in the backlog."""
-        self._poller.forget(self._listener.sock)
+        self._poller.unwatch(self._listener.sock)
         self._accept_paused = True
 
     def _resume_accepting(self) -> None:
@@ -329,7 +329,7 @@
 
     def _end(self, connection: Connection, peer_closed: bool) -> None:
         """Read nothing more; open requests are still answered. `peer_closed`: nothing more can come."""
-        self._poller.forget(connection.sock)
+        self._poller.unwatch(connection.sock)
         with connection.lock:
             connection.ended, connection.peer_closed = True, peer_closed
         self._finish(connection)
@@ -346,7 +346,7 @@
         with self._lock:
             self._connections.pop(connection.sock, None)
         connection.ended = True
-        self._poller.forget(connection.sock)
+        self._poller.unwatch(connection.sock)
         self._half_closed.add(connection)
 
     def _lose(self, connection: Connection) -> None:
@@ -358,7 +358,7 @@
             self._core.post(CallersDisconnected(run_ids))
 
     def _release(self, connection: Connection) -> None:
-        self._poller.forget(connection.sock)
+        self._poller.unwatch(connection.sock)
         with self._lock:
             self._connections.pop(connection.sock, None)
         connection.ended = True
--- a/reelusher/net/__init__.py
+++ b/reelusher/net/__init__.py
@@ -1,1 +1,1 @@
-"""Threads, sockets and the poller: what frontends and backends use of the operating system."""
+"""Sockets, listeners, send buffers, threads and the poller, shared by front ends and back ends."""
--- a/reelusher/net/listener.py
+++ b/reelusher/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: a thread for each connection, or one connection at a time for a poller."""
+"""A listening socket whose connections get a thread each, or are accepted one by one by a poller."""
 
 import contextlib
 import errno
@@ -14,19 +14,19 @@
 from reelusher.net.sockets import Address
 from reelusher.net.threads import start_thread
 
-BACKLOG = 512  # connections that the system holds until they are accepted
-ACCEPT_TIMEOUT_S = 0.1  # after which a listener checks whether it is to stop
-MAX_STOP_S = 4 * ACCEPT_TIMEOUT_S
-RESOURCES_WAIT_S = 0.05  # pause of accepting while there is no descriptor
+BACKLOG = 512  # connections that the kernel queues until they are accepted
+ACCEPT_TIMEOUT_S = 0.1  # the accepting thread checks this often whether it has been stopped
+MAX_STOP_S = 4 * ACCEPT_TIMEOUT_S  # `stop` waits at most this long for the accepting thread
+ACCEPT_PAUSE_S = 0.05  # accepting pauses this long when no descriptor or memory is available
 RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ConnectionResourcesError(OSError):
-    """There is no descriptor or memory for another connection; callers wait in the backlog."""
+    """No descriptor or memory is available for another connection; new ones wait in the listen backlog."""
 
 
 class Listener:
-    """Accepts connections on one address: each with a thread of its own, or one by one for a poller."""
+    """Accepts connections on one address, with a thread for each, or one by one for a poller."""
 
     def __init__(
         self,
@@ -40,9 +40,11 @@
     ) -> None:
         """Bind the address and listen.
 
-        Connections for which `admit` returns False, and those beyond `max_connections` (0: no limit), are
-        closed at once. `shared`: another process of this user may listen on the address too. Without
-        `serve` there is no thread: whoever polls `sock` calls `accept`.
+        Connections for which `admit` returns False, and those beyond `max_connections` (0 means no limit),
+        are closed at once. With `shared`, another process of the same user may listen on the address too.
+
+        With `serve`, `start` runs an accepting thread, and `serve` runs in a thread for each connection.
+        Without it, `sock` is non-blocking, and the poller that watches it calls `accept`.
         """
         self._name = name
         self._admit = admit
@@ -61,11 +63,15 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Start to accept."""
+        """Start the thread that accepts connections."""
         self._thread = start_thread(f"{self._name}-accept", self._run)
 
     def stop(self) -> None:
-        """Accept what has connected by now, since what was sent there must be read, and nothing more."""
+        """Stop accepting.
+
+        The accepting thread first accepts the connections in the backlog, since requests that were sent on
+        them must be read. Without a thread, the socket is closed at once.
+        """
         self._open = False
         if self._thread is None:
             self.sock.close()
@@ -73,9 +79,9 @@
             self._thread.join(MAX_STOP_S)
 
     def accept(self) -> tuple[socket.socket, Address] | None:
-        """Accept one connection; return None where that failed or it was turned away.
+        """Accept one connection; return None if that failed or if the connection was rejected.
 
-        Raises BlockingIOError or TimeoutError where none waits, and `ConnectionResourcesError`.
+        Raises BlockingIOError or TimeoutError if no connection waits, and `ConnectionResourcesError`.
         """
         try:
             sock, peer = self.sock.accept()
@@ -96,7 +102,7 @@
             sock.close()
             return None
         self._counters.add(f"{self._name}.accepted")
-        with contextlib.suppress(OSError):  # closed already: its reader sees that
+        with contextlib.suppress(OSError):  # already closed: its reader will notice
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock, peer
 
@@ -123,14 +129,14 @@
                     break
                 continue
             except ConnectionResourcesError:
-                time.sleep(RESOURCES_WAIT_S)
+                time.sleep(ACCEPT_PAUSE_S)
                 continue
             if accepted is None:
                 continue
             try:
                 start_thread(f"{self._name}-reader", partial(self._serve_connection, *accepted))
             except RuntimeError as error:
-                logger.error("{}: no thread for a connection: {}", self._name, error)
+                logger.error("{}: cannot start a thread for a connection: {}", self._name, error)
                 accepted[0].close()
                 self._release_slot()
         self.sock.close()
--- a/reelusher/net/poller.py
+++ b/reelusher/net/poller.py
@@ -1,7 +1,7 @@
-"""One thread that waits for many sockets, reads those that are ready, and runs timers.
+"""One thread that waits for many sockets, runs a callback for each readable one, and runs timers.
 
-A thread for each connection costs much processor time where many connections come and go, and on a busy
-core each reader waits for all others. One reader takes what is ready in turn, and knows when nothing is left.
+A thread for each connection costs much processor time when many connections come and go, and on a busy core
+each reader waits for all others. A single thread reads the sockets in turn, and knows when nothing is left.
 """
 
 import contextlib
@@ -20,73 +20,73 @@
 from reelusher.core.counters import Counters
 from reelusher.net.threads import start_thread
 
-MAX_EVENTS = 128  # ready sockets of one poll
-MAX_CALLS = 128  # of other threads, between two polls
+MAX_EVENTS = 128  # ready sockets that one poll returns
+MAX_CALLS = 128  # calls of other threads that run between two polls
 Callback = Callable[[], object]
 
 
 class Poller:
     """Runs the callbacks of sockets, of timers and of other threads in one thread, one at a time.
 
-    A callback must not block. `watch`, `forget` and `every` are for the poller's own thread, and before
-    `start` for any thread; `call` is for all.
+    A callback must not block. `watch`, `unwatch` and `every` may be called by the poller's own thread, and
+    before `start` by any thread; `call` may always be called by any thread.
     """
 
     def __init__(
         self, name: str, counters: Counters, on_lag: Callable[[float], None] = lambda lag_s: None
     ) -> None:
-        """`on_lag` is called with the seconds that each timer ran late."""
+        """Before each timer runs, `on_lag` is called with its delay in seconds."""
         self._name = name
         self._counters = counters
         self._on_lag = on_lag
         self._epoll = select.epoll()
-        self._ready: dict[int, Callback] = {}  # by descriptor
+        self._callbacks: dict[int, Callback] = {}  # callbacks by descriptor
         self._calls: queue.SimpleQueue[Callback] = queue.SimpleQueue()
         self._wakeup_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._epoll.register(self._wakeup_fd, select.EPOLLIN)
-        self._timers: list[tuple[float, int, float, Callback]] = []  # due, order, interval, callback
+        self._timers: list[tuple[float, int, float, Callback]] = []  # heap of: due, order, interval, callback
         self._order = count()
         self._thread: threading.Thread | None = None
         self._closed = False
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the poller's thread."""
         self._thread = start_thread(self._name, self._run)
 
     @property
     def started(self) -> bool:
-        """Whether there is a thread, which alone may then watch and forget."""
+        """Whether the thread was started; from then on only it may call `watch`, `unwatch` and `every`."""
         return self._thread is not None
 
     def close(self) -> None:
-        """End the thread after its present callback."""
+        """End the thread after the callbacks of its current round. Any thread may call this."""
         self._closed = True
         self._wake()
         if self._thread is None:
             self._release()
 
     def call(self, callback: Callback) -> None:
-        """Run a callback on the poller's thread; from any thread."""
+        """Run a callback on the poller's thread. Any thread may call this."""
         self._calls.put(callback)
         self._wake()
 
-    def watch(self, sock: socket.socket, ready: Callback) -> None:
-        """Call `ready` whenever the socket can be read, or has ended."""
-        self._ready[sock.fileno()] = ready
+    def watch(self, sock: socket.socket, on_readable: Callback) -> None:
+        """Call `on_readable` whenever the socket can be read, or has been closed by its peer."""
+        self._callbacks[sock.fileno()] = on_readable
         self._epoll.register(sock.fileno(), select.EPOLLIN)
 
-    def forget(self, sock: socket.socket) -> None:
-        """Stop watching a socket; before it is closed, since its descriptor may be reused."""
-        if self._ready.pop(sock.fileno(), None) is not None:
+    def unwatch(self, sock: socket.socket) -> None:
+        """Stop watching a socket. Call this before closing it, since its descriptor may be reused."""
+        if self._callbacks.pop(sock.fileno(), None) is not None:
             with contextlib.suppress(OSError):
                 self._epoll.unregister(sock.fileno())
 
     def every(self, seconds: float, callback: Callback) -> None:
-        """Run a callback periodically."""
+        """Run a callback periodically, for the first time after `seconds`."""
         heapq.heappush(self._timers, (time.monotonic() + seconds, next(self._order), seconds, callback))
 
     def _wake(self) -> None:
-        with contextlib.suppress(OSError):  # closed already
+        with contextlib.suppress(OSError):  # already closed
             os.eventfd_write(self._wakeup_fd, 1)
 
     def _release(self) -> None:
@@ -96,23 +96,24 @@
     def _run(self) -> None:
         while not self._closed:
             wait = max(0.0, self._timers[0][0] - time.monotonic()) if self._timers else None
-            found = self._epoll.poll(wait, MAX_EVENTS)
-            self._run_timers()  # timers and calls go before sockets
+            events = self._epoll.poll(wait, MAX_EVENTS)
+            self._run_timers()  # timers and calls run before sockets
             self._run_calls()
-            for fd, _ in found:
+            for fd, _ in events:
                 if fd == self._wakeup_fd:
                     with contextlib.suppress(BlockingIOError):
                         os.eventfd_read(self._wakeup_fd)
-                elif (ready := self._ready.get(fd)) is not None:
-                    self._run_callback(ready)
+                elif (callback := self._callbacks.get(fd)) is not None:
+                    self._run_callback(callback)
                 if self._timers and self._timers[0][0] <= time.monotonic():
-                    break  # on a busy core a round may take seconds; the next poll finds the rest again
+                    break  # on a busy core a round may take seconds; the next poll returns the rest again
         self._release()
 
     def _run_calls(self) -> None:
-        """Run the calls of other threads, also those that are made meanwhile.
+        """Run the calls of other threads, including those that are made meanwhile.
 
-        Left for the next round, a drain would begin after sockets that became readable no earlier than it.
+        If they waited for the next round, a drain would start only after the callbacks of sockets that became
+        readable at the same time or later.
         """
         for _ in range(MAX_CALLS):
             try:
@@ -126,12 +127,16 @@
         while self._timers and self._timers[0][0] <= now:
             due, order, seconds, callback = self._timers[0]
             self._on_lag(now - due)
-            # counted from now, not from when it was due: a late timer must not run several times at once
+            # the interval starts now, not at the due time: a late timer must not run several times in a row
             heapq.heapreplace(self._timers, (now + seconds, order, seconds, callback))
             self._run_callback(callback)
 
     def _run_callback(self, callback: Callback) -> None:
-        """Run a callback. An exception in it must not end the thread that all connections need."""
+        """Run a callback.
+
+        With `python -O` its exceptions are only counted and logged, since they must not end the thread that
+        serves all connections.
+        """
         try:
             callback()
         except Exception:
--- a/reelusher/net/send_buffer.py
+++ b/reelusher/net/send_buffer.py
@@ -1,4 +1,4 @@
-"""A bounded buffer in front of a socket: sending never blocks."""
+"""A bounded send buffer in front of a socket, so that sending never blocks."""
 
 import contextlib
 import socket
@@ -12,14 +12,14 @@
 
 
 class ByteBudget:
-    """Bytes that the backlogs of many send buffers may take together."""
+    """A limit on the bytes that the backlogs of several send buffers hold together."""
 
     def __init__(self, max_bytes: int) -> None:
         self._available = max_bytes
         self._lock = threading.Lock()
 
     def try_acquire(self, size: int) -> bool:
-        """Acquire bytes; return False where too few are available."""
+        """Acquire bytes; return False if too few are available."""
         with self._lock:
             if size > self._available:
                 return False
@@ -27,17 +27,17 @@
             return True
 
     def release(self, size: int) -> None:
-        """Return bytes that were acquired."""
+        """Give acquired bytes back."""
         with self._lock:
             self._available += size
 
 
 class SendBuffer:
-    """The data on its way out of one socket.
+    """Sends data on one socket, and buffers the data that the socket does not take at once.
 
-    `send` never blocks: what the socket does not take at once waits in a bounded backlog that a thread of
-    its own sends. A reader so slow that the backlog exceeds its limit, or the budget that it shares with
-    others, loses its connection and affects nobody else.
+    `send` never blocks: that data waits in a bounded backlog, which a writer thread sends. If a slow peer
+    lets the backlog exceed its limit in bytes, or the budget shared with other buffers, only its own
+    connection is closed.
     """
 
     def __init__(self, sock: socket.socket, limit: int, budget: ByteBudget | None = None) -> None:
@@ -49,23 +49,24 @@
         self._lock = threading.Lock()
         self._has_writer = False
         self._released = False
-        self._progress_s = 0.0  # when the socket last took a part of the backlog, or the backlog began
+        self._progress_s = 0.0  # when the socket last took a part of the backlog, or when the backlog began
         self.closed = False
 
     @property
     def backlog(self) -> int:
-        """How many bytes the socket has not taken yet."""
+        """The number of bytes that the socket has not taken yet."""
         return self._backlog
 
     def stalled_for(self, now: float) -> float:
-        """Return for how many seconds the peer has read nothing of a backlog; 0 where there is none."""
+        """Return for how many seconds the socket has taken nothing of the backlog; 0 if that is empty."""
         return now - self._progress_s if self._backlog else 0.0
 
     def send(self, data: bytes) -> bool:
-        """Send, or queue what can't be sent now; return False where nothing went out, and close.
+        """Send data, and queue the part that the socket does not take now.
 
-        Where a part has gone out and the rest exceeds the limit, the connection is lost too, but what was
-        sent may have been read: that returns True, and whoever reads the connection sees its end.
+        Returns False if nothing was sent or queued; the connection is then closed. If a part was sent but the
+        rest exceeds a limit, the connection is closed too, but the result is True, since the peer may have
+        read that part; the thread that reads the connection sees its end.
         """
         with self._lock:
             if self.closed:
@@ -84,7 +85,7 @@
             return self._enqueue(data[sent:]) or sent > 0
 
     def _enqueue(self, data: bytes) -> bool:
-        """Append to the backlog, with the lock held; where it exceeds a limit, close and return False."""
+        """Append to the backlog, with the lock held; close and return False if that is not possible."""
         if self._backlog + len(data) > self._limit or not self._budget.try_acquire(len(data)):
             self._close()
             return False
@@ -98,8 +99,8 @@
         self._has_writer = True
         try:
             start_thread("writer", self._write)
-        except RuntimeError as error:  # without a thread nothing of the backlog ever goes out
-            logger.error("no thread for the backlog of a connection, which is closed: {}", error)
+        except RuntimeError as error:  # without a writer thread the backlog would never be sent
+            logger.error("closing a connection: cannot start a thread to send its backlog: {}", error)
             self._has_writer = False
             self._close()
             return False
@@ -123,7 +124,7 @@
                 self._progress_s = time.monotonic()
 
     def close(self) -> None:
-        """Shut the connection down both ways; its reader then sees the end and closes the socket."""
+        """Shut down both directions; the connection's reader then sees the end and closes the socket."""
         with self._lock:
             self._close()
 
@@ -140,7 +141,7 @@
         self._budget.release(size)
 
     def shutdown_write(self) -> bool:
-        """Shut the writing side down; return False, and do nothing, while there is a backlog."""
+        """Shut down the writing side; while there is a backlog, do nothing and return False."""
         with self._lock:
             if self._has_writer or self._pending:
                 return False
@@ -151,7 +152,7 @@
             return True
 
     def release(self) -> None:
-        """Close the socket, or let the writer do so that still uses it; the reader calls this last."""
+        """Close the socket, or let the writer close it that still uses it. The reader calls this last."""
         with self._lock:
             self._close()
             self._released = True
--- a/reelusher/net/sockets.py
+++ b/reelusher/net/sockets.py
@@ -6,9 +6,9 @@
 
 
 def connect(address: Address, timeout: float, source: Address | None = None) -> socket.socket:
-    """Open a connection within `timeout` seconds, from `source` if given; raise OSError where that fails.
+    """Open a connection within `timeout` seconds, from `source` if given; raise OSError on failure.
 
-    The socket is blocking, and sends small writes at once.
+    The socket is blocking, and sends small writes without delay.
     """
     sock = socket.create_connection(address, timeout, source)
     sock.settimeout(None)
