--- a/reelusher/codecs/__init__.py
+++ b/reelusher/codecs/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the wires: pure and incremental, bytes in and values out, with no socket in sight."""
+"""Incremental codecs of the wire protocols: they convert bytes to values and back, without any I/O."""
--- a/reelusher/codecs/ajp13.py
+++ b/reelusher/codecs/ajp13.py
@@ -1,6 +1,6 @@
-"""AJP13: packets, forwarded requests and responses, both ways, as Apache's modules and Tomcat speak them.
+"""AJP13, the protocol between Apache's modules and Tomcat: packets, forwarded requests and responses.
 
-Packets of a web server start with 0x1234, those of a container with "AB".
+Packets from a web server start with 0x1234, those from a container with "AB".
 """
 
 import struct
@@ -10,14 +10,14 @@
 from reelusher.codecs.errors import CodecError, MalformedError
 
 TO_CONTAINER, TO_SERVER = b"\x12\x34", b"AB"
-FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10  # to the container
-BODY_CHUNK, HEADERS, END, GET_BODY, CPONG = 3, 4, 5, 6, 9  # to the server
+FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10  # packet types sent to the container
+BODY_CHUNK, HEADERS, END, GET_BODY, CPONG = 3, 4, 5, 6, 9  # packet types sent to the web server
 DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES = 8192, 65536
-HEADER_BYTES = 4  # of a packet: magic and length
-BODY_OVERHEAD = 6  # bytes of a packet beside the part of a request's body: magic, length, length of the part
-CHUNK_OVERHEAD = 8  # bytes of a packet beside the part of a response's body
+HEADER_BYTES = 4  # the header of a packet: magic and payload length
+BODY_OVERHEAD = 6  # bytes that a packet adds to a part of a request's body: header, part length
+CHUNK_OVERHEAD = 8  # bytes that a packet adds to a part of a response's body: the same, type, final zero
 MAX_HEADERS = 128
-NULL = 0xFFFF
+NULL = 0xFFFF  # the length that stands for a null string
 
 METHODS = dict(
     enumerate(
@@ -54,7 +54,7 @@
     )
 )
 METHOD_CODES = {name: code for code, name in METHODS.items()}
-STORED_METHOD = 0xFF
+STORED_METHOD = 0xFF  # method code: the attribute `stored_method` has the method's name
 REQUEST_HEADERS = dict(
     enumerate(
         [
@@ -112,19 +112,19 @@
 FORBIDDEN_ATTRIBUTES = {
     0x01: "context",
     0x02: "servlet_path",
-}  # in the protocol, but sent by no module of Apache
+}  # the protocol defines them, but no module of Apache sends them
 DEFAULT_ALLOWED_ATTRIBUTES = frozenset(
     {"AJP_REMOTE_PORT", "AJP_LOCAL_ADDR", "AJP_SSL_PROTOCOL", "JK_LB_ACTIVATION"}
 )
 
 
 class ForbiddenAttributeError(CodecError):
-    """A well-formed request with an attribute that no web server sends; it is rejected."""
+    """A well-formed request is rejected for an attribute that no web server sends."""
 
 
 @dataclass(slots=True)
 class ForwardedRequest:
-    """A request as a web server forwards it. Header names are in lower case."""
+    """A request that a web server forwards. Header names are in lower case."""
 
     method: str = "GET"
     uri: str = "/"
@@ -136,7 +136,7 @@
     is_ssl: bool = False
     headers: list[tuple[str, str]] = field(default_factory=list)
     attributes: dict[str, str] = field(default_factory=dict)
-    named_attributes: list[tuple[str, str]] = field(default_factory=list)  # further attributes, by name
+    named_attributes: list[tuple[str, str]] = field(default_factory=list)  # attributes without a code
     ssl_key_size: int | None = None
 
     def header(self, name: str) -> str | None:
@@ -144,7 +144,10 @@
         return next((value for key, value in self.headers if key == name), None)
 
     def body_size(self) -> int | None:
-        """Return the bytes of the body that follows; None: unknown, it has to be requested."""
+        """Return the size of the body in bytes; None if it is unknown, so that all of it has to be requested.
+
+        Raises `MalformedError`.
+        """
         text = self.header("content-length")
         if text is None:
             return None if "chunked" in (self.header("transfer-encoding") or "").lower() else 0
@@ -154,7 +157,7 @@
 
 
 class PacketDecoder:
-    """Splits a stream into packets."""
+    """Splits a stream into packets that start with `magic`."""
 
     def __init__(self, magic: bytes, max_packet_bytes: int = DEFAULT_PACKET_BYTES) -> None:
         self._magic = magic
@@ -162,11 +165,11 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Add received bytes and yield the payloads that are complete. Raises `MalformedError`."""
+        """Add received bytes and yield the payloads of complete packets. Raises `MalformedError`."""
         self._buffer += data
         while len(self._buffer) >= 4:
             if self._buffer[:2] != self._magic:
-                raise MalformedError("a packet that does not begin as AJP13 packets do")
+                raise MalformedError("a packet without the magic bytes of AJP13")
             size = self._buffer[2] << 8 | self._buffer[3]
             if size > self._max_payload_bytes:
                 raise MalformedError(f"a packet of {size} bytes, {self._max_payload_bytes} at most")
@@ -178,19 +181,19 @@
 
 
 class Reader:
-    """Reads values from a payload. Each method raises `MalformedError` where it ends too soon."""
+    """Reads values from a payload. Each method raises `MalformedError` if the payload ends too soon."""
 
     def __init__(self, payload: bytes) -> None:
         self._data = payload
-        self._at = 0
+        self._position = 0
 
     def take_bytes(self, size: int) -> bytes:
-        """Read so many bytes."""
-        end = self._at + size
+        """Read `size` bytes."""
+        end = self._position + size
         if end > len(self._data):
-            raise MalformedError("a packet that ends too soon")
-        data = self._data[self._at : end]
-        self._at = end
+            raise MalformedError("a packet whose payload ends too soon")
+        data = self._data[self._position : end]
+        self._position = end
         return data
 
     def byte(self) -> int:
@@ -212,7 +215,7 @@
         return self.nullable_text() or ""
 
     def header(self, codes: dict[int, str]) -> str:
-        """Read a header's name: a code of two bytes, or a string."""
+        """Read a header's name: a string, or a code of two bytes that `codes` translates."""
         size = self.uint16()
         if size & 0xFF00 != 0xA000:
             return self._text(size)
@@ -223,12 +226,12 @@
     def _text(self, size: int) -> str:
         data = self.take_bytes(size + 1)
         if data[-1]:
-            raise MalformedError("a string without its closing zero")
+            raise MalformedError("a string without its terminating zero")
         return data[:-1].decode("latin-1")
 
 
 def packet(magic: bytes, payload: bytes) -> bytes:
-    """Encode a packet with this payload. Raises ValueError where it is too long."""
+    """Encode a packet with this payload. Raises ValueError if it is too long."""
     if len(payload) > MAX_PACKET_BYTES - HEADER_BYTES:
         raise ValueError("too long for an AJP13 packet")
     return magic + struct.pack(">H", len(payload)) + payload
@@ -249,9 +252,10 @@
 
 
 def read_forward(payload: bytes, allowed: frozenset[str] = DEFAULT_ALLOWED_ATTRIBUTES) -> ForwardedRequest:
-    """Decode a forwarded request, type byte included.
+    """Decode the payload of a forwarded request, including its type byte.
 
-    Raises `MalformedError`, and `ForbiddenAttributeError` for a named attribute that is not allowed.
+    Raises `MalformedError`, and `ForbiddenAttributeError` for an attribute that no web server sends: a named
+    one that is not in `allowed`, or one of `FORBIDDEN_ATTRIBUTES`.
     """
     reader = Reader(payload)
     if reader.byte() != FORWARD:
@@ -284,7 +288,7 @@
 
 
 def _read_attributes(reader: Reader, request: ForwardedRequest, allowed: frozenset[str]) -> str:
-    """Read the attributes; return the name of a forbidden one, if there is any."""
+    """Read the attributes; return the name of the first forbidden one, or an empty string."""
     forbidden = ""
     while (code := reader.byte()) != LAST_ATTRIBUTE:
         if code in ATTRIBUTES:
@@ -333,7 +337,7 @@
 
 
 def read_body(payload: bytes) -> bytes:
-    """Decode a part of a request's body; an empty one ends it."""
+    """Decode a part of a request's body; an empty part ends the body."""
     if not payload:
         return b""
     reader = Reader(payload)
@@ -341,13 +345,13 @@
 
 
 def write_body(data: bytes) -> bytes:
-    """Encode a part of a request's body; an empty one ends it."""
+    """Encode a part of a request's body as a packet; an empty part ends the body."""
     return packet(TO_CONTAINER, struct.pack(">H", len(data)) + data if data else b"")
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseHead:
-    """Status and headers of a response."""
+    """The status and headers of a response."""
 
     status: int
     reason: str
@@ -363,49 +367,49 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseEnd:
-    """The end of a response; the connection may be used again or not."""
+    """The end of a response; `reuse` says whether the connection may carry another request."""
 
     reuse: bool
 
 
 @dataclass(slots=True, frozen=True)
 class BodyRequest:
-    """The container requests up to `size` further bytes of the request's body."""
+    """A request by the container for up to `size` further bytes of a request's body."""
 
     size: int
 
 
 @dataclass(slots=True, frozen=True)
 class Pong:
-    """The answer to a ping."""
+    """The reply to a CPing."""
 
 
 Reply = ResponseHead | ResponseBody | ResponseEnd | BodyRequest | Pong
 
 
 def read_reply(payload: bytes) -> Reply:
-    """Decode a packet of a container. Raises `MalformedError`."""
+    """Decode the payload of a packet from a container. Raises `MalformedError`."""
     reader = Reader(payload)
-    kind = reader.byte()
-    if kind == HEADERS:
+    packet_type = reader.byte()
+    if packet_type == HEADERS:
         status, reason, count = reader.uint16(), reader.text(), reader.uint16()
         if count > MAX_HEADERS:
             raise MalformedError(f"{count} headers, {MAX_HEADERS} at most")
         headers = tuple((reader.header(RESPONSE_HEADERS), reader.text()) for _ in range(count))
         return ResponseHead(status, reason, headers)
-    if kind == BODY_CHUNK:
+    if packet_type == BODY_CHUNK:
         return ResponseBody(reader.take_bytes(reader.uint16()))
-    if kind == END:
+    if packet_type == END:
         return ResponseEnd(bool(reader.byte()))
-    if kind == GET_BODY:
+    if packet_type == GET_BODY:
         return BodyRequest(reader.uint16())
-    if kind == CPONG:
+    if packet_type == CPONG:
         return Pong()
-    raise MalformedError(f"an unknown packet type {kind}")
+    raise MalformedError(f"an unknown packet type {packet_type}")
 
 
 def write_reply(reply: Reply) -> bytes:
-    """Encode a packet of a container."""
+    """Encode a packet from a container."""
     match reply:
         case ResponseHead(status, reason, headers):
             out = struct.pack(">BH", HEADERS, status) + _string(reason) + struct.pack(">H", len(headers))
@@ -424,7 +428,7 @@
 def write_response(
     head: ResponseHead, body: bytes, reuse: bool, max_packet_bytes: int = DEFAULT_PACKET_BYTES
 ) -> bytes:
-    """Encode a complete response: head, body in parts that fit packets, end."""
+    """Encode a complete response: the head, the body in parts that fit into packets, and the end."""
     size = max_packet_bytes - CHUNK_OVERHEAD
     parts = [ResponseBody(body[at : at + size]) for at in range(0, len(body), size)]
     replies: list[Reply] = [head, *parts, ResponseEnd(reuse)]
--- a/reelusher/codecs/errors.py
+++ b/reelusher/codecs/errors.py
@@ -1,8 +1,8 @@
-"""Errors that all codecs raise."""
+"""Errors raised by all codecs."""
 
 
 class CodecError(Exception):
-    """What was read can't be accepted; the connection that carried it is not used any further."""
+    """The received data is not accepted, and the connection that carried it must not be used any further."""
 
 
 class MalformedError(CodecError):
--- a/reelusher/codecs/http1.py
+++ b/reelusher/codecs/http1.py
@@ -1,11 +1,14 @@
-"""HTTP/1.1, as much as the service registry and the administration API need: messages with counted bodies."""
+"""The part of HTTP/1.1 that the service registry, the administration API and the operations endpoint use.
+
+The size of a body is given by Content-Length; transfer codings are not supported.
+"""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
 from reelusher.codecs.errors import MalformedError
 
-MAX_HEAD_BYTES = 1 << 14  # of start line and headers
+MAX_HEAD_BYTES = 1 << 14  # size limit of the start line and all headers together
 MAX_BODY_BYTES = 1 << 20
 MAX_HEADERS = 100
 REASONS = {
@@ -31,7 +34,7 @@
 
 
 class MalformedHttpError(MalformedError):
-    """The bytes are not HTTP/1.1, or exceed a limit; `status` is what a server answers."""
+    """The bytes are not HTTP/1.1, or exceed a limit; `status` is the status that a server replies with."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -42,7 +45,7 @@
 class Message:
     """A request or a response; header names are in lower case."""
 
-    start: tuple[str, str, str]
+    start: tuple[str, str, str]  # method, target and version; or version, status and reason
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
 
@@ -87,10 +90,10 @@
         if len(start) < 2 or not (start[0].startswith("HTTP/1.") or start[-1].startswith("HTTP/1.")):
             raise MalformedHttpError("a start line that is not HTTP/1")
         self._head = Message((start[0], start[1], start[2] if len(start) > 2 else ""), _headers(lines[1:]))
-        self._size = self._length(self._head)
+        self._size = self._read_body_size(self._head)
         return True
 
-    def _length(self, message: Message) -> int:
+    def _read_body_size(self, message: Message) -> int:
         if "transfer-encoding" in message.headers:
             raise MalformedHttpError("transfer codings are not supported", 501)
         text = message.headers.get("content-length", "0")
@@ -104,15 +107,15 @@
 def _headers(lines: list[str]) -> dict[str, str]:
     if len(lines) > MAX_HEADERS:
         raise MalformedHttpError(f"more than {MAX_HEADERS} headers", 431)
-    found: dict[str, str] = {}
+    headers: dict[str, str] = {}
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
             raise MalformedHttpError("a header line without a name")
-        if name.lower() == "content-length" and name.lower() in found:
+        if name.lower() == "content-length" and name.lower() in headers:
             raise MalformedHttpError("two content-lengths")
-        found[name.lower()] = value.strip()
-    return found
+        headers[name.lower()] = value.strip()
+    return headers
 
 
 def request(method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None) -> bytes:
--- a/reelusher/codecs/lines.py
+++ b/reelusher/codecs/lines.py
@@ -1,6 +1,6 @@
-"""The two line protocols: JSON objects of the runtime, calls and replies of the downstream service.
+"""The two line protocols: JSON objects of the runtime, and calls to the downstream service.
 
-On the wire the downstream service is the vault, a call is `ask`, a cancellation `unask`.
+On the wire, the downstream service is the vault, a call is `ask` and a cancellation is `unask`.
 """
 
 import base64
@@ -12,14 +12,14 @@
 
 from reelusher.codecs.errors import MalformedError
 
-MAX_LINE_BYTES = 1 << 20  # of a JSON object
-MAX_REPLY_BYTES = 1 << 18  # of the body of a reply
-MAX_REPLY_LINE_BYTES = 256  # of the line that starts a reply
-WITH_BODY = "yes"  # the status that a counted body follows
+MAX_LINE_BYTES = 1 << 20  # size limit of a line with a JSON object
+MAX_REPLY_BYTES = 1 << 18  # size limit of the body of a reply
+MAX_REPLY_LINE_BYTES = 256  # size limit of the line that starts a reply
+WITH_BODY = "yes"  # the status after which a reply must have a length and a body
 
 
 class JsonLineDecoder:
-    """Decodes one JSON object a line."""
+    """Decodes one JSON object per line."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -47,7 +47,7 @@
 
 
 def encode_json_line(message: dict[str, Any]) -> bytes:
-    """Encode an object as a line."""
+    """Encode an object as a line of JSON."""
     return json.dumps(message, separators=(",", ":")).encode() + b"\n"
 
 
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DownstreamReply:
-    """A reply to a downstream call; it has a body where the call succeeded."""
+    """A reply to a downstream call; it has a body if the call succeeded."""
 
     run_id: str
     status: str
@@ -74,7 +74,7 @@
 
 
 class DownstreamReplyDecoder:
-    """Decodes replies: lines, with a counted body after the status `yes`."""
+    """Decodes replies: a line each, which has a length and is followed by a body if the status is `yes`."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -91,7 +91,7 @@
                 yield DownstreamReply(words[0], words[1])
                 continue
             if len(words) != 3 or not words[2].isascii() or not words[2].isdigit() or len(words[2]) > 9:
-                raise MalformedError("a reply that is not ID WORD or ID WORD LENGTH")
+                raise MalformedError("a reply that is neither ID STATUS nor ID STATUS LENGTH")
             size = int(words[2])
             if size > MAX_REPLY_BYTES:
                 raise MalformedError(f"a reply of {size} bytes, {MAX_REPLY_BYTES} at most")
@@ -99,7 +99,7 @@
             if len(self._buffer) < stop + 2:
                 return
             if self._buffer[stop : stop + 2] != b"\r\n":
-                raise MalformedError("a reply longer than it says")
+                raise MalformedError("a reply whose body is longer than its length says")
             body = bytes(self._buffer[end + 2 : stop])
             del self._buffer[: stop + 2]
             yield DownstreamReply(words[0], words[1], body)
@@ -108,7 +108,7 @@
 
 
 def encode_call(run_id: str, timeout_ms: int, body: bytes) -> bytes:
-    """Encode a call for a run, which is abandoned after `timeout_ms`."""
+    """Encode the call of a run; it is abandoned after `timeout_ms` milliseconds."""
     return f"ask {run_id} {timeout_ms} {len(body)}\r\n".encode() + body + b"\r\n"
 
 
--- a/reelusher/codecs/msgpack.py
+++ b/reelusher/codecs/msgpack.py
@@ -1,7 +1,7 @@
-"""MessagePack, as much as MessagePack-RPC needs: nil, booleans, numbers, strings, binaries, arrays, maps.
+"""The part of MessagePack that MessagePack-RPC needs: all types but extensions.
 
-`Decoder` is fed bytes as they arrive and yields complete values. Lengths above the limits are rejected from
-the header alone, before anything of that size is read or allocated.
+`Decoder` is fed bytes as they arrive and yields complete values. A length above its limit is rejected as soon
+as the header is read, before anything of that size is read or allocated.
 """
 
 import struct
@@ -10,17 +10,17 @@
 
 from reelusher.codecs.errors import MalformedError
 
-MAX_BYTES = 1 << 16  # of one string or binary
-MAX_ITEMS = 256  # of one array or map
-MAX_DEPTH = 8
-MAX_FRAME_BYTES = 1 << 18  # of one complete value
+MAX_BYTES = 1 << 16  # size limit of one string or binary
+MAX_ITEMS = 256  # limit on the items of an array and the entries of a map
+MAX_DEPTH = 8  # limit on arrays and maps within each other
+MAX_FRAME_BYTES = 1 << 18  # size limit of one complete value
 
 
 class _IncompleteValueError(Exception):
-    """The value is not complete yet."""
+    """The value continues after the bytes received so far."""
 
 
-_FIXED = {
+_NUMBER_FORMATS = {
     0xCA: ">f",
     0xCB: ">d",
     0xCC: ">B",
@@ -32,7 +32,7 @@
     0xD2: ">i",
     0xD3: ">q",
 }
-_LENGTHS = {
+_LENGTH_FORMATS = {
     0xC4: ">B",
     0xC5: ">H",
     0xC6: ">I",
@@ -44,7 +44,7 @@
     0xDE: ">H",
     0xDF: ">I",
 }
-_STRUCTS = {code: struct.Struct(text) for code, text in (_FIXED | _LENGTHS).items()}
+_STRUCTS = {code: struct.Struct(text) for code, text in (_NUMBER_FORMATS | _LENGTH_FORMATS).items()}
 _CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
@@ -53,8 +53,8 @@
 
     __slots__ = ("is_map", "items", "remaining")
 
-    def __init__(self, left: int, is_map: bool) -> None:
-        self.remaining = 2 * left if is_map else left  # values still to come
+    def __init__(self, length: int, is_map: bool) -> None:
+        self.remaining = 2 * length if is_map else length  # values to be read, two for each entry of a map
         self.items: list[Any] = []
         self.is_map = is_map
 
@@ -64,80 +64,83 @@
 
 
 class Decoder:
-    """Splits a stream into values. What has been read of a value is not read again when more bytes come."""
+    """Splits a stream into values. Decoded parts of a value are not decoded again when more bytes arrive."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._max_frame_bytes = max_frame_bytes
         self._buffer = bytearray()
-        self._at = 0
-        self._frame = 0  # bytes read of the value that is open
-        self._open: list[_OpenContainer] = []
+        self._position = 0
+        self._frame_bytes = 0  # bytes read of the value that is not complete yet
+        self._open_containers: list[_OpenContainer] = []
 
     @property
     def partial(self) -> bool:
-        """Return whether a value has started and is not complete."""
-        return bool(self._buffer or self._open)
+        """Whether a value has started and is not complete."""
+        return bool(self._buffer or self._open_containers)
 
     def feed(self, data: bytes) -> Iterator[Any]:
         """Add received bytes and yield the values that are complete. Raises `MalformedError`."""
         self._buffer += data
-        self._at = 0
+        self._position = 0
         try:
-            while self._at < len(self._buffer):
-                started_at = self._at
+            while self._position < len(self._buffer):
+                start = self._position
                 try:
-                    value = self._item()
+                    value = self._read_value()
                 except _IncompleteValueError:
-                    self._at = started_at
+                    self._position = start
                     break
                 finally:
-                    self._frame += self._at - started_at
-                if self._frame > self._max_frame_bytes:
+                    self._frame_bytes += self._position - start
+                if self._frame_bytes > self._max_frame_bytes:
                     raise MalformedError(f"a value of more than {self._max_frame_bytes} bytes")
                 if not isinstance(value, _OpenContainer):
                     value = self._append(value)
                 if not isinstance(value, _OpenContainer):
-                    self._frame = 0
+                    self._frame_bytes = 0
                     yield value
         finally:
-            del self._buffer[: self._at]
-            self._at = 0
-        if self._frame + len(self._buffer) > self._max_frame_bytes:
+            del self._buffer[: self._position]
+            self._position = 0
+        if self._frame_bytes + len(self._buffer) > self._max_frame_bytes:
             raise MalformedError(f"a value of more than {self._max_frame_bytes} bytes")
 
     def _append(self, value: Any) -> Any:
-        """Append a value to the open container; return the outermost once complete, else the open one."""
-        while self._open:
-            top = self._open[-1]
+        """Append a value to the innermost open container, and close the containers that this completes.
+
+        Returns the container that is still open, or else the complete outermost value.
+        """
+        while self._open_containers:
+            top = self._open_containers[-1]
             if top.is_map and top.remaining % 2 == 0 and not isinstance(value, (str, int, bytes)):
                 raise MalformedError("a map key that is neither a string nor a number")
             top.items.append(value)
             top.remaining -= 1
             if top.remaining:
                 return top
-            value = self._open.pop().value()
+            value = self._open_containers.pop().value()
         return value
 
     def _take_bytes(self, size: int) -> bytes:
-        end = self._at + size
+        end = self._position + size
         if end > len(self._buffer):
             raise _IncompleteValueError
-        data = bytes(self._buffer[self._at : end])
-        self._at = end
+        data = bytes(self._buffer[self._position : end])
+        self._position = end
         return data
 
     def _number(self, code: int) -> Any:
-        form = _STRUCTS[code]
-        if self._at + form.size > len(self._buffer):
+        layout = _STRUCTS[code]
+        if self._position + layout.size > len(self._buffer):
             raise _IncompleteValueError
-        (number,) = form.unpack_from(self._buffer, self._at)
-        self._at += form.size
+        (number,) = layout.unpack_from(self._buffer, self._position)
+        self._position += layout.size
         return number
 
-    def _item(self) -> Any:
-        """Read one value, or the header of an array or a map that has items: that is then open."""
-        code = self._buffer[self._at]
-        self._at += 1
+    def _read_value(self) -> Any:
+        """Read a value; of an array or a map with items, read only the header and return it as open."""
+        code = self._buffer[self._position]
+        self._position += 1
         if code < 0x80:
             return code
         if code >= 0xE0:
@@ -145,53 +148,62 @@
         if 0xA0 <= code < 0xC0:
             return self._text(code & 0x1F)
         if code < 0x90:
-            return self._opened(code & 0x0F, is_map=True)
+            return self._open_container(code & 0x0F, is_map=True)
         if code < 0xA0:
-            return self._opened(code & 0x0F, is_map=False)
+            return self._open_container(code & 0x0F, is_map=False)
         if code in _CONSTANTS:
             return _CONSTANTS[code]
-        if code in _FIXED:
+        if code in _NUMBER_FORMATS:
             return self._number(code)
-        if code not in _LENGTHS:
+        if code not in _LENGTH_FORMATS:
             raise MalformedError(f"type byte {code:#04x} is not supported")
         length = self._number(code)
         if code >= 0xDC:
-            return self._opened(length, is_map=code >= 0xDE)
-        return self._text(length) if code >= 0xD9 else self._take_bytes(self._checked(length, MAX_BYTES))
+            return self._open_container(length, is_map=code >= 0xDE)
+        return self._text(length) if code >= 0xD9 else self._take_bytes(self._check_length(length, MAX_BYTES))
 
     @staticmethod
-    def _checked(length: int, most: int) -> int:
-        if length > most:
-            raise MalformedError(f"a length of {length}, {most} at most")
+    def _check_length(length: int, max_length: int) -> int:
+        if length > max_length:
+            raise MalformedError(f"a length of {length}, {max_length} at most")
         return length
 
     def _text(self, length: int) -> str:
         try:
-            return self._take_bytes(self._checked(length, MAX_BYTES)).decode()
+            return self._take_bytes(self._check_length(length, MAX_BYTES)).decode()
         except UnicodeDecodeError:
             raise MalformedError("a string that is not UTF-8") from None
 
-    def _opened(self, length: int, is_map: bool) -> Any:
-        if len(self._open) >= MAX_DEPTH:
+    def _open_container(self, length: int, is_map: bool) -> Any:
+        if len(self._open_containers) >= MAX_DEPTH:
             raise MalformedError(f"nested more than {MAX_DEPTH} deep")
-        opened = _OpenContainer(self._checked(length, MAX_ITEMS), is_map)
+        container = _OpenContainer(self._check_length(length, MAX_ITEMS), is_map)
         if not length:
-            return opened.value()
-        self._open.append(opened)
-        return opened
-
-
-def _sized(length: int, small: int | None, small_most: int, codes: tuple[int | None, int, int]) -> bytes:
-    if small is not None and length <= small_most:
-        return bytes([small | length])
-    for code, form, most in zip(codes, (">BB", ">BH", ">BI"), (0xFF, 0xFFFF, 0xFFFFFFFF), strict=True):
-        if code is not None and length <= most:
-            return struct.pack(form, code, length)
+            return container.value()
+        self._open_containers.append(container)
+        return container
+
+
+def _length_header(
+    length: int, short_code: int | None, short_max: int, codes: tuple[int | None, int, int]
+) -> bytes:
+    """Encode the type byte and the length of a string, binary, array or map.
+
+    Lengths up to `short_max` are part of the type byte `short_code`; `codes` are the type bytes before
+    lengths of one, two and four bytes, None where the type has no such form.
+    """
+    if short_code is not None and length <= short_max:
+        return bytes([short_code | length])
+    for code, layout, max_length in zip(
+        codes, (">BB", ">BH", ">BI"), (0xFF, 0xFFFF, 0xFFFFFFFF), strict=True
+    ):
+        if code is not None and length <= max_length:
+            return struct.pack(layout, code, length)
     raise ValueError("too long for MessagePack")
 
 
 def pack(value: Any) -> bytes:
-    """Write a value."""
+    """Encode a value. Raises TypeError or ValueError if it has no MessagePack form."""
     out = bytearray()
     _pack(value, out)
     return bytes(out)
@@ -200,11 +212,11 @@
 def _pack(value: Any, out: bytearray) -> None:
     match value:
         case list() | tuple():
-            out += _sized(len(value), 0x90, 15, (None, 0xDC, 0xDD))
+            out += _length_header(len(value), 0x90, 15, (None, 0xDC, 0xDD))
             for item in value:
                 _pack(item, out)
         case dict():
-            out += _sized(len(value), 0x80, 15, (None, 0xDE, 0xDF))
+            out += _length_header(len(value), 0x80, 15, (None, 0xDE, 0xDF))
             for key, item in value.items():
                 _pack(key, out)
                 _pack(item, out)
@@ -224,11 +236,11 @@
             return struct.pack(">Bd", 0xCB, value)
         case str():
             data = value.encode()
-            return _sized(len(data), 0xA0, 31, (0xD9, 0xDA, 0xDB)) + data
+            return _length_header(len(data), 0xA0, 31, (0xD9, 0xDA, 0xDB)) + data
         case bytes():
-            return _sized(len(value), None, 0, (0xC4, 0xC5, 0xC6)) + value
+            return _length_header(len(value), None, 0, (0xC4, 0xC5, 0xC6)) + value
         case _:
-            raise TypeError(f"{type(value).__name__} has no MessagePack form here")
+            raise TypeError(f"{type(value).__name__} cannot be encoded as MessagePack")
 
 
 def _pack_int(value: int) -> bytes:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -77,10 +77,10 @@
     found: list[Any] = []
 
     class Counted(msgpack.Decoder):
-        def _item(self) -> Any:
+        def _read_value(self) -> Any:
             nonlocal reads
             reads += 1
-            return super()._item()
+            return super()._read_value()
 
     decoder = Counted()
     for at in range(len(data)):
