--- a/reelusher/frontends/rpc/fields.py
+++ b/reelusher/frontends/rpc/fields.py
@@ -1,4 +1,4 @@
-"""The platform's fields: their names on the wire, and the terms that the rest of the program uses."""
+"""The fields of the platform's protocol: their names on the wire, and the checks of their values."""
 
 import math
 from typing import Any, NamedTuple
@@ -15,12 +15,12 @@
 # fields of a request
 RUN_ID = "txn"
 IDEMPOTENCY_KEY = "unique"
-SUBJECT = "item"  # what a read is about
-RECEIVED_MS = "door"  # when the request reached the machine, Unix time
+SUBJECT = "item"  # the subject that a read is about
+RECEIVED_MS = "door"  # Unix time when the request reached the machine
 CALLER = "lb"
 EXPECTED_WORK_MS = "cpu"
 HELD_KB = "ram"
-RANK = "standing"  # of the caller; checked, but the policy ranks by class alone
+RANK = "standing"  # rank of the caller; it is checked but not used, since the policy ranks by class alone
 
 # fields of an answer
 ADVERTISED_CAPACITY = "feedback"
@@ -34,12 +34,12 @@
 MAX_CALLER = 1 << 53  # callers that restart get new numbers, without end
 MAX_EXPECTED_WORK_MS = 3.6e6
 MAX_HELD_KB = 2000.0
-MAX_CLOCK_AHEAD_US = 2_000_000  # a time of receipt later than the clock by more than that is wrong
-MAX_CLOCK_BEHIND_US = 10_000_000  # one older by more than that, beyond the longest deadline, is wrong
+MAX_CLOCK_AHEAD_US = 2_000_000  # a received time further ahead of the clock is invalid
+MAX_CLOCK_BEHIND_US = 10_000_000  # so is one older than the longest deadline plus this
 
 
 class BadRequestError(Exception):
-    """A request that gets an error answer and never reaches the core; the text names what is wrong."""
+    """The request is invalid: it gets an error reply with this text, and never reaches the core."""
 
 
 class RequestFields(NamedTuple):
@@ -47,7 +47,7 @@
 
     run_id: str
     idempotency_key: str
-    subject: int  # 0: none
+    subject: int  # 0: the request names none
     received_unix_us: int
     caller: int
     held_kb: float
@@ -57,7 +57,7 @@
 def read_fields(
     fields: dict[Any, Any], needs_key: bool, now_unix_us: int, longest_deadline_us: int
 ) -> RequestFields:
-    """Check the fields of a request; raise `BadRequestError` for those that can't be used."""
+    """Check the fields of a request; raise `BadRequestError` if one is missing or invalid."""
     run_id, key, subject = fields.get(RUN_ID), fields.get(IDEMPOTENCY_KEY, ""), fields.get(SUBJECT, "")
     if not isinstance(run_id, str) or not _is_run_id(run_id):
         raise BadRequestError("txn is missing or malformed")
@@ -66,7 +66,7 @@
     if needs_key and not key:
         raise BadRequestError("unique is missing")
     _read_number(fields, RANK, 0, 1, 0)
-    # a time far from the clock would set timers and keys that outlive everything else
+    # a time far from the clock would make timers and idempotency keys last far longer than all others
     received_ms = _read_number(
         fields,
         RECEIVED_MS,
@@ -86,7 +86,7 @@
 
 
 def capacity_fields(advertised_capacity: float | None) -> dict[str, str]:
-    """Return the fields that every answer carries."""
+    """Return the fields that every reply carries."""
     return {} if advertised_capacity is None else {ADVERTISED_CAPACITY: f"{advertised_capacity:.4f}"}
 
 
@@ -98,7 +98,7 @@
     return isinstance(value, str) and len(value) <= max_chars
 
 
-def _read_number(fields: dict[Any, Any], name: str, least: float, most: float, default: float) -> float:
+def _read_number(fields: dict[Any, Any], name: str, minimum: float, maximum: float, default: float) -> float:
     text = fields.get(name)
     if text is None:
         return default
@@ -106,6 +106,6 @@
         value = float(text)
     except (TypeError, ValueError):
         raise BadRequestError(f"{name} is no number") from None
-    if not (math.isfinite(value) and least <= value <= most):
+    if not (math.isfinite(value) and minimum <= value <= maximum):
         raise BadRequestError(f"{name} is out of range")
     return value
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -1,4 +1,4 @@
-"""The platform's frontend: accepts callers, reads their requests, ends their connections."""
+"""The platform's RPC front end: accepts callers, reads their requests and ends their connections."""
 
 import heapq
 import socket
@@ -30,29 +30,29 @@
 from reelusher.net.send_buffer import ByteBudget
 from reelusher.net.sockets import Address
 
-MAX_BAD_REQUESTS = 8  # on one connection, before it is closed
+MAX_BAD_REQUESTS = 8  # bad requests on one connection before it is closed
 MAX_MESSAGE_ID = (1 << 32) - 1
-SWEEP_S = 0.1  # between checks of all connections
-SILENT_S = 1.5  # a connection without a complete message gets the last call after this
-SILENT_CLOSE_S = 0.5  # and is closed after this
-MAX_FRAME_S = 2.0  # from the first byte of a message to its last
-PARTIAL_PROTECTED_S = 0.4  # a message that began so recently protects its connection from eviction
-MIN_AGE_S = 0.1  # a connection younger than this is not evicted
-EVICTED_PART = 16  # one in so many connections is evicted at once
-MAX_SPARE = 16  # connections past the limit, whose requests are rejected
-SPARE_PART = 32  # and of few descriptors, one in so many
-MAX_HALF_CLOSED = 32
-HALF_CLOSED_PART = 16  # and of few descriptors, one in so many
-DESCRIPTORS = 3  # of its own: the listener, and the poller's two
-READ_BYTES = 1 << 14  # of one connection before others have their turn
-MAX_READS = 8  # of one connection in a row, so that a flood does not hold up all others
-MAX_ACCEPTED = 32  # connections in a row, before those that are open have their turn
+SWEEP_S = 0.1  # interval between checks of all connections
+SILENT_S = 1.5  # a connection without a complete message is sent `lastCall` after this time
+SILENT_CLOSE_S = 0.5  # and is closed this long after the notice
+MAX_FRAME_S = 2.0  # longest time from the first byte of a message to its last
+PARTIAL_PROTECTED_S = 0.4  # an incomplete message protects its connection from eviction for this long
+MIN_IDLE_S = 0.1  # a connection that was opened or used less than this ago is not evicted
+EVICTION_DIVISOR = 16  # an eviction closes one in this many of the possible connections
+MAX_SPARE = 16  # connections beyond the limit, whose requests are rejected
+DESCRIPTORS_PER_SPARE = 32  # with few descriptors, there is one spare connection for this many
+MAX_HALF_CLOSED = 32  # half-closed connections that are still read
+DESCRIPTORS_PER_HALF_CLOSED = 16  # with few descriptors, there is one such connection for this many
+DESCRIPTORS = 3  # the front end's own: one of the listener and two of the poller
+READ_BYTES = 1 << 14  # read from one connection before others have their turn
+MAX_READS = 8  # reads of one connection in a row, so that a flood does not delay all others
+MAX_ACCEPTED = 32  # connections accepted in a row, before the open ones have their turn
 
 
 class RpcFrontend:
-    """Listens for callers, with a budget of descriptors and of bytes that wait to be sent.
+    """Serves callers within a budget of descriptors and of bytes that wait to be sent.
 
-    One thread, the poller, accepts, reads, and closes connections. It hands requests to the event loop and
+    The poller's thread accepts, reads and closes all connections. It hands requests to the event loop and
     never blocks.
     """
 
@@ -66,15 +66,19 @@
         on_lag: Callable[[float], None] = lambda lag_s: None,
         shared: bool = False,
     ) -> None:
-        """`on_lag` hears how late the poller is; `shared`: other processes may listen on the address too."""
-        self.max_spare = min(MAX_SPARE, max(1, max_descriptors // SPARE_PART))
-        self.max_half_closed = min(MAX_HALF_CLOSED, max(1, max_descriptors // HALF_CLOSED_PART))
+        """Bind the address and listen.
+
+        `on_lag` is called with the delay of each timer of the poller, in seconds. With `shared`, another
+        process of the same user may listen on the address too.
+        """
+        self.max_spare = min(MAX_SPARE, max(1, max_descriptors // DESCRIPTORS_PER_SPARE))
+        self.max_half_closed = min(MAX_HALF_CLOSED, max(1, max_descriptors // DESCRIPTORS_PER_HALF_CLOSED))
         self.max_connections = max(1, max_descriptors - self.max_spare - self.max_half_closed)
         self._budget = ByteBudget(max_backlog_bytes)
         self._core = core
         self._parser = RequestParser(core, tenant)
         self._connections: dict[socket.socket, Connection] = {}
-        self._lock = threading.Lock()  # of the connections
+        self._lock = threading.Lock()  # guards _connections
         self._accept_paused = False
         self._rejects_all = False
         self._poller = Poller("platform-poller", core.counters, on_lag)
@@ -88,15 +92,15 @@
         self.address = self._listener.address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept connections."""
         self._poller.start()
 
     def apply_classes(self, class_indexes: dict[str, int]) -> None:
-        """Accept requests of these classes from now on; the core has them already. From any thread."""
+        """Accept these classes from now on. The core must have them already; any thread may call this."""
         self._parser.apply_classes(class_indexes)
 
     def drain(self, schedule: DrainSchedule) -> None:
-        """Follow this schedule, which may be replaced by an earlier one."""
+        """Drain by this schedule; another call may replace it by an earlier one."""
         self._shutdown.follow(schedule)
 
     def drain_observation(self) -> DrainObservation | None:
@@ -122,10 +126,10 @@
         """Return how many connections callers hold."""
         return len(self._connections)
 
-    # Steps of a drain, on the poller's thread
+    # Steps of a drain; they run on the poller's thread
 
     def stop_listening(self) -> None:
-        """Accept what has connected by now, then nothing more."""
+        """Accept the connections that wait now, and no others."""
         if self._listener.sock.fileno() >= 0:
             while self._accept(draining=True):
                 pass
@@ -142,13 +146,13 @@
         self._rejects_all = True
 
     def read_pending(self, connection: Connection) -> None:
-        """Read what has come in on a connection, up to a limit."""
+        """Read what a connection has received, up to a limit."""
         for _ in range(MAX_READS):
             if not self._read(connection):
                 return
 
     def fail_open_requests(self, connection: Connection) -> None:
-        """Answer all open requests with an error, whatever becomes of their runs."""
+        """Answer all open requests of a connection with an error, whatever their runs come to."""
         with connection.lock:
             open_requests = dict(connection.open_requests)
         reply = failed_reply(self._core.notices.advertised_capacity)
@@ -161,7 +165,10 @@
     # Accepting
 
     def _accept(self, draining: bool = False) -> bool:
-        """Accept connections; return False where none waits. `draining`: however many are open."""
+        """Accept waiting connections; return False if there are no more or if accepting was paused.
+
+        With `draining`, they are accepted however many connections are open.
+        """
         for _ in range(MAX_ACCEPTED):
             try:
                 accepted = self._listener.accept()
@@ -180,7 +187,7 @@
 
     def _add(self, connection: Connection) -> None:
         if len(self._connections) >= self.max_connections and not self._evict_idle():
-            # it may have sent a request by now, which a close would lose: reject that, then end it
+            # the caller may have sent a request, which a close would lose: reject it, then end the connection
             self._core.counters.add("platform.turned_away")
             connection.rejecting_since_s = time.monotonic()
         with self._lock:
@@ -188,7 +195,7 @@
         self._poller.watch(connection.sock, partial(self._read, connection))
 
     def _pause_accepting(self) -> None:
-        """Accept nothing until the next sweep; callers wait in the backlog."""
+        """Accept nothing until the next sweep; new connections wait in the listen backlog."""
         self._poller.unwatch(self._listener.sock)
         self._accept_paused = True
 
@@ -198,14 +205,14 @@
             self._poller.watch(self._listener.sock, self._accept)
 
     def _evict_idle(self) -> bool:
-        """Close some idle connections, so that new ones need no search each; return whether one is free."""
+        """Close idle connections, several for each search; return whether there is room for a new one."""
         now = time.monotonic()
         candidates = [
             (*_eviction_order(connection), number, connection)
             for number, connection in enumerate(self.connections())
             if _is_evictable(connection, now)
         ]
-        evicted = heapq.nsmallest(max(self.max_connections // EVICTED_PART, 1), candidates)
+        evicted = heapq.nsmallest(max(self.max_connections // EVICTION_DIVISOR, 1), candidates)
         for *_, connection in evicted:
             self._core.counters.add("platform.closed_for_room")
             if connection.send_buffer.backlog:
@@ -223,7 +230,7 @@
     # Reading
 
     def _read(self, connection: Connection) -> bool:
-        """Read a limited piece; return False where nothing more is there or ever comes."""
+        """Read up to `READ_BYTES`; return False if nothing is left to read, or nothing more will be read."""
         if connection.ended:
             return False
         try:
@@ -231,17 +238,17 @@
         except BlockingIOError:
             return False
         except OSError:
-            self._lose(connection)
+            self._release_broken(connection)
             return False
         if not data:
             self._end(connection, peer_closed=True)
             return False
-        if connection.send_buffer.closed:  # nothing can be answered any more, so nothing is run either
+        if connection.send_buffer.closed:  # answers can't be sent any more, so no requests are run either
             return True
         return self._decode(connection, data)
 
     def _decode(self, connection: Connection, data: bytes) -> bool:
-        """Handle the messages in what was read; return False where it is malformed."""
+        """Handle the messages in the data that was read; return False if it is malformed."""
         try:
             for message in connection.decoder.feed(data):
                 connection.partial_since_s = 0.0
@@ -253,7 +260,7 @@
                 *connection.peer,
                 error,
             )
-            # open requests are answered, but not served: nothing tells which request an answer is taken for
+            # open requests get an error: the caller may take an answer for that of another request
             self.fail_open_requests(connection)
             self._end(connection, peer_closed=False)
             return False
@@ -269,10 +276,10 @@
                 not isinstance(message_id, bool) and 0 <= message_id <= MAX_MESSAGE_ID
             ):
                 if message_id in connection.open_requests:
-                    raise MalformedError(f"the id {message_id} is open already")
+                    raise MalformedError(f"a request with the id {message_id} is open already")
             case _:
                 raise MalformedError("not a request of MessagePack-RPC")
-        connection.use()
+        connection.record_message()
         if method == HEALTH_METHOD:
             self._on_health_check(connection, message_id)
         elif self._rejects_all or connection.rejecting_since_s:
@@ -287,7 +294,7 @@
         connection.send_reply(message_id, reply)
 
     def _reject(self, connection: Connection, message_id: int, method: str) -> None:
-        """Reject a request that the core never sees."""
+        """Reject a request without passing it to the core."""
         core = self._core
         core.counters.add("drain.refused_at_the_door" if self._rejects_all else "platform.refused")
         if self._parser.is_current_class(method):
@@ -328,29 +335,32 @@
     # Ending
 
     def _end(self, connection: Connection, peer_closed: bool) -> None:
-        """Read nothing more; open requests are still answered. `peer_closed`: nothing more can come."""
+        """Read nothing more from a connection; its open requests are still answered.
+
+        `peer_closed` tells that the caller has shut down its writing side.
+        """
         self._poller.unwatch(connection.sock)
         with connection.lock:
             connection.ended, connection.peer_closed = True, peer_closed
         self._finish(connection)
 
     def _finish(self, connection: Connection) -> None:
-        """Close a connection if all answers have gone out; otherwise the next sweep tries again."""
+        """Close a connection if all answers are sent; otherwise the next sweep tries again."""
         if connection.unanswered or (connection.send_buffer.backlog and not connection.send_buffer.closed):
             return
         if connection.peer_closed:
             self._release(connection)
             return
         if not connection.send_buffer.shutdown_write():
-            return  # its writer is about to finish: a close now would be a reset
+            return  # its writer is about to finish; a close now would reset the connection
         with self._lock:
             self._connections.pop(connection.sock, None)
         connection.ended = True
         self._poller.unwatch(connection.sock)
         self._half_closed.add(connection)
 
-    def _lose(self, connection: Connection) -> None:
-        """Release a connection on which nothing can be answered any more."""
+    def _release_broken(self, connection: Connection) -> None:
+        """Release a broken connection, and tell the core that no answers can be sent on it."""
         with connection.lock:
             run_ids = tuple(run_id for run_id in connection.open_requests.values() if run_id)
         self._release(connection)
@@ -365,10 +375,10 @@
         connection.send_buffer.release()
 
     def _close_idle(self, connection: Connection) -> None:
-        """End a connection that carries nothing, once what has come in by now is read.
+        """Read what an idle connection has received, and end it if it is still idle.
 
-        On a busy core, requests may lie unread. What comes between that read and the shutdown crosses it: it
-        is discarded, and its caller sends it again.
+        On a busy core, requests may have been received that are not read yet. A request that arrives between
+        this read and the shutdown is discarded, and its caller sends it again.
         """
         self.read_pending(connection)
         if (
@@ -397,9 +407,12 @@
         self._half_closed.release_expired(now)
 
     def _check(self, connection: Connection, now: float, limits: IdleLimits) -> None:
-        """End one connection if it is time: the last call first, and never with open requests."""
+        """Apply the time limits to one connection.
+
+        An idle one is sent the notice `lastCall` before it is closed; none is idle while requests are open.
+        """
         if connection.send_buffer.stalled_for(now) * 1e6 > self._parser.longest_deadline_us:
-            self._core.counters.add("platform.closed_stalled")  # no caller waits for what it holds
+            self._core.counters.add("platform.closed_stalled")  # no caller waits any longer for its backlog
             connection.send_buffer.close()
         if not connection.ended:
             self._check_idle(connection, now, limits)
@@ -426,14 +439,14 @@
             connection.send_last_call(now)
 
     def _end_rejecting(self, connection: Connection, now: float) -> None:
-        """End a connection whose requests are rejected, once its time is over."""
+        """End a connection `LINGER_S` after it began to reject all requests."""
         if now - connection.rejecting_since_s > LINGER_S:
-            self.read_pending(connection)  # on a busy core requests may lie unread
+            self.read_pending(connection)  # on a busy core, received requests may still be unread
             if not connection.ended:
                 self._end(connection, peer_closed=False)
 
     def _end_partial(self, connection: Connection, partial_since_s: float) -> None:
-        """End a connection whose message does not get complete."""
+        """End a connection whose message has not become complete in time, not even by a last read."""
         self.read_pending(connection)
         if not connection.ended and connection.partial_since_s == partial_since_s:
             self._core.counters.add("platform.closed_partial")
@@ -441,16 +454,19 @@
 
 
 def _is_evictable(connection: Connection, now: float) -> bool:
-    """Return whether a connection may be closed for a new one."""
+    """Return whether a connection may be closed to make room for a new one."""
     if connection.unanswered or connection.ended or connection.rejecting_since_s:
         return False
     if connection.send_buffer.backlog and connection.send_buffer.stalled_for(now) <= MAX_FRAME_S:
         return False
     protected_since_s = max(connection.last_used_s, connection.partial_since_s + PARTIAL_PROTECTED_S)
-    return now - protected_since_s > MIN_AGE_S
+    return now - protected_since_s > MIN_IDLE_S
 
 
 def _eviction_order(connection: Connection) -> tuple[int, float]:
-    """Return the sort key: never used first, then used once, then the longest idle, mid-message last."""
+    """Return the sort key of evictions: unused connections first, then those used once, then all others.
+
+    Connections with an incomplete message come last; within a group, the longest idle comes first.
+    """
     group = 3 if connection.partial_since_s else min(connection.messages_read, 2)
     return group, connection.last_used_s
--- a/reelusher/frontends/rpc/half_closed.py
+++ b/reelusher/frontends/rpc/half_closed.py
@@ -1,7 +1,7 @@
-"""Connections whose answers are all out and whose writing side is shut.
+"""Half-closed connections: their answers are all sent, and their writing side is shut down.
 
-A close while something is unread would reset the connection, and the answers on their way with it. So what
-still comes is read and discarded for a while.
+Closing a socket with unread data resets the connection, and loses answers that are still on their way. So
+incoming data is first read and discarded for a while.
 """
 
 import socket
@@ -14,14 +14,14 @@
 from reelusher.frontends.rpc.connection import Connection
 from reelusher.net.poller import Poller
 
-LINGER_S = 0.5  # how long a half-closed connection is read
-LINGER_BYTES = 1 << 16  # and how much of it
+LINGER_S = 0.5  # a half-closed connection is read for this long
+LINGER_BYTES = 1 << 16  # and for this many bytes, whichever limit is reached first
 READ_BYTES = 1 << 14
 
 
 @dataclass(slots=True)
 class HalfClosedConnection:
-    """One such connection."""
+    """A half-closed connection and the limits for reading it."""
 
     connection: Connection
     until_s: float
@@ -29,12 +29,12 @@
 
 
 class HalfClosedConnections:
-    """Reads and discards what still comes. All of it is called on the poller's thread."""
+    """Reads and discards the data of half-closed connections. All methods run on the poller's thread."""
 
     def __init__(
         self, poller: Poller, counters: Counters, max_connections: int, release: Callable[[Connection], None]
     ) -> None:
-        """Past `max_connections` the oldest is released as it is."""
+        """Use `release` to close connections; beyond `max_connections` the oldest is released at once."""
         self._poller = poller
         self._counters = counters
         self._max_connections = max_connections
@@ -45,7 +45,7 @@
         return len(self._by_socket)
 
     def add(self, connection: Connection) -> None:
-        """Read a connection to the other side's end, or as far as the limits go."""
+        """Read a connection until its peer closes it or a limit is reached, then release it."""
         if len(self._by_socket) >= self._max_connections:
             self._counters.add("platform.linger_cut")
             self._remove(next(iter(self._by_socket)))
@@ -53,12 +53,12 @@
         self._poller.watch(connection.sock, partial(self._discard, connection.sock))
 
     def release_expired(self, now: float) -> None:
-        """Release those that were read for long enough."""
+        """Release the connections whose time is over at `now`."""
         for sock in [sock for sock, entry in self._by_socket.items() if now >= entry.until_s]:
             self._remove(sock)
 
     def release_all(self) -> None:
-        """Release all at once."""
+        """Release all connections now."""
         for sock in list(self._by_socket):
             self._remove(sock)
 
--- a/reelusher/frontends/rpc/idle_limits.py
+++ b/reelusher/frontends/rpc/idle_limits.py
@@ -1,14 +1,14 @@
-"""How long connections of callers may be idle: shorter the more of them are open."""
+"""Limits on the idle time of callers' connections: the more of them are open, the shorter."""
 
 import math
 from typing import NamedTuple
 
-CLOSE_S = 2.0  # a caller that got the last call closes within this, or is closed
+CLOSE_S = 2.0  # a caller that got the notice `lastCall` closes within this time, or the node does
 CROWDED_CLOSE_S = 0.3  # the same while many connections are open
 
 
 class CrowdedLimit(NamedTuple):
-    """Limits that hold while more than a fraction of the connections are open."""
+    """Limits that apply while more than `open_fraction` of the possible connections are open."""
 
     open_fraction: float
     used_once_s: float
@@ -23,19 +23,24 @@
 
 
 class IdleLimits(NamedTuple):
-    """After how many seconds a connection is ended."""
+    """The seconds after which a connection is ended."""
 
-    used_once_s: float  # of idling, where it carried one message
-    idle_s: float  # of idling, where it carried more
-    close_s: float  # after the last call
+    used_once_s: float  # idle time of a connection that has carried one message
+    idle_s: float  # idle time of a connection that has carried more
+    close_s: float  # time after the notice `lastCall`
 
 
 def idle_limits(
-    open_connections: int, max_connections: int, configured_us: int, advertised_us: int
+    open_connections: int, max_connections: int, configured_us: int, controller_us: int
 ) -> IdleLimits:
-    """Return the limits at present; `configured_us` is the callers' own time-out, 0 where there is none."""
-    # callers close idle connections themselves; only a shorter advertised time, or a dead peer, is for us
-    limit_us = advertised_us if 0 < advertised_us < configured_us else 2 * configured_us
+    """Return the limits for this number of open connections.
+
+    `configured_us` is the callers' own idle timeout, 0 if there is none; `controller_us` is the one that the
+    controller has set, 0 if there is none.
+    """
+    # callers close idle connections themselves: the node only enforces a shorter timeout of the controller,
+    # and ends the connections of callers that are gone
+    limit_us = controller_us if 0 < controller_us < configured_us else 2 * configured_us
     idle_s = limit_us / 1e6 or math.inf
     used_once_s, close_s = idle_s, CLOSE_S
     for limit in CROWDED_LIMITS:
--- a/reelusher/frontends/rpc/requests.py
+++ b/reelusher/frontends/rpc/requests.py
@@ -1,4 +1,4 @@
-"""Turns messages of the platform's callers into requests of the core, and its answers into replies."""
+"""Translates messages of the platform's callers to requests for the core, and its answers to replies."""
 
 import time
 from collections.abc import Callable
@@ -20,27 +20,27 @@
 from reelusher.policy.settings import Idempotency
 
 MAX_BODY_BYTES = 2048
-MAX_OPEN_REQUESTS = 32 + 8  # on one connection: the protocol's, and some whose answers cross new ones
-REMOVED_CLASS_GRACE_S = 5.0  # a removed class is still accepted for so long: callers learn of it late
-EARLY_RETRY_AFTER_MS = 100  # of requests that the frontend itself rejects; the policy's shortest time
+MAX_OPEN_REQUESTS = 32 + 8  # per connection: the protocol's 32, and some whose answers cross new requests
+REMOVED_CLASS_GRACE_S = 5.0  # a removed class is still accepted for this long, since callers learn of it late
+EARLY_RETRY_AFTER_MS = 100  # for requests that the front end itself rejects: the shortest time of the policy
 
 
 class Reply(NamedTuple):
-    """What an answer of MessagePack-RPC carries."""
+    """The error or the result that a response of MessagePack-RPC carries."""
 
     error: list[Any] | None
     result: list[Any] | None
 
 
 class RemovedClass(NamedTuple):
-    """A class that a reload removed."""
+    """A class that a reload has removed, and until when its requests are still accepted."""
 
     class_index: int
     accepted_until_s: float
 
 
 class RequestParser:
-    """Checks requests against the classes and settings in use."""
+    """Checks and translates requests by the classes and settings in use."""
 
     def __init__(self, core: Core, tenant: str) -> None:
         self._core = core
@@ -50,7 +50,7 @@
         self.longest_deadline_us = self._longest_deadline_us()
 
     def apply_classes(self, class_indexes: dict[str, int]) -> None:
-        """Accept these classes from now on; the core has them already. From any thread."""
+        """Accept these classes from now on. The core must have them already; any thread may call this."""
         now_s = time.monotonic()
         removed = {name: entry for name, entry in self._removed.items() if entry.accepted_until_s > now_s}
         for name, index in self._class_indexes.items():
@@ -61,13 +61,16 @@
         self._class_indexes = class_indexes
 
     def is_current_class(self, name: str) -> bool:
-        """Return whether a class is in use, and not removed."""
+        """Return whether a class is in use; a removed one is not."""
         return name in self._class_indexes
 
     def parse(
         self, method: str, params: list[Any], open_requests: int, reply: Callable[[Answer], None]
     ) -> IncomingRequest:
-        """Check and translate a request; raise `BadRequestError` for one that can't be used."""
+        """Check and translate a request; raise `BadRequestError` if it is invalid.
+
+        `open_requests` is the number of requests open on its connection; `reply` is called with the answer.
+        """
         class_index = self._class_index(method)
         match params:
             case [dict(fields), bytes(body)]:
@@ -133,17 +136,17 @@
 
 
 def failed_reply(advertised_capacity: float | None) -> Reply:
-    """Return the reply to a request that can't be answered any more, whatever became of it."""
+    """Return the error reply to a request whose outcome can't be awaited any more."""
     return Reply([FAILED_ERROR, capacity_fields(advertised_capacity)], None)
 
 
 def bad_request_reply(advertised_capacity: float | None, reason: str) -> Reply:
-    """Return the reply to a request that can't be used."""
+    """Return the error reply to an invalid request."""
     return Reply([BAD_REQUEST_ERROR, {**capacity_fields(advertised_capacity), REASON: reason}], None)
 
 
 def early_rejection(advertised_capacity: float | None, max_retry_after_us: int) -> Reply:
-    """Return the reply to a request that the frontend rejects without the core."""
+    """Return the reply to a request that the front end rejects without the core."""
     fields = capacity_fields(advertised_capacity)
     if max_retry_after_us:
         fields[RETRY_AFTER_MS] = str(min(EARLY_RETRY_AFTER_MS, max_retry_after_us // 1000))
