--- a/reelusher/frontends/__init__.py
+++ b/reelusher/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Front ends: how requests reach the node, and the second address for operators."""
+"""Front ends: RPC and AJP13 for requests, and the operations endpoint for operators."""
--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -1,4 +1,4 @@
-"""Connections of web servers: their packets, and the table of those that are open."""
+"""Connections of web servers: reading their packets, and the table of open connections."""
 
 import contextlib
 import socket
@@ -12,12 +12,12 @@
 from reelusher.codecs import ajp13
 
 READ_BYTES = 1 << 16
-DISCARD_S = 0.2  # how long a connection is still read after its last answer
-DISCARD_BYTES = 1 << 18  # and how much of it
+DISCARD_S = 0.2  # a connection is still read for this long after its last answer
+DISCARD_BYTES = 1 << 18  # and for this many bytes, whichever limit is reached first
 
 
 class PacketStream:
-    """The packets of one connection, one at a time."""
+    """Reads the packets of one connection, one at a time."""
 
     def __init__(self, sock: socket.socket, max_packet_bytes: int) -> None:
         self.sock = sock
@@ -25,7 +25,10 @@
         self._received: Iterator[bytes] = iter(())
 
     def next(self) -> bytes | None:
-        """Wait for the next payload; None: the web server has closed."""
+        """Wait for the next packet and return its payload; None if the web server has closed the connection.
+
+        Raises `MalformedError`, and OSError if the connection is broken or the socket's timeout is over.
+        """
         while True:
             for payload in self._received:
                 return payload
@@ -36,11 +39,14 @@
 
 
 def shut_and_discard(sock: socket.socket) -> None:
-    """Shut the writing side and discard what still comes: a close would reset the answer on its way."""
-    until, remaining_bytes = time.monotonic() + DISCARD_S, DISCARD_BYTES
+    """Shut down the writing side, then read and discard incoming data for a while.
+
+    A close with unread data would reset the connection, and lose an answer that is still on its way.
+    """
+    end_s, remaining_bytes = time.monotonic() + DISCARD_S, DISCARD_BYTES
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
-        while remaining_bytes > 0 and (wait_s := until - time.monotonic()) > 0:
+        while remaining_bytes > 0 and (wait_s := end_s - time.monotonic()) > 0:
             sock.settimeout(wait_s)
             data = sock.recv(READ_BYTES)
             if not data:
@@ -52,28 +58,28 @@
 class ConnectionSlot:
     """The entry of one connection in the table."""
 
-    host: str  # of the web server
-    since_s: float  # when its present state began
+    host: str  # address of the web server
+    since_s: float  # when it last became busy or idle
     busy: bool = False  # a request is open on it
-    protected: bool = False  # that request has reached the core, or the connection is being closed
-    tenant: str = ""  # of the newest request
+    protected: bool = False  # never evicted: that request has reached the core, or it is being closed
+    tenant: str = ""  # tenant of its newest request
 
 
 class Eviction(NamedTuple):
-    """What was evicted for a new connection."""
+    """The eviction of a connection to make room for a new one."""
 
     open_connections: int
-    host: str
-    host_connections: int
+    host: str  # whose connection was evicted
+    host_connections: int  # connections that it had before
 
 
 class ConnectionTable:
-    """The open connections, of each web server and of each tenant; for any thread."""
+    """The open connections, counted by web server and by tenant. Any thread may call the methods."""
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
         self._slots: dict[socket.socket, ConnectionSlot] = {}
-        self._by_tenant: Counter[str] = Counter()  # by the tenant of their newest request
+        self._by_tenant: Counter[str] = Counter()  # connections by the tenant of their newest request
         self._lock = threading.Lock()
 
     def __len__(self) -> int:
@@ -83,12 +89,12 @@
         return self._slots[sock]
 
     def snapshot(self) -> dict[socket.socket, ConnectionSlot]:
-        """Return all connections at present."""
+        """Return a copy of the table."""
         with self._lock:
             return dict(self._slots)
 
     def try_add(self, sock: socket.socket, host: str) -> tuple[bool, Eviction | None]:
-        """Add a connection if there is a slot; return whether, and what was evicted for it."""
+        """Add a connection if there is room; return whether it was added, and the eviction that this took."""
         with self._lock:
             eviction = self._evict_for(host) if len(self._slots) >= self._max_connections else None
             if len(self._slots) >= self._max_connections and eviction is None:
@@ -102,9 +108,9 @@
             self._assign(self._slots.pop(sock), "")
 
     def begin_request(self, sock: socket.socket, tenant: str, max_of_tenant: int) -> bool:
-        """Protect a connection and assign it to a tenant; return False where that has too many by now.
+        """Protect a connection from eviction and assign it to a tenant.
 
-        0 for `max_of_tenant` means no limit.
+        Returns False if the tenant now has more than `max_of_tenant` connections; 0 means no limit.
         """
         with self._lock:
             slot = self._slots[sock]
@@ -113,14 +119,14 @@
             return not exceeded
 
     def shut_all(self) -> None:
-        """Shut all connections, whose threads then end."""
+        """Shut down all connections, so that their threads end."""
         with self._lock:
             for sock in self._slots:
                 with contextlib.suppress(OSError):
                     sock.shutdown(socket.SHUT_RDWR)
 
     def _assign(self, slot: ConnectionSlot, tenant: str) -> int:
-        """Assign a connection to a tenant, or to none; return how many that tenant has now."""
+        """Assign a connection to a tenant, or to none (""); return how many that tenant now has."""
         if slot.tenant:
             self._by_tenant[slot.tenant] -= 1
             if not self._by_tenant[slot.tenant]:
@@ -131,10 +137,11 @@
         return self._by_tenant[tenant] if tenant else 0
 
     def _evict_for(self, host: str) -> Eviction | None:
-        """Shut a connection of the host that has most, unless that is the newcomer's.
+        """Shut down a connection of the host that has the most, to make room for one of `host`.
 
-        One that carries a request which has reached the core is protected; of the others the one goes that
-        has been idle, or in the middle of a request, for longest. So no web server can keep the others out.
+        Nothing is evicted unless that host has at least two more than `host`. So no web server can keep the
+        others out. Connections whose request has reached the core are protected; of the others, the one is
+        evicted that has been idle, or in the middle of a request, for the longest time.
         """
         counts = Counter(slot.host for slot in self._slots.values())
         largest, count = counts.most_common(1)[0]
@@ -146,7 +153,7 @@
         if not evictable:
             return None
         sock = min(evictable, key=lambda candidate: self._slots[candidate].since_s)
-        self._slots[sock].protected = True  # from a second eviction
+        self._slots[sock].protected = True  # so that it is not evicted again
         with contextlib.suppress(OSError):
             sock.shutdown(socket.SHUT_RDWR)
         return Eviction(len(self._slots), largest, count)
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -1,4 +1,4 @@
-"""The AJP13 frontend: what Apache's modules forward, answered by the core."""
+"""The AJP13 front end: passes requests that Apache's modules forward to the core, and answers them."""
 
 import hmac
 import queue
@@ -35,18 +35,18 @@
 from reelusher.tenancy.registry import Match, TenantRegistry
 from reelusher.tenancy.tenant_source import TenantUnavailableError
 
-SEND_TIMEOUT_S = 10.0  # a web server that takes no part of an answer for this long loses the connection
-READ_TIMEOUT_S = 10.0  # a piece of a body that was requested has come within this
-DRAIN_POLL_S = 0.2  # requests that cross the end of a drain are still read for this long
-MAX_REJECTED_CONNECTIONS = (
-    8  # connections past the limit that are read out at once; more are closed as they are
+SEND_TIMEOUT_S = 10.0  # a connection is closed if its web server takes no part of an answer for this long
+READ_TIMEOUT_S = 10.0  # a requested part of a body must arrive within this time
+DRAIN_POLL_S = (
+    0.2  # poll interval of idle connections; a drain ends them after one more, since requests may cross
 )
-DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # the listener, and one that is closed at once
-MAX_ANSWER_S = 3600.0  # longer than any answer takes: the core answers by the due time
+MAX_REJECTED_CONNECTIONS = 8  # rejected connections that are read at a time; others are closed unread
+DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # also the listener, and a connection that is closed unread
+MAX_ANSWER_S = 3600.0  # no answer takes this long, since the core answers by the due time
 
 
 class AjpFrontend:
-    """Listens for web servers. A connection carries one request at a time and has a thread of its own."""
+    """Serves web servers. Each connection has its own thread and carries one request at a time."""
 
     def __init__(self, core: Core, config: Ajp, tenants: TenantRegistry) -> None:
         self._core = core
@@ -54,21 +54,21 @@
         self._tenants = tenants
         self._mapper = RequestMapper(core, config)
         self._connections = ConnectionTable(config.max_connections)
-        self._in_flight: Counter[str] = Counter()  # requests, by tenant
-        self._lock = threading.Lock()  # of the requests in flight
+        self._in_flight: Counter[str] = Counter()  # requests in flight, by tenant
+        self._lock = threading.Lock()  # guards _in_flight
         self._rejected_connections = threading.BoundedSemaphore(MAX_REJECTED_CONNECTIONS)
         self._draining = self._closed = False
-        self._schedule: DrainSchedule | None = None  # of a drain
+        self._schedule: DrainSchedule | None = None  # None before a drain
         self._observation: DrainObservation | None = None
         self._listener = Listener("ajp", config.listen, core.counters, self._serve)
         self.address = self._listener.address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept connections."""
         self._listener.start()
 
     def drain(self, schedule: DrainSchedule) -> None:
-        """Follow this schedule, which may be replaced by an earlier one."""
+        """Drain by this schedule; another call may replace it by an earlier one."""
         first, self._schedule = self._schedule is None, schedule
         if first:
             start_thread("ajp-drain", self._drain)
@@ -88,7 +88,7 @@
         return len(self._connections)
 
     def _drain(self) -> None:
-        """Let each connection end after its request, and record what is unfinished."""
+        """Stop listening when it is time, end each connection after its request, and record their state."""
         while not self._closed:
             now, schedule = time.monotonic(), self._schedule
             if schedule is not None and now >= schedule.notify_s:
@@ -132,7 +132,7 @@
             sock.close()
 
     def _reject_connection(self, sock: socket.socket) -> None:
-        """Close a connection past the limit, after what it has sent by now."""
+        """Close a connection beyond the limit, after its data has been read and discarded if possible."""
         self._core.counters.add("ajp.too_many_connections")
         with sock:
             if self._rejected_connections.acquire(blocking=False):
@@ -157,10 +157,10 @@
                 slot.since_s = time.monotonic()
             if not keeps_open:
                 return
-        shut_and_discard(sock)  # a request may cross the close
+        shut_and_discard(sock)  # a request may still be on its way
 
     def _wait_for_request(self, sock: socket.socket) -> bool:
-        """Return whether a request comes; False: the connection was idle for too long, or the node drains."""
+        """Wait for a request; return False if the connection is idle for too long or the node is draining."""
         started_s, poll = time.monotonic(), select.poll()
         poll.register(sock, select.POLLIN)
         while True:
@@ -172,13 +172,13 @@
                 return False
 
     def _on_packet(self, stream: PacketStream, payload: bytes) -> bool:
-        """Handle a packet that begins something; return False where the connection ends."""
+        """Handle a packet that starts an exchange; return False if the connection is to be closed."""
         packet_type = payload[0] if payload else 0
         if packet_type == ajp13.CPING:
             stream.sock.sendall(ajp13.write_reply(ajp13.Pong()))
             return True
         if packet_type == ajp13.PING:
-            return True  # of the old protocol; nothing is answered
+            return True  # belongs to the old protocol and gets no reply
         if packet_type == ajp13.SHUTDOWN:
             self._core.counters.add("ajp.shutdown_refused")
             logger.warning("ajp: a shutdown packet was rejected")
@@ -195,11 +195,11 @@
     # Requests
 
     def _answer(self, stream: PacketStream, forward: ajp13.ForwardedRequest) -> Answer:
-        """Return the answer to a request; raise `RequestError` where it can't reach the core."""
+        """Return the answer to a request; raise `RequestError` if it can't be passed to the core."""
         self._check_secret(forward)
         if self._schedule is not None and time.monotonic() >= self._schedule.reject_s:
             self._core.counters.add("drain.refused_at_the_door")
-            return Answer(Verdict.REJECTED)  # its body stays unread, and the connection ends
+            return Answer(Verdict.REJECTED)  # its body is left unread, and the connection is closed
         received_us = self._core.clock.now()
         body = self._mapper.read_body(stream, forward)
         try:
@@ -210,8 +210,8 @@
                     return Answer(Verdict.REJECTED)
                 answers = self._submit(stream, forward, match, body, received_us)
         except TenantUnavailableError:
-            return Answer(Verdict.REJECTED)  # counted where it was raised
-        answer = Answer(Verdict.REJECTED) if answers is None else self._await(answers, tenant)
+            return Answer(Verdict.REJECTED)  # already counted where it was raised
+        answer = Answer(Verdict.REJECTED) if answers is None else self._await_answer(answers, tenant)
         self._core.counters.add_for(tenant.name, answer.verdict.value)
         return answer
 
@@ -222,7 +222,7 @@
 
     @contextmanager
     def _matched(self, forward: ajp13.ForwardedRequest) -> Iterator[Match]:
-        """Resolve the tenant and class of a request, which is to be submitted within the context."""
+        """Resolve the tenant and class of a request. The tenant stays in memory within this context."""
         path = forward.uri.partition(";")[0]
         with self._tenants.pinned_match(forward.method, forward.server_name, path) as match:
             if match is None or not match.class_name:
@@ -237,37 +237,41 @@
         body: bytes,
         received_us: int,
     ) -> "queue.SimpleQueue[Answer] | None":
-        """Post a request to the core; return where its answer comes, None where its tenant has too many."""
+        """Post a request to the core and return the queue for its answer.
+
+        Returns None if its tenant has too many requests in flight, and raises `RequestError` if that has too
+        many connections.
+        """
         key, tenant = self._mapper.idempotency_key(forward, match), match.tenant
         max_connections = tenant.share.connections
         if not self._connections.begin_request(stream.sock, tenant.name, max_connections):
             raise RequestError(503, f"{tenant.name} has {max_connections} connections", closes=True)
-        if not self._try_begin(tenant):
+        if not self._try_begin_request(tenant):
             return None
         answers: queue.SimpleQueue[Answer] = queue.SimpleQueue()
         try:
             request = self._mapper.request(forward, match, key, body, received_us, answers.put)
             self._core.post(RequestArrived(request))
         except BaseException:
-            self._end(tenant)
+            self._end_request(tenant)
             raise
         return answers
 
-    def _await(self, answers: "queue.SimpleQueue[Answer]", tenant: Tenant) -> Answer:
+    def _await_answer(self, answers: "queue.SimpleQueue[Answer]", tenant: Tenant) -> Answer:
         try:
             return answers.get(timeout=MAX_ANSWER_S)
         finally:
-            self._end(tenant)
+            self._end_request(tenant)
 
-    def _try_begin(self, tenant: Tenant) -> bool:
-        """Count a request of a tenant; return False where that has as many in flight as it may."""
+    def _try_begin_request(self, tenant: Tenant) -> bool:
+        """Count a request of a tenant as in flight; return False if the tenant is at its limit."""
         with self._lock:
             if tenant.max_open and self._in_flight[tenant.name] >= tenant.max_open:
                 return False
             self._in_flight[tenant.name] += 1
             return True
 
-    def _end(self, tenant: Tenant) -> None:
+    def _end_request(self, tenant: Tenant) -> None:
         with self._lock:
             self._in_flight[tenant.name] -= 1
             if not self._in_flight[tenant.name]:
--- a/reelusher/frontends/ajp/request_mapping.py
+++ b/reelusher/frontends/ajp/request_mapping.py
@@ -1,4 +1,4 @@
-"""Maps AJP requests to requests of the core, and its answers to AJP responses."""
+"""Translates AJP requests to requests for the core, and its answers to AJP responses."""
 
 import itertools
 import time
@@ -15,9 +15,9 @@
 from reelusher.policy.settings import Idempotency
 from reelusher.tenancy.registry import Match
 
-MAX_BODY_S = 30.0  # for a whole body, each piece of which came in time
+MAX_BODY_S = 30.0  # limit for a whole body, even if each part of it arrives in time
 MAX_KEY_CHARS = 128
-ERROR_RETRY_AFTER_S = 1  # of a request that is rejected without the core
+ERROR_RETRY_AFTER_S = 1  # sent for a request that is rejected without the core
 REASONS = {
     400: "Bad Request",
     403: "Forbidden",
@@ -34,20 +34,20 @@
     """A request that gets an error response and never reaches the core."""
 
     def __init__(self, status: int, reason: str, closes: bool = False) -> None:
-        """`closes`: the connection can't be used any more."""
+        """`closes` tells that the connection can't be used any more."""
         super().__init__(reason)
         self.status, self.closes = status, closes
 
 
 class Response(NamedTuple):
-    """A response, before it is cut into packets."""
+    """A response before it is split into packets."""
 
     head: ajp13.ResponseHead
     body: bytes
 
 
 class RequestMapper:
-    """Builds requests of the core."""
+    """Translates AJP requests to requests for the core."""
 
     def __init__(self, core: Core, config: Ajp) -> None:
         self._core = core
@@ -57,11 +57,11 @@
         self._run_prefix = f"ajp{core.clock.now():x}x"
 
     def class_index(self, match: Match) -> int:
-        """Return the class of a request, by position in the settings."""
+        """Return the class of a request as its index in the settings."""
         return self._class_indexes[match.class_name]
 
     def idempotency_key(self, forward: ajp13.ForwardedRequest, match: Match) -> str:
-        """Return the key that a request carries; raise `RequestError` where its class needs one."""
+        """Return a request's key, or ""; raise `RequestError` if its class needs a valid one."""
         key = forward.header(match.tenant.key_header) or ""
         idempotency = self._core.settings.classes[self.class_index(match)].idempotency
         if idempotency is Idempotency.IDEMPOTENCY_KEY and not 0 < len(key) <= MAX_KEY_CHARS:
@@ -79,7 +79,7 @@
         received_us: int,
         reply: Callable[[Answer], None],
     ) -> IncomingRequest:
-        """Return the request of the core."""
+        """Return the request for the core; `reply` is called with its answer."""
         return IncomingRequest(
             run_id=f"{self._run_prefix}{next(self._run_numbers):x}",
             class_index=self.class_index(match),
@@ -96,22 +96,25 @@
         )
 
     def read_body(self, stream: PacketStream, forward: ajp13.ForwardedRequest) -> bytes:
-        """Read the body: with a known length the first piece comes unasked, further ones are requested."""
+        """Read the body of a request. Raises `RequestError`, `MalformedError` and OSError.
+
+        If its length is known, the web server sends the first part unrequested. All others are requested.
+        """
         size, max_bytes = forward.body_size(), self._config.max_body_kb * 1024
         if size is not None and size > max_bytes:
             raise RequestError(413, f"a body of {size} bytes, {max_bytes} at most", closes=True)
-        body, requested, until = bytearray(), size is not None, time.monotonic() + MAX_BODY_S
+        body, requested, deadline_s = bytearray(), size is not None, time.monotonic() + MAX_BODY_S
         while size is None or len(body) < size:
             if not requested:
-                self._request_piece(stream, None if size is None else size - len(body))
+                self._request_part(stream, None if size is None else size - len(body))
             requested = False
-            data = _read_piece(stream)
+            data = _read_part(stream)
             if not data and size is None:
                 break
             if not data:
                 raise MalformedError("a body shorter than its content-length")
             body += data
-            if time.monotonic() > until:
+            if time.monotonic() > deadline_s:
                 raise RequestError(408, "the body takes too long", closes=True)
             if len(body) > max_bytes:
                 raise RequestError(413, f"a body of more than {max_bytes} bytes", closes=True)
@@ -119,16 +122,16 @@
             raise MalformedError("a body longer than its content-length")
         return bytes(body)
 
-    def _request_piece(self, stream: PacketStream, remaining_bytes: int | None) -> None:
-        piece = self._config.packet_size - ajp13.BODY_OVERHEAD
-        wanted = piece if remaining_bytes is None else min(piece, remaining_bytes)
-        stream.sock.sendall(ajp13.write_reply(ajp13.BodyRequest(wanted)))
+    def _request_part(self, stream: PacketStream, remaining_bytes: int | None) -> None:
+        max_size = self._config.packet_size - ajp13.BODY_OVERHEAD
+        size = max_size if remaining_bytes is None else min(max_size, remaining_bytes)
+        stream.sock.sendall(ajp13.write_reply(ajp13.BodyRequest(size)))
 
 
-def _read_piece(stream: PacketStream) -> bytes:
+def _read_part(stream: PacketStream) -> bytes:
     payload = stream.next()
     if payload is None:
-        raise ConnectionError("closed within a body")
+        raise ConnectionError("the connection was closed before the body was complete")
     return ajp13.read_body(payload)
 
 
--- a/reelusher/frontends/hashing.py
+++ b/reelusher/frontends/hashing.py
@@ -1,13 +1,16 @@
-"""Numbers for names that callers send, the same in every process."""
+"""Numeric ids for names that callers send; every process computes the same ones."""
 
 import hashlib
 
-CALLERS = 65_536  # numbers that callers are spread over
+CALLER_IDS = 65_536  # the number of caller ids that addresses are mapped to
 SUBJECT_BYTES = 8
 
 
 def subject_id(name: str) -> int:
-    """Map what a read is about to a number that is never 0."""
+    """Return the id of a subject, which is what a read is about: its hexadecimal value, or else a hash.
+
+    The id is never 0, which stands for no subject.
+    """
     try:
         return int(name, 16) % (1 << 8 * SUBJECT_BYTES) or 1
     except ValueError:
@@ -16,5 +19,5 @@
 
 
 def caller_id(address: str) -> int:
-    """Map a caller's address to a number."""
-    return subject_id(address) % CALLERS
+    """Return the id of the caller at an address, from 0 to `CALLER_IDS` - 1."""
+    return subject_id(address) % CALLER_IDS
--- a/reelusher/frontends/operations.py
+++ b/reelusher/frontends/operations.py
@@ -1,7 +1,7 @@
-"""The operations endpoint, for operators alone: HTTP/1.1, one call a connection. docs/operation.md.
+"""The operations endpoint, for operators alone: HTTP/1.1, one call per connection; see docs/operation.md.
 
-Each call has a thread of its own, and none waits for the event loop: an operator is answered however busy
-the node is, and however many silent connections there are. A 2xx means yes, a 4xx or 5xx no.
+Each call has its own thread and does not wait for the event loop, so an operator is answered however busy the
+node is, and however many connections are silent. A 2xx status means yes, a 4xx or 5xx status no.
 """
 
 import json
@@ -18,28 +18,28 @@
 from reelusher.net.listener import Listener
 from reelusher.net.sockets import Address
 
-MAX_CALLS = 24  # at once
-MIN_CALLS = 4
-CALLS_PART = 16  # and of few descriptors, one in so many
-CALL_TIMEOUT_S = 6.0  # for a request to be read
+MAX_CALLS = 24  # limit on open calls; with few descriptors it is lower
+MIN_CALLS = 4  # but never lower than this
+DESCRIPTORS_PER_CALL = 16  # with few descriptors, there is one call for this many
+CALL_TIMEOUT_S = 6.0  # a request must be read within this time
 MAX_BODY_BYTES = 1 << 12
 READ_BYTES = 1 << 12
 MIN_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
-Reply = tuple[int, dict[str, Any]]
+Reply = tuple[int, dict[str, Any]]  # status, and the body as a JSON object
 
 
 def max_calls(sockets: int) -> int:
-    """Return how many calls there may be at once; a further one ends the oldest."""
-    return max(MIN_CALLS, min(MAX_CALLS, sockets // CALLS_PART))
+    """Return how many calls may be open, given the limit on descriptors; one more ends the oldest."""
+    return max(MIN_CALLS, min(MAX_CALLS, sockets // DESCRIPTORS_PER_CALL))
 
 
 def descriptors(sockets: int) -> int:
-    """Return how many it may hold: the calls, the listener, and one accepted while the oldest ends."""
+    """Return how many descriptors it may hold: the listener, the calls, and one accepted while one ends."""
     return max_calls(sockets) + 2
 
 
 class OperationsFrontend:
-    """Listens for operators."""
+    """Serves the calls of operators."""
 
     def __init__(
         self,
@@ -50,15 +50,16 @@
         divert_callers: Callable[[bool], None],
         max_calls: int = MAX_CALLS,
     ) -> None:
-        """Prepare to listen. `is_ready` and `stats` must not block.
+        """Bind the address. `is_ready` and `stats` must not block.
 
-        `divert_callers(True)` answers health checks as unhealthy, False by the node's own health again.
+        After `divert_callers(True)` health checks report the node as unhealthy, after `divert_callers(False)`
+        they report its own health again.
         """
         self._max_calls = max_calls
         self._counters = counters
         self._is_ready, self._stats, self._divert_callers = is_ready, stats, divert_callers
         self._lock = threading.Lock()
-        self._open: dict[socket.socket, None] = {}  # the oldest first
+        self._open: dict[socket.socket, None] = {}  # connections of open calls, the oldest first
         self._routes: dict[tuple[str, str], Callable[[], Reply]] = {
             ("GET", "/healthcheck"): self._health,
             ("GET", "/stats"): lambda: (200, self._stats()),
@@ -69,7 +70,7 @@
         self.address = self._listener.address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept calls."""
         self._listener.start()
 
     def close(self) -> None:
@@ -82,7 +83,7 @@
                 oldest = next(iter(self._open))
                 del self._open[oldest]
                 try:
-                    oldest.shutdown(socket.SHUT_RDWR)  # its thread sees the end
+                    oldest.shutdown(socket.SHUT_RDWR)  # its thread sees the end of the connection
                 except OSError as error:
                     logger.debug("operator: {}", error)
             self._open[sock] = None
@@ -93,7 +94,7 @@
             with sock:
                 self._counters.add("operator.calls")
                 sock.sendall(self._answer(sock))
-        except OSError as error:  # silent, or gone
+        except OSError as error:  # the operator was silent for too long, or has closed the connection
             self._counters.add("operator.broken")
             logger.debug("operator: {}", error)
         finally:
@@ -101,10 +102,10 @@
                 self._open.pop(sock, None)
 
     def _answer(self, sock: socket.socket) -> bytes:
-        decoder, until = http1.Decoder(MAX_BODY_BYTES), time.monotonic() + CALL_TIMEOUT_S
+        decoder, deadline_s = http1.Decoder(MAX_BODY_BYTES), time.monotonic() + CALL_TIMEOUT_S
         try:
             while True:
-                sock.settimeout(max(MIN_TIMEOUT_S, until - time.monotonic()))
+                sock.settimeout(max(MIN_TIMEOUT_S, deadline_s - time.monotonic()))
                 data = sock.recv(READ_BYTES)
                 if not data:
                     raise OSError("closed before the request was complete")
