--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors: idle callers may fill what is theirs, and the node goes on with the rest, which is counted."""
+"""The budget of descriptors: idle callers may use up their share, and the node works with the rest."""
 
 import contextlib
 import itertools
@@ -27,31 +27,31 @@
 from reelusher.frontends.rpc.frontend import RpcFrontend
 from reelusher.node import Node
 
-LIMIT = 160  # descriptors of the process
-FILLED = ("silent", "used once", "half asking")
+LIMIT = 160  # limit on the descriptors of the process
+IDLE_KINDS = ("silent", "used once", "half asking")
 
 
-class Idle:
-    """Callers that hold as many connections as they get, and take new ones for those that are closed."""
+class IdleCallers:
+    """Idle callers that hold as many connections as they get, and replace those that are closed."""
 
-    def __init__(self, place: tuple[str, int], kind: str) -> None:
-        self.place, self.kind, self.over = place, kind, threading.Event()
+    def __init__(self, address: tuple[str, int], kind: str) -> None:
+        self.address, self.kind, self.stopped = address, kind, threading.Event()
         self.socks: list[socket.socket] = []
-        self.worker = threading.Thread(target=self.work, daemon=True)
-        self.worker.start()
+        self.thread = threading.Thread(target=self.run, daemon=True)
+        self.thread.start()
 
     def open_one(self) -> socket.socket:
         sock = socket.socket()
         sock.settimeout(0.2)
-        sock.connect(self.place)
+        sock.connect(self.address)
         if self.kind != "silent":
             data = request_bytes(1, "health") if self.kind == "used once" else request_bytes(1)[:30]
             sock.sendall(data)
         sock.setblocking(False)
         return sock
 
-    def work(self) -> None:
-        while not self.over.is_set():
+    def run(self) -> None:
+        while not self.stopped.is_set():
             for sock in list(self.socks):
                 with contextlib.suppress(BlockingIOError):
                     try:
@@ -68,33 +68,35 @@
             time.sleep(0.01)
 
     def stop(self) -> None:
-        self.over.set()
-        self.worker.join()
+        self.stopped.set()
+        self.thread.join()
         for sock in self.socks:
             sock.close()
 
 
 @pytest.fixture
-def alone(tmp_path: Path) -> Iterator[tuple[dict[str, Any], "subprocess.Popen[bytes]", Path]]:
-    """The program as it is deployed, under a limit that is enforced, among stand-ins; the catalog is down."""
+def deployed_node(tmp_path: Path) -> Iterator[tuple[dict[str, Any], "subprocess.Popen[bytes]", Path]]:
+    """The deployed program among stand-ins, with an enforced limit on descriptors; the catalog is down."""
     world: dict[str, Any] = {"names": {}, "count": itertools.count(1)}
     world |= {"runtime": parties.Runtime(world), "vault": parties.VaultParty(world)}
-    with contextlib.ExitStack() as free:
-        places = [free.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(3)]
-    world["places"] = dict(zip(("platform", "operator", "catalog"), places, strict=True))
-    told = {
+    with contextlib.ExitStack() as reserved:
+        addresses = [
+            reserved.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(3)
+        ]
+    world["places"] = dict(zip(("platform", "operator", "catalog"), addresses, strict=True))
+    config = {
         "name": "n3",
         "seed": "8c1f",
         "stop_ms": 2000,
         "settings": SETTINGS,
         "limits": {"sockets": LIMIT},
-        "listen": "{}:{}".format(*places[0]),
-        "operator": "{}:{}".format(*places[1]),
-        "directory": "{}:{}".format(*places[2]),
+        "listen": "{}:{}".format(*addresses[0]),
+        "operator": "{}:{}".format(*addresses[1]),
+        "directory": "{}:{}".format(*addresses[2]),
         **{name: "{}:{}".format(*world[name].address) for name in ("runtime", "vault")},
     }
     path, log = tmp_path / "config.json", tmp_path / "log"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(config))
     with log.open("wb") as out:
         process = subprocess.Popen(
             deployed("run"),
@@ -118,14 +120,14 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def call(place: tuple[str, int]) -> str:
-    with socket.create_connection(place, 1.0) as sock:
+def health_status(address: tuple[str, int]) -> str:
+    with socket.create_connection(address, 1.0) as sock:
         sock.sendall(http1.request("GET", "/healthcheck"))
         return str(sock.recv(100).split()[1].decode())
 
 
-def started(world: dict[str, Any], number: int) -> parties.Caller:
-    """Ask until a run begins: a node that waits have made late may refuse, but it answers."""
+def start_run(world: dict[str, Any], number: int) -> parties.Caller:
+    """Send requests until a run starts: a node that is late may reject some, but it answers all."""
     until = time.monotonic() + parties.PATIENCE_S
     while time.monotonic() < until:
         peer = parties.Caller(world)
@@ -139,42 +141,43 @@
     raise AssertionError("no answer in time")
 
 
-@pytest.mark.parametrize("kind", FILLED)
-def test_idle_callers_fill_what_is_theirs_while_the_catalog_is_down(
-    alone: tuple[dict[str, Any], "subprocess.Popen[bytes]", Path], kind: str
+@pytest.mark.parametrize("kind", IDLE_KINDS)
+def test_idle_callers_use_up_only_their_share_while_the_catalog_is_down(
+    deployed_node: tuple[dict[str, Any], "subprocess.Popen[bytes]", Path], kind: str
 ) -> None:
-    world, process, log = alone
-    idle = Idle(world["places"]["platform"], kind)
+    world, process, log = deployed_node
+    idle = IdleCallers(world["places"]["platform"], kind)
     try:
-        held = Path(f"/proc/{process.pid}/fd")
+        descriptor_folder = Path(f"/proc/{process.pid}/fd")
         until = time.monotonic() + parties.PATIENCE_S
-        while len(list(held.iterdir())) < LIMIT * 0.5:  # what callers may have is taken
-            assert time.monotonic() < until, len(list(held.iterdir()))
+        while len(list(descriptor_folder.iterdir())) < LIMIT * 0.5:  # until the callers' share is used up
+            assert time.monotonic() < until, len(list(descriptor_folder.iterdir()))
             time.sleep(0.05)
-        began_s, spent_s = time.monotonic(), cpu_s(process)
+        start_s, start_cpu_s = time.monotonic(), cpu_s(process)
         world["runtime"].at_once = False
-        for number in range(6):  # new callers are served, with a call below each
-            peer = started(world, number)
+        for number in range(6):  # new callers are served, with a downstream call for each
+            peer = start_run(world, number)
             world["runtime"].send(["wants", f"{number:016x}a", "q"])
-            while (came := world["vault"].came.get(timeout=parties.PATIENCE_S)) == "closed":
-                pass  # the connection of the call before
-            assert came == f"ask {number:016x}a q"
+            while (message := world["vault"].came.get(timeout=parties.PATIENCE_S)) == "closed":
+                pass  # the connection of the previous call
+            assert message == f"ask {number:016x}a q"
             world["vault"].send([f"{number:016x}a", "yes", "r"])
             world["runtime"].expect(["give", f"{number:016x}a", "r"])
             world["runtime"].send(["end", f"{number:016x}a", "ok", "done"])
             peer.expect([str(number + 1), "ok", "done"])
-            assert call(world["places"]["operator"]) in ("200", "503")  # in time; it may call itself slow
-        time.sleep(max(0.0, began_s + 1.0 - time.monotonic()))
-        part = (cpu_s(process) - spent_s) / (time.monotonic() - began_s)
-        assert part < 0.7, f"{part:.2f} of a core"  # `Idle` opens a hundred a second; a spin takes all of it
-        assert len(list(held.iterdir())) <= LIMIT
+            assert health_status(world["places"]["operator"]) in ("200", "503")  # in time, healthy or not
+        time.sleep(max(0.0, start_s + 1.0 - time.monotonic()))
+        busy_fraction = (cpu_s(process) - start_cpu_s) / (time.monotonic() - start_s)
+        # `IdleCallers` opens a hundred connections a second; a busy loop would use the whole core
+        assert busy_fraction < 0.7, f"{busy_fraction:.2f} of a core"
+        assert len(list(descriptor_folder.iterdir())) <= LIMIT
         catalog = socket.create_server(world["places"]["catalog"])
-        catalog.settimeout(4.0)  # the longest wait between two tries is 1.8 s
+        catalog.settimeout(4.0)  # the node waits 1.8 s at most between two attempts
         sock, _ = catalog.accept()
         sock.settimeout(4.0)
         assert sock.recv(1 << 12).startswith(b"PUT /catalog/register/n3 ")
         sock.sendall(http1.response(204))
-        assert world["runtime"].came.empty()  # the link held: no further `sync`
+        assert world["runtime"].came.empty()  # the link to the runtime stayed open: no further `sync`
         catalog.close()
         sock.close()
     finally:
@@ -182,8 +185,8 @@
     assert "out of descriptors" not in log.read_text()
 
 
-def test_the_reserve_is_the_sum_of_what_the_parts_say() -> None:
-    """With all parts on at once, what they may hold and what callers get is the limit, not more."""
+def test_the_reserve_covers_the_descriptors_of_all_parts() -> None:
+    """With all parts enabled, the descriptors they may hold and those of callers don't exceed the limit."""
     with tempfile.TemporaryDirectory() as folder, standing(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
         front = node.parts.frontends["platform"]
@@ -196,10 +199,10 @@
 
 @pytest.mark.parametrize("sockets", [128, 512, 1024])
 def test_callers_get_half_of_the_descriptors_and_more(sockets: int) -> None:
-    """The protocol allows them half of the limit."""
+    """The protocol entitles callers to half of the limit."""
     with tempfile.TemporaryDirectory() as folder, standing(folder, {}) as world:
-        told = platform_config(world, limits={"sockets": sockets})
-        node = Node(merge(parse_platform(told, {}), None))
+        config = platform_config(world, limits={"sockets": sockets})
+        node = Node(merge(parse_platform(config, {}), None))
         front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
         assert front.max_connections >= sockets / 2
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,11 +1,10 @@
-"""The codecs, byte by byte, and in any pieces."""
+"""The codecs against bytes of the protocols, and on streams that are split in any way."""
 
 from collections.abc import Callable
 from typing import Any
 
 import pytest
-from hypothesis import given, seed
-from hypothesis import settings as effort
+from hypothesis import given, seed, settings
 from hypothesis import strategies as st
 
 from reelusher.codecs import ajp13, http1, lines, msgpack
@@ -59,33 +58,33 @@
     "text",
     ["c1", "c7010041", "d90180", "81c001", "dbffffffff", "c6ffffffff", "ddffffffff", "dfffffffff", "91" * 10],
 )
-def test_messagepack_that_is_malformed_or_passes_a_limit_is_refused(text: str) -> None:
+def test_messagepack_that_is_malformed_or_exceeds_a_limit_is_rejected(text: str) -> None:
     with pytest.raises(MalformedError):
         list(msgpack.Decoder().feed(unhex(text)))
 
 
-def test_a_value_that_never_ends_is_refused() -> None:
+def test_a_value_that_never_ends_is_rejected() -> None:
     decoder = msgpack.Decoder()
     with pytest.raises(MalformedError):  # many strings, each within its limit
         for _ in range(6):
             list(decoder.feed(unhex("dc0100") * (decoder._buffer == b"") + unhex("daf000") + b"x" * 0xF000))
 
 
-def test_messagepack_that_drips_in_is_read_once() -> None:
-    """A decoder that began anew with each byte took time in the square of the length."""
+def test_messagepack_received_byte_by_byte_is_decoded_once() -> None:
+    """A decoder that started again with each byte took time quadratic in the length of the value."""
     data, reads = msgpack.pack([[number] * 200 for number in range(200)]), 0
-    found: list[Any] = []
+    decoded: list[Any] = []
 
-    class Counted(msgpack.Decoder):
+    class CountingDecoder(msgpack.Decoder):
         def _read_value(self) -> Any:
             nonlocal reads
             reads += 1
             return super()._read_value()
 
-    decoder = Counted()
+    decoder = CountingDecoder()
     for at in range(len(data)):
-        found += decoder.feed(data[at : at + 1])
-    assert found == [[[number] * 200 for number in range(200)]]
+        decoded += decoder.feed(data[at : at + 1])
+    assert decoded == [[[number] * 200 for number in range(200)]]
     assert not decoder.partial
     assert reads < 2 * len(data)
 
@@ -98,7 +97,7 @@
 
 
 def ajp_packet(text: str) -> bytes:
-    """Read hexadecimal text, and set the length that its header says."""
+    """Convert hexadecimal text to a packet, and set the length in its header."""
     data = bytes.fromhex(text)
     return data[:2] + (len(data) - 4).to_bytes(2, "big") + data[4:]
 
@@ -137,27 +136,27 @@
         (ajp13.Pong(), "4142 0001 09"),
     ],
 )
-def test_replies_of_a_container(reply: ajp13.Reply, text: str) -> None:
+def test_replies_of_a_container_are_encoded_and_decoded(reply: ajp13.Reply, text: str) -> None:
     data = bytes.fromhex(text)
     assert ajp13.write_reply(reply) == data
     (payload,) = ajp13.PacketDecoder(ajp13.TO_SERVER).feed(data)
     assert ajp13.read_reply(payload) == reply
 
 
-def test_pieces_of_a_body() -> None:
+def test_parts_of_a_body_are_encoded_and_decoded() -> None:
     assert ajp13.write_body(b"abc") == bytes.fromhex("1234 0005 0003 616263")
     assert ajp13.write_body(b"") == bytes.fromhex("1234 0000")
     assert ajp13.read_body(bytes.fromhex("0003616263")) == b"abc"
     assert ajp13.read_body(b"") == ajp13.read_body(b"\0\0") == b""
 
 
-def test_a_response_is_cut_into_packets_that_fit() -> None:
+def test_a_response_is_split_into_packets_that_fit() -> None:
     data = ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"x" * 20_000, True)
     replies = [ajp13.read_reply(payload) for payload in ajp13.PacketDecoder(ajp13.TO_SERVER).feed(data)]
     assert [len(r.data) for r in replies if isinstance(r, ajp13.ResponseBody)] == [8184, 8184, 3632]
 
 
-def test_a_method_without_a_code_travels_as_an_attribute() -> None:
+def test_a_method_without_a_code_is_sent_as_an_attribute() -> None:
     (payload,) = ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(
         ajp13.write_forward(ajp13.ForwardedRequest("PATCH"))
     )
@@ -179,7 +178,7 @@
 
 
 @pytest.mark.parametrize("attributes", ["", "05 0009 78 00 ff", "05 0001 78 01 ff", "7e ff"])
-def test_attributes_that_are_malformed(attributes: str) -> None:
+def test_malformed_attributes_are_rejected(attributes: str) -> None:
     with pytest.raises(MalformedError):
         ajp13.read_forward(forward_with(attributes))
 
@@ -194,7 +193,7 @@
 
 
 @pytest.mark.parametrize("data", ["4142000101", "1234ffff", "0000"])
-def test_packets_of_the_wrong_kind_or_size_are_refused_from_their_header(data: str) -> None:
+def test_packets_with_wrong_magic_or_size_are_rejected_by_their_header(data: str) -> None:
     with pytest.raises(MalformedError):
         list(ajp13.PacketDecoder(ajp13.TO_CONTAINER).feed(bytes.fromhex(data) + b"\0\0"))
 
@@ -222,7 +221,7 @@
         (lines.DownstreamReplyDecoder, b"a yes 1\r\nab\r\n"),
     ],
 )
-def test_malformed_lines_and_messages_are_refused(make: Callable[[], Any], data: bytes) -> None:
+def test_malformed_lines_and_messages_are_rejected(make: Callable[[], Any], data: bytes) -> None:
     with pytest.raises(MalformedError):
         list(make().feed(data))
 
@@ -230,7 +229,7 @@
 REPORT = b'PUT /catalog/register/n3 HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n{"status":"passing"}'
 
 
-def test_a_report_and_a_call_are_written_as_the_protocol_says() -> None:
+def test_a_report_and_a_call_are_encoded_as_the_protocol_says() -> None:
     assert http1.request("PUT", "/catalog/register/n3", b'{"status":"passing"}', {"Host": "h"}) == REPORT
     assert lines.encode_call("9b1f", 250, b"ab") == b"ask 9b1f 250 2\r\nab\r\n"
     assert lines.encode_cancel("9b1f") == b"unask 9b1f\r\n"
@@ -253,25 +252,25 @@
 
 
 @seed(1)
-@effort(max_examples=60, deadline=None, derandomize=True, database=None)
+@settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.sampled_from(STREAMS), st.lists(st.integers(1, 40), min_size=1, max_size=30))
-def test_streams_are_read_alike_in_any_pieces(
+def test_streams_are_decoded_alike_however_they_are_split(
     stream: tuple[Callable[[], Any], bytes], sizes: list[int]
 ) -> None:
     make, data = stream
-    whole, decoder, found, at = list(make().feed(data)), make(), [], 0
-    while at < len(data):
-        size = sizes[at % len(sizes)]
-        found += list(decoder.feed(data[at : at + size]))
-        at += size
-    assert found == whole
-    assert len(whole) > 1
+    expected, decoder, decoded, position = list(make().feed(data)), make(), [], 0
+    while position < len(data):
+        size = sizes[position % len(sizes)]
+        decoded += list(decoder.feed(data[position : position + size]))
+        position += size
+    assert decoded == expected
+    assert len(expected) > 1
 
 
 @seed(1)
-@effort(max_examples=200, deadline=None, derandomize=True, database=None)
+@settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.sampled_from([make for make, _ in STREAMS]), st.binary(max_size=200))
-def test_any_bytes_are_read_or_refused(make: Callable[[], Any], data: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(make: Callable[[], Any], data: bytes) -> None:
     try:
         for item in make().feed(data):
             if isinstance(item, bytes):
