--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -27,7 +27,7 @@
     def next(self) -> bytes | None:
         """Wait for the next packet and return its payload; None if the web server has closed the connection.
 
-        Raises `MalformedError`, and OSError if the connection is broken or the socket's timeout is over.
+        Raises `MalformedError`, and OSError if the connection is broken or times out.
         """
         while True:
             for payload in self._received:
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -37,11 +37,9 @@
 
 SEND_TIMEOUT_S = 10.0  # a connection is closed if its web server takes no part of an answer for this long
 READ_TIMEOUT_S = 10.0  # a requested part of a body must arrive within this time
-DRAIN_POLL_S = (
-    0.2  # poll interval of idle connections; a drain ends them after one more, since requests may cross
-)
+DRAIN_POLL_S = 0.2  # poll interval of idle connections, and time for requests that cross the end of a drain
 MAX_REJECTED_CONNECTIONS = 8  # rejected connections that are read at a time; others are closed unread
-DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # also the listener, and a connection that is closed unread
+DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # plus the listener and a connection that is closed unread
 MAX_ANSWER_S = 3600.0  # no answer takes this long, since the core answers by the due time
 
 
@@ -132,7 +130,7 @@
             sock.close()
 
     def _reject_connection(self, sock: socket.socket) -> None:
-        """Close a connection beyond the limit, after its data has been read and discarded if possible."""
+        """Close a connection beyond the limit; first discard its data, unless many are rejected at a time."""
         self._core.counters.add("ajp.too_many_connections")
         with sock:
             if self._rejected_connections.acquire(blocking=False):
@@ -178,7 +176,7 @@
             stream.sock.sendall(ajp13.write_reply(ajp13.Pong()))
             return True
         if packet_type == ajp13.PING:
-            return True  # belongs to the old protocol and gets no reply
+            return True  # a PING is of the old protocol and gets no reply
         if packet_type == ajp13.SHUTDOWN:
             self._core.counters.add("ajp.shutdown_refused")
             logger.warning("ajp: a shutdown packet was rejected")
@@ -222,7 +220,10 @@
 
     @contextmanager
     def _matched(self, forward: ajp13.ForwardedRequest) -> Iterator[Match]:
-        """Resolve the tenant and class of a request. The tenant stays in memory within this context."""
+        """Resolve the tenant and class of a request; the tenant stays in memory within this context.
+
+        Raises `RequestError` if no route matches, and `TenantUnavailableError`.
+        """
         path = forward.uri.partition(";")[0]
         with self._tenants.pinned_match(forward.method, forward.server_name, path) as match:
             if match is None or not match.class_name:
@@ -239,8 +240,8 @@
     ) -> "queue.SimpleQueue[Answer] | None":
         """Post a request to the core and return the queue for its answer.
 
-        Returns None if its tenant has too many requests in flight, and raises `RequestError` if that has too
-        many connections.
+        Returns None if the tenant has too many requests in flight. Raises `RequestError` if the tenant has
+        too many connections or the request lacks its idempotency key.
         """
         key, tenant = self._mapper.idempotency_key(forward, match), match.tenant
         max_connections = tenant.share.connections
--- a/reelusher/frontends/rpc/connection.py
+++ b/reelusher/frontends/rpc/connection.py
@@ -14,7 +14,7 @@
 
 ANSWER, NOTICE = 1, 2  # message types of MessagePack-RPC; 0 is a request
 MAX_FRAME_BYTES = 1 << 14  # size limit of one request; its body and fields take a third of that
-MAX_BACKLOG_BYTES = 1 << 18  # limit on the answers that wait for a slow caller
+MAX_BACKLOG_BYTES = 1 << 18  # size limit of the answers that wait for a slow caller
 
 
 class Connection:
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -205,7 +205,7 @@
             self._poller.watch(self._listener.sock, self._accept)
 
     def _evict_idle(self) -> bool:
-        """Close idle connections, several for each search; return whether there is room for a new one."""
+        """Close idle connections, several per search; return whether there is room for a new one."""
         now = time.monotonic()
         candidates = [
             (*_eviction_order(connection), number, connection)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -194,11 +194,12 @@
         callers = front.max_connections + front.max_spare + front.max_half_closed
         callers += max_ajp_connections(node.config)
         assert callers == max_caller_connections(node.config)
+        # downstream service, operations, administration API, RPC front end, runtime, service registry
         assert 1024 - callers >= node.parts.worker_pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
 
 
 @pytest.mark.parametrize("sockets", [128, 512, 1024])
-def test_callers_get_half_of_the_descriptors_and_more(sockets: int) -> None:
+def test_callers_get_at_least_half_of_the_descriptors(sockets: int) -> None:
     """The protocol entitles callers to half of the limit."""
     with tempfile.TemporaryDirectory() as folder, standing(folder, {}) as world:
         config = platform_config(world, limits={"sockets": sockets})
