--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -29,28 +29,31 @@
     from reelusher.fleet.membership.service import Membership
 
 MAX_BODY_BYTES = 1 << 18
-MAX_CONNECTIONS = 32  # at once; further ones are closed
-DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and a connection that is being rejected
-OPERATOR_TOKEN_NAME = "operator"  # in the audit trail, of the token that is configured in clear text
-SOCKET_TIMEOUT_S = 30.0  # for the next call on a connection, and for sending a reply
+MAX_CONNECTIONS = 32  # open at once; a further connection is closed right after it is accepted
+DESCRIPTORS = MAX_CONNECTIONS + 2  # those connections, the listener, and a connection being rejected
+OPERATOR_TOKEN_NAME = "operator"  # name in the audit trail of the token that is configured in clear text
+SOCKET_TIMEOUT_S = 30.0  # time limit for the next call to arrive on a connection, and for sending a reply
 
 
 @dataclass(slots=True, frozen=True)
 class AdminContext:
-    """What the API administers."""
+    """The parts of a node that the API reads and changes."""
 
     core: Core
     tenants: TenantRegistry
     table: TenantTable
     workers: WorkerPool
     status: Callable[[], dict[str, Any]]
-    drain: Callable[[], bool]  # returns False where it is draining already
+    drain: Callable[[], bool]  # requests a drain; returns False if one was requested before
     fleet: "Membership | None" = None
-    tenant_api: TenantApi | None = None  # None: that of a table of this node alone
+    tenant_api: TenantApi | None = None  # None: the API of a table that only this node has
 
 
 class AdminApi:
-    """Serves operators. Every change is made by the event loop."""
+    """Answers the calls of operators, each connection in a thread of its own.
+
+    Whatever the event loop uses is changed on the event loop's thread.
+    """
 
     def __init__(self, config: Admin, context: AdminContext) -> None:
         self._tokens = [*config.tokens]
@@ -77,7 +80,7 @@
         }
 
     def routes(self) -> set[tuple[str, str]]:
-        """Return the methods and paths of all calls."""
+        """Return the method and the path of each call, as in the OpenAPI document."""
         return {(route.method, _path(route)) for route in self._routes}
 
     def start(self) -> None:
@@ -114,7 +117,7 @@
         except ApiError as error:
             extra = {"WWW-Authenticate": "Bearer"} if error.status == 401 else {}
             return _response(error.status, error.body, extra | error.headers)
-        except Exception:  # the log tells the operator why; the node continues
+        except Exception:  # logged for the operator; the connection and the node continue
             logger.exception("admin: {} {} failed", method, target)
             return _response(500, {"error": "internal error"})
         if method not in ("GET", "HEAD"):
@@ -122,10 +125,10 @@
         return _response(reply.status, reply.body, reply.headers)
 
     def _authorize(self, message: http1.Message) -> Token:
-        """Return the token that came with a call."""
+        """Return the configured token that a call carries. Raises `ApiError` with status 401."""
         scheme, _, text = message.headers.get("authorization", "").partition(" ")
         received = token_digest(text.strip())
-        # all are compared, each in constant time, so that the duration reveals nothing about them
+        # every token is compared, each in constant time, so that the duration reveals nothing about them
         matching = [token for token in self._tokens if hmac.compare_digest(received, token.sha256)]
         if scheme.lower() != "bearer" or not matching:
             self._context.core.counters.add("admin.unauthorized")
@@ -156,7 +159,7 @@
             raise ApiError(405, "no such method here")
         raise ApiError(404, "no such resource")
 
-    # Calls other than those of tenants
+    # Calls that do not concern tenants
 
     def _workers(self, _call: ApiCall) -> Reply:
         return Reply(200, {"workers": self._context.workers.status()})
@@ -207,7 +210,7 @@
 
 
 def _resource_and_name(path: str) -> tuple[str, str]:
-    """Return the resource of a path and the name in it, which may be empty."""
+    """Return the resource of a path and the name in it; the name is empty where the path has none."""
     match path.strip("/").split("/"):
         case ["v1", "fleet", "changes"]:
             return "fleet/changes", ""
@@ -223,7 +226,7 @@
 
 
 def _path(route: Route) -> str:
-    """Return the path of a route, as in the OpenAPI document."""
+    """Return the path of a route as the OpenAPI document writes it, with `{name}` for a name."""
     if route.resource.startswith("tenants/"):
         return f"/v1/{route.resource.replace('tenants/', 'tenants/{name}/')}"
     return f"/v1/{route.resource}" + ("/{name}" if route.is_named else "")
@@ -237,7 +240,7 @@
 
 
 def token_digest(token: str) -> str:
-    """Return the digest of a bearer token, as it is configured."""
+    """Return the SHA-256 digest of a bearer token in hexadecimal, as the configuration holds it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
--- a/reelusher/admin/calls.py
+++ b/reelusher/admin/calls.py
@@ -11,11 +11,11 @@
 from reelusher.storage.errors import JournalError
 from reelusher.tenancy.lifecycle import TenantStateError
 
-MAX_DIGITS = 15  # of a number in a query
+MAX_DIGITS = 15  # digits of an integer in a query
 
 
 class ApiError(Exception):
-    """A call that is answered with an error."""
+    """Raised to answer a call with an error."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         headers: dict[str, str] | None = None,
         extra: dict[str, Any] | None = None,
     ) -> None:
-        """`extra` is added to the body of the reply."""
+        """`field` names the invalid field, header or parameter; `extra` is added to the reply's body."""
         super().__init__(text)
         self.status, self.field, self.headers, self.extra = status, field, headers or {}, extra or {}
 
@@ -37,30 +37,30 @@
 
 @contextmanager
 def errors_as_api_errors(method: str, target: str) -> Iterator[None]:
-    """Raise `ApiError` in place of the errors that an invalid or impossible call raises."""
+    """Convert the errors that an invalid or impossible call raises to `ApiError`."""
     try:
         yield
     except ConfigError as error:
         raise ApiError(400, str(error), error.key) from None
     except TenantStateError as error:
         raise ApiError(409, str(error)) from None
-    except JournalError as error:  # for example a full disk: nothing was changed
+    except JournalError as error:  # the disk is full, for example; nothing was changed
         logger.error("admin: {} {} was not made durable: {}", method, target, error)
         raise ApiError(507, f"not made durable, so not made: {error}") from None
 
 
 @dataclass(slots=True, frozen=True)
 class ApiCall:
-    """One call."""
+    """A call of the API, decoded."""
 
-    actor: str  # name of the token that came with it, for the audit trail
-    name: str  # of the resource; empty for a call without one
-    body: Any  # decoded JSON
+    actor: str  # name of the token that the call carries, for the audit trail
+    name: str  # name of a tenant, worker, partition or member in the path; empty where there is none
+    body: Any  # decoded JSON; None where the call has no body
     query: Mapping[str, str]
-    headers: Mapping[str, str]  # names in lower case
+    headers: Mapping[str, str]  # values by header name in lower case
 
     def integer(self, key: str, default: int, maximum: int, minimum: int = 0) -> int:
-        """Return an integer of the query."""
+        """Return an integer of the query, or the default. Raises `ApiError` if it is out of range."""
         text = self.query.get(key, str(default))
         is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
         if not (is_number and minimum <= int(text) <= maximum):
@@ -68,7 +68,7 @@
         return int(text)
 
     def boolean(self, key: str) -> bool:
-        """Return a boolean of the query; false where it is missing."""
+        """Return a boolean of the query, False where it is missing. Raises `ApiError` if it is invalid."""
         text = self.query.get(key, "false")
         if text not in ("true", "false"):
             raise ApiError(400, "true or false is wanted", key)
@@ -76,7 +76,7 @@
 
     @property
     def is_dry_run(self) -> bool:
-        """Return whether the call only asks what would change."""
+        """Return whether the call asks only to see what it would change."""
         return self.boolean("dry_run")
 
 
@@ -85,7 +85,7 @@
     """The reply to a call."""
 
     status: int
-    body: Any = None  # encoded as JSON; None: no body
+    body: Any = None  # value that is sent as JSON; None: no body
     headers: dict[str, str] = field(default_factory=dict)
 
 
@@ -93,8 +93,8 @@
 
 
 class Route(NamedTuple):
-    """Which calls a handler answers."""
+    """The method and the kind of path of the calls that one handler answers."""
 
     method: str
-    resource: str  # a path without version and name, such as "tenants" or "tenants/suspend"
+    resource: str  # the path without version and name, such as "tenants" or "tenants/suspend"
     is_named: bool  # whether the path contains a name
--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -1,4 +1,4 @@
-"""Calls that a member of the fleet makes to others for the administration API."""
+"""Forwards calls of the administration API to other members of the fleet, and queries their state."""
 
 import json
 import threading
@@ -13,17 +13,17 @@
 from reelusher.fleet.replication.messages import MAX_CHANGE_BYTES, ChangeReply, ChangeRequest
 from reelusher.tenancy.replicated import MAX_ACTOR_LENGTH
 
-COPIES_TIMEOUT_S = 5.0  # for other members to receive a change
-FORWARD_TIMEOUT_S = 4.0  # for the leader to answer a forwarded call, beside the wait for copies
-QUERY_TIMEOUT_S = 1.0  # for a member to answer a query about its state
-MAX_FORWARDED_CALLS = 8  # at once; each uses a connection
-MAX_TARGET_LENGTH = 4096  # characters of path and query of a forwarded call
-RETRY_AFTER_S = 2, 6  # range of the random Retry-After of calls that can't be answered now
+COPIES_TIMEOUT_S = 5.0  # time limit for other members to receive a change
+FORWARD_TIMEOUT_S = 4.0  # time limit of the leader for a forwarded call, without the wait for copies
+QUERY_TIMEOUT_S = 1.0  # time limit of a member for a query about its state
+MAX_FORWARDED_CALLS = 8  # calls in progress at once; each uses a connection
+MAX_TARGET_LENGTH = 4096  # characters of the path and query of a forwarded call
+RETRY_AFTER_S = 2, 6  # range of the random Retry-After of calls that can't be served now
 FORWARDED_HEADERS = "if-match", "idempotency-key"
 
 
 class Fleet(Protocol):
-    """The membership, as far as calls are concerned."""
+    """The part of the membership that the client uses."""
 
     def live(self) -> list[Update]:
         """Return the live members, this one first."""
@@ -31,11 +31,11 @@
     def request_once(
         self, address: str, request: Any, reply_type: type[ChangeReply], timeout_s: float
     ) -> ChangeReply:
-        """Call a member. Raises `MemberUnreachableError` if nothing was sent, and `NoReplyError`."""
+        """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`."""
 
 
 class FleetClient:
-    """Calls other members by name; without a fleet there are none."""
+    """Calls other members by name. Without a fleet there are no other members."""
 
     def __init__(self, fleet: Fleet | None, counters: Counters, random: Random) -> None:
         self._fleet = fleet
@@ -48,19 +48,19 @@
         return self._fleet.live() if self._fleet else []
 
     def is_live(self, name: str) -> bool:
-        """Return whether a member of a name is live."""
+        """Return whether a live member has this name."""
         return any(member.name == name for member in self.live())
 
     def retry_later(self, text: str, **extra: Any) -> ApiError:
-        """Return the error of a call that may be retried, after a random delay that spreads retries."""
+        """Return a 503 whose random Retry-After spreads the retries; `extra` is added to its body."""
         headers = {"Retry-After": str(self._random.randint(*RETRY_AFTER_S))}
         return ApiError(503, text, headers=headers, extra=extra)
 
     def sole_address(self, name: str) -> str:
-        """Return the address of the live member of a name, or an empty string.
+        """Return the address of the live member with this name, or an empty string if there is none.
 
-        Raises `ApiError` where several have the name: two that number changes of one partition would make
-        two tables of one.
+        Raises `ApiError` if several members have the name: if two of them numbered changes of the same
+        partition, its replicas would diverge.
         """
         addresses = [member.address for member in self.live() if member.name == name]
         if len(addresses) > 1:
@@ -68,7 +68,7 @@
         return addresses[0] if addresses else ""
 
     def query(self, name: str, target: str, default: Any) -> Any:
-        """Return what a member answers to a query about its state, or a default if it does not answer."""
+        """Return the decoded reply of a member to a query about its state, or the default without one."""
         assert self._fleet is not None
         request = ChangeRequest(self.live()[0].address, "GET", target, {})
         try:
@@ -78,7 +78,10 @@
         return json.loads(reply.value) if reply.status == 200 else default
 
     def forward(self, route: Route, call: ApiCall, leader: str, tenant: str) -> Reply:
-        """Forward a change of a tenant to the leader of its partition, and return the reply."""
+        """Forward a change of a tenant to the leader of its partition; return the reply.
+
+        Raises `ApiError` if the leader can't be called (503) or has not replied in time (504).
+        """
         address = self.sole_address(leader)
         if not address or self._fleet is None:
             self._counters.add("replication.holder_away")
--- a/reelusher/admin/openapi.py
+++ b/reelusher/admin/openapi.py
@@ -69,7 +69,7 @@
     "Error": _object(("error",), error=STRING, field=STRING),
 }
 
-# errors of changes, with [replication]
+# error responses of the calls that change tenants, with [replication]
 REPLICATION_ERRORS = {
     503: "who makes changes of this name is away, nothing was changed",
     504: "it may have been made, or it was and too few others have it yet: the text says which",
@@ -77,14 +77,14 @@
 
 
 class Operation(NamedTuple):
-    """One operation of the API."""
+    """One operation of the document."""
 
     method: str
     path: str
     summary: str
     parameters: list[dict[str, Any]]
-    body: str | dict[str, Any] | None  # name of its schema, or the schema
-    responses: dict[int, str]  # descriptions by status, beside those of all operations
+    body: str | dict[str, Any] | None  # name of a schema in `SCHEMAS`, a schema, or None without a body
+    responses: dict[int, str]  # descriptions by status; 401 and 403 are added to every operation
 
 
 OPERATIONS: list[Operation] = [
--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -1,4 +1,4 @@
-"""Partitions of the replicated table over the administration API: progress, and a change of leader."""
+"""Partitions of the replicated table over the administration API: their progress and changes of leader."""
 
 from typing import Any
 
@@ -10,13 +10,13 @@
 from reelusher.fleet.replication.positions import Position
 from reelusher.tenancy.replicated import ReplicatedTable, TableBusyError, format_position
 
-MAX_LISTED_ROWS = 100  # unreadable and divergent rows in one reply
-MAX_ORPHAN_NUMBER = 1 << 53  # the largest that JSON numbers represent exactly
-POSITIONS_TARGET, COUNTED_TARGET = "/positions", "/counted"  # of queries among members
+MAX_LISTED_ROWS = 100  # rows in each list of a reply: unreadable rows, divergent rows
+MAX_ORPHAN_NUMBER = 1 << 53  # JSON numbers represent all integers up to this exactly
+POSITIONS_TARGET, COUNTED_TARGET = "/positions", "/counted"  # paths of queries between members
 
 
 class PartitionApi:
-    """The calls that concern partitions, by route."""
+    """Answers the calls that concern partitions; `routes` holds the handlers."""
 
     def __init__(self, table: ReplicatedTable, fleet: FleetClient, counters: Counters) -> None:
         self._table = table
@@ -30,7 +30,7 @@
     # Progress
 
     def _changes(self, call: ApiCall) -> Reply:
-        """Return how far the members have the changes."""
+        """Return how far this node and the other members have replicated each partition."""
         table = self._table
         body = {
             "own": table.own_name,
@@ -47,14 +47,14 @@
         addresses: dict[str, list[str]] = {}
         for member in self._fleet.live():
             addresses.setdefault(member.name, []).append(member.address)
-        counted = {one["stream"]: one for one in self._counted()}
+        reports = {report["stream"]: report for report in self._progress_reports()}
         return [
-            self._partition(partition, addresses, counted.get(partition))
+            self._partition(partition, addresses, reports.get(partition))
             for partition in self._table.replica.control
         ]
 
     def _partition(
-        self, partition: str, addresses: dict[str, list[str]], counted: dict[str, Any] | None
+        self, partition: str, addresses: dict[str, list[str]], progress: dict[str, Any] | None
     ) -> dict[str, Any]:
         table = self._table
         state, leader = table.replica.states[partition], table.leader(partition)
@@ -67,18 +67,21 @@
             "refilling": state.cursor >= 0,
             "lost": state.lost,
             "put_back": state.restored,
-            "counted": counted,
+            "counted": progress,
             "taken_over": [{"epoch": epoch, "after": base} for epoch, base in state.bases],
         }
 
-    def _counted(self) -> list[dict[str, Any]]:
-        """Return which members have the newest changes, as their leaders have counted it."""
+    def _progress_reports(self) -> list[dict[str, Any]]:
+        """Return the progress reports of this node and of the other live leaders, one for each partition.
+
+        A report counts the members that have the newest change of its partition.
+        """
         table = self._table
-        counted: list[dict[str, Any]] = table.replication.progress_report()
+        reports: list[dict[str, Any]] = table.replication.progress_report()
         leaders = {table.leader(partition) for partition in table.replica.control} - {table.own_name}
         for leader in sorted(leaders & {member.name for member in self._fleet.live()}):
-            counted += self._fleet.query(leader, COUNTED_TARGET, [])
-        return counted
+            reports += self._fleet.query(leader, COUNTED_TARGET, [])
+        return reports
 
     def _unreadable(self) -> dict[str, Any]:
         replica = self._table.store
@@ -102,13 +105,17 @@
     # Change of leader
 
     def _take_over(self, call: ApiCall) -> Reply:
-        """Make this member the leader of a partition, as an operator orders."""
+        """Make this member the leader of a partition, on an operator's order.
+
+        Raises `ApiError` if another member is ahead, unless the order is forced: then the changes that this
+        member lacks are lost.
+        """
         table, partition = self._table, call.name
         force = self._check_take_over(call)
         position = table.position(partition)
         ahead = self._position_ahead(partition)
         leader = table.leader(partition)
-        found = {
+        situation = {
             "stream": partition,
             "holder": leader,
             "has": format_position(position),
@@ -117,18 +124,18 @@
             "lost": _changes_between(position, ahead),
         }
         if call.is_dry_run:
-            return Reply(200, {"dry_run": True, **found})
+            return Reply(200, {"dry_run": True, **situation})
         if ahead is not None and not force:
             raise self._fleet.retry_later(
                 f"others have stream {partition!r} up to {format_position(ahead)}, this member up to "
                 f"{format_position(position)}: wait for them, or lose them by force=true",
-                **found,
+                **situation,
             )
-        started = self._start_term(partition, force, call.actor, _format_optional(ahead) or "none")
-        return Reply(200, {**found, "begins": format_position(started)})
+        term_start = self._start_term(partition, force, call.actor, _format_optional(ahead) or "none")
+        return Reply(200, {**situation, "begins": format_position(term_start)})
 
     def _check_take_over(self, call: ApiCall) -> bool:
-        """Raise `ApiError` where this member can't become the leader; return whether losses are allowed."""
+        """Raise `ApiError` if this member can't become the leader; return whether changes may be lost."""
         table, partition, own = self._table, call.name, self._table.own_name
         members = ", ".join(table.replica.control)
         if partition not in table.replica.control:
@@ -146,20 +153,20 @@
         return leader != self._table.own_name and self._fleet.is_live(leader)
 
     def _position_ahead(self, partition: str) -> Position | None:
-        """Return the furthest position of another member, if it is ahead of this one's."""
+        """Return the furthest known position of other members; None if it is not ahead of this one's."""
         ahead = self._table.position_ahead(partition)
-        if self._has_other_live_leader(partition):  # its latest changes are not announced yet
+        if self._has_other_live_leader(partition):  # it may have changes that it has not announced yet
             ahead = max(filter(None, (ahead, self._leader_position(partition))), default=None)
         return None if ahead is not None and ahead <= self._table.position(partition) else ahead
 
     def _leader_position(self, partition: str) -> Position | None:
-        """Return the position that the leader of a partition reports; None where it does not answer."""
-        found = self._fleet.query(self._table.leader(partition), POSITIONS_TARGET, {}).get(partition)
-        return None if found is None else Position(*found)
+        """Return the position that the leader of a partition reports; None if it does not reply."""
+        position = self._fleet.query(self._table.leader(partition), POSITIONS_TARGET, {}).get(partition)
+        return None if position is None else Position(*position)
 
     def _start_term(self, partition: str, force: bool, actor: str, ahead: str) -> Position:
         try:
-            started = self._table.take_over(partition, force)
+            term_start = self._table.take_over(partition, force)
         except TableBusyError as error:
             raise self._fleet.retry_later(f"{error}: nothing was changed") from None
         self._counters.add("replication.taken_over")
@@ -167,11 +174,11 @@
             "replication: {} leads partition {} from {}, ordered by {}; position ahead elsewhere: {}",
             self._table.own_name,
             partition,
-            format_position(started),
+            format_position(term_start),
             actor,
             ahead,
         )
-        return started
+        return term_start
 
 
 def _format_optional(position: Position | None) -> str | None:
@@ -179,7 +186,7 @@
 
 
 def _changes_between(position: Position, ahead: Position | None) -> int | None:
-    """Return how many changes follow a position; None where that is unknown."""
+    """Return how many changes `ahead` is past a position: 0 without one, None if their terms differ."""
     if ahead is None:
         return 0
     return ahead.log_index - position.log_index if ahead.term == position.term else None
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -1,8 +1,8 @@
 """Tenants of the replicated table over the administration API of any node.
 
-Reads are answered from the node's own replica. A change is answered by the leader of the partition that the
-name belongs to: another node forwards the call and returns the reply. The node that received the call has
-checked its token; members trust each other.
+Reads are answered from the node's own replica. A change is made by the leader of the partition that the
+tenant's name belongs to; any other node forwards the call to it and returns its reply. The node that receives
+a call checks its token; the leader trusts the member that forwards the call.
 """
 
 import json
@@ -26,11 +26,11 @@
 from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.replicated import ReplicatedTable, ReplicatedTenant, TableBusyError
 
-MAX_COPY_WAITS = 3  # calls that wait for copies at once: other calls need the rest of the connections
+MAX_COPY_WAITS = 3  # calls that may wait for copies at once; other calls need the remaining connections
 
 
 class ReplicatedTenantApi(TenantApi):
-    """The calls that concern tenants of the replicated table, and its partitions."""
+    """Answers the calls that concern tenants of the replicated table, and its partitions."""
 
     def __init__(
         self, core: Core, tenants: TenantRegistry, table: ReplicatedTable, fleet: Fleet | None, random: Random
@@ -51,10 +51,10 @@
 
     def _list(self, call: ApiCall) -> Reply:
         limit, after = call.integer("limit", MAX_PAGE, MAX_PAGE, 1), call.query.get("after", "")
-        found = self._replicated.page(after, limit + 1)
-        page = found[:limit]
-        more = {"next": page[-1].tenant["name"]} if len(found) > limit else {}
-        return Reply(200, {"tenants": [to_json(version) for version in page], **more})
+        versions = self._replicated.page(after, limit + 1)
+        page = versions[:limit]
+        next_page = {"next": page[-1].tenant["name"]} if len(versions) > limit else {}
+        return Reply(200, {"tenants": [to_json(version) for version in page], **next_page})
 
     def _show(self, call: ApiCall) -> Reply:
         version = self._replicated.get(call.name)
@@ -74,7 +74,7 @@
         return self._replicated.get(name) is not None
 
     def _apply(self, change: Callable[[], object]) -> None:
-        """Do nothing: the replica has notified the tenant registry by now."""
+        """Do nothing: the replica has already notified the tenant registry."""
 
     def _to_json(self, version: TenantVersion | None) -> dict[str, Any] | None:
         body = to_json(version)
@@ -100,7 +100,7 @@
         return Reply(204)
 
     def _make_change(self, route: Route, call: ApiCall) -> Reply:
-        """Make a change as the leader, and wait until as many other members have it as the caller asks."""
+        """Make a change as the leader; wait until as many other members have it as the call asks for."""
         copies = call.integer("copies", 0, max(0, len(self._fleet.live()) - 1))
         self._fleet.sole_address(self._replicated.own_name)
         if copies and not self._copy_waits.acquire(blocking=False):
@@ -117,7 +117,7 @@
         return reply
 
     def _wait_for_copies(self, call: ApiCall, copies: int, reply: Reply) -> None:
-        """Raise `ApiError` unless so many other members have the change within the time-out."""
+        """Wait until `copies` other members have the change. Raises `ApiError` when the time is up."""
         partition = self._replicated.partition_of(_tenant_name(call))
         position = self._replicated.position(partition)
         count = self._replicated.replication.wait_for_copies(partition, position, copies, COPIES_TIMEOUT_S)
@@ -136,7 +136,7 @@
         return self._replicated.leader(self._replicated.partition_of(_tenant_name(call)))
 
     def _leader_handler(self, route: Route) -> Handler:
-        """Return a handler that makes a change here, or forwards it to the leader."""
+        """Return a handler that makes a change if this node leads, and else forwards it to the leader."""
 
         def handle(call: ApiCall) -> Reply:
             leader = self._leader_of(call)
@@ -147,7 +147,7 @@
         return handle
 
     def _with_replica_errors(self, handler: Handler) -> Handler:
-        """Return a handler that answers 503 where this node's replica can't be read."""
+        """Return a handler that answers 503 if this node's replica can't be read."""
 
         def handle(call: ApiCall) -> Reply:
             try:
@@ -160,7 +160,7 @@
         return handle
 
     def handle_forwarded(self, request: ChangeRequest) -> ChangeReply:
-        """Answer a call that another member has forwarded, or its query."""
+        """Answer a call that another member has forwarded, or a query from another member."""
         self._counters.add("replication.calls_carried")
         try:
             with errors_as_api_errors(request.method, request.target):
@@ -191,7 +191,7 @@
             raise ApiError(404, "no such change")
         call = ApiCall(request.who, name, _decode(request.body), dict(parse_qsl(query)), request.headers)
         leader = self._leader_of(call)
-        if leader != self._replicated.own_name:  # the members disagree until one of them learns of the term
+        if leader != self._replicated.own_name:  # members disagree until one learns of the newer term
             raise self._fleet.retry_later(
                 f"{leader!r} makes the changes of {_tenant_name(call)!r}: nothing was changed"
             )
@@ -199,7 +199,7 @@
 
 
 def _tenant_name(call: ApiCall) -> str:
-    """Return the name of the tenant that a call concerns; empty for an invalid call."""
+    """Return the name of the tenant that a call concerns; empty if the call is invalid."""
     if call.name:
         return call.name
     name = call.body.get("name") if isinstance(call.body, dict) else None
@@ -207,7 +207,7 @@
 
 
 def _forwarded_resource(path: str) -> tuple[str, str]:
-    """Return the resource of a path and the name in it, which may be empty."""
+    """Return the resource of a path and the name in it; the name is empty where the path has none."""
     match path.strip("/").split("/"):
         case ["v1", "tenants"]:
             return "tenants", ""
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -1,7 +1,7 @@
 """Tenants over the administration API: the calls, their checks and their changes.
 
-A change is checked, made durable and applied while no other change can be made. Each tenant has a version,
-which identifies the change that stored it; `ETag` and `If-Match` carry it.
+A change is checked, made durable and applied under a lock that excludes other changes. The version of a
+tenant identifies the change that stored it; the headers `ETag` and `If-Match` carry it.
 """
 
 from collections.abc import Callable
@@ -16,16 +16,16 @@
 from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
 
-MAX_DRAIN_TIMEOUT_MS = 3_600_000  # of a removal
-MAX_PAGE = 1000
+MAX_DRAIN_TIMEOUT_MS = 3_600_000  # limit of `within_ms` of a removal
+MAX_PAGE = 1000  # entries in one reply
 DEFAULT_AUDIT_PAGE = 100
-MAX_CHANGE_NUMBER = 1 << 53  # the largest that JSON numbers represent exactly
+MAX_CHANGE_NUMBER = 1 << 53  # JSON numbers represent all integers up to this exactly
 MAX_KEY_LENGTH = 128  # characters of an idempotency key
-DRY_RUN_REVISION = 0  # of a version that is not stored
+DRY_RUN_REVISION = 0  # revision of a version that a dry run shows and nothing stores
 
 
 class TenantApi:
-    """The calls that concern tenants, by route."""
+    """Answers the calls that concern tenants; `routes` holds the handlers."""
 
     def __init__(self, core: Core, tenants: TenantRegistry, table: TenantTable) -> None:
         self._core = core
@@ -49,8 +49,8 @@
     def _list(self, call: ApiCall) -> Reply:
         limit, after = call.integer("limit", MAX_PAGE, MAX_PAGE, 1), call.query.get("after", "")
         page, last = self._tenants.page(after, limit)
-        more = {"next": last} if last else {}
-        return Reply(200, {"tenants": [self._tenants.to_json(record) for record in page], **more})
+        next_page = {"next": last} if last else {}
+        return Reply(200, {"tenants": [self._tenants.to_json(record) for record in page], **next_page})
 
     def _show(self, call: ApiCall) -> Reply:
         record = self._tenants.record(call.name)
@@ -68,21 +68,21 @@
         limit = call.integer("limit", DEFAULT_AUDIT_PAGE, MAX_PAGE, 1)
         entries = self._table.audit(call.integer("after", 0, MAX_CHANGE_NUMBER), limit + 1)
         page = entries[:limit]
-        more = {"next": page[-1].number} if len(entries) > limit else {}
-        return Reply(200, {"changes": [_audit_json(entry) for entry in page], **more})
+        next_page = {"next": page[-1].number} if len(entries) > limit else {}
+        return Reply(200, {"changes": [_audit_json(entry) for entry in page], **next_page})
 
-    # What the API of the replicated table does differently
+    # Methods that the API of the replicated table overrides
 
     def _parse(self, body: Any, name: str | None = None) -> Tenant:
         """Validate a tenant in the body of a call."""
         return self._tenants.parse(body, name)
 
     def _exists(self, name: str) -> bool:
-        """Return whether there is a tenant of this name, even if it is being removed."""
+        """Return whether there is a tenant with this name, even one that is being removed."""
         return self._tenants.record(name) is not None
 
     def _apply(self, change: Callable[[], object]) -> None:
-        """Apply a change that is durable on the event loop."""
+        """Apply a durable change to this node, on the event loop's thread."""
         self._core.run_on_loop(change)
 
     def _to_json(self, version: TenantVersion | None) -> dict[str, Any] | None:
@@ -90,7 +90,7 @@
         return to_json(version)
 
     def _dry_run(self, before: TenantVersion | None, after: TenantVersion | None) -> Reply:
-        """Return the reply that shows what a change would do."""
+        """Return the reply to a dry run: the tenant before and after the change."""
         body = {"dry_run": True, "before": to_json(before), "after": self._to_json(after)}
         return Reply(200, body, etag(before))
 
@@ -118,7 +118,10 @@
         return Reply(201, self._to_json(version), etag(version))
 
     def _replay(self, name: str, tenant: Tenant) -> Reply:
-        """Reply to a call whose key created a tenant before, if it is for the same tenant."""
+        """Return the reply to a call whose idempotency key has already created a tenant.
+
+        Raises `ApiError` if that was another tenant, or if it has been removed since.
+        """
         version = self._table.get(name)
         if tenant.name != name:
             raise ApiError(422, f"this key was used to make {name!r}", "Idempotency-Key")
@@ -177,7 +180,11 @@
         return Reply(204) if draining is None else Reply(202, self._tenants.to_json(draining))
 
     def _matching_version(self, call: ApiCall) -> TenantVersion:
-        """Return the current version of a tenant that may be changed, if the call's `If-Match` allows it."""
+        """Return the current version of the tenant that a call changes.
+
+        Raises `ApiError` if there is none or if `If-Match` names another version, `TenantStateError` if the
+        tenant is being removed.
+        """
         version = self._table.get(call.name)
         if version is None and not self._exists(call.name):
             raise self._not_found(call.name)
@@ -195,7 +202,7 @@
 
 
 def etag(version: TenantVersion | None) -> dict[str, str]:
-    """Return the header that carries the version of a tenant."""
+    """Return the `ETag` header with the version of a tenant; no header without a version."""
     return {} if version is None else {"ETag": f'"{version.version}"'}
 
 
