--- a/reelusher/assembly/descriptors.py
+++ b/reelusher/assembly/descriptors.py
@@ -1,4 +1,4 @@
-"""The budget of file descriptors: what each part of a node may open, and what remains for callers."""
+"""The budget of file descriptors: how many each part of a node may open, and how many callers get."""
 
 from typing import TYPE_CHECKING
 
@@ -11,15 +11,15 @@
     from reelusher.config.operator.file import Operator
 
 
-PROCESS_DESCRIPTORS = 16  # standard streams, files that are read or written for a moment, and a margin
-UPGRADE_DESCRIPTORS = 4  # of the process registry and the key locks
-STATE_DESCRIPTORS = 8  # of the journals of tenants and keys
-REPLICA_DESCRIPTORS = 12  # four connections with database and log, their shared memory, and a lock
-MIN_CALLER_CONNECTIONS = 16  # left to the frontends however few descriptors there are
+PROCESS_DESCRIPTORS = 16  # standard streams, files that are open for a moment, and a margin
+UPGRADE_DESCRIPTORS = 4  # files of the process registry and of the key locks
+STATE_DESCRIPTORS = 8  # journals of tenants and of idempotency keys
+REPLICA_DESCRIPTORS = 12  # four SQLite connections, each with database and log; shared memory; lock file
+MIN_CALLER_CONNECTIONS = 16  # allowed to the front ends even if too few descriptors remain
 
 
 def max_caller_connections(config: Config) -> int:
-    """Return how many descriptors the frontends may use for connections of callers."""
+    """Return how many descriptors all front ends together may use for connections of callers."""
     reserved = PROCESS_DESCRIPTORS
     if config.platform:
         reserved += _reserved_for_platform(config.platform, config.sockets)
@@ -29,7 +29,7 @@
 
 
 def max_ajp_connections(config: Config) -> int:
-    """Return how many of the connections of callers the AJP frontend may hold."""
+    """Return how many of the connections of callers the AJP front end may hold."""
     if config.operator is None or config.operator.ajp is None:
         return 0
     available = max_caller_connections(config)
@@ -68,5 +68,5 @@
     if operator.replication:
         from reelusher.admin import fleet_client
 
-        reserved += REPLICA_DESCRIPTORS + fleet_client.MAX_FORWARDED_CALLS + 1  # one for the pull in progress
+        reserved += REPLICA_DESCRIPTORS + fleet_client.MAX_FORWARDED_CALLS + 1  # and one for a pull
     return reserved
--- a/reelusher/assembly/hosted.py
+++ b/reelusher/assembly/hosted.py
@@ -1,4 +1,4 @@
-"""Builds the parts that only an operator's file names: tenants, fleet, administration, the AJP frontend."""
+"""Builds the parts that only an operator's file configures: tenants, fleet, administration API, AJP."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -17,19 +17,19 @@
 from reelusher.tenancy.registry import TenantRegistry
 from reelusher.tenancy.tenant_store import TenantTable
 
-FIRST_RECOVERED_REQUEST_ID = 1 << 40  # keys of earlier incarnations belong to requests from here on
+FIRST_RECOVERED_REQUEST_ID = 1 << 40  # request ids from here on are those of recovered idempotency keys
 
 
 class TenantParts(NamedTuple):
-    """The tenants of a node, and how the administration API reaches them."""
+    """The tenants of a node, and the parts that the administration API uses for them."""
 
     registry: TenantRegistry
     table: TenantTable
-    api: TenantApi | None  # None: the table is this node's own
+    api: TenantApi | None  # None: the table is local to this node
 
 
 def build(parts: NodeParts, config: Config, operator: Operator, callbacks: NodeCallbacks) -> None:
-    """Add the parts that the operator's file asks for."""
+    """Add the parts that the operator's file configures."""
     if operator.fleet:
         from reelusher.assembly import fleet
 
@@ -59,7 +59,7 @@
 
 
 def _build_local_tenants(parts: NodeParts, operator: Operator, backends: frozenset[str]) -> TenantParts:
-    """Build the tenants of this node alone, from the operator's file and the state directory."""
+    """Build tenants that only this node has, from the operator's file and the state directory."""
     assert parts.fair_queue is not None
     admin = operator.admin
     directory = Path(admin.state_dir) if admin and admin.state_dir else None
@@ -81,7 +81,7 @@
 
 
 def _recover_keys(parts: NodeParts, directory: Path) -> None:
-    """Remember the keys that earlier incarnations of the node stored, and store new ones from now on."""
+    """Restore the idempotency keys that earlier incarnations stored, and store new ones from now on."""
     log = tenant_store.open_key_log(directory)
     for request_id, entry in enumerate(log.unexpired(), FIRST_RECOVERED_REQUEST_ID):
         digest = bytes.fromhex(entry.body_digest)
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -1,6 +1,7 @@
 """Builds the parts of a node from its configuration.
 
-What only an operator's file asks for is built by `assembly.hosted`, which the platform's node never loads.
+Parts that only an operator's file configures are built by `assembly.hosted`, which a node without such a file
+never loads.
 """
 
 import threading
@@ -40,14 +41,14 @@
     from reelusher.upgrade.key_locks import KeyLockFiles
     from reelusher.upgrade.process_registry import ProcessRegistry
 
-RESULT_MEMORY_FRACTION = 0.25  # of the node's memory, for results that are cached with their keys
-SEND_BUFFER_MEMORY_FRACTION = 0.1  # of the node's memory, for answers that slow callers have not read yet
+RESULT_MEMORY_FRACTION = 0.25  # fraction of the node's memory for results cached by idempotency key
+SEND_BUFFER_MEMORY_FRACTION = 0.1  # fraction of it for answers that slow callers have not read yet
 BYTES_PER_MB = 1 << 20
-DEFAULT_MAX_RESPONSE_KB = 1024  # of a worker, where there is no AJP frontend to set it
+DEFAULT_MAX_RESPONSE_KB = 1024  # limit of a worker's response where no AJP front end sets one
 
 
 class Frontend(DrainableFrontend, Protocol):
-    """What a node needs of each frontend."""
+    """The interface that each front end offers to the node."""
 
     address: Address
 
@@ -59,7 +60,7 @@
 
 
 class NodeCallbacks(Protocol):
-    """What the parts of a node need of the node itself."""
+    """The interface that the node offers to its parts."""
 
     drain_requested: threading.Event
 
@@ -70,11 +71,11 @@
         """Return the state of the node."""
 
     def request_drain(self, requested_s: float | None = None) -> bool:
-        """Request a drain; return False where one was requested before."""
+        """Request a drain; return False if one was requested before."""
 
 
 class NodeParts:
-    """The parts of one node, built but not started. Those that the configuration does not name are None."""
+    """The parts of one node, built but not started; a part that is not configured is None."""
 
     def __init__(self, config: Config, callbacks: NodeCallbacks) -> None:
         self._config = config
@@ -109,15 +110,18 @@
             hosted.build(self, config, operator, callbacks)
 
     def random_for(self, purpose: str) -> Random:
-        """Return the random numbers that spread one repeated activity, other ones on each node."""
+        """Return a random generator for one purpose, seeded differently on each node.
+
+        Activities that nodes repeat are thus spread over time.
+        """
         return Random(f"{self._config.seed} {self._config.name} {purpose}")
 
     def open_connections(self) -> int:
-        """Return how many connections the callers of all frontends hold."""
+        """Return how many connections callers hold, over all front ends."""
         return sum(frontend.open_connections() for frontend in self.frontends.values())
 
     def divert_callers(self, divert: bool) -> None:
-        """Answer health checks as unhealthy, or by the node's own health again; from any thread."""
+        """Report the node as unhealthy to callers, or its own health again; from any thread."""
         if self.core.notices.diverting_callers is divert:
             return
         self.core.notices.diverting_callers = divert
@@ -125,7 +129,7 @@
         self.core.on_health_changed()
 
     def close_replication(self) -> None:
-        """Close the replica of the table of tenants, once, with no write in progress."""
+        """Close the replica of the table of tenants after any write in progress; do nothing when repeated."""
         replication, self.replication = self.replication, None
         if replication:
             replication.close()
@@ -160,7 +164,7 @@
         return DownstreamClient(platform.vault, self._post, self.counters, self.clock)
 
     def _build_fair_queue(self) -> "FairQueue | None":
-        """Return the scheduler of tenants; the platform's node has one tenant and needs none."""
+        """Return the scheduler of tenants; None without an operator's file, as there is only one tenant."""
         if self._config.operator is None:
             return None
         from reelusher.tenancy.fair_queue import FairQueue
@@ -219,7 +223,7 @@
             )
 
     def _build_upgrade_parts(self, name: str, folder: Path) -> None:
-        """Register with other processes of this node, and lock keys before their requests run."""
+        """Join the registry of this node's processes, and open the key locks that they share."""
         from reelusher.upgrade.key_locks import KeyLockFiles
         from reelusher.upgrade.process_registry import ProcessRegistry
 
--- a/reelusher/assembly/replication.py
+++ b/reelusher/assembly/replication.py
@@ -1,4 +1,4 @@
-"""Builds the tenants of a whole fleet, from this node's replica of their table."""
+"""Builds the tenants of a fleet, from this node's replica of the table of tenants."""
 
 import time
 from pathlib import Path
@@ -26,7 +26,7 @@
     replication: ReplicationConfig,
     backends: frozenset[str],
 ) -> TenantParts:
-    """Build the replica, its replication, and the registry of the tenants in it."""
+    """Build the replica, its replication, and the registry and API of the tenants in it."""
     assert parts.fair_queue is not None
     store = _open_replica_store(operator, replication, backends)
     registry = CachedTenantRegistry(
