--- a/reelusher/__main__.py
+++ b/reelusher/__main__.py
@@ -7,10 +7,10 @@
 from reelusher.drain.signals import SignalWatch
 
 if __name__ == "__main__":
-    # before the rest is imported, which takes the longest part of a start: not even a SIGHUP then may end it
+    # made before the other imports, which take most of a start: even a SIGHUP must not end the process then
     watch = SignalWatch((signal.SIGTERM, signal.SIGINT, signal.SIGHUP))
     from reelusher.node import main
 
     status = main(watch)
     sys.stderr.flush()
-    os._exit(status)  # daemon threads hold sockets; nothing is left to do
+    os._exit(status)  # daemon threads still hold sockets; the interpreter's cleanup is not needed
--- a/reelusher/logging_setup.py
+++ b/reelusher/logging_setup.py
@@ -1,4 +1,4 @@
-"""Where log lines go."""
+"""Sets up the log of the process."""
 
 import sys
 import threading
@@ -7,7 +7,7 @@
 
 
 def set_up_logging() -> None:
-    """Write log lines to standard error, among them exceptions that end a thread."""
+    """Write log lines to standard error, including exceptions that end a thread."""
     logger.remove()
     logger.add(
         sys.stderr,
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -1,4 +1,4 @@
-"""The node: starts the parts of its configuration, drains and closes them, and runs as a process."""
+"""The node: starts the configured parts, drains and closes them, and runs as a process."""
 
 import gc
 import signal
@@ -19,28 +19,28 @@
 from reelusher.net.threads import start_thread
 from reelusher.reload import Reloader
 
-SWITCH_INTERVAL_S = 0.001  # a thread that waits for the interpreter gets it within this time
-MAX_HANDOVER_WAIT_S = 3.0  # for requests in flight, when a newer process of the node has taken over
-HANDOVER_MARGIN_S = 0.7  # after the longest deadline
-EXIT_CONFIGURATION = 2  # exit status: the configuration is unusable, or an address in it
+SWITCH_INTERVAL_S = 0.001  # time after which a running thread yields the interpreter to a waiting one
+MAX_HANDOVER_WAIT_S = 3.0  # limit of the wait for requests in flight after a newer process has taken over
+HANDOVER_MARGIN_S = 0.7  # added to the wait for the longest deadline
+EXIT_CONFIGURATION = 2  # exit status if the configuration or an address in it is unusable
 
 
 class Closable(Protocol):
-    """A part of the node that is ended by `close`."""
+    """A part of the node that can be closed."""
 
     def close(self) -> None:
-        """End the part."""
+        """Stop the part and release its resources."""
 
 
 class DrainTimes(NamedTuple):
-    """How long a drain takes."""
+    """The durations of a drain."""
 
-    total_s: float  # from the request to the end of the process
-    grace_s: float  # during which the node serves as before
+    total_s: float  # time from the request of the drain to the end of the process
+    grace_s: float  # first part of it, in which the node serves as before
 
 
 class Node:
-    """One booking node, embeddable: `start` it, wait for `drain_requested`, then `drain` it."""
+    """One booking node, which can be embedded: `start` it, wait for `drain_requested`, then `drain` it."""
 
     def __init__(self, config: Config) -> None:
         self.drain_requested = threading.Event()
@@ -114,14 +114,14 @@
         }
 
     def reload(self, read: Callable[[], Config] = load) -> bool:
-        """Take up a new configuration; return False where the current one stays in use."""
+        """Apply a new configuration; return False if the current one stays in use."""
         return self._reloader.reload(read)
 
     def request_drain(self, requested_s: float | None = None) -> bool:
-        """Request a drain, from any thread; return False where one was requested before.
+        """Request a drain, from any thread; return False if one was requested before.
 
-        `requested_s` is the earliest time, by the monotonic clock, at which the signal can have come: the
-        time to the stop counts from there.
+        `requested_s` is the earliest time, by the monotonic clock, at which the signal can have been sent:
+        the time until the stop counts from then. Without it, the time counts from now.
         """
         if self.drain_requested.is_set():
             return False
@@ -130,9 +130,9 @@
         return True
 
     def drain(self) -> bool:
-        """Serve on for the grace period, answer all that was read; return False if time ran out.
+        """Serve for the grace period, then answer all requests that were read; return False if any are left.
 
-        Where a newer process of this node serves already, there is no grace period: callers move there.
+        If a newer process of this node serves already, there is no grace period: callers move to it.
         """
         self.request_drain()
         parts, times = self.parts, self._drain_times()
@@ -151,7 +151,7 @@
         return not unanswered
 
     def close(self) -> None:
-        """Close all parts at once; `drain` comes first where requests are unanswered."""
+        """Close all parts at once. Call `drain` before, so that no request stays unanswered."""
         parts = self.parts
         for frontend in parts.frontends.values():
             frontend.close()
@@ -175,7 +175,7 @@
         return DrainTimes(min(longest_s, MAX_HANDOVER_WAIT_S) + HANDOVER_MARGIN_S, 0.0)
 
     def _notify_core(self, remaining_s: float, elapsed_s: float) -> None:
-        """Notify the core of a drain that began `elapsed_s` ago and is to be over in `remaining_s`."""
+        """Notify the core of a drain that began `elapsed_s` ago and must be over in `remaining_s`."""
         now_us = self.parts.clock.now()
         self.parts.core.post(DrainRequested(now_us + int(remaining_s * 1e6), now_us - int(elapsed_s * 1e6)))
 
@@ -194,8 +194,8 @@
 def handle_signals(node: Node, watch: SignalWatch) -> None:
     """Handle signals while the node serves and while it drains; return once it has drained.
 
-    A reload and the drain have threads of their own: a file that can't be read at once must not delay a
-    SIGTERM behind it, and a SIGHUP counts during the drain too.
+    A reload and the drain have threads of their own: a file that is slow to read must not delay a SIGTERM
+    that follows, and a SIGHUP is handled during the drain too.
     """
     drain: threading.Thread | None = None
     while drain is None or drain.is_alive():
@@ -223,7 +223,7 @@
         return EXIT_CONFIGURATION
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     gc.collect()
-    gc.freeze()  # objects that exist now stay; collections need not visit them
+    gc.freeze()  # objects that exist now live as long as the process; collections skip them
     node.start()
     handle_signals(node, watch)
     return 0
--- a/reelusher/reload.py
+++ b/reelusher/reload.py
@@ -1,4 +1,4 @@
-"""Takes up a new configuration while the node serves: addresses, settings and request classes."""
+"""Applies a new configuration while the node serves: addresses, settings and request classes."""
 
 import threading
 from collections.abc import Callable
@@ -11,13 +11,13 @@
 from reelusher.config.platform_config import Platform
 from reelusher.frontends.rpc.frontend import RpcFrontend
 
-MAX_PENDING_RELOADS = 2  # one in progress, and one that will read the newest file after it
-ADDRESSES = ("runtime", "vault", "directory")
+MAX_PENDING_RELOADS = 2  # one in progress, and one that reads the newest file after it
+ADDRESSES = ("runtime", "vault", "directory")  # fields of `Platform`
 RELOADABLE = (*ADDRESSES, "settings", "gauges", "class_names", "paths")
 
 
 class ReloadError(Exception):
-    """A configuration can't be taken up while the node serves."""
+    """Raised for a configuration that can't be applied while the node serves."""
 
 
 class Reloader:
@@ -30,10 +30,10 @@
         self._pending = threading.BoundedSemaphore(MAX_PENDING_RELOADS)
 
     def reload(self, read: Callable[[], Config]) -> bool:
-        """Take up a new configuration; return False where the current one stays in use.
+        """Apply a new configuration; return False if the current one stays in use.
 
-        Of two reloads at once the second waits for the first and then reads the newest file; a third has
-        nothing to add to that and is skipped.
+        A reload that is requested while another is in progress waits for it and then reads the newest file.
+        A third one at the same time would read that same file and is skipped.
         """
         if not self._pending.acquire(blocking=False):
             self._parts.counters.add("reload.left_out")
@@ -47,10 +47,10 @@
         return applied
 
     def _try_apply(self, read: Callable[[], Config]) -> bool:
-        """Read and apply a configuration; log why where that fails, for whatever reason."""
+        """Read and apply a configuration; return False if that fails for any reason, which is logged."""
         try:
             self._apply(read())
-        except (ConfigError, ReloadError) as error:  # a file may be half written
+        except (ConfigError, ReloadError) as error:  # the file may be half written
             reason = str(error)
         except TimeoutError:
             reason = "the event loop did not respond in time"
@@ -87,7 +87,7 @@
             class_indexes = core.apply_settings(platform.settings, platform.gauges, platform.class_names)
             frontend.apply_classes(class_indexes)
 
-        try:  # in one step of the event loop, so that core and frontend never use different files
+        try:  # in one step of the event loop, so that core and front end never use different settings
             core.run_on_loop(apply)
         except ValueError as error:
             raise ReloadError(str(error)) from error
@@ -104,7 +104,7 @@
 
 
 def _has_other_parts(current: Platform, new: Platform) -> bool:
-    """Return whether one configuration names a part that the other does not."""
+    """Return whether one of two configurations has a part that the other lacks."""
     return (current.vault is None) is not (new.vault is None) or (current.directory is None) is not (
         new.directory is None
     )
