--- a/reelusher/importer/__main__.py
+++ b/reelusher/importer/__main__.py
@@ -12,27 +12,27 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Read files, write TOML to standard output and omissions to standard error."""
+    """Import files: write TOML to standard output and omissions to standard error; return the exit status."""
     parser = argparse.ArgumentParser("reelusher.importer", description="Write an operator's file.")
     parser.add_argument("--workers", action="append", default=[], metavar="FILE", help="a workers.properties")
     parser.add_argument("--httpd", action="append", default=[], metavar="FILE", help="an Apache file")
     parser.add_argument("--listen", default="127.0.0.1:8009", help="where the AJP front is to listen")
     parser.add_argument("--strict", action="store_true", help="fail where anything was left out")
-    given = parser.parse_args(arguments)
-    if not given.workers and not given.httpd:
+    options = parser.parse_args(arguments)
+    if not options.workers and not options.httpd:
         parser.error("name at least one file")
-    made = Imported()
+    imported = Imported()
     try:
-        for reader, files in ((jk, given.workers), (httpd, given.httpd)):
+        for reader, files in ((jk, options.workers), (httpd, options.httpd)):
             for file in files:
-                reader.read(Path(file).read_text(), file, made)
+                reader.read(Path(file).read_text(), file, imported)
     except (OSError, UnicodeDecodeError) as error:
         print(f"importer: {error}", file=sys.stderr)
         return 2
-    made.add_unmounted_omissions()
-    for omission in made.omissions:
+    imported.add_unmounted_omissions()
+    for omission in imported.omissions:
         print(omission, file=sys.stderr)
-    text = made.to_toml(given.listen)
+    text = imported.to_toml(options.listen)
     try:
         parse(tomllib.loads(text))
     except ConfigError as error:
@@ -40,7 +40,7 @@
         sys.stdout.write(text)
         return 1
     sys.stdout.write(text)
-    return 1 if made.omissions and given.strict else 0
+    return 1 if imported.omissions and options.strict else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/importer/model.py
+++ b/reelusher/importer/model.py
@@ -1,18 +1,18 @@
-"""The result of an import, and how it is written as an operator's file."""
+"""The result of an import, and its conversion to an operator's file."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 import tomli_w
 
-HEAD = """# Imported. The class below stands for all requests: give each class of yours its own entry,
+HEADER = """# Imported. The class below stands for all requests: give each class of yours its own entry,
 # and each tenant routes that say which of its requests belong to which class.
 """
 
 
 @dataclass(slots=True, frozen=True)
 class Omission:
-    """A setting that has no counterpart and was left out."""
+    """A setting that has no counterpart in an operator's file and was left out."""
 
     file: str
     line: int
@@ -24,20 +24,23 @@
 
 @dataclass(slots=True)
 class Imported:
-    """Workers, balancers and tenants by name, as the operator's file writes them, and omissions."""
+    """Workers, balancers and tenants by name, as tables of an operator's file, and the omissions."""
 
     workers: dict[str, dict[str, Any]] = field(default_factory=dict)
     balancers: dict[str, dict[str, Any]] = field(default_factory=dict)
     tenants: dict[str, dict[str, Any]] = field(default_factory=dict)
     omissions: list[Omission] = field(default_factory=list)
-    listed_backends: list[tuple[str, str, int]] = field(default_factory=list)  # name, file, line
+    listed_backends: list[tuple[str, str, int]] = field(default_factory=list)  # name, file and line of each
 
-    def add_omission(self, file: str, line: int, why: str) -> None:
+    def add_omission(self, file: str, line: int, reason: str) -> None:
         """Record a setting that has no counterpart."""
-        self.omissions.append(Omission(file, line, why))
+        self.omissions.append(Omission(file, line, reason))
 
     def mount(self, prefix: str, backend: str, file: str, line: int) -> None:
-        """Map the requests under a path to a backend, as a tenant."""
+        """Add a tenant that maps the requests under a path to a back end.
+
+        If an earlier line has mapped a path to the same tenant name, this one is recorded as an omission.
+        """
         name = prefix.strip("/").replace("/", "-") or "root"
         name = "".join(char if char.isalnum() or char in "-_." else "-" for char in name)[:64]
         if name in self.tenants:
@@ -46,7 +49,7 @@
         self.tenants[name] = {"name": name, "prefix": prefix, "backend": backend, "default_class": "request"}
 
     def add_unmounted_omissions(self) -> None:
-        """Record backends without a path: they get no requests until a tenant names them."""
+        """Record an omission for each listed back end without a path: no tenant sends it requests."""
         mounted = {tenant["backend"] for tenant in self.tenants.values()}
         for name, file, line in self.listed_backends:
             if name not in mounted and (name in self.workers or name in self.balancers):
@@ -56,7 +59,7 @@
 
     def to_toml(self, listen: str = "127.0.0.1:8009") -> str:
         """Return the text of an operator's file."""
-        return HEAD + tomli_w.dumps(
+        return HEADER + tomli_w.dumps(
             {
                 "ajp": {"listen": listen},
                 "classes": [{"name": "request", "effect": "safe", "deadline_ms": 30_000, "aim_ms": 5_000}],
