--- a/reelusher/importer/httpd.py
+++ b/reelusher/importer/httpd.py
@@ -8,11 +8,7 @@
 
 from reelusher.importer.model import Imported
 
-ACTIVATIONS = {
-    "D": "stopped",
-    "S": "stopped",
-    "N": "disabled",
-}  # by status flag; other flags have no counterpart
+ACTIVATIONS = {"D": "stopped", "S": "stopped", "N": "disabled"}  # by status flag, if it has a counterpart
 METHODS = {"byrequests": "requests", "bybusyness": "busyness"}  # balancing methods by `lbmethod`
 DIRECTIVE = re.compile(r"\s*(\S+)\s*(.*)", re.DOTALL)
 # directives that are skipped without an omission
