--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -1,4 +1,4 @@
-"""The administration API against its own document, and state under processes that are killed."""
+"""Tests of the OpenAPI document, of merge patches, and of tenants stored by a process that is killed."""
 
 import dataclasses
 import os
@@ -45,8 +45,8 @@
         Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
         AdminContext(core, None, TenantStore(None), None, dict, lambda: True),  # type: ignore[arg-type]
     )
-    made = openapi.document()
-    documented = {(method.upper(), path) for path, methods in made["paths"].items() for method in methods}
+    document = openapi.document()
+    documented = {(method.upper(), path) for path, methods in document["paths"].items() for method in methods}
     assert documented == api.routes()
     assert len(documented) == len(openapi.OPERATIONS)
     api.close()
@@ -55,13 +55,13 @@
 def test_openapi_document_has_every_field_of_a_tenant() -> None:
     fields = {field.name for field in dataclasses.fields(Tenant)} | {"state"}
     assert set(openapi.SCHEMAS["Tenant"]["properties"]) == fields
-    shares = {field.name for field in dataclasses.fields(QuotaSettings)}
-    assert set(openapi.SCHEMAS["Share"]["properties"]) == shares
+    quota_fields = {field.name for field in dataclasses.fields(QuotaSettings)}
+    assert set(openapi.SCHEMAS["Share"]["properties"]) == quota_fields
 
 
 def test_merge_patches_of_rfc_7396() -> None:
     """Cases of RFC 7396, appendix A."""
-    for target, patch, wanted in (
+    for target, patch, expected in (
         ({"a": "b"}, {"a": "c"}, {"a": "c"}),
         ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
         ({"a": "b"}, {"a": None}, {}),
@@ -70,11 +70,14 @@
         (["a"], {"a": 1}, {"a": 1}),
         ({}, {"a": {"bb": {"ccc": None}}}, {"a": {"bb": {}}}),
     ):
-        assert merge_patch(target, patch) == wanted
+        assert merge_patch(target, patch) == expected
 
 
-def change_and_kill(folder: Path, rounds: int, seed: int, longest_s: float) -> int:
-    """Kill a process that makes changes, again and again; return how many it had acknowledged."""
+def change_and_kill(folder: Path, rounds: int, seed: int, max_delay_s: float) -> int:
+    """Start and kill a process that stores tenants, `rounds` times; return how many tenants are stored.
+
+    Each time, all changes that it acknowledged must be there, and at most one more.
+    """
     rng, acknowledged = random.Random(seed), 0
     for _ in range(rounds):
         process = subprocess.Popen(
@@ -86,17 +89,19 @@
         )
         assert process.stdout is not None
         assert process.stdout.readline() == "ready\n"
-        time.sleep(rng.uniform(0, longest_s))
+        time.sleep(rng.uniform(0, max_delay_s))
         process.send_signal(signal.SIGKILL)
         lines = process.stdout.read().split("\n")[:-1]  # the last one may be incomplete
         process.wait()
         acknowledged = max([acknowledged, *(int(line) + 1 for line in lines)])
-        disk = LockedDirectory(folder)
-        store = TenantStore(disk)
+        directory = LockedDirectory(folder)
+        store = TenantStore(directory)
         assert len(store.state.tenants) in (acknowledged, acknowledged + 1)
-        assert all(kept.tenant["round"] == number for number, kept in enumerate(store.state.tenants.values()))
+        assert all(
+            stored.tenant["round"] == number for number, stored in enumerate(store.state.tenants.values())
+        )
         acknowledged = len(store.state.tenants)
-        disk.close()
+        directory.close()
     return acknowledged
 
 
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -1,4 +1,4 @@
-"""The replicated table over the administration API of several complete nodes on loopback."""
+"""Calls of the administration API that concern the replicated table, on complete nodes on loopback."""
 
 import contextlib
 import http.client
@@ -41,14 +41,14 @@
 from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 CONTROL = ["c1", "c2"]
-C1, C2 = (names_of(stream, 10) for stream in CONTROL)
+C1, C2 = (names_of(partition, 10) for partition in CONTROL)  # tenants in the partitions of c1 and of c2
 ROOT = Path(__file__).parent.parent.parent
-ApiReply = tuple[int, Any, dict[str, str]]  # status, body, headers (names in lower case)
+ApiReply = tuple[int, Any, dict[str, str]]  # status, body, and headers by name in lower case
 
 
 def config(folder: Path, name: str, seeds: list[str], **changes: Any) -> dict[str, Any]:
-    """Return an operator's file of a node with a replica of the table."""
-    made = {
+    """Return the operator's file of a node with a replica of the table, with some sections replaced."""
+    operator_file = {
         "node": {"name": name},
         "ajp": {"listen": "127.0.0.1:0"},
         "admin": {"listen": "127.0.0.1:0", "token": TOKEN},
@@ -57,13 +57,13 @@
         "classes": [{"name": "day-view", "deadline_ms": 5000}],
         "workers": [{"name": "w1"}, {"name": "w2"}],
     }
-    return made | changes
+    return operator_file | changes
 
 
-def call_api(place: Address, method: str, path: str, value: Any = None, **headers: str) -> ApiReply:
-    """Call an administration API."""
-    line = http.client.HTTPConnection(*place, timeout=15)
-    line.request(
+def call_api(address: Address, method: str, path: str, value: Any = None, **headers: str) -> ApiReply:
+    """Call an administration API; an underscore in a header's name stands for a hyphen."""
+    connection = http.client.HTTPConnection(*address, timeout=15)
+    connection.request(
         method,
         path,
         None if value is None else json.dumps(value),
@@ -72,27 +72,28 @@
             **{name.replace("_", "-"): text for name, text in headers.items()},
         },
     )
-    answer = line.getresponse()
-    body = answer.read()
-    line.close()
+    response = connection.getresponse()
+    body = response.read()
+    connection.close()
     return (
-        answer.status,
+        response.status,
         json.loads(body) if body else None,
-        {name.lower(): text for name, text in answer.getheaders()},
+        {name.lower(): text for name, text in response.getheaders()},
     )
 
 
-REJECTED = "(rejected)"  # no valid name
+REJECTED = "(rejected)"  # not a valid name of a tenant
 
 
 class Nodes:
-    """Nodes by name. Each joins through the first."""
+    """Nodes by name; the first one with a fleet is the seed of the others."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.all = folder, dict[str, Node]()
         (folder / "secret").write_text("a secret of sixteen or more")
 
     def start(self, *names: str, without: str = "", **changes: Any) -> None:
+        """Start nodes, without one section of their files; wait until they have joined and can write."""
         for name in names:
             seeds = [
                 "{}:{}".format(*node.parts.fleet.address) for node in self.all.values() if node.parts.fleet
@@ -108,7 +109,7 @@
                 if node.parts.fleet
             )
         )
-        assert soon(lambda: not any(self.refusal(at) for at in self.all if at in CONTROL))
+        assert soon(lambda: not any(self.write_refusal(at) for at in self.all if at in CONTROL))
 
     def stop(self, name: str) -> None:
         self.all.pop(name).close()
@@ -126,21 +127,22 @@
         return admin._context.table
 
     def replication(self, at: str) -> service.Replication:
-        found = self.all[at].parts.replication
-        assert found is not None
-        return found
+        replication = self.all[at].parts.replication
+        assert replication is not None
+        return replication
 
     def replica(self, at: str) -> Replica:
         return self.replication(at).replica
 
-    def refusal(self, at: str) -> str:
-        """Return why a control member makes no changes at present."""
-        own = self.replication(at).leadership
+    def write_refusal(self, at: str) -> str:
+        """Return why a control member makes no changes at present; an empty string if it makes them."""
+        leadership_of_node = self.replication(at).leadership
         return next(
             (
-                why
-                for stream in own.replica.control
-                if own.leads(stream) and (why := own.write_refusal(stream))
+                reason
+                for partition in leadership_of_node.replica.control
+                if leadership_of_node.leads(partition)
+                and (reason := leadership_of_node.write_refusal(partition))
             ),
             "",
         )
@@ -158,21 +160,21 @@
             del replica.pulls.next_pull
 
     def catches_up(self, first: str, second: str) -> bool:
-        """Wait until two nodes have the same positions; return whether they do in time."""
+        """Return whether two nodes have the same positions within the time limit of `soon`."""
         return soon(lambda: self.positions(first) == self.positions(second))
 
     def tenant_of(self, at: str, host: str) -> str:
         """Return the name of the tenant that a node serves a host for, an empty string, or `REJECTED`."""
-        front = self.all[at].parts.frontends["ajp"]
-        assert isinstance(front, AjpFrontend)
+        frontend = self.all[at].parts.frontends["ajp"]
+        assert isinstance(frontend, AjpFrontend)
         try:
-            with front._tenants.pinned_match("GET", host, "/") as found:
-                return found.tenant.name if found is not None and found.admitted else ""
+            with frontend._tenants.pinned_match("GET", host, "/") as match:
+                return match.tenant.name if match is not None and match.admitted else ""
         except TenantUnavailableError:
             return REJECTED
 
     def serves(self, at: str, name: str) -> bool:
-        """Return whether a node serves a tenant."""
+        """Return whether a node serves a tenant, which has a host of its own."""
         return self.tenant_of(at, f"{name}.example") == name
 
 
@@ -182,31 +184,34 @@
 
 @contextlib.contextmanager
 def running_nodes(folder: Path) -> Iterator[Nodes]:
-    """Return nodes that soon know whether they lead, and stop them at the end."""
-    made = Nodes(folder)
+    """Return nodes with short intervals, so that they soon lead; stop them at the end."""
+    nodes = Nodes(folder)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leadership, "ALONE_SETTLE_S", 0.1)
         patch.setattr(service, "MAINTENANCE_INTERVAL_S", 0.05)
-        yield made
-        for name in list(made.all):
-            made.stop(name)
+        yield nodes
+        for name in list(nodes.all):
+            nodes.stop(name)
 
 
 @pytest.fixture
 def nodes(tmp_path: Path) -> Iterator[Nodes]:
-    with running_nodes(tmp_path) as made:
-        yield made
+    with running_nodes(tmp_path) as running:
+        yield running
 
 
 @pytest.fixture(scope="module")
 def pair(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Nodes]:
-    """Two nodes with a tenant of either's that has a guarantee; nothing is to be changed there."""
-    with running_nodes(tmp_path_factory.mktemp("pair")) as made:
-        made.start("c1", "c2")
-        for name, part in ((C1[0], 0.1), (C2[1], 0.2)):
-            assert made.call("c2", "POST", "/v1/tenants", tenant(name, share={"guarantee": part}))[0] == 201
-        assert made.catches_up("c2", "c1")
-        yield made
+    """Return two nodes, each the leader of a tenant with a guarantee; tests must not change their tenants."""
+    with running_nodes(tmp_path_factory.mktemp("pair")) as running:
+        running.start("c1", "c2")
+        for name, fraction in ((C1[0], 0.1), (C2[1], 0.2)):
+            assert (
+                running.call("c2", "POST", "/v1/tenants", tenant(name, share={"guarantee": fraction}))[0]
+                == 201
+            )
+        assert running.catches_up("c2", "c1")
+        yield running
 
 
 # Changes
@@ -230,16 +235,16 @@
     assert nodes.call("c1", "DELETE", path)[0] == 404
     assert nodes.call("c2", "GET", path)[0] == 404
     assert soon(lambda: not nodes.serves("c2", C2[0]))
-    trail = nodes.call("c2", "GET", "/v1/audit")[1]["changes"]
-    assert [one["tenant"] for one in trail] == [C2[0]] * 6
-    assert {one["who"] for one in trail} == {"operator"}
-    assert trail[1]["before"]["max_open"] == 0
-    assert trail[1]["after"]["max_open"] == 7
-    assert trail[-1]["after"] is None
+    changes = nodes.call("c2", "GET", "/v1/audit")[1]["changes"]
+    assert [change["tenant"] for change in changes] == [C2[0]] * 6
+    assert {change["who"] for change in changes} == {"operator"}
+    assert changes[1]["before"]["max_open"] == 0
+    assert changes[1]["after"]["max_open"] == 7
+    assert changes[-1]["after"] is None
 
 
 @pytest.mark.parametrize(
-    ("value", "status", "named"),
+    ("value", "status", "field"),
     [
         (tenant(C2[0], backend="w9"), 400, "backend"),
         (tenant(C2[0], bogus=1), 400, "bogus"),
@@ -255,12 +260,12 @@
     ],
 )
 def test_invalid_tenant_is_rejected_with_its_field_and_gets_no_number(
-    pair: Nodes, value: Any, status: int, named: str
+    pair: Nodes, value: Any, status: int, field: str
 ) -> None:
     before = pair.positions("c1"), pair.positions("c2")
     for at in ("c1", "c2"):
-        answer = pair.call(at, "POST", "/v1/tenants", value)
-        assert (answer[0], answer[1].get("field")) == (status, named)
+        reply = pair.call(at, "POST", "/v1/tenants", value)
+        assert (reply[0], reply[1].get("field")) == (status, field)
     assert (pair.positions("c1"), pair.positions("c2")) == before
 
 
@@ -280,15 +285,15 @@
 
 def test_idempotency_key_creates_one_tenant_through_any_node(nodes: Nodes) -> None:
     nodes.start("c1", "c2")
-    for at, again in (("c1", None), ("c2", "true"), ("c1", "true")):
+    for at, replayed in (("c1", None), ("c2", "true"), ("c1", "true")):
         status, value, headers = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
         assert (status, value["name"], headers["etag"]) == (201, C2[0], '"9.1"')
-        assert headers.get("idempotent-replayed") == again
+        assert headers.get("idempotent-replayed") == replayed
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k2")[0] == 409
     for at in ("c1", "c2"):
-        answer = nodes.call(at, "POST", "/v1/tenants", tenant(C2[1]), Idempotency_Key="k1")
-        assert (answer[0], answer[1]["field"]) == (422, "Idempotency-Key")
-    assert nodes.catches_up("c2", "c1")  # of another stream: its holder knows once it has a copy
+        reply = nodes.call(at, "POST", "/v1/tenants", tenant(C2[1]), Idempotency_Key="k1")
+        assert (reply[0], reply[1]["field"]) == (422, "Idempotency-Key")
+    assert nodes.catches_up("c2", "c1")  # c1, the leader for C1[0], learns of the key by replication
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C1[0]), Idempotency_Key="k1")[0] == 422
     assert nodes.call("c1", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[0] == 200
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")[0] == 201
@@ -299,28 +304,28 @@
 @pytest.mark.parametrize("at", ["c1", "c2"])
 def test_change_is_answered_after_it_is_durable(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
-    replica, durable, asked = nodes.replica("c2"), threading.Event(), threading.Event()
+    replica, durable, apply_called = nodes.replica("c2"), threading.Event(), threading.Event()
     apply = replica.store.apply
 
-    def slow(*arguments: Any, **named: Any) -> list[str]:
-        assert named["durable"]
-        asked.set()
+    def slow_apply(*arguments: Any, **options: Any) -> list[str]:
+        assert options["durable"]
+        apply_called.set()
         durable.wait(10)
-        return apply(*arguments, **named)
+        return apply(*arguments, **options)
 
-    replica.store.apply = slow  # type: ignore[method-assign]
-    answers: list[ApiReply] = []
+    replica.store.apply = slow_apply  # type: ignore[method-assign]
+    replies: list[ApiReply] = []
     caller = threading.Thread(
-        target=lambda: answers.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
+        target=lambda: replies.append(nodes.call(at, "POST", "/v1/tenants", tenant(C2[0])))
     )
     caller.start()
-    assert asked.wait(10)
+    assert apply_called.wait(10)
     caller.join(0.3)
-    assert not answers
+    assert not replies
     assert nodes.call("c2", "GET", f"/v1/tenants/{C2[0]}")[0] == 404
     durable.set()
     caller.join(10)
-    assert answers[0][0] == 201
+    assert replies[0][0] == 201
 
 
 @pytest.mark.parametrize("at", ["c1", "c2"])
@@ -329,10 +334,10 @@
     replica = nodes.replica("c2")
     apply, before = replica.store.apply, nodes.positions("c2")
 
-    def full(*arguments: Any, **named: Any) -> list[str]:
+    def failing_apply(*arguments: Any, **options: Any) -> list[str]:
         raise ReplicaError("the disk is full")
 
-    replica.store.apply = full  # type: ignore[method-assign]
+    replica.store.apply = failing_apply  # type: ignore[method-assign]
     status, value, _ = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))
     assert status == 507
     assert "the disk is full" in value["error"]
@@ -344,18 +349,18 @@
 @pytest.mark.parametrize("at", ["c1", "c2"])
 def test_member_with_an_unreadable_replica_answers_503_and_changes_nothing(nodes: Nodes, at: str) -> None:
     nodes.start("c1", "c2")
-    copy, before = nodes.replication("c2").store, nodes.positions("c2")
+    store, before = nodes.replication("c2").store, nodes.positions("c2")
 
-    def broken(name: str) -> None:
+    def failing_get(name: str) -> None:
         raise ReplicaError("no connection is free")
 
-    copy.get = broken  # type: ignore[method-assign]
+    store.get = failing_get  # type: ignore[method-assign]
     status, value, headers = nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))
     assert (status, nodes.positions("c2")) == (503, before)
     assert "nothing was changed" in value["error"]
     assert "retry-after" in headers
     assert nodes.call("c2", "GET", f"/v1/tenants/{C2[0]}")[0] == 503
-    del copy.get
+    del store.get
     assert nodes.call(at, "POST", "/v1/tenants", tenant(C2[0]))[0] == 201
 
 
@@ -389,7 +394,7 @@
     assert nodes.call("n1", "DELETE", f"/v1/tenants/{C1[0]}")[0] == 204
     assert soon(lambda: not any(nodes.serves(at, name) for at in nodes.all for name in (C1[0], C2[0])))
     listed = [nodes.call(at, "GET", "/v1/tenants")[1] for at in nodes.all]
-    assert [one["name"] for one in listed[0]["tenants"]] == sorted([C2[0], C2[1]])
+    assert [row["name"] for row in listed[0]["tenants"]] == sorted([C2[0], C2[1]])
     assert listed[0] == listed[1] == listed[2]
     first = nodes.call("n1", "GET", "/v1/tenants?limit=1")[1]
     rest = nodes.call("n1", "GET", f"/v1/tenants?limit=1&after={first['next']}")[1]
@@ -399,7 +404,7 @@
     assert (usage["name"], usage["state"], usage["in_hand"]) == (C2[0], "suspended", 0)
     assert nodes.call("n1", "GET", f"/v1/tenants/{C1[0]}/usage")[0] == 404
     changes = nodes.call("n1", "GET", "/v1/audit?limit=1000")[1]["changes"]
-    assert sorted(one["change"] for one in changes) == ["put", "put", "put", "remove", "state"]
+    assert sorted(change["change"] for change in changes) == ["put", "put", "put", "remove", "state"]
 
 
 @pytest.mark.parametrize("winner_first", [True, False])
@@ -413,8 +418,8 @@
         assert status == 201
         assert nodes.catches_up("c1", "c2")
         assert nodes.catches_up("c1", "n1")
-    word, other = ("shadowed", won) if winner_first else ("shadows", lost)
-    assert value[word] == [{"host": "same.example", "tenant": other}]
+    key, other = ("shadowed", won) if winner_first else ("shadows", lost)
+    assert value[key] == [{"host": "same.example", "tenant": other}]
     for at in nodes.all:
         assert soon(lambda: nodes.tenant_of(at, "same.example") == won)  # noqa: B023
         assert nodes.call(at, "GET", f"/v1/tenants/{lost}")[1]["shadowed"] == [
@@ -450,11 +455,11 @@
     for name in (C1[0], C2[0], C2[1]):
         value = tenant(name, share={"guarantee": 0.1})
         assert nodes.call("n1", "POST", "/v1/tenants?copies=2", value)[0] == 201
-    answer = nodes.call("n1", "GET", "/v1/fleet/changes")[1]
-    assert (answer["own"], answer["control"], answer["tenants"]) == ("n1", CONTROL, 3)
-    assert answer["guaranteed"] == pytest.approx(0.3)
-    assert answer["orphans"] == []
-    assert [(one["stream"], one["holder"], one["position"]) for one in answer["streams"]] == [
+    report = nodes.call("n1", "GET", "/v1/fleet/changes")[1]
+    assert (report["own"], report["control"], report["tenants"]) == ("n1", CONTROL, 3)
+    assert report["guaranteed"] == pytest.approx(0.3)
+    assert report["orphans"] == []
+    assert [(one["stream"], one["holder"], one["position"]) for one in report["streams"]] == [
         ("c1", "c1", "8.1"),
         ("c2", "c2", "9.2"),
     ]
@@ -475,7 +480,7 @@
     slowest = nodes.call("c2", "GET", "/v1/fleet/changes")[1]["streams"][0]["counted"]["slowest"]
     assert [(one["name"], one["position"]) for one in slowest] == [("n1", "8.1")]
     nodes.stop("c2")
-    assert counted()[1] is None  # nobody counts
+    assert counted()[1] is None  # the leader, which counts the copies, is stopped
 
 
 def test_unreadable_row_is_stored_reported_and_served_by_other_nodes(nodes: Nodes) -> None:
@@ -484,12 +489,12 @@
     assert nodes.call("n1", "POST", "/v1/tenants", tenant(C2[0], backend="w2"))[0] == 201
     assert soon(lambda: nodes.serves("c1", C2[0]))
     assert nodes.catches_up("n1", "c2")
-    answer = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}")[1]
-    assert "backend" in answer["unreadable"]
+    shown = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}")[1]
+    assert "backend" in shown["unreadable"]
     assert nodes.tenant_of("n1", f"{C2[0]}.example") == REJECTED
-    answer = nodes.call("n1", "GET", "/v1/fleet/changes")[1]["unreadable"]
-    assert answer["count"] == 1
-    assert answer["tenants"][0]["name"] == C2[0]
+    unreadable = nodes.call("n1", "GET", "/v1/fleet/changes")[1]["unreadable"]
+    assert unreadable["count"] == 1
+    assert unreadable["tenants"][0]["name"] == C2[0]
     assert nodes.call("c1", "GET", "/v1/fleet/changes")[1]["unreadable"]["count"] == 0
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{C2[0]}", {"backend": "w1"})[0] == 200
     assert soon(lambda: nodes.serves("n1", C2[0]))
@@ -504,21 +509,21 @@
         assert nodes.call("c2", "POST", "/v1/tenants?copies=2", tenant(name))[0] == 201
     for at in ("c1", "n1"):
         nodes.stop_pulls(at)
-    assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # that nobody else has
+    assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # no other member has it
     path = "/v1/fleet/take-over/c2"
-    assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # it asks the holder
-    assert soon(lambda: nodes.table("c1").position_ahead("c2"))  # and has heard by now
+    assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # c1 asks the leader
+    assert soon(lambda: nodes.table("c1").position_ahead("c2"))  # announced by the leader
     nodes.stop("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[3]))[0] == 503
-    for at, where, status, named in (
+    for at, target, status, text in (
         ("n1", path, 409, "c1, c2"),
         ("c1", "/v1/fleet/take-over/x", 404, "c1, c2"),
         ("c1", "/v1/fleet/take-over/c1", 409, "already"),
         ("c1", path, 503, "9.3"),
     ):
-        found = nodes.call(at, "POST", where)
-        assert found[0] == status
-        assert named in found[1]["error"]
+        reply = nodes.call(at, "POST", target)
+        assert reply[0] == status
+        assert text in reply[1]["error"]
     status, value, _ = nodes.call("c1", "POST", path + "?dry_run=true")
     assert (status, value["has"], value["heard_of"], value["lost"]) == (200, "9.2", "9.3", 1)
     status, value, _ = nodes.call("c1", "POST", path + "?force=true")
@@ -532,11 +537,11 @@
     assert nodes.catches_up("c2", "c1")
     assert not nodes.serves("c2", C2[2])
     assert soon(lambda: nodes.serves("c2", C2[3]))
-    answer = nodes.call("c2", "GET", "/v1/fleet/changes")[1]
-    assert [(one["tenant"], one["version"]) for one in answer["orphans"]] == [(C2[2], "9.3")]
+    report = nodes.call("c2", "GET", "/v1/fleet/changes")[1]
+    assert [(orphan["tenant"], orphan["version"]) for orphan in report["orphans"]] == [(C2[2], "9.3")]
     assert nodes.call("c2", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[2]["etag"] == '"16.4"'
     assert nodes.catches_up("c2", "c1")
-    nodes.stop_pulls("c2")  # back to where it was, and not without what its holder has just made
+    nodes.stop_pulls("c2")  # it must not lead again without the leader's latest change
     nodes.call("c1", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 8})
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["heard_of"], value["lost"]) == (503, "16.5", 1)
@@ -547,7 +552,7 @@
     assert soon(lambda: nodes.table("c1").leader("c2") == "c2")
 
 
-# Nodes of another kind
+# Other configurations
 
 
 def test_control_member_works_without_an_administration_api(nodes: Nodes) -> None:
@@ -575,13 +580,13 @@
 def test_unknown_host_is_unavailable_while_the_replica_is_bootstrapped(nodes: Nodes) -> None:
     nodes.start("c1")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C1[0]))[0] == 201
-    front = nodes.all["c1"].parts.frontends["ajp"]
-    assert isinstance(front, AjpFrontend)
+    frontend = nodes.all["c1"].parts.frontends["ajp"]
+    assert isinstance(frontend, AjpFrontend)
     assert nodes.tenant_of("c1", "nobody.example") == ""
-    assert isinstance(front._tenants, CachedTenantRegistry)
-    front._tenants.is_bootstrapping = lambda: True
+    assert isinstance(frontend._tenants, CachedTenantRegistry)
+    frontend._tenants.is_bootstrapping = lambda: True
     assert nodes.serves("c1", C1[0])
-    with pytest.raises(TenantUnavailableError), front._tenants.pinned_match("GET", "nobody.example", "/"):
+    with pytest.raises(TenantUnavailableError), frontend._tenants.pinned_match("GET", "nobody.example", "/"):
         pass
 
 
@@ -608,7 +613,7 @@
         )
 
 
-# Members that are away
+# Members that can't be reached
 
 
 def test_changes_are_rejected_while_their_leader_is_away_and_reads_answered(nodes: Nodes) -> None:
@@ -633,19 +638,19 @@
     nodes: Nodes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     nodes.start("c1", "c2")
-    holder = nodes.all["c2"].parts.fleet
-    assert holder is not None
-    forwarded = holder.handlers[ChangeRequest]
+    fleet_of_leader = nodes.all["c2"].parts.fleet
+    assert fleet_of_leader is not None
+    handle = fleet_of_leader.handlers[ChangeRequest]
 
-    def lost(request: ChangeRequest) -> None:
-        forwarded(request)
+    def handle_without_reply(request: ChangeRequest) -> None:
+        handle(request)
 
-    holder.handlers[ChangeRequest] = lost
+    fleet_of_leader.handlers[ChangeRequest] = handle_without_reply
     status, value, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
     assert status == 504
     assert "may have been made" in value["error"]
     assert "retry-after" not in headers
-    holder.handlers[ChangeRequest] = forwarded
+    fleet_of_leader.handlers[ChangeRequest] = handle
     status, _, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]), Idempotency_Key="k1")
     assert (status, headers["idempotent-replayed"]) == (201, "true")
 
@@ -662,40 +667,40 @@
     assert fleet.request_once(address, request, ChangeReply).status == 400
 
 
-# Whole processes
+# Separate processes
 
 
 @contextlib.contextmanager
 def process(folder: Path, operator_file: dict[str, Any]) -> Iterator["subprocess.Popen[bytes]"]:
-    """Run the program with an operator's file only."""
+    """Run the program with an operator's file and no file of the platform."""
     path = folder / "operator.toml"
     path.write_text(tomli_w.dumps(operator_file))
     with (folder / "log").open("wb") as out:
-        made = subprocess.Popen(
+        running = subprocess.Popen(
             [sys.executable, "-O", "-m", "reelusher"],
             cwd=ROOT,
             stderr=out,
             env={**os.environ, "REELUSHER_OPERATOR": str(path), "PYTHONPATH": str(ROOT)},
         )
     try:
-        yield made
+        yield running
     finally:
-        made.kill()
-        made.wait()
+        running.kill()
+        running.wait()
 
 
 def free_addresses(count: int) -> list[tuple[str, int]]:
-    with contextlib.ExitStack() as held:
+    with contextlib.ExitStack() as sockets:
         return [
-            held.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(count)
+            sockets.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname() for _ in range(count)
         ]
 
 
 def test_node_starts_and_serves_from_its_replica_while_all_others_are_away(
     tmp_path: Path,
 ) -> None:
-    copy = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
-    replica = Replica("x", CONTROL, copy, Random(1))
+    store = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
+    replica = Replica("x", CONTROL, store, Random(1))
     for number, name in enumerate((C1[0], C2[0]), 1):
         data = json.dumps(tenant(name)).encode()
         replica.accept(
@@ -703,25 +708,25 @@
             partition_of(name, CONTROL),
             LogEntry(0, name, number, "x", "active", data),
         )
-    copy.close()
-    ajp, admin, away = ("{}:{}".format(*place) for place in free_addresses(3))
+    store.close()
+    ajp, admin, unused = ("{}:{}".format(*address) for address in free_addresses(3))
     (tmp_path / "secret").write_text("a secret of sixteen or more")
     world: dict[str, Any] = {"names": {}}
     worker = parties.Container(world)
     operator_file = config(
         tmp_path,
         "n1",
-        [away],
+        [unused],
         ajp={"listen": ajp},
         admin={"listen": admin, "token": TOKEN},
         workers=[{"name": "w1", "port": worker.address[1]}],
     )
-    with process(tmp_path, operator_file) as made:
+    with process(tmp_path, operator_file) as node:
         world["places"] = {"ajp": address_of(ajp, "ajp")}
         web = parties.Web(world)
 
         def connects() -> bool:
-            assert made.poll() is None, (tmp_path / "log").read_text()
+            assert node.poll() is None, (tmp_path / "log").read_text()
             with contextlib.suppress(ConnectionRefusedError):
                 web.dial("ajp", ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES), web.note)
                 return True
@@ -739,13 +744,13 @@
         assert status == 503
         assert "c1" in value["error"]
         assert "retry-after" in headers
-        made.terminate()
-        assert made.wait(20) == 0
+        node.terminate()
+        assert node.wait(20) == 0
     worker.close(["listener"])
-    kept = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
-    assert kept.count() == 2
-    assert not kept.quarantined_files
-    kept.close()
+    reopened = SqliteReplica(tmp_path / "n1.db", "reelusher", CONTROL)
+    assert reopened.count() == 2
+    assert not reopened.quarantined_files
+    reopened.close()
 
 
 def test_acknowledged_changes_survive_a_killed_leader(tmp_path: Path) -> None:
@@ -760,9 +765,9 @@
     del operator_file["fleet"]
     tags: dict[str, str] = {}
     for round_ in range(2):
-        with process(tmp_path, operator_file) as made, contextlib.ExitStack() as stack:
-            assert soon(lambda: reachable(admin)), (tmp_path / "log").read_text()
-            killer = threading.Timer(0.3 + 0.2 * round_, made.kill)
+        with process(tmp_path, operator_file) as node, contextlib.ExitStack() as stack:
+            assert soon(lambda: is_reachable(admin)), (tmp_path / "log").read_text()
+            killer = threading.Timer(0.3 + 0.2 * round_, node.kill)
             killer.start()
             stack.callback(killer.join)
             with contextlib.suppress(OSError, http.client.HTTPException):
@@ -771,43 +776,43 @@
                     status, _, headers = call_api(admin, "POST", "/v1/tenants", tenant(name))
                     assert status == 201
                     tags[name] = headers["etag"]
-        copy = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
-        rows = {row.name: f'"{row.term}.{row.index}"' for row in copy.page("", 10_000)}
-        copy.close()
+        store = SqliteReplica(tmp_path / "c1.db", "", ["c1"])
+        rows = {row.name: f'"{row.term}.{row.index}"' for row in store.page("", 10_000)}
+        store.close()
         assert tags.items() <= rows.items()
         assert len(rows) - len(tags) <= round_ + 1
         assert len(set(rows.values())) == len(rows)
-        assert not copy.quarantined_files
+        assert not store.quarantined_files
     assert len(tags) > 10
 
 
-def reachable(place: Address) -> bool:
-    with contextlib.suppress(OSError), socket.create_connection(place, 1.0):
+def is_reachable(address: Address) -> bool:
+    with contextlib.suppress(OSError), socket.create_connection(address, 1.0):
         return True
     return False
 
 
 def test_replica_uses_no_more_descriptors_than_are_budgeted(tmp_path: Path) -> None:
-    def held() -> int:
+    def open_descriptors() -> int:
         return sum(str(tmp_path) in os.path.realpath(path) for path in Path("/proc/self/fd").iterdir())
 
-    copy = SqliteReplica(tmp_path / "x.db", "f", CONTROL)
-    replica = Replica("x", CONTROL, copy, Random(1))
+    store = SqliteReplica(tmp_path / "x.db", "f", CONTROL)
+    replica = Replica("x", CONTROL, store, Random(1))
     for number, name in enumerate(C1):
         replica.accept(
             "c1", "c1", LogEntry(0, name, number, "x", "active", json.dumps(tenant(name)).encode())
         )
-    threads = [threading.Thread(target=lambda: [copy.page("", 100) for _ in range(50)]) for _ in range(4)]
+    threads = [threading.Thread(target=lambda: [store.page("", 100) for _ in range(50)]) for _ in range(4)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert 4 <= held() <= REPLICA_DESCRIPTORS
-    copy.close()
-    assert held() == 0
+    assert 4 <= open_descriptors() <= REPLICA_DESCRIPTORS
+    store.close()
+    assert open_descriptors() == 0
 
 
-LOADS = """
+PRINT_LOADED_MODULES = """
 import json, sys
 from reelusher.config.load import load
 from reelusher.node import Node
@@ -819,13 +824,13 @@
 
 @pytest.mark.parametrize("where", ["on the platform", "without [replication]", "with [replication]"])
 def test_modules_of_the_replicated_table_are_loaded_only_where_configured(tmp_path: Path, where: str) -> None:
-    own, platform_file = tmp_path / "operator.toml", tmp_path / "config.json"
+    operator_path, platform_path = tmp_path / "operator.toml", tmp_path / "config.json"
     (tmp_path / "secret").write_text("a secret of sixteen or more")
     value = config(tmp_path, "c1", [])
     if where == "without [replication]":
         del value["replication"]
-    own.write_text(tomli_w.dumps(value))
-    platform_file.write_text(
+    operator_path.write_text(tomli_w.dumps(value))
+    platform_path.write_text(
         json.dumps(
             {
                 "name": "n1",
@@ -836,21 +841,21 @@
             }
         )
     )
-    names = (
-        {"PROXY_CONFIG": str(platform_file)}
+    environment = (
+        {"PROXY_CONFIG": str(platform_path)}
         if where == "on the platform"
-        else {"REELUSHER_OPERATOR": str(own)}
+        else {"REELUSHER_OPERATOR": str(operator_path)}
     )
-    done = subprocess.run(
-        [sys.executable, "-c", LOADS],
+    finished = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
-        env={**os.environ, **names, "PYTHONPATH": str(ROOT)},
+        env={**os.environ, **environment, "PYTHONPATH": str(ROOT)},
         check=True,
     )
-    loaded = set(json.loads(done.stdout))
+    loaded = set(json.loads(finished.stdout))
     replicated = {
         "sqlite3",
         "reelusher.fleet.replication",
@@ -859,7 +864,7 @@
     }
     assert loaded & replicated == (replicated if where == "with [replication]" else set())
     if where == "on the platform":
-        rest = (
+        prefixes = (
             "reelusher.admin",
             "reelusher.fleet",
             "reelusher.frontends.ajp.frontend",
@@ -867,4 +872,4 @@
             "msgspec",
             "reelusher.upgrade",
         )
-        assert [name for name in loaded if name.startswith(rest)] == []
+        assert [name for name in loaded if name.startswith(prefixes)] == []
