--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -80,7 +80,8 @@
     def forward(self, route: Route, call: ApiCall, leader: str, tenant: str) -> Reply:
         """Forward a change of a tenant to the leader of its partition; return the reply.
 
-        Raises `ApiError` if the leader can't be called (503) or has not replied in time (504).
+        Raises `ApiError` if the call is too long to be forwarded (413), if the leader can't be called now
+        (503), or if it has not replied in time (504).
         """
         address = self.sole_address(leader)
         if not address or self._fleet is None:
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -136,7 +136,7 @@
         """
         self.request_drain()
         parts, times = self.parts, self._drain_times()
-        logger.info("drain: to be stopped in {:.0f} ms", times.total_s * 1000)
+        logger.info("drain: started, the process ends within {:.0f} ms", times.total_s * 1000)
         if parts.service_registry:
             parts.service_registry.stop()
         if parts.fleet:
