--- a/reelusher/lab/capacity/__main__.py
+++ b/reelusher/lab/capacity/__main__.py
@@ -55,7 +55,7 @@
         return 0
     if given.name == ["list"]:
         for scale in SCALES.values():
-            print(f"{scale.name:18} {scale.what} ({', '.join(map(str, scale.sizes))} {scale.of})")
+            print(f"{scale.name:18} {scale.title} ({', '.join(map(str, scale.sizes))} {scale.size_unit})")
         return 0
     unknown = [name for name in given.name if name not in SCALES]
     if unknown:
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -8,7 +8,7 @@
 from reelusher.assembly.descriptors import max_caller_connections
 from reelusher.codecs import ajp13
 from reelusher.lab.capacity import site
-from reelusher.lab.capacity.harness import Figures, Scale, there
+from reelusher.lab.capacity.harness import Figures, Scale, require
 from reelusher.net.sockets import connect
 from reelusher.node import Node
 
@@ -26,7 +26,7 @@
                 sock = connect(made.ajp, 10.0)
                 sock.settimeout(10.0)
                 sock.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
-                there(sock.recv(16), "no CPong")
+                require(sock.recv(16), "no CPong")
                 socks.append(sock)
             time.sleep(1.0)
             after, took = site.status_of(pid), site.processor_s(pid)
@@ -54,7 +54,7 @@
     Scale(
         "callers-idle",
         "idle connections of web servers at a hosted node",
-        of="connections",
+        size_unit="connections",
         sizes=(100, 200, 400, 800),
         quick=(20,),
         measure=idle,
@@ -64,7 +64,7 @@
         units={"descriptors_each": "", "threads_each": "", "bytes_each": "bytes", "core": ""},
         notes=("core: part of one core that the connections take while nothing is asked",),
     ),
-    partial(Scale, of="workers", target=41_000)(
+    partial(Scale, size_unit="workers", target=41_000)(
         "callers-left",
         "connections that callers are left of 65,536 descriptors",
         sizes=(500, 1000, 2000, 4000),
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -17,7 +17,7 @@
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 
 FLEET, CONTROL = "reelusher", ("control-1", "control-2")
 PIECE = 200  # entries that are taken at once
@@ -84,13 +84,13 @@
     before, began = _resident(), time.monotonic()
     copy = SqliteReplica(path, FLEET, CONTROL)
     open_ms = (time.monotonic() - began) * 1000
-    there(copy.count() == size, "rows are lost")
+    require(copy.count() == size, "rows are lost")
     random, control = Random(1), sorted_control(CONTROL)
     numbers = [random.randrange(size) for _ in range(LOOKS)]
 
     def look() -> None:
         for number in numbers:
-            there(copy.match(f"tenant-{number}.example", "/visits/1"))
+            require(copy.match(f"tenant-{number}.example", "/visits/1"))
 
     def change() -> None:
         told = site.tenant(random.randrange(size)) | {"max_open": random.randrange(1, 1000)}
@@ -114,7 +114,7 @@
             PartitionState(state.term, number, covered=number, goal=number),
         )
 
-    match_us = each_us(look) / LOOKS
+    match_us = cpu_us_per_call(look) / LOOKS
     began = time.monotonic()
     for _ in range(LOOKS):
         change()
@@ -153,7 +153,7 @@
 
 
 SCALES = [
-    partial(Scale, of="tenants", target=expected("tenants"))(
+    partial(Scale, size_unit="tenants", target=expected("tenants"))(
         "tenants-copy",
         "the local copy of the table on disk, two writers' streams",
         sizes=(1000, 10_000, 60_000, 260_000),
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -22,14 +22,14 @@
 
 from reelusher.fleet.replication.messages import LogEntry
 from reelusher.fleet.replication.sqlite_replica import SqliteReplica
-from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
+from reelusher.lab.capacity.nodes import CLASS, NodeAddresses, NodeProcesses
 from reelusher.lab.capacity.wires import (
     Callers,
     NamedWorker,
     NoAnswerError,
     NodeUnreachableError,
-    answers,
-    call,
+    call_admin_api,
+    wait_until_ready,
 )
 from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
 
@@ -97,10 +97,10 @@
             ports.add(free_port(list(hosts.values())))
         ajp, admin, fleet = ports
         self.places = {
-            name: Places((host, ajp), (host, admin), (host, fleet), (host, fleet), "a")
+            name: NodeAddresses((host, ajp), (host, admin), (host, fleet), (host, fleet), "a")
             for name, host in hosts.items()
         }
-        with Nodes(self.folder, {WORKER: server.sockets[0].getsockname()}) as self.nodes:
+        with NodeProcesses(self.folder, {WORKER: server.sockets[0].getsockname()}) as self.nodes:
             for name, places in self.places.items():
                 self.nodes.configure(name, places, [one.fleet for one in self.places.values()], [WRITER])
             try:
@@ -114,7 +114,7 @@
         await asyncio.gather(self._start(WRITER), self._start(FRESH))
         ends_s = self.loop.time() + START_S
         while True:  # a writer that has heard nobody yet refuses
-            told = await call(self.places[WRITER].admin, "POST", "/v1/tenants", tenant(SERVED, 0))
+            told = await call_admin_api(self.places[WRITER].admin, "POST", "/v1/tenants", tenant(SERVED, 0))
             if told is not None and told.status == 201:
                 break
             if told is None or told.status != 503 or self.loop.time() > ends_s:
@@ -124,7 +124,7 @@
         self.nodes.send(WRITER, signal.SIGTERM)
         while self.nodes.alive(WRITER):
             await asyncio.sleep(0.02)
-        await asyncio.to_thread(write, self.nodes.copy(WRITER), self.rows)
+        await asyncio.to_thread(write, self.nodes.replica_path(WRITER), self.rows)
         self.figures["resident_before_mb"] = self._resident_mb(FRESH)
         load = asyncio.ensure_future(self._load())
         self.tasks.add(load)
@@ -157,7 +157,7 @@
     async def _start(self, name: str) -> None:
         self.nodes.start(name)
         places = self.places[name]
-        if not await answers(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
+        if not await wait_until_ready(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
             raise RuntimeError(f"{name} did not come up: {self.nodes.log_file(name).read_text()[-2000:]}")
 
     async def _has(self, name: str, most_s: float) -> None:
@@ -165,7 +165,7 @@
         ends_s = self.loop.time() + most_s
         while self.loop.time() < ends_s:
             with contextlib.suppress(NodeUnreachableError):
-                told = await call(self.places[FRESH].admin, "GET", f"/v1/tenants/{name}")
+                told = await call_admin_api(self.places[FRESH].admin, "GET", f"/v1/tenants/{name}")
                 if told is not None and told.status == 200:
                     return
             await asyncio.sleep(0.1)
--- a/reelusher/lab/capacity/fleet.py
+++ b/reelusher/lab/capacity/fleet.py
@@ -16,23 +16,23 @@
 from typing import Any
 
 from reelusher.lab.capacity.hollow_fleet import (
-    DAY_RATE,
+    CHANGES_PER_S,
     LOSS,
     REGIONS,
-    RESTART_S,
+    RESTART_INTERVAL_S,
     ZONES,
     Change,
     Fleet,
     Meter,
     Reading,
     Spread,
+    count_inconsistent_nodes,
     figures_of,
-    held_by_control,
-    lost,
+    leader_rows,
     region_of,
     spread_figures,
 )
-from reelusher.lab.capacity.parts import Parts
+from reelusher.lab.capacity.parts import ShardedFleet
 
 FOLDER = Path(__file__).parents[3] / "docs" / "capacity" / "fleet"
 RACK = 40  # nodes
@@ -54,10 +54,10 @@
 
 def begin_changes(fleet: Fleet, seconds: float, rate: float, most: int, restart_s: float) -> None:
     """Let changes and restarts begin."""
-    until_s = fleet.line.now + seconds
+    until_s = fleet.clock.now + seconds
     if restart_s:
-        fleet.restarts(until_s, restart_s)
-    fleet.make_changes(until_s, rate, most)
+        fleet.schedule_restarts(until_s, restart_s)
+    fleet.schedule_changes(until_s, rate, most)
 
 
 def unsteady(fleet: Fleet, group: set[int]) -> None:
@@ -67,19 +67,19 @@
 
 def cut_off(fleet: Fleet, group: set[int]) -> None:
     """Cut some nodes off from all others; none: end a cut."""
-    fleet.apart(group)
+    fleet.isolate(group)
 
 
 def kill(fleet: Fleet, group: Sequence[int]) -> None:
     """End some nodes without a word."""
     for index in group:
-        if fleet.nodes[index] in fleet.mine:
+        if fleet.nodes[index] in fleet.local_nodes:
             fleet.kill(fleet.nodes[index])
 
 
 def holding(fleet: Fleet, index: int) -> int:
     """Count the nodes that don't count one as live."""
-    return fleet.holding_dead(fleet.nodes[index])
+    return fleet.count_considering_dead(fleet.nodes[index])
 
 
 def spread(fleet: Fleet) -> Spread:
@@ -89,7 +89,7 @@
 
 def counted(fleet: Fleet) -> tuple[dict[str, int], float]:
     """Return what was refused, and false deaths."""
-    return fleet.refused, fleet.false_deaths
+    return fleet.reply_faults, fleet.false_deaths
 
 
 # What is asked of all of them
@@ -103,37 +103,37 @@
     }
 
 
-def level(parts: Parts) -> bool:
+def level(parts: ShardedFleet) -> bool:
     """Tell whether all live nodes are at one position in every stream."""
     return len(set().union(*parts.each(Fleet.positions))) == 1
 
 
-def agreed(parts: Parts) -> bool:
+def agreed(parts: ShardedFleet) -> bool:
     """Tell whether each live node counts just the live ones."""
-    return all(parts.each(Fleet.agreed))
+    return all(parts.each(Fleet.memberships_agree))
 
 
-def known(parts: Parts, victim: int, need: float) -> bool:
+def known(parts: ShardedFleet, victim: int, need: float) -> bool:
     """Tell whether enough nodes hold one for dead."""
     return sum(parts.each(holding, victim)) >= need
 
 
-def measured(parts: Parts) -> dict[str, float]:
+def measured(parts: ShardedFleet) -> dict[str, float]:
     """Return the figures since the last `begin_meter`."""
     return figures_of(parts.each(read_meter))
 
 
-def missing(parts: Parts, spreads: Sequence[Spread]) -> dict[str, int]:
+def missing(parts: ShardedFleet, spreads: Sequence[Spread]) -> dict[str, int]:
     """Return how many live nodes lack a change or have another row than its holder at the end."""
     newest: dict[str, Any] = {}
-    for rows in parts.each(held_by_control):
+    for rows in parts.each(leader_rows):
         newest |= rows
     changes: list[Change] = [change for one in spreads for change in one.changes]
-    found = parts.each(lost, newest, changes)
+    found = parts.each(count_inconsistent_nodes, newest, changes)
     return {name: sum(one[name] for one in found) for name in found[0]}
 
 
-def refused(parts: Parts) -> dict[str, int]:
+def refused(parts: ShardedFleet) -> dict[str, int]:
     """Return the words by which pieces were refused, and how often."""
     made: dict[str, int] = {}
     for words, _ in parts.each(counted):
@@ -145,7 +145,7 @@
 # Plays
 
 
-def play_changes(given: argparse.Namespace, parts: Parts) -> dict[str, Any]:
+def play_changes(given: argparse.Namespace, parts: ShardedFleet) -> dict[str, Any]:
     """Changes at a rate, restarts, and a rack that is away for a part of the time."""
     parts.run(SETTLED_S)
     rack = set(range(given.size - given.rack, given.size))
@@ -169,7 +169,7 @@
     )
 
 
-def play_region(given: argparse.Namespace, parts: Parts) -> dict[str, Any]:
+def play_region(given: argparse.Namespace, parts: ShardedFleet) -> dict[str, Any]:
     """A region apart, with changes on both sides, and its return."""
     parts.run(SETTLED_S)
     group = {index for index in range(given.size) if region_of(index % ZONES) == 2}
@@ -201,7 +201,7 @@
     )
 
 
-def play_death(given: argparse.Namespace, parts: Parts) -> dict[str, Any]:
+def play_death(given: argparse.Namespace, parts: ShardedFleet) -> dict[str, Any]:
     """Membership alone: deaths one by one, a rack at once, a zone at once."""
     took: list[float] = []
     parts.run(SETTLED_S)
@@ -230,7 +230,7 @@
     return made | {"false_deaths": sum(number for _, number in parts.each(counted))}
 
 
-PLAYS: dict[str, Callable[[argparse.Namespace, Parts], dict[str, Any]]] = {
+PLAYS: dict[str, Callable[[argparse.Namespace, ShardedFleet], dict[str, Any]]] = {
     "changes": play_changes,
     "region": play_region,
     "death": play_death,
@@ -245,16 +245,18 @@
     parser.add_argument("--size", type=int, default=3600)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0, help="of virtual time")
-    parser.add_argument("--rate", type=float, default=DAY_RATE, help="changes a second")
+    parser.add_argument("--rate", type=float, default=CHANGES_PER_S, help="changes a second")
     parser.add_argument("--changes", type=int, default=1_000_000, help="at most")
-    parser.add_argument("--restart", type=float, default=RESTART_S, help="seconds between restarts; 0: none")
+    parser.add_argument(
+        "--restart", type=float, default=RESTART_INTERVAL_S, help="seconds between restarts; 0: none"
+    )
     parser.add_argument("--rack", type=int, default=0, help="nodes that are cut off at 0.3 of the time")
     parser.add_argument("--away", type=float, default=20.0, help="seconds for which they are")
     parser.add_argument("--settle", type=float, default=60.0, help="seconds at most until all is level")
     parser.add_argument("--deaths", type=int, default=5)
     parser.add_argument("--parts", type=int, default=1, choices=range(1, REGIONS + 1), help="processes")
     given = parser.parse_args(argv)
-    with Parts(given.size, given.seed, given.play != "death", given.parts) as parts:
+    with ShardedFleet(given.size, given.seed, given.play != "death", given.parts) as parts:
         figures = PLAYS[given.play](given, parts)
     words = sys.argv[1:] if argv is None else argv
     made = {
--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -21,8 +21,8 @@
     """One scale test: what it measures at one size, and at which sizes it is played."""
 
     name: str
-    what: str
-    of: str  # what the sizes count
+    title: str
+    size_unit: str  # what the sizes count
     sizes: tuple[int, ...]
     quick: tuple[int, ...]  # sizes of a play that only shows that it works
     units: dict[str, str]  # of each figure that `measure` returns
@@ -79,8 +79,8 @@
     command = f"python -O -m reelusher.lab.capacity {scale.name}{others}"
     return {
         "name": scale.name,
-        "what": scale.what,
-        "of": scale.of,
+        "what": scale.title,
+        "of": scale.size_unit,
         "command": command,
         "machine": machine(),
         "sizes": list(sizes),
@@ -119,14 +119,14 @@
     return {made["name"]: made for made in found}
 
 
-def there(value: T | None, what: str = "what is measured is not there") -> T:
+def require(value: T | None, what: str = "what is measured is not there") -> T:
     """Return what must be there; raise RuntimeError where it is not, also where assertions are off."""
     if not value:
         raise RuntimeError(what)
     return value
 
 
-def each_us(work: Callable[[], object], least_s: float = 0.03) -> float:
+def cpu_us_per_call(work: Callable[[], object], least_s: float = 0.03) -> float:
     """Return the microseconds of processor time that something takes, done again until it counts."""
     count, took = 1, 0.0
     while True:
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -50,7 +50,7 @@
 ZONES, REGIONS = 17, 7
 CONTROL = tuple(f"control-{number}" for number in range(1, 7))
 IN_ZONE_S, IN_REGION_S = 0.0005, 0.002  # one way
-BETWEEN_S = 0.01, 0.1  # one way between the two closest regions, and the two furthest
+REGION_DELAY_RANGE_S = 0.01, 0.1  # one way between the two closest regions, and the two furthest
 JITTER = 0.2  # part of a way by which it may take longer
 LOSS = 0.02  # of datagrams, and of legs of an exchange, which then wait for TCP
 RESENT_S = 0.2  # until TCP sends anew
@@ -58,10 +58,10 @@
 SEGMENT = 1448  # bytes of an exchange in one packet
 PACKET = 52  # bytes of IP and TCP headers of one
 HANDSHAKE = 6  # packets of a connection without data, both ways
-LIFE_MS = 1_764_650_000_000  # incarnations are the times of starts
-RESTART_S = 11.0  # between restarts in the fleet: 7,880 a day
+FIRST_INCARNATION_MS = 1_764_650_000_000  # incarnations are the times of starts
+RESTART_INTERVAL_S = 11.0  # between restarts in the fleet: 7,880 a day
 DOWN_S = 2.0, 6.0  # that one is away
-DAY_RATE = 12_000 / 86_400  # changes a second
+CHANGES_PER_S = 12_000 / 86_400  # changes a second
 TENANT = b'{"name":"%s","backend":"w-1","hosts":["%s.example"],"prefix":"/","class":"shop"}' + b" " * 220
 TENANTS = 400  # that are changed
 ENOUGH = 0.999
@@ -77,13 +77,13 @@
 
 def ways() -> list[list[float]]:
     """Return the seconds one way between each two zones: regions lie on a line."""
-    step = (BETWEEN_S[1] - BETWEEN_S[0]) / (REGIONS - 2)
+    step = (REGION_DELAY_RANGE_S[1] - REGION_DELAY_RANGE_S[0]) / (REGIONS - 2)
 
     def way(one: int, other: int) -> float:
         if one == other:
             return IN_ZONE_S
         apart = abs(region_of(one) - region_of(other))
-        return BETWEEN_S[0] + (apart - 1) * step if apart else IN_REGION_S
+        return REGION_DELAY_RANGE_S[0] + (apart - 1) * step if apart else IN_REGION_S
 
     return [[way(one, other) for other in range(ZONES)] for one in range(ZONES)]
 
@@ -92,6 +92,7 @@
     """One hollow node, and what it has sent."""
 
     __slots__ = (
+        "address",
         "asked",
         "due_s",
         "exchange_bytes",
@@ -99,7 +100,6 @@
         "got_bytes",
         "index",
         "name",
-        "place",
         "position",
         "pull_due_s",
         "replica",
@@ -116,7 +116,7 @@
 
     def __init__(self, index: int, name: str) -> None:
         self.index, self.name, self.zone = index, name, index % ZONES
-        self.place = f"10.{index // 250}.{index % 250 + 1}.9:7946"
+        self.address = f"10.{index // 250}.{index % 250 + 1}.9:7946"
         self.up = True
         self.rows = MemoryReplicaStore()
         self.swim: Swim
@@ -150,18 +150,18 @@
         parts: int = 1,
     ) -> None:
         """Hold the nodes of each so many-th region, from the part's on; all, where there is one part."""
-        self.line, self.loss = VirtualLine(), loss
+        self.clock, self.loss = VirtualLine(), loss
         self.random = Random(f"{seed} {part}") if parts > 1 else Random(seed)
-        self.seed, self.part, self.parts = seed, part, parts
+        self.seed, self.shard, self.parts = seed, part, parts
         self.replicate = replicate
-        self.way = ways()
+        self.one_way_s = ways()
         self.cut: Network = lambda one, other: False
         self.nodes = [
             Node(number, CONTROL[number] if number < len(CONTROL) else f"node-{number:04}")
             for number in range(size)
         ]
-        self.by_place = {node.place: node for node in self.nodes}
-        self.mine = [node for node in self.nodes if self.part_of(node) == part]
+        self.by_place = {node.address: node for node in self.nodes}
+        self.local_nodes = [node for node in self.nodes if self.shard_of(node) == part]
         self.outboxes: list[list[Post]] = [[] for _ in range(parts)]  # for other parts
         self._waiting: dict[int, tuple[Node, Swim, Callable[[Any], None]]] = {}  # exchanges, by number
         self._numbers = count()
@@ -173,42 +173,44 @@
         self.arrivals: dict[tuple[int, int], array[float]] = {}  # at steady nodes, by stream and number
         self.ran_s = self.swim_s = self.replica_s = 0.0
         self.false_deaths = self.failed_pulls = self.turned_away = 0.0
-        self.refused: dict[str, int] = {}
+        self.reply_faults: dict[str, int] = {}
         self._encoder = msgspec.msgpack.Encoder()
-        seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", self.nodes[-1].place, LIFE_MS)
+        seal = MessageAuthenticator(
+            b"a secret of sixteen", "reelusher", self.nodes[-1].address, FIRST_INCARNATION_MS
+        )
         seal._number = 1 << 20
         ping = Datagram(0, "x")  # type: ignore[arg-type]
         self._envelope = len(seal.seal(ping)) - len(self._encoder.encode(ping))
         everyone = MemberTable(Random(seed))
         for node in self.nodes:
-            everyone.apply(self._own(node, LIFE_MS), 0.0)
-        for node in self.mine:
-            self._begin(node, LIFE_MS)
-            node.swim.table.copy_from(everyone, node.place)
+            everyone.apply(self._own(node, FIRST_INCARNATION_MS), 0.0)
+        for node in self.local_nodes:
+            self._begin(node, FIRST_INCARNATION_MS)
+            node.swim.table.copy_from(everyone, node.address)
             node.swim.gossip.broadcasts.clear()
             node.sync_due_s = self.random.uniform(0.0, SYNC_INTERVAL_S[1])
             self._wake(node)
             self._wake_sync(node)
-            self.line.call_later(self.random.uniform(0.0, EXPIRY_INTERVAL_S), self._drop, node)
+            self.clock.call_later(self.random.uniform(0.0, EXPIRY_INTERVAL_S), self._drop, node)
 
     # The parts
 
-    def part_of(self, node: Node) -> int:
+    def shard_of(self, node: Node) -> int:
         """Return which part holds a node."""
         return region_of(node.zone) % self.parts
 
     def _post(self, to: Node, delay_s: float, what: str, *args: Any) -> None:
         """Have the part that holds a node do something, no sooner than after the way between two regions."""
-        part = self.part_of(to)
-        if part == self.part:
-            self.line.call_later(delay_s, getattr(self, what), *args)
+        part = self.shard_of(to)
+        if part == self.shard:
+            self.clock.call_later(delay_s, getattr(self, what), *args)
         else:
-            self.outboxes[part].append((self.line.now + delay_s, what, args))
+            self.outboxes[part].append((self.clock.now + delay_s, what, args))
 
     def take_in(self, posts: Iterable[Post]) -> None:
         """Take what other parts have posted."""
         for at_s, what, args in posts:
-            self.line.call_later(at_s - self.line.now, getattr(self, what), *args)
+            self.clock.call_later(at_s - self.clock.now, getattr(self, what), *args)
 
     def collect(self) -> list[list[Post]]:
         """Return what is for other parts, and keep none of it."""
@@ -218,8 +220,8 @@
     def _tell_up(self, node: Node) -> None:
         """Tell all other parts whether a node runs: they count false deaths, and who is live."""
         for outbox in self.outboxes:
-            outbox.append((self.line.now + BETWEEN_S[0], "note_up", (node.index, node.up)))
-        self.outboxes[self.part].clear()
+            outbox.append((self.clock.now + REGION_DELAY_RANGE_S[0], "note_up", (node.index, node.up)))
+        self.outboxes[self.shard].clear()
 
     def note_up(self, index: int, up: bool) -> None:
         """Note whether a node of another part runs."""
@@ -229,7 +231,7 @@
 
     def _own(self, node: Node, life: int) -> Update:
         return Update(
-            node.place,
+            node.address,
             node.name,
             f"zone-{node.zone:02}",
             f"region-{region_of(node.zone)}",
@@ -238,13 +240,13 @@
         )
 
     def _begin(self, node: Node, life: int) -> None:
-        now, random = self.line.now, Random(self.random.random())
+        now, random = self.clock.now, Random(self.random.random())
         node.swim = Swim(self._own(node, life), random, now)
         node.states = TokenBucket(STATE_REPLIES_PER_S, STATE_REPLY_BURST, now)
         node.due_s = node.pull_due_s = float("inf")
         node.syncing, node.asked = False, 0
         if self.replicate:
-            node.replica = Replica(node.place, CONTROL, node.rows, random, str(node.zone), now)
+            node.replica = Replica(node.address, CONTROL, node.rows, random, str(node.zone), now)
             node.position = node.replica.announce()
             node.swim.gossip.vector = node.replica.announce
             node.swim.on_vector = lambda sender, vector, at: self._heard(node, sender, vector, at)
@@ -260,22 +262,22 @@
 
     def _drop(self, node: Node) -> None:
         if node.up:
-            node.swim.table.drop_expired(self.line.now)
-        self.line.call_later(EXPIRY_INTERVAL_S, self._drop, node)
+            node.swim.table.drop_expired(self.clock.now)
+        self.clock.call_later(EXPIRY_INTERVAL_S, self._drop, node)
 
     def _wake(self, node: Node) -> None:
-        now = self.line.now
+        now = self.clock.now
         at = max(now, node.swim.next_tick_s())
         if now < node.due_s <= at or not node.up:
             return  # an earlier look is set
         node.due_s = at
-        self.line.call_later(at - now, self._tick, node, at, node.swim)
+        self.clock.call_later(at - now, self._tick, node, at, node.swim)
 
     def _tick(self, node: Node, at: float, swim: Swim) -> None:
         if node.due_s == at and node.up and swim is node.swim:
             node.due_s = float("inf")
             began = perf_counter()
-            said = swim.tick(self.line.now)
+            said = swim.tick(self.clock.now)
             self.swim_s += perf_counter() - began
             self._carry_out(node, said)
             self._wake(node)
@@ -293,8 +295,8 @@
             node.sent_bytes += size
             other = self.by_place[place]
             if other.up and random.random() >= self.loss and not self.cut(node.index, other.index):
-                if self.part_of(other) == self.part:
-                    self.line.call_later(self._way_s(node, other), self._take, other, message, size)
+                if self.shard_of(other) == self.shard:
+                    self.clock.call_later(self._way_s(node, other), self._take, other, message, size)
                 else:
                     self._post(other, self._way_s(node, other), "take_bytes", other.index, data)
         if node.swim.sync_with and not node.syncing:
@@ -304,7 +306,7 @@
             self._compare(node, self.by_place[found])
 
     def _way_s(self, one: Node, other: Node) -> float:
-        return self.way[one.zone][other.zone] * (1 + JITTER * self.random.random())
+        return self.one_way_s[one.zone][other.zone] * (1 + JITTER * self.random.random())
 
     def take_bytes(self, index: int, data: bytes) -> None:
         """Take a datagram of another part."""
@@ -323,7 +325,7 @@
             return
         node.got_bytes += size
         began = perf_counter()
-        said = node.swim.receive(message, self.line.now)
+        said = node.swim.receive(message, self.clock.now)
         self.swim_s += perf_counter() - began
         self._carry_out(node, said)
         self._wake(node)
@@ -364,7 +366,7 @@
             self._post(node, self._way_s(other, node), "answered", asker, number, None, 0)
             return
         other.asked += 1
-        self.line.call_later(
+        self.clock.call_later(
             self._leg_s(node, other, size) + self._way_s(other, node),
             self._answer,
             node,
@@ -395,7 +397,7 @@
             then(reply)
 
     def _reply(self, node: Node, request: Any) -> Any:
-        now = self.line.now
+        now = self.clock.now
         match request:
             case DigestRequest():
                 return DigestReply(node.swim.compare_digest(request.digest))
@@ -407,26 +409,26 @@
             case StateRequest():
                 self._merged(node, request.updates)
                 gives = node.states.try_take(now)
-                return StateReply(node.swim.full_state()) if gives else StateReply([], [node.place])
+                return StateReply(node.swim.full_state()) if gives else StateReply([], [node.address])
         began = perf_counter()
         reply = node.replica.answer(request, now)
         self.replica_s += perf_counter() - began
         return reply
 
     def _wake_sync(self, node: Node) -> None:
-        self.line.call_later(node.sync_due_s - self.line.now, self._sync, node, node.swim)
+        self.clock.call_later(node.sync_due_s - self.clock.now, self._sync, node, node.swim)
 
     def _sync(self, node: Node, swim: Swim) -> None:
         if not node.up or node.swim is not swim:
             return
-        node.sync_due_s = self.line.now + self.random.uniform(*SYNC_INTERVAL_S)
+        node.sync_due_s = self.clock.now + self.random.uniform(*SYNC_INTERVAL_S)
         self._wake_sync(node)
         live = swim.table.live_count()
         lost = [
             seed
             for seed in self.nodes[: len(CONTROL)]
             if seed is not node
-            and not (seed.place in swim.table.members and swim.table.members[seed.place].is_live)
+            and not (seed.address in swim.table.members and swim.table.members[seed.address].is_live)
         ]
         if lost and self.random.random() < 3 / (1 + live):
             self._compare(node, self.random.choice(lost))
@@ -437,26 +439,26 @@
         if self.parts > 1:
             updates = self._shared(updates)
         began = perf_counter()
-        said = node.swim.merge(updates, self.line.now)
+        said = node.swim.merge(updates, self.clock.now)
         self.swim_s += perf_counter() - began
         self._carry_out(node, said)
         self._wake(node)
 
     def _compare(self, node: Node, other: Node) -> None:
         """Compare states as `Membership` does."""
-        request = DigestRequest(node.place, node.swim.digest())
+        request = DigestRequest(node.address, node.swim.digest())
 
         def free() -> None:
             node.syncing = False
 
         def digests(reply: DigestReply | None) -> None:
-            self.line.call_later(self.random.uniform(*SYNC_PAUSE_S), free)
+            self.clock.call_later(self.random.uniform(*SYNC_PAUSE_S), free)
             if reply is None or not reply.digests:
                 return
             buckets = node.swim.differing_buckets(reply.digests)
             if buckets:
                 self._ask(
-                    node, other, BucketsRequest(node.place, buckets, node.swim.in_buckets(buckets)), merged
+                    node, other, BucketsRequest(node.address, buckets, node.swim.in_buckets(buckets)), merged
                 )
 
         def merged(reply: StateReply | None) -> None:
@@ -472,14 +474,14 @@
         if at != node.pull_due_s and node.up:
             node.pull_due_s = at
             if at < float("inf"):
-                self.line.call_later(at - self.line.now, self._pull, node, at, node.replica)
+                self.clock.call_later(at - self.clock.now, self._pull, node, at, node.replica)
 
     def _pull(self, node: Node, at: float, replica: Replica) -> None:
         if not node.up or node.replica is not replica or node.pull_due_s != at:
             return
         node.pull_due_s = float("inf")
         began = perf_counter()
-        pull = replica.pulls.next_pull(self.line.now)
+        pull = replica.pulls.next_pull(self.clock.now)
         self.replica_s += perf_counter() - began
         self._wake_pull(node)
         if pull is not None:
@@ -491,11 +493,11 @@
         began = perf_counter()
         if reply is None:
             self.failed_pulls += 1
-            node.replica.pulls.failed(pull, self.line.now)
+            node.replica.pulls.failed(pull, self.clock.now)
         else:
-            taken = node.replica.apply_reply(pull, reply, self.line.now)
+            taken = node.replica.apply_reply(pull, reply, self.clock.now)
             for word in taken.faults:
-                self.refused[word] = self.refused.get(word, 0) + 1
+                self.reply_faults[word] = self.reply_faults.get(word, 0) + 1
         self.replica_s += perf_counter() - began
         self._note(node)
         self._wake_pull(node)
@@ -507,16 +509,16 @@
             return
         for stream in range(len(CONTROL)):
             for number in range(before[2 + 2 * stream] + 1, node.position[2 + 2 * stream] + 1):
-                self.arrivals.setdefault((stream, number), array("d")).append(self.line.now)
+                self.arrivals.setdefault((stream, number), array("d")).append(self.clock.now)
 
     def change(self, tenant: int) -> bool:
         """Have a tenant's holder make a change; False where it is away, or of another part."""
         name = f"tenant-{tenant}"
         holder = partition_of(name, CONTROL)
         node = self.nodes[CONTROL.index(holder)]
-        if not node.up or self.part_of(node) != self.part:
+        if not node.up or self.shard_of(node) != self.shard:
             return False
-        now = self.line.now
+        now = self.clock.now
         body = TENANT.replace(b"%s", name.encode()) + str(len(self.changes)).encode()
         try:
             entry = node.replica.accept(
@@ -533,22 +535,22 @@
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
-        self.run_to(self.line.now + seconds)
+        self.run_to(self.clock.now + seconds)
 
     def run_to(self, until_s: float) -> None:
         """Let time pass until a time."""
         began = perf_counter()
-        self.line.run(until_s)
+        self.clock.run(until_s)
         self.ran_s += perf_counter() - began
 
     def until(self, holds: Callable[[], bool], most_s: float, step_s: float = 0.1) -> float:
         """Let time pass until something holds; return the seconds, infinity past the most."""
-        began = self.line.now
+        began = self.clock.now
         while not holds():
-            if self.line.now - began > most_s:
+            if self.clock.now - began > most_s:
                 return float("inf")
             self.run(step_s)
-        return self.line.now - began
+        return self.clock.now - began
 
     def kill(self, node: Node) -> None:
         """End a node without a word."""
@@ -561,13 +563,13 @@
             self._carry_out(node, node.swim.leave())
             node.up = False
             self._tell_up(node)
-            self.line.call_later(self.random.uniform(*DOWN_S), self.start, node)
+            self.clock.call_later(self.random.uniform(*DOWN_S), self.start, node)
 
     def start(self, node: Node) -> None:
         """Have a node that was away join anew."""
         node.up = True
         self._tell_up(node)
-        self._begin(node, LIFE_MS + int(self.line.now * 1000) + 1)
+        self._begin(node, FIRST_INCARNATION_MS + int(self.clock.now * 1000) + 1)
         self._join(node)
 
     def _join(self, node: Node) -> None:
@@ -575,44 +577,44 @@
 
         def joined(reply: StateReply | None) -> None:
             if reply is None or reply.alternatives:
-                self.line.call_later(self.random.uniform(0.2, 0.6), self._join, node)
+                self.clock.call_later(self.random.uniform(0.2, 0.6), self._join, node)
                 return
             began = perf_counter()
-            said = node.swim.join(reply.updates, self.line.now)
+            said = node.swim.join(reply.updates, self.clock.now)
             self.swim_s += perf_counter() - began
             self._carry_out(node, said)
-            node.sync_due_s = self.line.now + self.random.uniform(0.0, SYNC_INTERVAL_S[1])
+            node.sync_due_s = self.clock.now + self.random.uniform(0.0, SYNC_INTERVAL_S[1])
             self._wake(node)
             self._wake_sync(node)
 
-        self._ask(node, seed, StateRequest(node.place, [node.swim.own]), joined)
+        self._ask(node, seed, StateRequest(node.address, [node.swim.own]), joined)
 
-    def make_changes(self, until_s: float, rate: float, most: int) -> None:
+    def schedule_changes(self, until_s: float, rate: float, most: int) -> None:
         """Make changes at random times, so many a second, until a time; the same in all parts."""
-        random, at_s = Random(f"{self.seed} changes"), self.line.now
+        random, at_s = Random(f"{self.seed} changes"), self.clock.now
         for _ in range(most):
             at_s += random.expovariate(rate)
             if at_s >= until_s:
                 return
-            self.line.call_later(at_s - self.line.now, self.change, random.randrange(TENANTS))
+            self.clock.call_later(at_s - self.clock.now, self.change, random.randrange(TENANTS))
 
-    def restarts(self, until_s: float, gap_s: float) -> None:
+    def schedule_restarts(self, until_s: float, gap_s: float) -> None:
         """Restart nodes one by one until a time, but no control members; they are no longer steady.
 
         Of all parts each draws the same nodes and times, and restarts its own.
         """
         random = Random(f"{self.seed} restarts")
-        count = int((until_s - self.line.now) / gap_s)
+        count = int((until_s - self.clock.now) / gap_s)
         others = range(len(CONTROL), len(self.nodes))
         pool = random.sample(others, min(count, len(others) // 4))
         self.steady -= set(pool)
         chosen = pool + random.choices(pool, k=count - len(pool)) if pool else []
         for number, index in enumerate(chosen):
             after_s = (number + random.random()) * gap_s
-            if self.part_of(self.nodes[index]) == self.part:
-                self.line.call_later(after_s, self.restart, self.nodes[index])
+            if self.shard_of(self.nodes[index]) == self.shard:
+                self.clock.call_later(after_s, self.restart, self.nodes[index])
 
-    def apart(self, group: set[int]) -> None:
+    def isolate(self, group: set[int]) -> None:
         """Cut some nodes off from all others; none: end a cut."""
         self.cut = (
             (lambda one, other: (one in group) != (other in group)) if group else (lambda one, other: False)
@@ -620,32 +622,32 @@
 
     # What came of it
 
-    def agreed(self) -> bool:
+    def memberships_agree(self) -> bool:
         """Tell whether each live node counts just the live ones."""
         live = [node for node in self.nodes if node.up]
-        mine = [node for node in self.mine if node.up]
+        mine = [node for node in self.local_nodes if node.up]
         return all(1 + node.swim.table.live_count() == len(live) for node in mine) and all(
-            other.swim.table.members[node.place].is_live
+            other.swim.table.members[node.address].is_live
             for node in live[:3]
             for other in mine
             if other is not node
         )
 
-    def level(self) -> bool:
+    def has_converged(self) -> bool:
         """Tell whether all live nodes are at one position in every stream."""
         return len(self.positions()) == 1
 
     def positions(self) -> set[tuple[int, ...]]:
         """Return where the live nodes of this part are in the streams."""
-        return {tuple(node.position) for node in self.mine if node.up}
+        return {tuple(node.position) for node in self.local_nodes if node.up}
 
-    def holding_dead(self, node: Node) -> int:
+    def count_considering_dead(self, node: Node) -> int:
         """Count the live nodes that don't count one as live."""
         return sum(
             one.up
             and one is not node
-            and not (node.place in one.swim.table.members and one.swim.table.members[node.place].is_live)
-            for one in self.mine
+            and not (node.address in one.swim.table.members and one.swim.table.members[node.address].is_live)
+            for one in self.local_nodes
         )
 
 
@@ -668,8 +670,8 @@
     """What nodes send and what the play costs, from its making on."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self.fleet, self._began_s = fleet, fleet.line.now
-        self._counts = [self._count(node) for node in fleet.mine]
+        self.fleet, self._began_s = fleet, fleet.clock.now
+        self._counts = [self._count(node) for node in fleet.local_nodes]
         self._cpu, self._wall = process_time(), fleet.ran_s
         self._parts = fleet.swim_s, fleet.replica_s
         gc.collect()
@@ -685,13 +687,13 @@
         fleet = self.fleet
         rows = [
             [after - before for after, before in zip(self._count(node), counts, strict=True)]
-            for node, counts in zip(fleet.mine, self._counts, strict=True)
+            for node, counts in zip(fleet.local_nodes, self._counts, strict=True)
         ]
         swim_s, replica_s = fleet.swim_s - self._parts[0], fleet.replica_s - self._parts[1]
         return Reading(
-            fleet.line.now - self._began_s,
+            fleet.clock.now - self._began_s,
             rows,
-            sum(node.index < len(CONTROL) for node in fleet.mine),
+            sum(node.index < len(CONTROL) for node in fleet.local_nodes),
             process_time() - self._cpu,
             fleet.ran_s - self._wall,
             swim_s,
@@ -763,7 +765,14 @@
         MessageAuthenticator(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", life) for life in (1, 2)
     )
     said = [
-        Update(f"10.0.0.{number}:7946", "node-1234", "zone-12", "region-3", LIFE_MS, MemberState.ALIVE)
+        Update(
+            f"10.0.0.{number}:7946",
+            "node-1234",
+            "zone-12",
+            "region-3",
+            FIRST_INCARNATION_MS,
+            MemberState.ALIVE,
+        )
         for number in range(3)
     ]
     message = Datagram(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
@@ -814,20 +823,22 @@
     }
 
 
-def held_by_control(fleet: Fleet) -> dict[str, Any]:
+def leader_rows(fleet: Fleet) -> dict[str, Any]:
     """Return the rows that the control members of a part hold, by name."""
     return {
         name: kept
-        for node in fleet.mine
+        for node in fleet.local_nodes
         if node.index < len(CONTROL)
         for name, kept in node.rows.live_entries().items()
         if partition_of(name, CONTROL) == node.name
     }
 
 
-def lost(fleet: Fleet, newest: dict[str, Any], changes: Sequence[Change]) -> dict[str, int]:
+def count_inconsistent_nodes(
+    fleet: Fleet, newest: dict[str, Any], changes: Sequence[Change]
+) -> dict[str, int]:
     """Return how many live nodes of a part lack a change, or have another row than the holder."""
-    differ = sum(node.rows.live_entries() != newest for node in fleet.mine if node.up)
+    differ = sum(node.rows.live_entries() != newest for node in fleet.local_nodes if node.up)
     numbers = [sum(change.stream == stream for change in changes) for stream in range(len(CONTROL))]
-    undone = sum(node.position[2::2] != numbers for node in fleet.mine if node.up)
+    undone = sum(node.position[2::2] != numbers for node in fleet.local_nodes if node.up)
     return {"nodes_with_other_rows": differ, "nodes_not_at_the_last_change": undone}
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -10,7 +10,7 @@
 from reelusher.core.idempotency_table import IdempotencyTable
 from reelusher.core.messages import IdempotencyKey, Result
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 from reelusher.policy.events import Request
 from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.quota import Quota
@@ -47,14 +47,14 @@
 
     def answered() -> None:
         for number in range(size):
-            table.store_result(there(table.entry_of(number)), Result(b"%0*d" % (RESULT_BYTES, number)))
+            table.store_result(require(table.entry_of(number)), Result(b"%0*d" % (RESULT_BYTES, number)))
 
     held, table = bytes_of(keep)
     results, _ = bytes_of(answered)
     return {
         "key_bytes": held / size,
         "result_bytes": results / size,
-        "sweep_ms": each_us(lambda: table.remove_expired(0, lambda holder: False)) / 1000,
+        "sweep_ms": cpu_us_per_call(lambda: table.remove_expired(0, lambda holder: False)) / 1000,
     }
 
 
@@ -83,14 +83,14 @@
     return {
         "account_bytes": held / size,
         "counters_kb": counted / 1000,
-        "snapshot_ms": each_us(counters.snapshot) / 1000,
+        "snapshot_ms": cpu_us_per_call(counters.snapshot) / 1000,
         "line_kb": len(str(counters.summary())) / 1000,
-        "period_us": each_us(lambda: made.period_elapsed(0)),
+        "period_us": cpu_us_per_call(lambda: made.period_elapsed(0)),
     }
 
 
 SCALES = [
-    partial(Scale, of="keys", target=expected("node_requests_per_s") * (WINDOW_US + TAIL_US) / 1e6)(
+    partial(Scale, size_unit="keys", target=expected("node_requests_per_s") * (WINDOW_US + TAIL_US) / 1e6)(
         "keys-window",
         "keys of keyed requests, kept for their window and the longest deadline",
         sizes=(1000, 2000, 4000, 8000, 16_000),
@@ -99,7 +99,7 @@
         units={"key_bytes": "bytes", "result_bytes": "bytes", "sweep_ms": "ms"},
         notes=("results of 1,000 bytes; at 272 a second, were all of them keyed, 8,342 keys",),
     ),
-    partial(Scale, of="tenants", target=expected("tenants"))(
+    partial(Scale, size_unit="tenants", target=expected("tenants"))(
         "tenants-accounts",
         "accounts of tenants and their counters",
         sizes=(1000, 2000, 4000, 8000, 16_000),
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -37,15 +37,15 @@
     worker_of,
 )
 from reelusher.lab.capacity.hollow import hosts_of
-from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
+from reelusher.lab.capacity.nodes import CLASS, NodeAddresses, NodeProcesses
 from reelusher.lab.capacity.wires import (
     Callers,
     NamedWorker,
     NoAnswerError,
     NodeUnreachableError,
     Told,
-    answers,
-    call,
+    call_admin_api,
+    wait_until_ready,
 )
 from reelusher.lab.fleet.plan import Fault
 from reelusher.lab.fleet.processes import ROOT
@@ -109,7 +109,7 @@
         self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
         self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
         self.writer_of = self._writers()
-        self.places: dict[str, Places] = {}
+        self.places: dict[str, NodeAddresses] = {}
         self.callers: dict[str, Callers] = {}
         self.state: dict[str, str] = dict.fromkeys(self.names, "new")
         self.rows: dict[str, dict[str, Row]] = {name: {} for name in self.names}
@@ -166,7 +166,7 @@
             one.name.decode(): server.sockets[0].getsockname()
             for one, server in zip(workers, servers, strict=True)
         }
-        with Nodes(self.folder, addresses) as self.nodes:
+        with NodeProcesses(self.folder, addresses) as self.nodes:
             try:
                 await self._begin()
                 await self._break_things()
@@ -222,7 +222,9 @@
         for name, host in host_of.items():
             self.net.party_of[host] = name
             door = await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
-            self.places[name] = Places((host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]])
+            self.places[name] = NodeAddresses(
+                (host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]]
+            )
             self.callers[name] = Callers((host, ajp))
         seeds = [self.places[name].advertise for name in self.names[: len(ZONES)]]
         for name, places in self.places.items():
@@ -233,7 +235,7 @@
         self.state[name] = "starting"
         self.nodes.start(name)
         places = self.places[name]
-        if not await answers(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
+        if not await wait_until_ready(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
             self.books.broken.append(f"{name} did not come up within {START_S:.0f} s")
             return
         self.state[name] = "up"
@@ -247,7 +249,7 @@
         headers: dict[str, str] | None = None,
         most_s: float = 10.0,
     ) -> Told | None:
-        return await call(self.places[node].admin, method, path, value, headers, most_s)
+        return await call_admin_api(self.places[node].admin, method, path, value, headers, most_s)
 
     async def _joined(self, hollow: int) -> None:
         """Wait until each node counts all others as live."""
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -19,7 +19,7 @@
 from reelusher.fleet.membership.state_sync import SYNC_INTERVAL_S
 from reelusher.fleet.membership.swim import Swim
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call
 from reelusher.lab.capacity.keys import bytes_of
 from reelusher.lab.fleet.members import cost, time_to_know
 
@@ -89,13 +89,13 @@
         "table_kb": held / 1000,
         "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_INTERVAL_S) / 2),
         "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_INTERVAL_S) / 2),
-        "give_ms": each_us(given) / 1000,
-        "merge_ms": each_us(lambda: swim.merge(updates, 0.0)) / 1000,
-        "tick_us": each_us(lambda: swim.tick(0.0)),
+        "give_ms": cpu_us_per_call(given) / 1000,
+        "merge_ms": cpu_us_per_call(lambda: swim.merge(updates, 0.0)) / 1000,
+        "tick_us": cpu_us_per_call(lambda: swim.tick(0.0)),
     }
 
 
-_OF = partial(Scale, of="members", target=expected("nodes"))
+_OF = partial(Scale, size_unit="members", target=expected("nodes"))
 SCALES = [
     _OF(
         "membership-rest",
--- a/reelusher/lab/capacity/nodes.py
+++ b/reelusher/lab/capacity/nodes.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Places:
+class NodeAddresses:
     """Where a node listens, and where others reach it."""
 
     ajp: Address
@@ -31,7 +31,7 @@
     zone: str
 
 
-class Nodes:
+class NodeProcesses:
     """All processes of a run. Leaving the block ends every one of them."""
 
     def __init__(self, folder: Path, workers: dict[str, Address]) -> None:
@@ -40,7 +40,7 @@
         self.secret = folder / "secret"
         self.secret.write_text("the secret of this rig's fleet")
 
-    def __enter__(self) -> "Nodes":
+    def __enter__(self) -> "NodeProcesses":
         return self
 
     def __exit__(self, *fault: object) -> None:
@@ -50,7 +50,7 @@
         for process in self.running.values():
             process.wait()
 
-    def configure(self, name: str, places: Places, seeds: list[Address], control: list[str]) -> None:
+    def configure(self, name: str, places: NodeAddresses, seeds: list[Address], control: list[str]) -> None:
         """Write a node's operator's file; without `control` it has tenants of its own, in a journal."""
         at = "{}:{}".format
         admin: dict[str, Any] = {"listen": at(*places.admin), "token": TOKEN}
@@ -73,7 +73,7 @@
                 "seeds": [at(*seed) for seed in seeds],
                 "secret_file": str(self.secret),
             }
-            told["replication"] = {"copy": str(self.copy(name)), "control": control}
+            told["replication"] = {"copy": str(self.replica_path(name)), "control": control}
         else:
             admin["state_dir"] = str(self.folder / f"{name}.state")
         self.file(name).write_text(tomli_w.dumps(told))
@@ -82,7 +82,7 @@
         """Return where a node's operator's file is."""
         return self.folder / f"{name}.toml"
 
-    def copy(self, name: str) -> Path:
+    def replica_path(self, name: str) -> Path:
         """Return where a node keeps its copy."""
         return self.folder / f"{name}.db"
 
--- a/reelusher/lab/capacity/parts.py
+++ b/reelusher/lab/capacity/parts.py
@@ -13,9 +13,9 @@
 from types import TracebackType
 from typing import Any, Concatenate, ParamSpec, TypeVar
 
-from reelusher.lab.capacity.hollow_fleet import BETWEEN_S, REGIONS, Fleet
+from reelusher.lab.capacity.hollow_fleet import REGION_DELAY_RANGE_S, REGIONS, Fleet
 
-QUANTUM_S = BETWEEN_S[0]
+QUANTUM_S = REGION_DELAY_RANGE_S[0]
 CLOSE_S = 5.0  # for a part's process to end by itself
 P = ParamSpec("P")
 T = TypeVar("T")
@@ -53,29 +53,31 @@
         link.send_bytes(pickle.dumps(answer))
 
 
-class Parts:
+class ShardedFleet:
     """All parts of a fleet. Leaving the block ends their processes."""
 
-    def __init__(self, size: int, seed: int = 1, replicate: bool = True, parts: int = REGIONS) -> None:
+    def __init__(self, size: int, seed: int = 1, replicate: bool = True, shard_count: int = REGIONS) -> None:
         """`parts` is at most the number of regions, else ValueError."""
-        if not 1 <= parts <= REGIONS:
-            raise ValueError(f"1 to {REGIONS} parts, not {parts}")
+        if not 1 <= shard_count <= REGIONS:
+            raise ValueError(f"1 to {REGIONS} parts, not {shard_count}")
         self.now = 0.0
-        self._posts: list[list[bytes]] = [[] for _ in range(parts)]
+        self._posts: list[list[bytes]] = [[] for _ in range(shard_count)]
         self._links: list[Connection] = []
         self._processes = []
         context = multiprocessing.get_context("fork")
-        for part in range(parts):
+        for part in range(shard_count):
             link, far = context.Pipe()
             self._links.append(link)
             process = context.Process(
-                target=_serve, daemon=True, args=(far, list(self._links), size, seed, replicate, part, parts)
+                target=_serve,
+                daemon=True,
+                args=(far, list(self._links), size, seed, replicate, part, shard_count),
             )
             process.start()
             far.close()
             self._processes.append(process)
 
-    def __enter__(self) -> "Parts":
+    def __enter__(self) -> "ShardedFleet":
         return self
 
     def __exit__(
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -6,7 +6,7 @@
 
 from reelusher.codecs import http1
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call
 from reelusher.lab.fleet.virtual import VirtualLine
 from reelusher.pacing.report_schedule import REGISTRATION_TTL_S, ReportFailure, ReportSchedule
 
@@ -102,13 +102,13 @@
 
     return {
         "report_bytes": float(len(asked[0]) + len(answer)),
-        "take_us": each_us(take),
+        "take_us": cpu_us_per_call(take),
         "list_kb": len(whole()) / 1000,
-        "write_list_ms": each_us(whole) / 1000,
+        "write_list_ms": cpu_us_per_call(whole) / 1000,
     }
 
 
-_OF = partial(Scale, of="nodes", target=expected("nodes"))
+_OF = partial(Scale, size_unit="nodes", target=expected("nodes"))
 SCALES = [
     _OF(
         "list-reports",
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -174,7 +174,7 @@
 
 
 SCALES = [
-    partial(Scale, of="requests a second", target=expected("twice_requests_per_s"))(
+    partial(Scale, size_unit="requests a second", target=expected("twice_requests_per_s"))(
         "request",
         "a request over AJP through a hosted node with 10 tenants to a worker of 2 ms, open loop",
         sizes=(68, 136, 272, 320, 544),
--- a/reelusher/lab/capacity/starts.py
+++ b/reelusher/lab/capacity/starts.py
@@ -36,7 +36,7 @@
 
 _OF = partial(
     Scale,
-    of="nodes",
+    size_unit="nodes",
     target=expected("nodes"),
     sizes=(60, 240, 960, 2880),
     quick=(6,),
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -11,7 +11,7 @@
 from reelusher.fleet.warm_start.observations import MAX_OBSERVATIONS, combine
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 from reelusher.storage.directory import LockedDirectory
 from reelusher.storage.tenant_state import ChangeKind
 from reelusher.tenancy.tenant_store import TenantStore
@@ -22,7 +22,7 @@
 
 def _kept(may_run: bool) -> None:
     """Hear that a key may be run."""
-    there(may_run, "a key may not be run")
+    require(may_run, "a key may not be run")
 
 
 def _elsewhere(result: Result | None) -> None:
@@ -37,7 +37,7 @@
         folder = LockedDirectory(Path(name))
         store = TenantStore(folder)
         began = time.monotonic()
-        store.import_tenants(there(made.operator).tenants)
+        store.import_tenants(require(made.operator).tenants)
         snapshot_s = time.monotonic() - began
         began = time.monotonic()
         for number in range(CHANGES):
@@ -50,7 +50,7 @@
         found = TenantStore(again)
         recover_s = time.monotonic() - began
         again.close()
-        there(len(found.state.tenants) == size, "tenants are lost")
+        require(len(found.state.tenants) == size, "tenants are lost")
     return {"snapshot_s": snapshot_s, "change_ms": change_ms, "kept_mb": kept / 1e6, "recover_s": recover_s}
 
 
@@ -65,7 +65,7 @@
         "told_kb": len(told) / 1000,
         "fits": float(len(told) <= MAX_STATE_BYTES),
         "learnt": float(len(found)),
-        "weigh_ms": each_us(lambda: combine([facts[:MAX_OBSERVATIONS]] * 3, 1_700_000_000.0)) / 1000,
+        "weigh_ms": cpu_us_per_call(lambda: combine([facts[:MAX_OBSERVATIONS]] * 3, 1_700_000_000.0)) / 1000,
     }
 
 
@@ -78,12 +78,12 @@
             directory.create(IdempotencyKey("tenant-0", 1, f"key-{number}"), KeyLock(1_000_000, "0" * 32), 0)
         each = (time.process_time() - began) / size * 1e6
         files = sum(1 for path in next(Path(name).iterdir()).iterdir())
-        swept_ms = each_us(lambda: directory.remove_expired(0)) / 1000
+        swept_ms = cpu_us_per_call(lambda: directory.remove_expired(0)) / 1000
     return {"claim_us": each, "files": float(files), "sweep_ms": swept_ms}
 
 
 SCALES = [
-    partial(Scale, of="tenants", target=expected("tenants"))(
+    partial(Scale, size_unit="tenants", target=expected("tenants"))(
         "state-journal",
         "the journal of tenants' state in a folder",
         sizes=(1000, 4000, 16_000, 64_000),
@@ -92,7 +92,7 @@
         units={"snapshot_s": "s", "change_ms": "ms", "kept_mb": "MB", "recover_s": "s"},
         notes=("a change is synced; this machine's disk",),
     ),
-    partial(Scale, of="workers", target=expected("routes"))(
+    partial(Scale, size_unit="workers", target=expected("routes"))(
         "learning",
         "what a fresh node learns of workers from three donors",
         sizes=(200, 1000, 4000, 16_000, 41_000),
@@ -102,7 +102,7 @@
         units={"told_kb": "KB", "fits": "", "learnt": "", "weigh_ms": "ms"},
         notes=("fits: 1 where the answer is within the 512 KB that an asker takes; past it none is",),
     ),
-    partial(Scale, of="keys", target=expected("node_requests_per_s") * 43)(
+    partial(Scale, size_unit="keys", target=expected("node_requests_per_s") * 43)(
         "upgrade-claims",
         "claims of keys while two processes of a node may serve, a file each",
         sizes=(500, 1000, 2000, 4000),
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -16,7 +16,7 @@
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.copy import filled
-from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 from reelusher.lab.capacity.request import StandInProcess, rounds
 from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.lifecycle import TenantState
@@ -38,7 +38,7 @@
 
 def table_of(made: Config) -> TenantRegistry:
     """Return the tenants of a configuration as a node holds them, without a node round them."""
-    own = there(made.operator)
+    own = require(made.operator)
     shares = FairQueue(made.settings.cores, made.settings.memory_kb)
     nobody = _Nobody()
     core = Core(
@@ -64,20 +64,20 @@
 
     def look() -> None:
         for host in hosts:
-            there(tenants.match("GET", host, "/visits/1"))
+            require(tenants.match("GET", host, "/visits/1"))
 
     def change() -> None:
         nonlocal number
         number = (number + 7919) % size
-        found = there(tenants.get(f"tenant-{number}"))
+        found = require(tenants.get(f"tenant-{number}"))
         tenants.check(found)
         tenants.put(found)
 
     return {
         "check_s": checked_s,
         "start_s": built_s,
-        "look_up_us": each_us(look) / LOOKS,
-        "change_us": each_us(change),
+        "look_up_us": cpu_us_per_call(look) / LOOKS,
+        "change_us": cpu_us_per_call(change),
     }
 
 
@@ -92,7 +92,7 @@
         tenants = table_of(made)
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
-        there(tenants.get("tenant-0"))
+        require(tenants.get("tenant-0"))
     finally:
         tracemalloc.stop()
     return {"read_mb": read / 1e6, "table_mb": (held - read) / 1e6}
@@ -116,7 +116,7 @@
             began = time.monotonic()
             answer = made.call("PATCH", f"/v1/tenants/tenant-{number}", b'{"max_open": 100}')
             took_ms.append((time.monotonic() - began) * 1000)
-            there(answer.start[1] == "200", answer.body.decode(errors="replace"))
+            require(answer.start[1] == "200", answer.body.decode(errors="replace"))
         told = rounds(made, worker, RATE, SECONDS, _asked(size, LOOKS))
         more = rounds(made, worker, RATE, SECONDS, _asked(size, MANY)) if cold else {}
         later = site.status_of(pid)["resident"]
@@ -168,7 +168,7 @@
     "waited: the node's threads were ready and had no core: the machine's load, none of the node's",
 )
 _COLD = ("cold: requests of 2,000 tenants by turns, hardly one of which was asked for of late",)
-_OF = partial(Scale, of="tenants", target=expected("tenants"))
+_OF = partial(Scale, size_unit="tenants", target=expected("tenants"))
 SCALES = [
     _OF(
         "tenants-table",
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -30,7 +30,7 @@
     """Nobody listens there: nothing was asked."""
 
 
-async def call(
+async def call_admin_api(
     place: Address,
     method: str,
     path: str,
@@ -70,12 +70,12 @@
     return None
 
 
-async def answers(admin: Address, ajp: Address, alive: Callable[[], bool], most_s: float) -> bool:
+async def wait_until_ready(admin: Address, ajp: Address, alive: Callable[[], bool], most_s: float) -> bool:
     """Wait until a node that was started answers at both addresses; tell whether it came to that."""
     ends_s = asyncio.get_running_loop().time() + most_s
     while alive() and asyncio.get_running_loop().time() < ends_s:
         with contextlib.suppress(NodeUnreachableError, OSError):
-            told = await call(admin, "GET", "/v1/status", most_s=most_s)
+            told = await call_admin_api(admin, "GET", "/v1/status", most_s=most_s)
             if told is not None and told.status == 200:
                 _, writer = await asyncio.open_connection(*ajp)
                 writer.close()
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -14,7 +14,7 @@
 from reelusher.core.messages import Message
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.harness import Figures, Scale, each_us, there
+from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 
 CONNECTIONS = 16
 
@@ -46,16 +46,16 @@
 
     def pick() -> None:
         balancer = measured.load_balancer
-        balancer.release(there(balancer.acquire(one, set(), "", "requests")))
+        balancer.release(require(balancer.acquire(one, set(), "", "requests")))
 
     for worker in measured.workers.values():
         worker.observed_s = 1.0
     return {
         "check_s": checked_s,
         "bytes_each": held / size,
-        "gauges_us": each_us(lambda: measured.post_gauges("")),
-        "pick_us": each_us(pick),
-        "seen_ms": each_us(measured.observations) / 1000,
+        "gauges_us": cpu_us_per_call(lambda: measured.post_gauges("")),
+        "pick_us": cpu_us_per_call(pick),
+        "seen_ms": cpu_us_per_call(measured.observations) / 1000,
     }
 
 
@@ -79,7 +79,7 @@
     return {"threads": float(found), "descriptors_kept": float(most)}
 
 
-_OF = partial(Scale, of="workers", target=expected("routes"))
+_OF = partial(Scale, size_unit="workers", target=expected("routes"))
 SCALES = [
     _OF(
         "workers-pool",
--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -10,12 +10,18 @@
 from reelusher.fleet.membership.messages import Datagram, DatagramKind
 from reelusher.lab.capacity import fleet, hollow_fleet
 from reelusher.lab.capacity.fleet import spread, told
-from reelusher.lab.capacity.hollow_fleet import Fleet, Meter, held_by_control, lost, spread_figures
-from reelusher.lab.capacity.parts import QUANTUM_S, Parts, ShardFailedError
+from reelusher.lab.capacity.hollow_fleet import (
+    Fleet,
+    Meter,
+    count_inconsistent_nodes,
+    leader_rows,
+    spread_figures,
+)
+from reelusher.lab.capacity.parts import QUANTUM_S, ShardedFleet, ShardFailedError
 
 
 def lost_of(model: Fleet) -> dict[str, int]:
-    return lost(model, held_by_control(model), model.changes)
+    return count_inconsistent_nodes(model, leader_rows(model), model.changes)
 
 
 def test_changes_are_everywhere_in_time_while_nodes_restart_and_a_rack_is_away() -> None:
@@ -24,21 +30,21 @@
     meter = Meter(model)
     rack = set(range(110, 120))
     model.steady -= rack
-    model.restarts(model.line.now + 16, 4.0)
-    model.line.call_later(3.0, model.apart, rack)
-    model.line.call_later(8.0, model.apart, set())
+    model.schedule_restarts(model.clock.now + 16, 4.0)
+    model.clock.call_later(3.0, model.isolate, rack)
+    model.clock.call_later(8.0, model.isolate, set())
     for number in range(20):
-        model.line.call_later(number * 0.4, model.change, number % 7)
+        model.clock.call_later(number * 0.4, model.change, number % 7)
     model.run(16.0)
     figures = meter.figures()
-    assert model.until(model.level, 30) < 16
+    assert model.until(model.has_converged, 30) < 16
     figures_of_spread = spread_figures([spread(model)])
     assert figures_of_spread["changes"] == 20
     assert len(model.steady) == 120 - 10 - 4
     assert figures_of_spread["to_999_permille_most_s"] < 8
     assert figures_of_spread["to_all_most_s"] < 16
     assert lost_of(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
-    assert model.refused == {}
+    assert model.reply_faults == {}
     assert figures["core_percent"] < 3.5
 
 
@@ -46,22 +52,22 @@
     model = Fleet(70, 5)
     model.run(2.0)
     region = {node.index for node in model.nodes if hollow_fleet.region_of(node.zone) == 2}
-    model.apart(region)
+    model.isolate(region)
     for number in range(60):
-        model.line.call_later(number * 0.15, model.change, number)
+        model.clock.call_later(number * 0.15, model.change, number)
     model.run(12.0)
     sides = {change.stream in region for change in model.changes}
     assert sides == {True, False}
-    assert not model.level()
-    model.apart(set())
-    assert model.until(model.level, 30) < 16
+    assert not model.has_converged()
+    model.isolate(set())
+    assert model.until(model.has_converged, 30) < 16
     assert lost_of(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
 
 
 def test_a_change_that_does_not_come_everywhere_is_told_so() -> None:
     model = Fleet(20, 1)
     model.run(1.0)
-    model.apart({19})
+    model.isolate({19})
     assert model.change(1)
     model.run(5.0)
     figures_of_spread = spread_figures([spread(model)])
@@ -72,7 +78,7 @@
 
 def steadily(parts: int) -> tuple[dict[str, float], dict[str, float]]:
     """Play changes and nothing else with 120 nodes; return what was sent, and how changes spread."""
-    with Parts(120, 3, parts=parts) as model:
+    with ShardedFleet(120, 3, shard_count=parts) as model:
         model.run(2.0)
         model.each(fleet.begin_meter)
         model.each(fleet.begin_changes, 16.0, 4.0, 100, 0.0)
@@ -89,7 +95,7 @@
 
 
 def test_in_several_processes_nothing_is_lost_while_nodes_restart_and_a_rack_is_away() -> None:
-    with Parts(120, 3, parts=7) as model:
+    with ShardedFleet(120, 3, shard_count=7) as model:
         model.run(2.0)
         model.each(fleet.unsteady, set(range(110, 120)))
         model.each(fleet.begin_changes, 10.0, 2.0, 20, 4.0)
@@ -112,16 +118,16 @@
 
 def ways_between(model: Fleet) -> float:
     return min(
-        model.way[one.zone][other.zone]
-        for one in model.mine
+        model.one_way_s[one.zone][other.zone]
+        for one in model.local_nodes
         for other in model.nodes
-        if model.part_of(other) != model.part
+        if model.shard_of(other) != model.shard
     )
 
 
 @pytest.mark.parametrize("parts", [2, 3, 7])
 def test_no_way_between_two_parts_is_shorter_than_the_time_between_two_exchanges(parts: int) -> None:
-    with Parts(34, 1, parts=parts) as model:
+    with ShardedFleet(34, 1, shard_count=parts) as model:
         assert min(model.each(ways_between)) >= QUANTUM_S
 
 
@@ -130,13 +136,16 @@
 
 
 def test_a_fault_in_one_part_is_told_with_its_number() -> None:
-    with Parts(20, 1, parts=2) as model, pytest.raises(ShardFailedError, match=r"part 0.*a planted fault"):
+    with (
+        ShardedFleet(20, 1, shard_count=2) as model,
+        pytest.raises(ShardFailedError, match=r"part 0.*a planted fault"),
+    ):
         model.each(fails)
 
 
 def test_more_parts_than_regions_are_refused() -> None:
     with pytest.raises(ValueError, match="1 to 7 parts, not 8"):
-        Parts(20, 1, parts=8)
+        ShardedFleet(20, 1, shard_count=8)
 
 
 def test_the_model_counts_sealed_sizes() -> None:
@@ -144,8 +153,10 @@
     model.run(4.0)
     node = model.nodes[0]
     assert 80 < node.sent_bytes / node.sent < 400
-    message = Datagram(DatagramKind.PING, node.place, 9, "", [node.swim.own], node.replica.announce())
-    seal = MessageAuthenticator(b"a secret of sixteen", "reelusher", node.place, hollow_fleet.LIFE_MS)
+    message = Datagram(DatagramKind.PING, node.address, 9, "", [node.swim.own], node.replica.announce())
+    seal = MessageAuthenticator(
+        b"a secret of sixteen", "reelusher", node.address, hollow_fleet.FIRST_INCARNATION_MS
+    )
     seal._number = 1 << 20
     counted = len(model._encoder.encode(message)) + model._envelope
     assert counted == pytest.approx(len(seal.seal(message)), abs=2)
