--- a/reelusher/lab/capacity/fleet.py
+++ b/reelusher/lab/capacity/fleet.py
@@ -179,7 +179,7 @@
     parts.run(given.seconds)
     figures = measured(parts)
     changes = [change for one in parts.each(spread) for change in one.changes]
-    inside = sum(change.stream in group for change in changes)
+    inside = sum(change.partition_index in group for change in changes)
     parts.each(cut_off, set())
     parts.each(begin_meter)
     levelled = parts.until(partial(level, parts), given.settle, 0.1)
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -133,8 +133,8 @@
     """One change of a tenant."""
 
     at_s: float
-    stream: int
-    number: int
+    partition_index: int
+    log_index: int
 
 
 class Fleet:
@@ -797,7 +797,7 @@
     every: list[float] = []
     need = spreads[0].steady
     for change in [change for one in spreads for change in one.changes]:
-        which = change.stream, change.number
+        which = change.partition_index, change.log_index
         came = sorted(at_s for one in spreads for at_s in one.arrivals.get(which, ()))
         for wanted, took in ((ceil(ENOUGH * need), most), (need, every)):
             took.append(came[wanted - 1] - change.at_s if len(came) >= wanted else float("inf"))
@@ -839,6 +839,6 @@
 ) -> dict[str, int]:
     """Return how many live nodes of a part lack a change, or have another row than the holder."""
     differ = sum(node.rows.live_entries() != newest for node in fleet.local_nodes if node.up)
-    numbers = [sum(change.stream == stream for change in changes) for stream in range(len(CONTROL))]
+    numbers = [sum(change.partition_index == stream for change in changes) for stream in range(len(CONTROL))]
     undone = sum(node.position[2::2] != numbers for node in fleet.local_nodes if node.up)
     return {"nodes_with_other_rows": differ, "nodes_not_at_the_last_change": undone}
--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -56,7 +56,7 @@
     for number in range(60):
         model.clock.call_later(number * 0.15, model.change, number)
     model.run(12.0)
-    sides = {change.stream in region for change in model.changes}
+    sides = {change.partition_index in region for change in model.changes}
     assert sides == {True, False}
     assert not model.has_converged()
     model.isolate(set())
