--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of hollow nodes on a virtual clock: the real `Swim` and `Replica`, no sockets.
+"""A fleet of simulated nodes on a virtual clock: the real `Swim` and `Replica`, without sockets.
 
-It is in 17 zones of 7 regions, loses datagrams, restarts nodes and takes changes of tenants.
+The fleet spans 17 zones in 7 regions. Datagrams get lost, nodes restart, and tenants change.
 """
 
 import gc
@@ -49,67 +49,69 @@
 
 ZONES, REGIONS = 17, 7
 CONTROL = tuple(f"control-{number}" for number in range(1, 7))
-IN_ZONE_S, IN_REGION_S = 0.0005, 0.002  # one way
-REGION_DELAY_RANGE_S = 0.01, 0.1  # one way between the two closest regions, and the two furthest
-JITTER = 0.2  # part of a way by which it may take longer
-LOSS = 0.02  # of datagrams, and of legs of an exchange, which then wait for TCP
-RESENT_S = 0.2  # until TCP sends anew
-HEADERS = 28  # bytes of IP and UDP of a datagram
-SEGMENT = 1448  # bytes of an exchange in one packet
-PACKET = 52  # bytes of IP and TCP headers of one
-HANDSHAKE = 6  # packets of a connection without data, both ways
-FIRST_INCARNATION_MS = 1_764_650_000_000  # incarnations are the times of starts
-RESTART_INTERVAL_S = 11.0  # between restarts in the fleet: 7,880 a day
-DOWN_S = 2.0, 6.0  # that one is away
-CHANGES_PER_S = 12_000 / 86_400  # changes a second
-TENANT = b'{"name":"%s","backend":"w-1","hosts":["%s.example"],"prefix":"/","class":"shop"}' + b" " * 220
-TENANTS = 400  # that are changed
-ENOUGH = 0.999
-MOST_KNOWN = 200_000  # updates of other parts that are remembered, so that nodes share them
-Network = Callable[[int, int], bool]
-Post = tuple[float, str, tuple[Any, ...]]  # when, which method of the part that it is for, its arguments
+# one-way delays within a zone, and between two zones of a region
+SAME_ZONE_DELAY_S, SAME_REGION_DELAY_S = 0.0005, 0.002
+REGION_DELAY_RANGE_S = 0.01, 0.1  # one-way delays between the two closest and the two furthest regions
+DELAY_JITTER = 0.2  # fraction by which a delay may exceed its minimum
+LOSS = 0.02  # fraction of datagrams lost, and of legs of an exchange delayed by a TCP retransmission
+RETRANSMISSION_S = 0.2  # until TCP retransmits a lost segment
+UDP_HEADER_BYTES = 28  # bytes of the IP and UDP headers of a datagram
+TCP_SEGMENT_BYTES = 1448  # bytes of payload in one TCP packet
+TCP_HEADER_BYTES = 52  # bytes of the IP and TCP headers of a packet
+HANDSHAKE_PACKETS = 6  # packets without data that open and close a connection, in both directions
+FIRST_INCARNATION_MS = 1_764_650_000_000  # incarnations are start times in Unix milliseconds
+RESTART_INTERVAL_S = 11.0  # between two restarts anywhere in the fleet: 7,880 a day
+DOWN_RANGE_S = 2.0, 6.0  # shortest and longest time for which a restarted node is down
+CHANGES_PER_S = 12_000 / 86_400  # 12,000 a day
+TENANT_JSON = b'{"name":"%s","backend":"w-1","hosts":["%s.example"],"prefix":"/","class":"shop"}' + b" " * 220
+TENANT_COUNT = 400  # tenants that changes are made to
+NEARLY_ALL = 0.999  # fraction of the steady nodes for which propagation is also measured
+MAX_SHARED_UPDATES = 200_000  # updates from other shards to keep, so that nodes share one object of each
+CutPredicate = Callable[[int, int], bool]  # whether the nodes with these two indexes can't reach each other
+# due time, name of a method of the receiving shard, its arguments
+ShardCall = tuple[float, str, tuple[Any, ...]]
 
 
 def region_of(zone: int) -> int:
-    """Return the region of a zone: most have two or three."""
+    """Return the region of a zone; each region has two or three zones."""
     return zone % REGIONS
 
 
-def ways() -> list[list[float]]:
-    """Return the seconds one way between each two zones: regions lie on a line."""
+def one_way_delays() -> list[list[float]]:
+    """Return the one-way delays in seconds between each two zones; the regions lie on a line."""
     step = (REGION_DELAY_RANGE_S[1] - REGION_DELAY_RANGE_S[0]) / (REGIONS - 2)
 
-    def way(one: int, other: int) -> float:
-        if one == other:
-            return IN_ZONE_S
-        apart = abs(region_of(one) - region_of(other))
-        return REGION_DELAY_RANGE_S[0] + (apart - 1) * step if apart else IN_REGION_S
+    def delay(zone_a: int, zone_b: int) -> float:
+        if zone_a == zone_b:
+            return SAME_ZONE_DELAY_S
+        distance = abs(region_of(zone_a) - region_of(zone_b))
+        return REGION_DELAY_RANGE_S[0] + (distance - 1) * step if distance else SAME_REGION_DELAY_S
 
-    return [[way(one, other) for other in range(ZONES)] for one in range(ZONES)]
+    return [[delay(zone_a, zone_b) for zone_b in range(ZONES)] for zone_a in range(ZONES)]
 
 
 class Node:
-    """One hollow node, and what it has sent."""
+    """One simulated node, and counts of what it sent and received."""
 
     __slots__ = (
         "address",
-        "asked",
         "due_s",
         "exchange_bytes",
         "exchanges",
-        "got_bytes",
         "index",
         "name",
         "position",
         "pull_due_s",
+        "received_bytes",
         "replica",
         "rows",
         "sent",
         "sent_bytes",
-        "states",
+        "state_replies",
         "swim",
         "sync_due_s",
         "syncing",
+        "unanswered_requests",
         "up",
         "zone",
     )
@@ -123,14 +125,14 @@
         self.replica: Replica
         self.due_s = self.pull_due_s = self.sync_due_s = float("inf")
         self.syncing = False
-        self.asked = 0  # askers at this instant
-        self.states: TokenBucket
-        self.sent = self.sent_bytes = self.got_bytes = self.exchanges = self.exchange_bytes = 0
+        self.unanswered_requests = 0  # requests that were received and not answered yet
+        self.state_replies: TokenBucket
+        self.sent = self.sent_bytes = self.received_bytes = self.exchanges = self.exchange_bytes = 0
         self.position: list[int] = []
 
 
 class Change(NamedTuple):
-    """One change of a tenant."""
+    """One accepted change of a tenant: its time, its partition and its index in the partition's log."""
 
     at_s: float
     partition_index: int
@@ -138,7 +140,10 @@
 
 
 class Fleet:
-    """Hollow nodes that have joined, and what stands between them; or a part of them, see `parts`."""
+    """Simulated nodes that know each other from the start, and the network between them.
+
+    An object holds all of them, or the nodes of one shard of a `parts.ShardedFleet`.
+    """
 
     def __init__(
         self,
@@ -146,467 +151,519 @@
         seed: int = 1,
         loss: float = LOSS,
         replicate: bool = True,
-        part: int = 0,
-        parts: int = 1,
+        shard: int = 0,
+        shard_count: int = 1,
     ) -> None:
-        """Hold the nodes of each so many-th region, from the part's on; all, where there is one part."""
+        """Create the nodes of a shard: those whose region's number modulo `shard_count` is `shard`."""
         self.clock, self.loss = VirtualLine(), loss
-        self.random = Random(f"{seed} {part}") if parts > 1 else Random(seed)
-        self.seed, self.shard, self.parts = seed, part, parts
+        self.random = Random(f"{seed} {shard}") if shard_count > 1 else Random(seed)
+        self.seed, self.shard, self.shard_count = seed, shard, shard_count
         self.replicate = replicate
-        self.one_way_s = ways()
-        self.cut: Network = lambda one, other: False
+        self.one_way_s = one_way_delays()
+        self.cut: CutPredicate = lambda one, other: False
         self.nodes = [
             Node(number, CONTROL[number] if number < len(CONTROL) else f"node-{number:04}")
             for number in range(size)
         ]
-        self.by_place = {node.address: node for node in self.nodes}
-        self.local_nodes = [node for node in self.nodes if self.shard_of(node) == part]
-        self.outboxes: list[list[Post]] = [[] for _ in range(parts)]  # for other parts
-        self._waiting: dict[int, tuple[Node, Swim, Callable[[Any], None]]] = {}  # exchanges, by number
-        self._numbers = count()
-        self._known: dict[Update, Update] = {}  # one of each that came from other parts
-        self._messages = msgspec.msgpack.Decoder(Datagram)
+        self.nodes_by_address = {node.address: node for node in self.nodes}
+        self.local_nodes = [node for node in self.nodes if self.shard_of(node) == shard]
+        self.outboxes: list[list[ShardCall]] = [[] for _ in range(shard_count)]  # calls for the other shards
+        # by request number: the requesting node, its `Swim` at that time and the callback for the reply
+        self._pending_requests: dict[int, tuple[Node, Swim, Callable[[Any], None]]] = {}
+        self._request_numbers = count()
+        self._shared_updates: dict[Update, Update] = {}  # updates that came from other shards
+        self._datagram_decoder = msgspec.msgpack.Decoder(Datagram)
         self.meter: Meter | None = None
-        self.steady = set(range(size))  # neither restarted nor cut off on purpose
+        self.steady = set(range(size))  # indexes of nodes that are neither restarted nor cut off on purpose
         self.changes: list[Change] = []
-        self.arrivals: dict[tuple[int, int], array[float]] = {}  # at steady nodes, by stream and number
-        self.ran_s = self.swim_s = self.replica_s = 0.0
-        self.false_deaths = self.failed_pulls = self.turned_away = 0.0
+        # times at which changes arrived at steady nodes, by partition and log index
+        self.arrivals: dict[tuple[int, int], array[float]] = {}
+        self.run_wall_s = self.swim_s = self.replica_s = 0.0
+        self.false_deaths = self.failed_pulls = self.rejected_connections = 0.0
         self.reply_faults: dict[str, int] = {}
         self._encoder = msgspec.msgpack.Encoder()
-        seal = MessageAuthenticator(
+        authenticator = MessageAuthenticator(
             b"a secret of sixteen", "reelusher", self.nodes[-1].address, FIRST_INCARNATION_MS
         )
-        seal._number = 1 << 20
+        authenticator._number = 1 << 20
         ping = Datagram(0, "x")  # type: ignore[arg-type]
-        self._envelope = len(seal.seal(ping)) - len(self._encoder.encode(ping))
-        everyone = MemberTable(Random(seed))
+        # bytes that sealing adds to an encoded message
+        self._envelope = len(authenticator.seal(ping)) - len(self._encoder.encode(ping))
+        all_members = MemberTable(Random(seed))
         for node in self.nodes:
-            everyone.apply(self._own(node, FIRST_INCARNATION_MS), 0.0)
+            all_members.apply(self._own_update(node, FIRST_INCARNATION_MS), 0.0)
         for node in self.local_nodes:
-            self._begin(node, FIRST_INCARNATION_MS)
-            node.swim.table.copy_from(everyone, node.address)
+            self._reset_protocols(node, FIRST_INCARNATION_MS)
+            node.swim.table.copy_from(all_members, node.address)
             node.swim.gossip.broadcasts.clear()
             node.sync_due_s = self.random.uniform(0.0, SYNC_INTERVAL_S[1])
-            self._wake(node)
-            self._wake_sync(node)
-            self.clock.call_later(self.random.uniform(0.0, EXPIRY_INTERVAL_S), self._drop, node)
+            self._schedule_tick(node)
+            self._schedule_sync(node)
+            self.clock.call_later(self.random.uniform(0.0, EXPIRY_INTERVAL_S), self._drop_expired, node)
 
-    # The parts
+    # Shards
 
     def shard_of(self, node: Node) -> int:
-        """Return which part holds a node."""
-        return region_of(node.zone) % self.parts
-
-    def _post(self, to: Node, delay_s: float, what: str, *args: Any) -> None:
-        """Have the part that holds a node do something, no sooner than after the way between two regions."""
-        part = self.shard_of(to)
-        if part == self.shard:
-            self.clock.call_later(delay_s, getattr(self, what), *args)
+        """Return the number of the shard that holds a node."""
+        return region_of(node.zone) % self.shard_count
+
+    def _call_shard_of(self, node: Node, delay_s: float, method_name: str, *args: Any) -> None:
+        """Call a method, by its name, on the shard that holds a node, after a delay.
+
+        For a node of another shard the delay is at least that between two regions.
+        """
+        shard = self.shard_of(node)
+        if shard == self.shard:
+            self.clock.call_later(delay_s, getattr(self, method_name), *args)
         else:
-            self.outboxes[part].append((self.clock.now + delay_s, what, args))
+            self.outboxes[shard].append((self.clock.now + delay_s, method_name, args))
 
-    def take_in(self, posts: Iterable[Post]) -> None:
-        """Take what other parts have posted."""
-        for at_s, what, args in posts:
-            self.clock.call_later(at_s - self.clock.now, getattr(self, what), *args)
+    def receive_calls(self, calls: Iterable[ShardCall]) -> None:
+        """Schedule the calls that other shards have posted."""
+        for at_s, method_name, args in calls:
+            self.clock.call_later(at_s - self.clock.now, getattr(self, method_name), *args)
 
-    def collect(self) -> list[list[Post]]:
-        """Return what is for other parts, and keep none of it."""
-        posts, self.outboxes = self.outboxes, [[] for _ in range(self.parts)]
-        return posts
+    def take_outboxes(self) -> list[list[ShardCall]]:
+        """Return and clear the calls for the other shards, one list for each shard."""
+        calls, self.outboxes = self.outboxes, [[] for _ in range(self.shard_count)]
+        return calls
 
-    def _tell_up(self, node: Node) -> None:
-        """Tell all other parts whether a node runs: they count false deaths, and who is live."""
+    def _announce_up(self, node: Node) -> None:
+        """Announce to all other shards whether a node runs: they count false deaths and live nodes."""
         for outbox in self.outboxes:
             outbox.append((self.clock.now + REGION_DELAY_RANGE_S[0], "note_up", (node.index, node.up)))
         self.outboxes[self.shard].clear()
 
     def note_up(self, index: int, up: bool) -> None:
-        """Note whether a node of another part runs."""
+        """Record whether a node of another shard runs."""
         self.nodes[index].up = up
 
-    # The nodes
+    # Nodes
 
-    def _own(self, node: Node, life: int) -> Update:
+    def _own_update(self, node: Node, incarnation: int) -> Update:
         return Update(
             node.address,
             node.name,
             f"zone-{node.zone:02}",
             f"region-{region_of(node.zone)}",
-            life,
+            incarnation,
             MemberState.ALIVE,
         )
 
-    def _begin(self, node: Node, life: int) -> None:
+    def _reset_protocols(self, node: Node, incarnation: int) -> None:
         now, random = self.clock.now, Random(self.random.random())
-        node.swim = Swim(self._own(node, life), random, now)
-        node.states = TokenBucket(STATE_REPLIES_PER_S, STATE_REPLY_BURST, now)
+        node.swim = Swim(self._own_update(node, incarnation), random, now)
+        node.state_replies = TokenBucket(STATE_REPLIES_PER_S, STATE_REPLY_BURST, now)
         node.due_s = node.pull_due_s = float("inf")
-        node.syncing, node.asked = False, 0
+        node.syncing, node.unanswered_requests = False, 0
         if self.replicate:
             node.replica = Replica(node.address, CONTROL, node.rows, random, str(node.zone), now)
             node.position = node.replica.announce()
             node.swim.gossip.vector = node.replica.announce
-            node.swim.on_vector = lambda sender, vector, at: self._heard(node, sender, vector, at)
+            node.swim.on_vector = lambda sender, vector, at: self._on_vector(node, sender, vector, at)
 
-    def _heard(self, node: Node, sender: str, vector: list[int], now: float) -> None:
+    def _on_vector(self, node: Node, sender: str, vector: list[int], now: float) -> None:
         if vector != node.position or node.replica.pulls.due_s != node.pull_due_s:
-            began = perf_counter()
-            node.replica.pulls.observe(sender, str(self.by_place[sender].zone), vector, now)
-            took = perf_counter() - began
-            self.replica_s += took
-            self.swim_s -= took  # within which it is called
-            self._wake_pull(node)
-
-    def _drop(self, node: Node) -> None:
+            began_wall_s = perf_counter()
+            node.replica.pulls.observe(sender, str(self.nodes_by_address[sender].zone), vector, now)
+            took_s = perf_counter() - began_wall_s
+            self.replica_s += took_s
+            self.swim_s -= took_s  # `on_vector` is called within the calls that `swim_s` measures
+            self._schedule_pull(node)
+
+    def _drop_expired(self, node: Node) -> None:
         if node.up:
             node.swim.table.drop_expired(self.clock.now)
-        self.clock.call_later(EXPIRY_INTERVAL_S, self._drop, node)
+        self.clock.call_later(EXPIRY_INTERVAL_S, self._drop_expired, node)
 
-    def _wake(self, node: Node) -> None:
+    def _schedule_tick(self, node: Node) -> None:
         now = self.clock.now
-        at = max(now, node.swim.next_tick_s())
-        if now < node.due_s <= at or not node.up:
-            return  # an earlier look is set
-        node.due_s = at
-        self.clock.call_later(at - now, self._tick, node, at, node.swim)
-
-    def _tick(self, node: Node, at: float, swim: Swim) -> None:
-        if node.due_s == at and node.up and swim is node.swim:
+        due_s = max(now, node.swim.next_tick_s())
+        if now < node.due_s <= due_s or not node.up:
+            return  # a tick that is not later is already scheduled
+        node.due_s = due_s
+        self.clock.call_later(due_s - now, self._tick, node, due_s, node.swim)
+
+    def _tick(self, node: Node, due_s: float, swim: Swim) -> None:
+        if node.due_s == due_s and node.up and swim is node.swim:
             node.due_s = float("inf")
-            began = perf_counter()
-            said = swim.tick(self.clock.now)
-            self.swim_s += perf_counter() - began
-            self._carry_out(node, said)
-            self._wake(node)
+            began_wall_s = perf_counter()
+            result = swim.tick(self.clock.now)
+            self.swim_s += perf_counter() - began_wall_s
+            self._apply_result(node, result)
+            self._schedule_tick(node)
 
-    def _carry_out(self, node: Node, said: StepResult) -> None:
+    def _apply_result(self, node: Node, result: StepResult) -> None:
         random = self.random
-        for change in said.changes:
+        for change in result.changes:
             if change.update.state is MemberState.DEAD:
-                other = self.by_place[change.update.address]
+                other = self.nodes_by_address[change.update.address]
                 self.false_deaths += other.up and not self.cut(node.index, other.index)
-        for place, message in said.datagrams:
+        for address, message in result.datagrams:
             node.sent += 1
             data = self._encoder.encode(message)
-            size = len(data) + self._envelope
-            node.sent_bytes += size
-            other = self.by_place[place]
+            frame_bytes = len(data) + self._envelope
+            node.sent_bytes += frame_bytes
+            other = self.nodes_by_address[address]
             if other.up and random.random() >= self.loss and not self.cut(node.index, other.index):
                 if self.shard_of(other) == self.shard:
-                    self.clock.call_later(self._way_s(node, other), self._take, other, message, size)
+                    self.clock.call_later(
+                        self._delay_s(node, other), self._receive, other, message, frame_bytes
+                    )
                 else:
-                    self._post(other, self._way_s(node, other), "take_bytes", other.index, data)
+                    self._call_shard_of(other, self._delay_s(node, other), "receive_bytes", other.index, data)
         if node.swim.sync_with and not node.syncing:
-            found = node.swim.sync_with.pop()
+            partner = node.swim.sync_with.pop()
             node.swim.sync_with.clear()
             node.syncing = True
-            self._compare(node, self.by_place[found])
+            self._compare_states(node, self.nodes_by_address[partner])
 
-    def _way_s(self, one: Node, other: Node) -> float:
-        return self.one_way_s[one.zone][other.zone] * (1 + JITTER * self.random.random())
+    def _delay_s(self, source: Node, target: Node) -> float:
+        return self.one_way_s[source.zone][target.zone] * (1 + DELAY_JITTER * self.random.random())
 
-    def take_bytes(self, index: int, data: bytes) -> None:
-        """Take a datagram of another part."""
-        message = self._messages.decode(data)
-        message.updates[:] = self._shared(message.updates)
-        self._take(self.nodes[index], message, len(data) + self._envelope)
+    def receive_bytes(self, index: int, data: bytes) -> None:
+        """Receive an encoded datagram from another shard."""
+        message = self._datagram_decoder.decode(data)
+        message.updates[:] = self._deduplicated(message.updates)
+        self._receive(self.nodes[index], message, len(data) + self._envelope)
 
-    def _shared(self, updates: Iterable[Update]) -> list[Update]:
-        """Return the same, of each update one for all nodes of this part."""
-        if len(self._known) > MOST_KNOWN:
-            self._known.clear()
-        return [self._known.setdefault(said, said) for said in updates]
+    def _deduplicated(self, updates: Iterable[Update]) -> list[Update]:
+        """Return equal updates, one object of each for all nodes of this shard, which saves memory."""
+        if len(self._shared_updates) > MAX_SHARED_UPDATES:
+            self._shared_updates.clear()
+        return [self._shared_updates.setdefault(update, update) for update in updates]
 
-    def _take(self, node: Node, message: Datagram, size: int) -> None:
+    def _receive(self, node: Node, message: Datagram, frame_bytes: int) -> None:
         if not node.up:
             return
-        node.got_bytes += size
-        began = perf_counter()
-        said = node.swim.receive(message, self.clock.now)
-        self.swim_s += perf_counter() - began
-        self._carry_out(node, said)
-        self._wake(node)
+        node.received_bytes += frame_bytes
+        began_wall_s = perf_counter()
+        result = node.swim.receive(message, self.clock.now)
+        self.swim_s += perf_counter() - began_wall_s
+        self._apply_result(node, result)
+        self._schedule_tick(node)
 
     # Exchanges over TCP
 
-    def _leg_s(self, one: Node, other: Node, size: int = 0) -> float:
-        late = RESENT_S if self.random.random() < self.loss * (1 + size // SEGMENT / 10) else 0.0
-        return self._way_s(one, other) + late
+    def _transfer_s(self, source: Node, target: Node, frame_bytes: int = 0) -> float:
+        resend_s = (
+            RETRANSMISSION_S
+            if self.random.random() < self.loss * (1 + frame_bytes // TCP_SEGMENT_BYTES / 10)
+            else 0.0
+        )
+        return self._delay_s(source, target) + resend_s
 
-    def _size(self, body: Any) -> int:
+    def _frame_bytes(self, body: Any) -> int:
         return len(self._encoder.encode(body)) + self._envelope + 4
 
-    def _count_sent(self, node: Node, size: int) -> None:
-        """Count a frame for the one that sends it, packets and its part of the handshake."""
-        node.exchange_bytes += size + PACKET * (1 + size // SEGMENT) + PACKET * HANDSHAKE // 4
+    def _count_sent(self, node: Node, frame_bytes: int) -> None:
+        """Count a frame at its sender: payload, packet headers and a quarter of the handshake."""
+        node.exchange_bytes += (
+            frame_bytes
+            + TCP_HEADER_BYTES * (1 + frame_bytes // TCP_SEGMENT_BYTES)
+            + TCP_HEADER_BYTES * HANDSHAKE_PACKETS // 4
+        )
 
-    def _count_got(self, node: Node, size: int) -> None:
-        """Count what the other end sends for a frame."""
-        node.exchange_bytes += PACKET * (1 + size // SEGMENT // 2) + PACKET * HANDSHAKE // 4
+    def _count_received(self, node: Node, frame_bytes: int) -> None:
+        """Count at a frame's receiver what it sends: acknowledgements and a quarter of the handshake."""
+        node.exchange_bytes += (
+            TCP_HEADER_BYTES * (1 + frame_bytes // TCP_SEGMENT_BYTES // 2)
+            + TCP_HEADER_BYTES * HANDSHAKE_PACKETS // 4
+        )
 
-    def _ask(self, node: Node, other: Node, request: Any, then: Callable[[Any], None]) -> None:
-        """Have a node ask another; `then` gets the reply, None where there is none."""
+    def _send_request(self, node: Node, other: Node, request: Any, callback: Callable[[Any], None]) -> None:
+        """Send a request from a node to another; `callback` gets the reply, or None without one."""
         node.exchanges += 1
-        size, number = self._size(request), next(self._numbers)
-        self._count_sent(node, size)
-        self._waiting[number] = node, node.swim, then
-        self._post(other, self._leg_s(node, other), "asked", node.index, other.index, number, request, size)
-
-    def asked(self, asker: int, index: int, number: int, request: Any, size: int) -> None:
-        """Have a node hear that another connects to it with a request."""
-        node, other = self.nodes[asker], self.nodes[index]
-        if not other.up or self.cut(asker, index):
-            self._post(node, REQUEST_TIMEOUT_S, "answered", asker, number, None, 0)
+        frame_bytes, number = self._frame_bytes(request), next(self._request_numbers)
+        self._count_sent(node, frame_bytes)
+        self._pending_requests[number] = node, node.swim, callback
+        self._call_shard_of(
+            other,
+            self._transfer_s(node, other),
+            "on_request",
+            node.index,
+            other.index,
+            number,
+            request,
+            frame_bytes,
+        )
+
+    def on_request(self, requester: int, index: int, number: int, request: Any, frame_bytes: int) -> None:
+        """Handle a connection that brings a request from the node `requester` to the node `index`."""
+        node, other = self.nodes[requester], self.nodes[index]
+        if not other.up or self.cut(requester, index):
+            self._call_shard_of(node, REQUEST_TIMEOUT_S, "on_reply", requester, number, None, 0)
             return
-        if other.asked >= MAX_CONNECTIONS:
-            self.turned_away += 1
-            self._post(node, self._way_s(other, node), "answered", asker, number, None, 0)
+        if other.unanswered_requests >= MAX_CONNECTIONS:
+            self.rejected_connections += 1
+            self._call_shard_of(node, self._delay_s(other, node), "on_reply", requester, number, None, 0)
             return
-        other.asked += 1
+        other.unanswered_requests += 1
         self.clock.call_later(
-            self._leg_s(node, other, size) + self._way_s(other, node),
-            self._answer,
+            self._transfer_s(node, other, frame_bytes) + self._delay_s(other, node),
+            self._send_reply,
             node,
             other,
             number,
             request,
-            size,
+            frame_bytes,
         )
 
-    def _answer(self, node: Node, other: Node, number: int, request: Any, size: int) -> None:
-        """Answer: the connection stands, and the request is read."""
-        other.asked = max(0, other.asked - 1)
-        self._count_got(other, size)
+    def _send_reply(self, node: Node, other: Node, number: int, request: Any, frame_bytes: int) -> None:
+        """Reply to a request that was read from an established connection."""
+        other.unanswered_requests = max(0, other.unanswered_requests - 1)
+        self._count_received(other, frame_bytes)
         if not other.up:
-            self._post(node, self._way_s(other, node), "answered", node.index, number, None, 0)
+            self._call_shard_of(node, self._delay_s(other, node), "on_reply", node.index, number, None, 0)
             return
-        reply = self._reply(other, request)
-        back = self._size(reply)
-        self._count_sent(other, back)
-        self._post(node, self._leg_s(other, node, back), "answered", node.index, number, reply, back)
-
-    def answered(self, index: int, number: int, reply: Any, size: int) -> None:
-        """Have a node hear the answer to what it asked, or that there is none."""
-        node, swim, then = self._waiting.pop(number)
+        reply = self._reply_to(other, request)
+        reply_bytes = self._frame_bytes(reply)
+        self._count_sent(other, reply_bytes)
+        self._call_shard_of(
+            node,
+            self._transfer_s(other, node, reply_bytes),
+            "on_reply",
+            node.index,
+            number,
+            reply,
+            reply_bytes,
+        )
+
+    def on_reply(self, index: int, number: int, reply: Any, frame_bytes: int) -> None:
+        """Hand the reply to a request, or None without one, to the node that sent the request."""
+        node, swim, callback = self._pending_requests.pop(number)
         if reply is not None:
-            self._count_got(node, size)
+            self._count_received(node, frame_bytes)
         if node.up and node.swim is swim:
-            then(reply)
+            callback(reply)
 
-    def _reply(self, node: Node, request: Any) -> Any:
+    def _reply_to(self, node: Node, request: Any) -> Any:
         now = self.clock.now
         match request:
             case DigestRequest():
                 return DigestReply(node.swim.compare_digest(request.digest))
             case BucketsRequest():
-                self._merged(node, request.updates)
+                self._merge_updates(node, request.updates)
                 return StateReply(
-                    node.swim.in_buckets(request.buckets) if node.states.try_take(now) else [node.swim.own]
+                    node.swim.in_buckets(request.buckets)
+                    if node.state_replies.try_take(now)
+                    else [node.swim.own]
                 )
             case StateRequest():
-                self._merged(node, request.updates)
-                gives = node.states.try_take(now)
-                return StateReply(node.swim.full_state()) if gives else StateReply([], [node.address])
-        began = perf_counter()
+                self._merge_updates(node, request.updates)
+                allowed = node.state_replies.try_take(now)
+                return StateReply(node.swim.full_state()) if allowed else StateReply([], [node.address])
+        began_wall_s = perf_counter()
         reply = node.replica.answer(request, now)
-        self.replica_s += perf_counter() - began
+        self.replica_s += perf_counter() - began_wall_s
         return reply
 
-    def _wake_sync(self, node: Node) -> None:
+    def _schedule_sync(self, node: Node) -> None:
         self.clock.call_later(node.sync_due_s - self.clock.now, self._sync, node, node.swim)
 
     def _sync(self, node: Node, swim: Swim) -> None:
         if not node.up or node.swim is not swim:
             return
         node.sync_due_s = self.clock.now + self.random.uniform(*SYNC_INTERVAL_S)
-        self._wake_sync(node)
+        self._schedule_sync(node)
         live = swim.table.live_count()
-        lost = [
+        unreachable_seeds = [
             seed
             for seed in self.nodes[: len(CONTROL)]
             if seed is not node
             and not (seed.address in swim.table.members and swim.table.members[seed.address].is_live)
         ]
-        if lost and self.random.random() < 3 / (1 + live):
-            self._compare(node, self.random.choice(lost))
+        if unreachable_seeds and self.random.random() < 3 / (1 + live):
+            self._compare_states(node, self.random.choice(unreachable_seeds))
         elif live:
-            self._compare(node, self.by_place[swim.table.sample(1)[0]])
-
-    def _merged(self, node: Node, updates: Iterable[Update]) -> None:
-        if self.parts > 1:
-            updates = self._shared(updates)
-        began = perf_counter()
-        said = node.swim.merge(updates, self.clock.now)
-        self.swim_s += perf_counter() - began
-        self._carry_out(node, said)
-        self._wake(node)
-
-    def _compare(self, node: Node, other: Node) -> None:
-        """Compare states as `Membership` does."""
+            self._compare_states(node, self.nodes_by_address[swim.table.sample(1)[0]])
+
+    def _merge_updates(self, node: Node, updates: Iterable[Update]) -> None:
+        if self.shard_count > 1:
+            updates = self._deduplicated(updates)
+        began_wall_s = perf_counter()
+        result = node.swim.merge(updates, self.clock.now)
+        self.swim_s += perf_counter() - began_wall_s
+        self._apply_result(node, result)
+        self._schedule_tick(node)
+
+    def _compare_states(self, node: Node, other: Node) -> None:
+        """Synchronise membership state with another node: digests first, then the differing buckets."""
         request = DigestRequest(node.address, node.swim.digest())
 
-        def free() -> None:
+        def clear_syncing() -> None:
             node.syncing = False
 
-        def digests(reply: DigestReply | None) -> None:
-            self.clock.call_later(self.random.uniform(*SYNC_PAUSE_S), free)
+        def on_digests(reply: DigestReply | None) -> None:
+            self.clock.call_later(self.random.uniform(*SYNC_PAUSE_S), clear_syncing)
             if reply is None or not reply.digests:
                 return
             buckets = node.swim.differing_buckets(reply.digests)
             if buckets:
-                self._ask(
-                    node, other, BucketsRequest(node.address, buckets, node.swim.in_buckets(buckets)), merged
+                self._send_request(
+                    node,
+                    other,
+                    BucketsRequest(node.address, buckets, node.swim.in_buckets(buckets)),
+                    on_states,
                 )
 
-        def merged(reply: StateReply | None) -> None:
+        def on_states(reply: StateReply | None) -> None:
             if reply is not None:
-                self._merged(node, reply.updates)
+                self._merge_updates(node, reply.updates)
 
-        self._ask(node, other, request, digests)
+        self._send_request(node, other, request, on_digests)
 
     # Replication
 
-    def _wake_pull(self, node: Node) -> None:
-        at = node.replica.pulls.next_due_s()
-        if at != node.pull_due_s and node.up:
-            node.pull_due_s = at
-            if at < float("inf"):
-                self.clock.call_later(at - self.clock.now, self._pull, node, at, node.replica)
+    def _schedule_pull(self, node: Node) -> None:
+        due_s = node.replica.pulls.next_due_s()
+        if due_s != node.pull_due_s and node.up:
+            node.pull_due_s = due_s
+            if due_s < float("inf"):
+                self.clock.call_later(due_s - self.clock.now, self._pull, node, due_s, node.replica)
 
-    def _pull(self, node: Node, at: float, replica: Replica) -> None:
-        if not node.up or node.replica is not replica or node.pull_due_s != at:
+    def _pull(self, node: Node, due_s: float, replica: Replica) -> None:
+        if not node.up or node.replica is not replica or node.pull_due_s != due_s:
             return
         node.pull_due_s = float("inf")
-        began = perf_counter()
+        began_wall_s = perf_counter()
         pull = replica.pulls.next_pull(self.clock.now)
-        self.replica_s += perf_counter() - began
-        self._wake_pull(node)
+        self.replica_s += perf_counter() - began_wall_s
+        self._schedule_pull(node)
         if pull is not None:
-            self._ask(
-                node, self.by_place[pull.address], pull.request, lambda reply: self._pulled(node, pull, reply)
+            self._send_request(
+                node,
+                self.nodes_by_address[pull.address],
+                pull.request,
+                lambda reply: self._on_pull_reply(node, pull, reply),
             )
 
-    def _pulled(self, node: Node, pull: Pull, reply: EntriesReply | None) -> None:
-        began = perf_counter()
+    def _on_pull_reply(self, node: Node, pull: Pull, reply: EntriesReply | None) -> None:
+        began_wall_s = perf_counter()
         if reply is None:
             self.failed_pulls += 1
             node.replica.pulls.failed(pull, self.clock.now)
         else:
-            taken = node.replica.apply_reply(pull, reply, self.clock.now)
-            for word in taken.faults:
-                self.reply_faults[word] = self.reply_faults.get(word, 0) + 1
-        self.replica_s += perf_counter() - began
-        self._note(node)
-        self._wake_pull(node)
-
-    def _note(self, node: Node) -> None:
-        """Note which changes a node has now."""
+            result = node.replica.apply_reply(pull, reply, self.clock.now)
+            for fault in result.faults:
+                self.reply_faults[fault] = self.reply_faults.get(fault, 0) + 1
+        self.replica_s += perf_counter() - began_wall_s
+        self._record_arrivals(node)
+        self._schedule_pull(node)
+
+    def _record_arrivals(self, node: Node) -> None:
+        """Record the arrival times of the changes that a node has received."""
         before, node.position = node.position, node.replica.announce()
         if before is node.position or node.index not in self.steady:
             return
-        for stream in range(len(CONTROL)):
-            for number in range(before[2 + 2 * stream] + 1, node.position[2 + 2 * stream] + 1):
-                self.arrivals.setdefault((stream, number), array("d")).append(self.clock.now)
+        for partition_index in range(len(CONTROL)):
+            for log_index in range(
+                before[2 + 2 * partition_index] + 1, node.position[2 + 2 * partition_index] + 1
+            ):
+                self.arrivals.setdefault((partition_index, log_index), array("d")).append(self.clock.now)
 
     def change(self, tenant: int) -> bool:
-        """Have a tenant's holder make a change; False where it is away, or of another part."""
+        """Make a change at the leader of a tenant's partition; return False if none was made.
+
+        That is so if the leader is down, belongs to another shard or may not write.
+        """
         name = f"tenant-{tenant}"
-        holder = partition_of(name, CONTROL)
-        node = self.nodes[CONTROL.index(holder)]
+        leader = partition_of(name, CONTROL)
+        node = self.nodes[CONTROL.index(leader)]
         if not node.up or self.shard_of(node) != self.shard:
             return False
         now = self.clock.now
-        body = TENANT.replace(b"%s", name.encode()) + str(len(self.changes)).encode()
+        body = TENANT_JSON.replace(b"%s", name.encode()) + str(len(self.changes)).encode()
         try:
             entry = node.replica.accept(
-                holder, node.name, LogEntry(0, name, int(now * 1000), "ops", "active", body)
+                leader, node.name, LogEntry(0, name, int(now * 1000), "ops", "active", body)
             )
         except NotLeaderError:
             return False
-        stream = CONTROL.index(holder)
-        self.changes.append(Change(now, stream, entry.index))
-        self._note(node)
+        partition_index = CONTROL.index(leader)
+        self.changes.append(Change(now, partition_index, entry.index))
+        self._record_arrivals(node)
         return True
 
-    # What happens to it
+    # Time and events
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual clock by a number of seconds."""
         self.run_to(self.clock.now + seconds)
 
     def run_to(self, until_s: float) -> None:
-        """Let time pass until a time."""
-        began = perf_counter()
+        """Advance the virtual clock to a time."""
+        began_wall_s = perf_counter()
         self.clock.run(until_s)
-        self.ran_s += perf_counter() - began
+        self.run_wall_s += perf_counter() - began_wall_s
 
-    def until(self, holds: Callable[[], bool], most_s: float, step_s: float = 0.1) -> float:
-        """Let time pass until something holds; return the seconds, infinity past the most."""
-        began = self.clock.now
-        while not holds():
-            if self.clock.now - began > most_s:
+    def until(self, condition: Callable[[], bool], timeout_s: float, step_s: float = 0.1) -> float:
+        """Advance the clock until a condition holds; return the seconds that took, infinity on a timeout."""
+        began_s = self.clock.now
+        while not condition():
+            if self.clock.now - began_s > timeout_s:
                 return float("inf")
             self.run(step_s)
-        return self.clock.now - began
+        return self.clock.now - began_s
 
     def kill(self, node: Node) -> None:
-        """End a node without a word."""
+        """Crash a node; it sends the other members no leave message."""
         node.up = False
-        self._tell_up(node)
+        self._announce_up(node)
 
     def restart(self, node: Node) -> None:
-        """Have a node leave, and come back with its rows and no members a little later."""
+        """Have a node leave, and start it again after a while, with its rows and an empty member table."""
         if node.up:
-            self._carry_out(node, node.swim.leave())
+            self._apply_result(node, node.swim.leave())
             node.up = False
-            self._tell_up(node)
-            self.clock.call_later(self.random.uniform(*DOWN_S), self.start, node)
+            self._announce_up(node)
+            self.clock.call_later(self.random.uniform(*DOWN_RANGE_S), self.start, node)
 
     def start(self, node: Node) -> None:
-        """Have a node that was away join anew."""
+        """Start a node that was down, with a new incarnation, and have it join."""
         node.up = True
-        self._tell_up(node)
-        self._begin(node, FIRST_INCARNATION_MS + int(self.clock.now * 1000) + 1)
+        self._announce_up(node)
+        self._reset_protocols(node, FIRST_INCARNATION_MS + int(self.clock.now * 1000) + 1)
         self._join(node)
 
     def _join(self, node: Node) -> None:
-        seed = self.random.choice([one for one in self.nodes[: len(CONTROL)] if one is not node])
+        seed = self.random.choice([member for member in self.nodes[: len(CONTROL)] if member is not node])
 
-        def joined(reply: StateReply | None) -> None:
+        def on_state_reply(reply: StateReply | None) -> None:
             if reply is None or reply.alternatives:
                 self.clock.call_later(self.random.uniform(0.2, 0.6), self._join, node)
                 return
-            began = perf_counter()
-            said = node.swim.join(reply.updates, self.clock.now)
-            self.swim_s += perf_counter() - began
-            self._carry_out(node, said)
+            began_wall_s = perf_counter()
+            result = node.swim.join(reply.updates, self.clock.now)
+            self.swim_s += perf_counter() - began_wall_s
+            self._apply_result(node, result)
             node.sync_due_s = self.clock.now + self.random.uniform(0.0, SYNC_INTERVAL_S[1])
-            self._wake(node)
-            self._wake_sync(node)
+            self._schedule_tick(node)
+            self._schedule_sync(node)
+
+        self._send_request(node, seed, StateRequest(node.address, [node.swim.own]), on_state_reply)
 
-        self._ask(node, seed, StateRequest(node.address, [node.swim.own]), joined)
+    def schedule_changes(self, until_s: float, rate: float, max_count: int) -> None:
+        """Schedule changes at random times until a time: `rate` a second, at most `max_count`.
 
-    def schedule_changes(self, until_s: float, rate: float, most: int) -> None:
-        """Make changes at random times, so many a second, until a time; the same in all parts."""
+        All shards draw the same times and tenants; each makes the changes that its own nodes lead.
+        """
         random, at_s = Random(f"{self.seed} changes"), self.clock.now
-        for _ in range(most):
+        for _ in range(max_count):
             at_s += random.expovariate(rate)
             if at_s >= until_s:
                 return
-            self.clock.call_later(at_s - self.clock.now, self.change, random.randrange(TENANTS))
+            self.clock.call_later(at_s - self.clock.now, self.change, random.randrange(TENANT_COUNT))
 
     def schedule_restarts(self, until_s: float, gap_s: float) -> None:
-        """Restart nodes one by one until a time, but no control members; they are no longer steady.
+        """Schedule restarts of nodes other than control members until a time, one every `gap_s` seconds.
 
-        Of all parts each draws the same nodes and times, and restarts its own.
+        Those nodes are no longer steady. All shards draw the same nodes and times; each restarts its own.
         """
         random = Random(f"{self.seed} restarts")
         count = int((until_s - self.clock.now) / gap_s)
-        others = range(len(CONTROL), len(self.nodes))
-        pool = random.sample(others, min(count, len(others) // 4))
+        candidates = range(len(CONTROL), len(self.nodes))
+        pool = random.sample(candidates, min(count, len(candidates) // 4))
         self.steady -= set(pool)
         chosen = pool + random.choices(pool, k=count - len(pool)) if pool else []
         for number, index in enumerate(chosen):
@@ -615,156 +672,169 @@
                 self.clock.call_later(after_s, self.restart, self.nodes[index])
 
     def isolate(self, group: set[int]) -> None:
-        """Cut some nodes off from all others; none: end a cut."""
+        """Partition some nodes from all others; an empty set ends the partition."""
         self.cut = (
             (lambda one, other: (one in group) != (other in group)) if group else (lambda one, other: False)
         )
 
-    # What came of it
+    # Results
 
     def memberships_agree(self) -> bool:
-        """Tell whether each live node counts just the live ones."""
+        """Return whether each live node of this shard considers exactly the live nodes live.
+
+        Compares counts, and three live nodes by their addresses.
+        """
         live = [node for node in self.nodes if node.up]
-        mine = [node for node in self.local_nodes if node.up]
-        return all(1 + node.swim.table.live_count() == len(live) for node in mine) and all(
+        local_live = [node for node in self.local_nodes if node.up]
+        return all(1 + node.swim.table.live_count() == len(live) for node in local_live) and all(
             other.swim.table.members[node.address].is_live
             for node in live[:3]
-            for other in mine
+            for other in local_live
             if other is not node
         )
 
     def has_converged(self) -> bool:
-        """Tell whether all live nodes are at one position in every stream."""
+        """Return whether all live nodes of this shard are at the same position in each partition."""
         return len(self.positions()) == 1
 
     def positions(self) -> set[tuple[int, ...]]:
-        """Return where the live nodes of this part are in the streams."""
+        """Return the distinct version vectors of the live nodes of this shard."""
         return {tuple(node.position) for node in self.local_nodes if node.up}
 
     def count_considering_dead(self, node: Node) -> int:
-        """Count the live nodes that don't count one as live."""
+        """Return how many live nodes of this shard don't consider a node live."""
         return sum(
-            one.up
-            and one is not node
-            and not (node.address in one.swim.table.members and one.swim.table.members[node.address].is_live)
-            for one in self.local_nodes
+            other.up
+            and other is not node
+            and not (
+                node.address in other.swim.table.members and other.swim.table.members[node.address].is_live
+            )
+            for other in self.local_nodes
         )
 
 
 @dataclass(slots=True, frozen=True)
 class Reading:
-    """What the nodes of a part have sent and what they cost within a time."""
+    """What the nodes of a shard sent and what they cost over a period."""
 
     seconds: float
-    rows: list[list[int]]  # of each node: datagrams and their bytes, bytes got, exchanges and their bytes
-    control: int  # how many of the first of these are control members
+    # for each node: datagrams sent, their bytes, bytes received, exchanges, their bytes
+    rows: list[list[int]]
+    control: int  # number of control members; their rows come first
     processor_s: float
     wall_s: float
-    swim_s: float  # by the wall
+    swim_s: float  # of wall time, as `replica_s` is
     replica_s: float
     peak_kb: int
     counts: dict[str, float]
 
 
 class Meter:
-    """What nodes send and what the play costs, from its making on."""
+    """Measures what the nodes send and what the simulation costs, from its creation on."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self._began_s = fleet, fleet.clock.now
         self._counts = [self._count(node) for node in fleet.local_nodes]
-        self._cpu, self._wall = process_time(), fleet.ran_s
-        self._parts = fleet.swim_s, fleet.replica_s
+        self._processor_s, self._run_wall_s = process_time(), fleet.run_wall_s
+        self._protocol_wall_s = fleet.swim_s, fleet.replica_s
         gc.collect()
         gc.disable()
 
     @staticmethod
     def _count(node: Node) -> tuple[int, int, int, int, int]:
-        return node.sent, node.sent_bytes, node.got_bytes, node.exchanges, node.exchange_bytes
+        return node.sent, node.sent_bytes, node.received_bytes, node.exchanges, node.exchange_bytes
 
     def read(self) -> Reading:
-        """Return what was sent and spent since this was made."""
+        """Return what was sent and spent since this meter was created."""
         gc.enable()
         fleet = self.fleet
         rows = [
             [after - before for after, before in zip(self._count(node), counts, strict=True)]
             for node, counts in zip(fleet.local_nodes, self._counts, strict=True)
         ]
-        swim_s, replica_s = fleet.swim_s - self._parts[0], fleet.replica_s - self._parts[1]
+        swim_s, replica_s = (
+            fleet.swim_s - self._protocol_wall_s[0],
+            fleet.replica_s - self._protocol_wall_s[1],
+        )
         return Reading(
             fleet.clock.now - self._began_s,
             rows,
             sum(node.index < len(CONTROL) for node in fleet.local_nodes),
-            process_time() - self._cpu,
-            fleet.ran_s - self._wall,
+            process_time() - self._processor_s,
+            fleet.run_wall_s - self._run_wall_s,
             swim_s,
             replica_s,
             resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
             {
                 "false_deaths": fleet.false_deaths,
                 "failed_pulls": fleet.failed_pulls,
-                "turned_away": fleet.turned_away,
+                "turned_away": fleet.rejected_connections,
             },
         )
 
     def figures(self) -> dict[str, float]:
-        """Return the figures of a fleet of one part."""
+        """Return the figures of a fleet with a single shard."""
         return figures_of([self.read()])
 
 
 def figures_of(readings: Sequence[Reading]) -> dict[str, float]:
-    """Return what a node sends and takes in a second, and the most of any one; from all parts of a fleet."""
-    rows = [row for one in readings for row in one.rows]
-    seconds, size = readings[0].seconds, len(rows)
+    """Return traffic and processor use per node and second, mean and highest, from all shards' readings."""
+    rows = [row for reading in readings for row in reading.rows]
+    seconds, node_count = readings[0].seconds, len(rows)
 
-    def whole(row: Sequence[int]) -> float:
-        return (row[1] + row[4] + HEADERS * row[0]) / seconds
+    def bytes_per_s(row: Sequence[int]) -> float:
+        return (row[1] + row[4] + UDP_HEADER_BYTES * row[0]) / seconds
 
-    sent = sorted(map(whole, rows))
-    # decisions are timed by the wall, of which the processor was given a part
+    sent = sorted(map(bytes_per_s, rows))
+    # `swim_s` and `replica_s` are wall time; the process had a processor for `processor_s` of its `wall_s`
     membership, replica = (
         sum(
-            spent / one.wall_s * one.processor_s
-            for spent, one in zip(part, readings, strict=True)
-            if one.wall_s
+            spent / reading.wall_s * reading.processor_s
+            for spent, reading in zip(wall_times, readings, strict=True)
+            if reading.wall_s
         )
-        / size
+        / node_count
         / seconds
-        for part in ([one.swim_s for one in readings], [one.replica_s for one in readings])
+        for wall_times in (
+            [reading.swim_s for reading in readings],
+            [reading.replica_s for reading in readings],
+        )
     )
-    cpu = sum(one.processor_s for one in readings)
+    cpu = sum(reading.processor_s for reading in readings)
     datagrams = mean(row[0] for row in rows) / seconds
     sealing = datagrams * 2 * seal_s()
     return {
         "virtual_seconds": round(seconds, 1),
         "datagrams_a_second": round(datagrams, 2),
         "datagram_bytes_a_second": round(mean(row[1] for row in rows) / seconds, 1),
-        "header_bytes_a_second": round(HEADERS * datagrams, 1),
+        "header_bytes_a_second": round(UDP_HEADER_BYTES * datagrams, 1),
         "exchanges_a_second": round(mean(row[3] for row in rows) / seconds, 3),
         "exchange_bytes_a_second": round(mean(row[4] for row in rows) / seconds, 1),
         "sent_bytes_a_second_mean": round(mean(sent), 1),
-        "sent_bytes_a_second_99_percent": round(sent[int(0.99 * (size - 1))], 1),
+        "sent_bytes_a_second_99_percent": round(sent[int(0.99 * (node_count - 1))], 1),
         "sent_bytes_a_second_most": round(sent[-1], 1),
         "sent_bytes_a_second_most_but_control": round(
-            max(whole(row) for one in readings for row in one.rows[one.control :]), 1
+            max(bytes_per_s(row) for reading in readings for row in reading.rows[reading.control :]), 1
         ),
         "membership_core_percent": round(100 * membership, 4),
         "replica_core_percent": round(100 * replica, 4),
         "sealing_core_percent": round(100 * sealing, 4),
         "core_percent": round(100 * (membership + replica + sealing), 4),
-        "driver_core_percent": round(100 * (cpu / size / seconds - membership - replica), 4),
+        "driver_core_percent": round(100 * (cpu / node_count / seconds - membership - replica), 4),
         "process_seconds": round(cpu, 1),
-        "wall_seconds": round(max(one.wall_s for one in readings), 1),
-        "peak_memory_mb": round(sum(one.peak_kb for one in readings) / 1024),
-        **{name: sum(one.counts[name] for one in readings) for name in readings[0].counts},
+        "wall_seconds": round(max(reading.wall_s for reading in readings), 1),
+        "peak_memory_mb": round(sum(reading.peak_kb for reading in readings) / 1024),
+        **{name: sum(reading.counts[name] for reading in readings) for name in readings[0].counts},
     }
 
 
 def seal_s(count: int = 2000) -> float:
-    """Return the processor time of sealing a datagram and opening one, halved."""
-    seal, other = (
-        MessageAuthenticator(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", life) for life in (1, 2)
+    """Return half the processor time, in seconds, that sealing and opening a datagram take together."""
+    sender, receiver = (
+        MessageAuthenticator(b"a secret of sixteen", "reelusher", "10.0.0.1:7946", incarnation)
+        for incarnation in (1, 2)
     )
-    said = [
+    updates = [
         Update(
             f"10.0.0.{number}:7946",
             "node-1234",
@@ -775,61 +845,61 @@
         )
         for number in range(3)
     ]
-    message = Datagram(0, "10.0.0.1:7946", 1 << 20, "", said, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
+    message = Datagram(0, "10.0.0.1:7946", 1 << 20, "", updates, [1 << 31, *[9, 1 << 12] * 6])  # type: ignore[arg-type]
     began = process_time()
     for _ in range(count):
-        other.open(seal.seal(message), Datagram)
+        receiver.open(sender.seal(message), Datagram)
     return (process_time() - began) / count / 2
 
 
 @dataclass(slots=True, frozen=True)
 class Spread:
-    """The changes that a part has made, and when its steady nodes had which."""
+    """The changes made in a shard, and when each change arrived at the shard's steady nodes."""
 
     changes: list[Change]
     arrivals: "dict[tuple[int, int], array[float]]"
-    steady: int  # nodes of all parts
+    steady: int  # number of steady nodes in all shards
 
 
 def spread_figures(spreads: Sequence[Spread]) -> dict[str, float]:
-    """Return how long the changes took to be everywhere; what never was is told as infinite."""
-    most: list[float] = []
-    every: list[float] = []
-    need = spreads[0].steady
-    for change in [change for one in spreads for change in one.changes]:
-        which = change.partition_index, change.log_index
-        came = sorted(at_s for one in spreads for at_s in one.arrivals.get(which, ()))
-        for wanted, took in ((ceil(ENOUGH * need), most), (need, every)):
-            took.append(came[wanted - 1] - change.at_s if len(came) >= wanted else float("inf"))
-    if not most:
+    """Return how long changes took to reach 99.9% of the steady nodes, and all; infinity if one did not."""
+    nearly_all: list[float] = []
+    all_nodes: list[float] = []
+    steady_count = spreads[0].steady
+    for change in [change for spread in spreads for change in spread.changes]:
+        key = change.partition_index, change.log_index
+        arrived_s = sorted(at_s for spread in spreads for at_s in spread.arrivals.get(key, ()))
+        for needed, times_s in ((ceil(NEARLY_ALL * steady_count), nearly_all), (steady_count, all_nodes)):
+            times_s.append(arrived_s[needed - 1] - change.at_s if len(arrived_s) >= needed else float("inf"))
+    if not nearly_all:
         return {"changes": 0}
-    most.sort()
-    every.sort()
+    nearly_all.sort()
+    all_nodes.sort()
 
-    def at(values: list[float], part: float) -> float:
-        return round(values[min(len(values) - 1, int(part * len(values)))], 3)
+    def percentile(values: list[float], fraction: float) -> float:
+        return round(values[min(len(values) - 1, int(fraction * len(values)))], 3)
 
     return {
-        "changes": len(most),
-        "steady_nodes": need,
-        "to_999_permille_median_s": at(most, 0.5),
-        "to_999_permille_p99_s": at(most, 0.99),
-        "to_999_permille_most_s": at(most, 1.0),
-        "to_all_median_s": at(every, 0.5),
-        "to_all_p99_s": at(every, 0.99),
-        "to_all_most_s": at(every, 1.0),
-        "past_8_s_for_999_permille": len(most) - bisect_left(most, 8.0),
-        "past_16_s_for_all": len(every) - bisect_left(every, 16.0),
+        "changes": len(nearly_all),
+        "steady_nodes": steady_count,
+        "to_999_permille_median_s": percentile(nearly_all, 0.5),
+        "to_999_permille_p99_s": percentile(nearly_all, 0.99),
+        "to_999_permille_most_s": percentile(nearly_all, 1.0),
+        "to_all_median_s": percentile(all_nodes, 0.5),
+        "to_all_p99_s": percentile(all_nodes, 0.99),
+        "to_all_most_s": percentile(all_nodes, 1.0),
+        "past_8_s_for_999_permille": len(nearly_all) - bisect_left(nearly_all, 8.0),
+        "past_16_s_for_all": len(all_nodes) - bisect_left(all_nodes, 16.0),
     }
 
 
 def leader_rows(fleet: Fleet) -> dict[str, Any]:
-    """Return the rows that the control members of a part hold, by name."""
+    """Return the rows of each partition as its leader in this shard holds them, by name."""
     return {
-        name: kept
+        name: row
         for node in fleet.local_nodes
         if node.index < len(CONTROL)
-        for name, kept in node.rows.live_entries().items()
+        for name, row in node.rows.live_entries().items()
         if partition_of(name, CONTROL) == node.name
     }
 
@@ -837,8 +907,11 @@
 def count_inconsistent_nodes(
     fleet: Fleet, newest: dict[str, Any], changes: Sequence[Change]
 ) -> dict[str, int]:
-    """Return how many live nodes of a part lack a change, or have another row than the holder."""
-    differ = sum(node.rows.live_entries() != newest for node in fleet.local_nodes if node.up)
-    numbers = [sum(change.partition_index == stream for change in changes) for stream in range(len(CONTROL))]
-    undone = sum(node.position[2::2] != numbers for node in fleet.local_nodes if node.up)
-    return {"nodes_with_other_rows": differ, "nodes_not_at_the_last_change": undone}
+    """Return how many live nodes of a shard lack a change, or have other rows than the leaders."""
+    with_other_rows = sum(node.rows.live_entries() != newest for node in fleet.local_nodes if node.up)
+    last_indexes = [
+        sum(change.partition_index == partition_index for change in changes)
+        for partition_index in range(len(CONTROL))
+    ]
+    behind = sum(node.position[2::2] != last_indexes for node in fleet.local_nodes if node.up)
+    return {"nodes_with_other_rows": with_other_rows, "nodes_not_at_the_last_change": behind}
