--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -1,13 +1,13 @@
-"""Many members in one process and one thread: the real `Swim` and `Replica`, without what else a node has.
+"""Many simulated members in one process and one thread: the real `Swim` and `Replica`, and no more of a node.
 
-They join a fleet of real processes, so that those feel a table of so many members. All that goes to and comes
-from real nodes is sealed and crosses sockets; between two hollow members it is handed over in memory, unless
-`sealed` has their datagrams cross sockets too. Where one process does not keep up with all of them, several
-hold a part each, and what goes from one part to another crosses sockets as well.
+They join a fleet of real processes, which then have to handle a member table of that size. Messages to and
+from real nodes are sealed and cross sockets. Messages between two simulated members are passed in memory,
+unless `sealed` is set: then their datagrams cross sockets too. If one process can't keep up with all members,
+several processes hold a shard of them each, and messages between two shards cross sockets as well.
 
     python -m reelusher.lab.capacity.hollow --members 1000 --seconds 20
 
-tells how far a process keeps up with so many by themselves.
+runs the members alone and prints how far a process keeps up with them.
 """
 
 import argparse
@@ -57,65 +57,66 @@
 from reelusher.lab.fleet.rig import free_port
 
 T = TypeVar("T")
-EXCHANGE_S = 2.0
-SYNC_S = 15.0, 30.0  # between exchanges of full states with a member by chance, as nodes do
-WAY_S = 0.001  # from one hollow member to another
-STEP_S = 0.02
-LOOK_S = 0.05  # between looks whether a change is everywhere
-READS = 4  # datagrams taken from one socket before the next
-REQUESTS = StateRequest | DigestRequest | BucketsRequest | ObservationsRequest | EntriesRequest
-FIRST_NET = 100  # hollow members are at 127.100.0.1 and on
+EXCHANGE_TIMEOUT_S = 2.0
+SYNC_INTERVAL_S = 15.0, 30.0  # between state syncs with a random member, as in a node
+MEMORY_DELAY_S = 0.001  # delay of a datagram that is passed in memory
+MAX_CLOCK_STEP_S = 0.02  # by which the members' clock advances at most in a pass of the loop
+CHECK_INTERVAL_S = 0.05  # between checks whether a change has reached all members
+MAX_READS_PER_TURN = 4  # datagrams read from one socket before the next socket gets its turn
+MEMBER_REQUESTS = StateRequest | DigestRequest | BucketsRequest | ObservationsRequest | EntriesRequest
+SECOND_OCTET = 100  # second octet of the addresses: the first is 127.100.0.1
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A question over TCP, of a hollow member to a real one, or the other way round."""
+    """A request and its reply over TCP, from a simulated member to a real one or the other way round."""
 
     sock: socket.socket
-    until_s: float
-    out: bytes = b""
-    came: bytearray = field(default_factory=bytearray)
-    take: Callable[[bytes], bytes] | None = None  # of the frame that came, what is sent back
-    failed: Callable[[], None] = lambda: None
+    deadline_s: float
+    unsent: bytes = b""
+    received: bytearray = field(default_factory=bytearray)
+    on_frame: Callable[[bytes], bytes] | None = None  # gets the received frame, returns the frame to send
+    on_failure: Callable[[], None] = lambda: None
 
 
-class Member:
-    """One hollow member."""
+class SimulatedMember:
+    """One simulated member."""
 
     def __init__(self, own: Update, control: list[str], secret: bytes, fleet: str, random: Random) -> None:
         self.swim, self.rows, self.zone = Swim(own, random, 0.0), MemoryReplicaStore(), own.zone
-        self.place = own.address
+        self.address = own.address
         self.replica = Replica(own.address, control, self.rows, random, own.zone)
-        self.seal = MessageAuthenticator(secret, fleet, own.address, own.incarnation)
-        self.swim.gossip.vector, self.swim.on_vector = self.replica.announce, self._heard
+        self.authenticator = MessageAuthenticator(secret, fleet, own.address, own.incarnation)
+        self.swim.gossip.vector, self.swim.on_vector = self.replica.announce, self._on_vector
         self.sock: socket.socket | None = None
-        self.due_s = 0.0  # for which it is in the heap
-        self.sync_s = random.uniform(0.0, SYNC_S[1])
+        self.due_s = 0.0  # time of its valid entry in the heap
+        self.sync_due_s = random.uniform(0.0, SYNC_INTERVAL_S[1])
         self.exchanging = False
 
-    def _heard(self, sender: str, vector: list[int], now: float) -> None:
+    def _on_vector(self, sender: str, vector: list[int], now: float) -> None:
         self.replica.pulls.observe(sender, self.zone_of(sender), vector, now)
 
-    def zone_of(self, place: str) -> str:
-        """Return the zone of a member that it knows."""
-        found = self.swim.table.members.get(place)
-        return found.update.zone if found else ""
+    def zone_of(self, address: str) -> str:
+        """Return the zone of another member, or "" for an unknown one."""
+        member = self.swim.table.members.get(address)
+        return member.update.zone if member else ""
 
-    def next_s(self) -> float:
-        """Return when it has something to do."""
-        return min(self.swim.next_tick_s(), self.replica.pulls.next_due_s(), self.sync_s)
+    def next_due_s(self) -> float:
+        """Return the time of its next tick, pull or state sync."""
+        return min(self.swim.next_tick_s(), self.replica.pulls.next_due_s(), self.sync_due_s)
 
 
-def hosts_of(count: int) -> list[str]:
-    """Return the addresses of so many."""
-    return [f"127.{FIRST_NET}.{number // 250}.{number % 250 + 1}" for number in range(count)]
+def loopback_hosts(count: int) -> list[str]:
+    """Return the loopback hosts of `count` simulated members."""
+    return [f"127.{SECOND_OCTET}.{number // 250}.{number % 250 + 1}" for number in range(count)]
 
 
-class Hollow:
-    """All hollow members of a process.
+class SimulatedMembers:
+    """All simulated members of a process.
 
-    Their clock goes on by `STEP_S` at most between two looks: where this process does not keep up, or is not
-    let run, all of them are slow together, and none blames another. `lost_s` tells how much that was.
+    Their clock advances by at most `MAX_CLOCK_STEP_S` in a pass of the loop. If this process does not keep up
+    or does not get a processor, all of its members slow down together, and none suspects another.
+    `held_back_s` is the time by which their clock has fallen behind.
     """
 
     def __init__(
@@ -127,46 +128,56 @@
         zones: tuple[str, ...] = ("a", "b", "c"),
         sealed: bool = False,
         seed: int = 1,
-        part: int = 0,
-        parts: int = 1,
+        shard: int = 0,
+        shard_count: int = 1,
         port: int = 0,
-        life: int = 0,
+        incarnation: int = 0,
     ) -> None:
-        """Hold each `parts`-th of so many, from the part's on; all parts are given one port and one life."""
-        self.random, self.sealed = Random(f"{seed} {part}"), sealed
+        """Create the members of a shard: each `shard_count`-th of `count`, beginning with number `shard`.
+
+        All shards of a fleet need the same `port` and `incarnation`.
+        """
+        self.random, self.sealed = Random(f"{seed} {shard}"), sealed
         self.selector = selectors.DefaultSelector()
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, SimulatedMember] = {}
         self.counts: Counter[str] = Counter()
-        self.heap: list[tuple[float, int, Member]] = []
-        self.ways: deque[tuple[float, str, Datagram]] = deque()  # on their way between two hollow members
+        self.heap: list[tuple[float, int, SimulatedMember]] = []
+        # datagrams between two simulated members: due time, target's address and message
+        self.in_transit: deque[tuple[float, str, Datagram]] = deque()
         self.exchanges: set[Exchange] = set()
-        self.cut: frozenset[str] = frozenset()  # zones on one side of a cut
-        self.now = self.lost_s = 0.0
-        self.looked_s = time.monotonic()
+        self.cut_zones: frozenset[str] = frozenset()  # zones that are cut off from the others
+        self.now = self.held_back_s = 0.0
+        self.last_pass_s = time.monotonic()
         self.stop = False
         self._order = 0
-        hosts = hosts_of(count)
-        port, life = port or free_port(hosts), life or int(time.time() * 1000)
-        everyone = [
+        hosts = loopback_hosts(count)
+        port, incarnation = port or free_port(hosts), incarnation or int(time.time() * 1000)
+        own_updates = [
             Update(
-                f"{host}:{port}", f"h{number + 1}", zones[number % len(zones)], "", life, MemberState.ALIVE
+                f"{host}:{port}",
+                f"h{number + 1}",
+                zones[number % len(zones)],
+                "",
+                incarnation,
+                MemberState.ALIVE,
             )
             for number, host in enumerate(hosts)
         ]
-        whole = MemberTable(Random(seed))
-        for own in everyone:
-            whole.apply(own, 0.0)
-        for number, own in enumerate(everyone):
-            if number % parts != part:
+        all_members = MemberTable(Random(seed))
+        for own in own_updates:
+            all_members.apply(own, 0.0)
+        for number, own in enumerate(own_updates):
+            if number % shard_count != shard:
                 continue
-            member = Member(own, control, secret, fleet, Random(f"{seed} {number}"))
-            member.swim.table.copy_from(whole, own.address)  # they know each other from the start
+            member = SimulatedMember(own, control, secret, fleet, Random(f"{seed} {number}"))
+            # all members know each other from the start
+            member.swim.table.copy_from(all_members, own.address)
             member.swim.gossip.broadcasts.clear()
             self.members[own.address] = member
             self._listen(member, (hosts[number], port))
-            self._wake(member)
+            self._schedule(member)
 
-    def _listen(self, member: Member, address: Address) -> None:
+    def _listen(self, member: SimulatedMember, address: Address) -> None:
         member.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         member.sock.bind(address)
         member.sock.setblocking(False)
@@ -177,411 +188,443 @@
 
     # Joining
 
-    def join(self, places: list[str]) -> None:
-        """Exchange full states with each of these, by a member of its own, and tell all members of them."""
-        asked = list(self.members.values())[: len(places)]
-        everyone = [member.swim.own for member in self.members.values()]
-        known: dict[str, Update] = {}
-        for place, member in zip(places, asked, strict=False):
-            data = member.seal.seal(StateRequest(member.place, everyone))
-            source = member.place.split(":")[0], 0
-            with socket.create_connection(address_of(place, "place"), 10.0, source) as sock:
+    def join(self, addresses: list[str]) -> None:
+        """Exchange full states with each of these real nodes, and give the result to all members.
+
+        A different member contacts each node. Raises OSError if a node can't be reached or closes the
+        connection.
+        """
+        joiners = list(self.members.values())[: len(addresses)]
+        own_updates = [member.swim.own for member in self.members.values()]
+        updates_by_address: dict[str, Update] = {}
+        for address, member in zip(addresses, joiners, strict=False):
+            data = member.authenticator.seal(StateRequest(member.address, own_updates))
+            source = member.address.split(":")[0], 0
+            with socket.create_connection(address_of(address, "place"), 10.0, source) as sock:
                 sock.sendall(len(data).to_bytes(4) + data)
-                came = bytearray()
-                while len(came) < 4 or len(came) < 4 + int.from_bytes(came[:4]):
+                received = bytearray()
+                while len(received) < 4 or len(received) < 4 + int.from_bytes(received[:4]):
                     data = sock.recv(1 << 16)
                     if not data:
-                        raise OSError(f"{place} closed within an exchange")
-                    came += data
-            _, reply = member.seal.open(bytes(came[4:]), StateReply, MAX_STATE_BYTES)
-            known |= {said.address: said for said in reply.updates}
+                        raise OSError(f"{address} closed within an exchange")
+                    received += data
+            _, reply = member.authenticator.open(bytes(received[4:]), StateReply, MAX_STATE_BYTES)
+            updates_by_address |= {update.address: update for update in reply.updates}
         for member in self.members.values():
-            for said in known.values():
-                if said.address != member.place:
-                    member.swim.table.apply(said, self.now)
-        self.looked_s = time.monotonic()
+            for update in updates_by_address.values():
+                if update.address != member.address:
+                    member.swim.table.apply(update, self.now)
+        self.last_pass_s = time.monotonic()
 
     # The loop
 
     def run(self, until_s: float) -> None:
-        """Carry out what is due and what comes, until a time."""
-        self.looked_s = time.monotonic()
-        while not self.stop and self.looked_s < until_s:
-            self._due()
+        """Run the loop until a time of the monotonic clock, or until `stop` is set."""
+        self.last_pass_s = time.monotonic()
+        while not self.stop and self.last_pass_s < until_s:
+            self._run_due()
             wait_s = self.heap[0][0] - self.now
-            if self.ways:
-                wait_s = min(wait_s, self.ways[0][0] - self.now)
-            for key, _ in self.selector.select(max(0.0, min(wait_s, STEP_S / 2))):
-                what, about = key.data
-                match what:
+            if self.in_transit:
+                wait_s = min(wait_s, self.in_transit[0][0] - self.now)
+            for key, _ in self.selector.select(max(0.0, min(wait_s, MAX_CLOCK_STEP_S / 2))):
+                kind, target = key.data
+                match kind:
                     case "datagrams":
-                        self._read(about)
+                        self._read_datagrams(target)
                     case "listener":
-                        self._accept(key.fileobj, about)
+                        self._accept(key.fileobj, target)
                     case "exchange":
-                        self._go_on(about)
+                        self._advance_exchange(target)
                     case _:
-                        about()
-            before_s, self.looked_s = self.looked_s, time.monotonic()
-            step_s = min(self.looked_s - before_s, STEP_S)
+                        target()
+            previous_s, self.last_pass_s = self.last_pass_s, time.monotonic()
+            step_s = min(self.last_pass_s - previous_s, MAX_CLOCK_STEP_S)
             self.now += step_s
-            self.lost_s += self.looked_s - before_s - step_s
+            self.held_back_s += self.last_pass_s - previous_s - step_s
 
-    def _due(self) -> None:
+    def _run_due(self) -> None:
         now = self.now
-        while self.ways and self.ways[0][0] <= now:
-            _, place, message = self.ways.popleft()
-            member = self.members[place]
-            self._carry_out(member, member.swim.receive(message, now))
-            self._wake(member)
+        while self.in_transit and self.in_transit[0][0] <= now:
+            _, address, message = self.in_transit.popleft()
+            member = self.members[address]
+            self._apply_result(member, member.swim.receive(message, now))
+            self._schedule(member)
         while self.heap and self.heap[0][0] <= now:
             due_s, _, member = heapq.heappop(self.heap)
             if due_s != member.due_s:
-                continue  # an earlier or later look was set since
+                continue  # the member has been rescheduled since
             member.due_s = 0.0
-            self._carry_out(member, member.swim.tick(now))
-            if now >= member.sync_s:
-                member.sync_s = now + self.random.uniform(*SYNC_S)
-                for place in member.swim.table.sample(1):
-                    self._compare(member, place)
+            self._apply_result(member, member.swim.tick(now))
+            if now >= member.sync_due_s:
+                member.sync_due_s = now + self.random.uniform(*SYNC_INTERVAL_S)
+                for address in member.swim.table.sample(1):
+                    self._compare_states(member, address)
             if (pull := member.replica.pulls.next_pull(now)) is not None:
                 self._pull(member, pull)
-            self._wake(member)
-        for one in [one for one in self.exchanges if one.until_s < self.looked_s]:
-            self._end(one)
-            one.failed()
+            self._schedule(member)
+        for exchange in [exchange for exchange in self.exchanges if exchange.deadline_s < self.last_pass_s]:
+            self._close_exchange(exchange)
+            exchange.on_failure()
 
-    def _wake(self, member: Member) -> None:
-        due_s = member.next_s()
+    def _schedule(self, member: SimulatedMember) -> None:
+        due_s = member.next_due_s()
         if due_s != member.due_s:
             member.due_s = due_s
             self._order += 1
             heapq.heappush(self.heap, (due_s, self._order, member))
 
-    def _apart(self, member: Member, place: str) -> bool:
-        """Tell whether a cut stands between a member and a place."""
-        return bool(self.cut) and (member.zone in self.cut) != (member.zone_of(place) in self.cut)
+    def _is_cut(self, member: SimulatedMember, address: str) -> bool:
+        """Return whether a cut separates a member from the member at an address."""
+        return bool(self.cut_zones) and (member.zone in self.cut_zones) != (
+            member.zone_of(address) in self.cut_zones
+        )
 
     # Datagrams
 
-    def _carry_out(self, member: Member, said: StepResult) -> None:
-        for place, message in said.datagrams:
-            if self._apart(member, place):
+    def _apply_result(self, member: SimulatedMember, result: StepResult) -> None:
+        for address, message in result.datagrams:
+            if self._is_cut(member, address):
                 continue
-            if place in self.members and not self.sealed:
+            if address in self.members and not self.sealed:
                 self.counts["handed_over"] += 1
-                message = replace(message, updates=_copies(message.updates))
-                self.ways.append((self.now + WAY_S, place, message))
+                message = replace(message, updates=_copied(message.updates))
+                self.in_transit.append((self.now + MEMORY_DELAY_S, address, message))
                 continue
             self.counts["sent"] += 1
             assert member.sock is not None
             with contextlib.suppress(OSError, ConfigError):
-                member.sock.sendto(member.seal.seal(message), address_of(place, "place"))
+                member.sock.sendto(member.authenticator.seal(message), address_of(address, "place"))
         if member.swim.sync_with:
-            found = member.swim.sync_with.pop()
+            partner = member.swim.sync_with.pop()
             member.swim.sync_with.clear()
-            self._compare(member, found)
+            self._compare_states(member, partner)
 
-    def _read(self, member: Member) -> None:
+    def _read_datagrams(self, member: SimulatedMember) -> None:
         assert member.sock is not None
-        for _ in range(READS):
+        for _ in range(MAX_READS_PER_TURN):
             try:
                 data, _ = member.sock.recvfrom(1 << 16)
             except OSError:
                 break
             self.counts["received"] += 1
             try:
-                _, message = member.seal.open(data, Datagram, MAX_DATAGRAM_BYTES)
+                _, message = member.authenticator.open(data, Datagram, MAX_DATAGRAM_BYTES)
             except RejectedMessageError as error:
                 self.counts[f"refused_{error}"] += 1
                 continue
-            if not self._apart(member, message.sender):
-                self._carry_out(member, member.swim.receive(message, self.now))
-        self._wake(member)
+            if not self._is_cut(member, message.sender):
+                self._apply_result(member, member.swim.receive(message, self.now))
+        self._schedule(member)
 
     # Full states and entries
 
-    def _compare(self, member: Member, place: str) -> None:
-        """Exchange with a member what the two know otherwise than each other, as nodes do."""
-        if self._apart(member, place):
+    def _compare_states(self, member: SimulatedMember, address: str) -> None:
+        """Synchronise states with a member, as a node does: digests first, then the differing buckets."""
+        if self._is_cut(member, address):
             return
         self.counts["compared"] += 1
-        request, other = DigestRequest(member.place, member.swim.digest()), self.members.get(place)
+        request, other = DigestRequest(member.address, member.swim.digest()), self.members.get(address)
         if other is not None:
             digests = other.swim.compare_digest(request.digest)
             if digests and (buckets := member.swim.differing_buckets(digests)):
-                mine = BucketsRequest(member.place, buckets, _copies(member.swim.in_buckets(buckets)))
-                self._merge(member, self._answer(other, mine))
-                self._wake(other)
+                buckets_request = BucketsRequest(
+                    member.address, buckets, _copied(member.swim.in_buckets(buckets))
+                )
+                self._merge(member, self._reply_to(other, buckets_request))
+                self._schedule(other)
             return
 
-        def compare(reply: DigestReply) -> None:
+        def on_digests(reply: DigestReply) -> None:
             buckets = (
                 member.swim.differing_buckets(reply.digests) if len(reply.digests) == BUCKET_COUNT else []
             )
             if buckets:
-                mine = BucketsRequest(member.place, buckets, member.swim.in_buckets(buckets))
-                self._ask(member, place, mine, StateReply, partial(self._merge, member))
+                buckets_request = BucketsRequest(member.address, buckets, member.swim.in_buckets(buckets))
+                self._send_request(member, address, buckets_request, StateReply, partial(self._merge, member))
 
-        self._ask(member, place, request, DigestReply, compare)
+        self._send_request(member, address, request, DigestReply, on_digests)
 
-    def _merge(self, member: Member, reply: StateReply) -> None:
-        self._carry_out(member, member.swim.merge(_copies(reply.updates), self.now))
-        self._wake(member)
+    def _merge(self, member: SimulatedMember, reply: StateReply) -> None:
+        self._apply_result(member, member.swim.merge(_copied(reply.updates), self.now))
+        self._schedule(member)
 
-    def _pull(self, member: Member, pull: Pull) -> None:
+    def _pull(self, member: SimulatedMember, pull: Pull) -> None:
         self.counts["pulls"] += 1
         other = self.members.get(pull.address)
-        if self._apart(member, pull.address):
+        if self._is_cut(member, pull.address):
             member.replica.pulls.failed(pull, self.now)
         elif other is not None:
             member.replica.apply_reply(pull, other.replica.answer(pull.request, self.now), self.now)
         else:
 
-            def take(reply: EntriesReply) -> None:
+            def on_reply(reply: EntriesReply) -> None:
                 member.replica.apply_reply(pull, reply, self.now)
-                self._wake(member)
+                self._schedule(member)
 
-            def failed() -> None:
+            def on_failure() -> None:
                 member.replica.pulls.failed(pull, self.now)
-                self._wake(member)
+                self._schedule(member)
 
             self.counts["pulls_of_nodes"] += 1
-            self._ask(member, pull.address, pull.request, EntriesReply, take, failed)
+            self._send_request(member, pull.address, pull.request, EntriesReply, on_reply, on_failure)
 
-    def _answer(self, member: Member, asked: Any) -> Any:
-        match asked:
+    def _reply_to(self, member: SimulatedMember, request: Any) -> Any:
+        match request:
             case StateRequest() | BucketsRequest():
-                self._carry_out(member, member.swim.merge(asked.updates, self.now))
+                self._apply_result(member, member.swim.merge(request.updates, self.now))
                 return StateReply(
                     member.swim.full_state()
-                    if isinstance(asked, StateRequest)
-                    else member.swim.in_buckets(asked.buckets)
+                    if isinstance(request, StateRequest)
+                    else member.swim.in_buckets(request.buckets)
                 )
             case DigestRequest():
-                return DigestReply(member.swim.compare_digest(asked.digest))
+                return DigestReply(member.swim.compare_digest(request.digest))
             case EntriesRequest():
-                return member.replica.answer(asked, self.now)
+                return member.replica.answer(request, self.now)
         return ObservationsReply(False, [])
 
     # Exchanges with real nodes
 
-    def _ask(
+    def _send_request(
         self,
-        member: Member,
-        place: str,
+        member: SimulatedMember,
+        address: str,
         request: Any,
-        kind: type[T],
-        take: Callable[[T], None],
-        failed: Callable[[], None] = lambda: None,
+        reply_type: type[T],
+        on_reply: Callable[[T], None],
+        on_failure: Callable[[], None] = lambda: None,
     ) -> None:
         def open_frame(frame: bytes) -> bytes:
-            take(member.seal.open(frame, kind, MAX_STATE_BYTES)[1])
+            on_reply(member.authenticator.open(frame, reply_type, MAX_STATE_BYTES)[1])
             return b""
 
-        data = member.seal.seal(request)
+        data = member.authenticator.seal(request)
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
-        sock.bind((member.place.split(":")[0], 0))
-        sock.connect_ex(address_of(place, "place"))
-        one = Exchange(
-            sock, time.monotonic() + EXCHANGE_S, len(data).to_bytes(4) + data, take=open_frame, failed=failed
+        sock.bind((member.address.split(":")[0], 0))
+        sock.connect_ex(address_of(address, "place"))
+        exchange = Exchange(
+            sock,
+            time.monotonic() + EXCHANGE_TIMEOUT_S,
+            len(data).to_bytes(4) + data,
+            on_frame=open_frame,
+            on_failure=on_failure,
         )
-        self.exchanges.add(one)
-        self.selector.register(sock, selectors.EVENT_WRITE, ("exchange", one))
+        self.exchanges.add(exchange)
+        self.selector.register(sock, selectors.EVENT_WRITE, ("exchange", exchange))
 
-    def _accept(self, listener: Any, member: Member) -> None:
+    def _accept(self, listener: Any, member: SimulatedMember) -> None:
         try:
             sock, _ = listener.accept()
         except OSError:
             return
         sock.setblocking(False)
 
-        def take(frame: bytes) -> bytes:
-            asked = member.seal.open(frame, REQUESTS, MAX_STATE_BYTES)[1]
-            self.counts[f"asked_{type(asked).__name__}"] += 1
-            if self._apart(member, asked.sender):
+        def on_frame(frame: bytes) -> bytes:
+            request = member.authenticator.open(frame, MEMBER_REQUESTS, MAX_STATE_BYTES)[1]
+            self.counts[f"asked_{type(request).__name__}"] += 1
+            if self._is_cut(member, request.sender):
                 return b""
-            data = member.seal.seal(self._answer(member, asked))
-            self._wake(member)
+            data = member.authenticator.seal(self._reply_to(member, request))
+            self._schedule(member)
             return len(data).to_bytes(4) + data
 
-        one = Exchange(sock, time.monotonic() + EXCHANGE_S, take=take)
-        self.exchanges.add(one)
-        self.selector.register(sock, selectors.EVENT_READ, ("exchange", one))
+        exchange = Exchange(sock, time.monotonic() + EXCHANGE_TIMEOUT_S, on_frame=on_frame)
+        self.exchanges.add(exchange)
+        self.selector.register(sock, selectors.EVENT_READ, ("exchange", exchange))
 
-    def _go_on(self, one: Exchange) -> None:
-        """Send and read what can be of an exchange."""
+    def _advance_exchange(self, exchange: Exchange) -> None:
+        """Send and receive as much of an exchange as its socket allows."""
         try:
-            if one.out:
-                one.out = one.out[one.sock.send(one.out) :]
-                if one.out:
+            if exchange.unsent:
+                exchange.unsent = exchange.unsent[exchange.sock.send(exchange.unsent) :]
+                if exchange.unsent:
                     return
-                if one.take is None:
-                    self._end(one)
+                if exchange.on_frame is None:
+                    self._close_exchange(exchange)
                 else:
-                    self.selector.modify(one.sock, selectors.EVENT_READ, ("exchange", one))
+                    self.selector.modify(exchange.sock, selectors.EVENT_READ, ("exchange", exchange))
                 return
-            data = one.sock.recv(1 << 18)
-            one.came += data
-            if len(one.came) >= 4 and len(one.came) >= 4 + int.from_bytes(one.came[:4]):
-                assert one.take is not None
-                take, one.take = one.take, None
-                one.out = take(bytes(one.came[4:]))
-                if one.out:
-                    self.selector.modify(one.sock, selectors.EVENT_WRITE, ("exchange", one))
+            data = exchange.sock.recv(1 << 18)
+            exchange.received += data
+            if len(exchange.received) >= 4 and len(exchange.received) >= 4 + int.from_bytes(
+                exchange.received[:4]
+            ):
+                assert exchange.on_frame is not None
+                on_frame, exchange.on_frame = exchange.on_frame, None
+                exchange.unsent = on_frame(bytes(exchange.received[4:]))
+                if exchange.unsent:
+                    self.selector.modify(exchange.sock, selectors.EVENT_WRITE, ("exchange", exchange))
                 else:
-                    self._end(one)
+                    self._close_exchange(exchange)
             elif not data:
-                self._end(one)
-                one.failed()
+                self._close_exchange(exchange)
+                exchange.on_failure()
         except BlockingIOError:
             return
         except (OSError, RejectedMessageError) as error:
             self.counts["exchanges_failed"] += 1
             self.counts[f"exchange_{type(error).__name__}"] += 1
-            self._end(one)
-            one.failed()
+            self._close_exchange(exchange)
+            exchange.on_failure()
 
-    def _end(self, one: Exchange) -> None:
-        if one in self.exchanges:
-            self.exchanges.discard(one)
-            self.selector.unregister(one.sock)
-            one.sock.close()
+    def _close_exchange(self, exchange: Exchange) -> None:
+        if exchange in self.exchanges:
+            self.exchanges.discard(exchange)
+            self.selector.unregister(exchange.sock)
+            exchange.sock.close()
 
-    # Changes of its own
+    # Changes
 
     def change(self, name: str) -> tuple[str, int]:
-        """Have the member that writes a name change it; return the stream and the change's number."""
+        """Change a name at the leader of its partition; return the partition and the change's log index."""
         first = next(iter(self.members.values()))
-        stream = partition_of(name, first.replica.control)
-        writer = next(member for member in self.members.values() if member.swim.own.name == stream)
-        made = writer.replica.accept(stream, stream, LogEntry(0, name, 0, "rig", "active", b"{}"))
-        return stream, made.index
+        partition = partition_of(name, first.replica.control)
+        leader = next(member for member in self.members.values() if member.swim.own.name == partition)
+        entry = leader.replica.accept(partition, partition, LogEntry(0, name, 0, "rig", "active", b"{}"))
+        return partition, entry.index
 
-    def lacking(self, stream: str, number: int) -> int:
-        """Return how many members do not have a change."""
-        return sum(member.replica.states[stream].index < number for member in self.members.values())
+    def count_lacking(self, partition: str, log_index: int) -> int:
+        """Return how many members lack a change."""
+        return sum(member.replica.states[partition].index < log_index for member in self.members.values())
 
-    # What the rig wants to know
+    # Status
 
     def status(self, wanted: dict[str, Any] | None = None) -> dict[str, Any]:
-        """Return counts, the time that was lost, and how many have just the rows that are wanted."""
-        told = {
+        """Return counters, clocks, and how many members have exactly the `wanted` rows."""
+        status = {
             "members": len(self.members),
             "processor_s": round(time.process_time(), 2),
             "clock_s": round(self.now, 3),
-            "lost_s": round(self.lost_s, 3),
+            "lost_s": round(self.held_back_s, 3),
             "stalls": sum(member.swim.stalls for member in self.members.values()),
             "live_least": min(member.swim.table.fleet_size() for member in self.members.values()),
             "live_most": max(member.swim.table.fleet_size() for member in self.members.values()),
             **self.counts,
         }
         if wanted is not None:
-            told["right"] = sum(self._shows(member, wanted) for member in self.members.values())
-        return told
+            status["right"] = sum(self._has_rows(member, wanted) for member in self.members.values())
+        return status
 
     @staticmethod
-    def _shows(member: Member, wanted: dict[str, Any]) -> bool:
-        """Tell whether a member has these rows, `max_open` and state by name, and no others."""
-        found = {
+    def _has_rows(member: SimulatedMember, wanted: dict[str, Any]) -> bool:
+        """Return whether a member has exactly these rows, given as `max_open` and state by name."""
+        held_rows = {
             name: [json.loads(entry.tenant)["max_open"], entry.state]
             for name, entry in member.rows.live_entries().items()
         }
-        return found == wanted
+        return held_rows == wanted
 
 
-def _copies(updates: list[Update]) -> list[Update]:
-    """Return others that say the same, as if they had crossed a wire."""
+def _copied(updates: list[Update]) -> list[Update]:
+    """Return copies of updates, so that two members share none, as if the updates had crossed a network."""
     return list(map(copy, updates))
 
 
-def serve(hollow: Hollow) -> None:
-    """Carry out commands that come as lines of JSON, one answer a line, until the input ends."""
-    came = bytearray()
+def serve(members: SimulatedMembers) -> None:
+    """Execute commands from standard input, one JSON object a line, and print a status after each."""
+    received = bytearray()
 
     def read() -> None:
         data = os.read(0, 1 << 16)
         if not data:
-            hollow.stop = True
-        came.extend(data)
-        while b"\n" in came:
-            line, _, rest = bytes(came).partition(b"\n")
-            came[:] = rest
-            told = json.loads(line)
-            if "join" in told:
-                hollow.join(told["join"])
-            hollow.cut = frozenset(told.get("cut", hollow.cut))
-            print(json.dumps(hollow.status(told.get("rows"))), flush=True)
-
-    hollow.selector.register(0, selectors.EVENT_READ, ("commands", read))
-    print(json.dumps({"members": len(hollow.members)}), flush=True)
-    hollow.run(float("inf"))
+            members.stop = True
+        received.extend(data)
+        while b"\n" in received:
+            line, _, rest = bytes(received).partition(b"\n")
+            received[:] = rest
+            command = json.loads(line)
+            if "join" in command:
+                members.join(command["join"])
+            members.cut_zones = frozenset(command.get("cut", members.cut_zones))
+            print(json.dumps(members.status(command.get("rows"))), flush=True)
+
+    members.selector.register(0, selectors.EVENT_READ, ("commands", read))
+    print(json.dumps({"members": len(members.members)}), flush=True)
+    members.run(float("inf"))
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play hollow members, by themselves for a time or at a rig's command."""
+    """Run simulated members, alone for a time or by commands on standard input."""
     parser = argparse.ArgumentParser(prog="reelusher.lab.capacity.hollow", description="On loopback only.")
     parser.add_argument("--members", type=int, default=1000)
-    parser.add_argument("--seconds", type=float, help="by themselves; else commands are read")
-    parser.add_argument("--sealed", action="store_true", help="seal what goes between two of them too")
+    parser.add_argument("--seconds", type=float, help="run alone for this long; else commands are read")
+    parser.add_argument("--sealed", action="store_true", help="seal datagrams between two of them too")
     parser.add_argument("--control", nargs="+", default=["n1", "n2", "n3"])
     parser.add_argument("--secret", type=Path, help="file with the secret of the fleet")
-    parser.add_argument("--changes", type=float, default=0.0, help="a second, by members of their own")
-    parser.add_argument("--part", type=int, default=0, help="which of the parts this process holds")
-    parser.add_argument("--parts", type=int, default=1, help="processes that share the members")
-    parser.add_argument("--port", type=int, default=0, help="of all members; 0: a free one, for one part")
-    parser.add_argument("--life", type=int, default=0, help="incarnation of all; 0: now, for one part")
-    given = parser.parse_args(argv)
-    secret = given.secret.read_bytes().strip() if given.secret else b"a secret of hollow members"
-    hollow = Hollow(
-        given.members,
-        given.control,
+    parser.add_argument(
+        "--changes", type=float, default=0.0, help="changes a second, made by simulated members"
+    )
+    parser.add_argument("--part", type=int, default=0, help="number of the part that this process holds")
+    parser.add_argument("--parts", type=int, default=1, help="number of processes that share the members")
+    parser.add_argument(
+        "--port", type=int, default=0, help="port of all members; 0: a free one, for one part"
+    )
+    parser.add_argument(
+        "--life", type=int, default=0, help="incarnation of all members; 0: now, for one part"
+    )
+    args = parser.parse_args(argv)
+    secret = args.secret.read_bytes().strip() if args.secret else b"a secret of hollow members"
+    members = SimulatedMembers(
+        args.members,
+        args.control,
         secret,
-        sealed=given.sealed,
-        part=given.part,
-        parts=given.parts,
-        port=given.port,
-        life=given.life,
+        sealed=args.sealed,
+        shard=args.part,
+        shard_count=args.parts,
+        port=args.port,
+        incarnation=args.life,
     )
-    if given.seconds is None:
-        serve(hollow)
+    if args.seconds is None:
+        serve(members)
         return 0
-    hollow.run(time.monotonic() + 2.0)
-    began_s, processor_s, now, lost_s = time.monotonic(), time.process_time(), hollow.now, hollow.lost_s
-    took = _changed(hollow, given.changes, began_s + given.seconds) if given.changes else []
-    hollow.run(began_s + given.seconds)
-    took_s = time.monotonic() - began_s
-    told = hollow.status() | {
-        "of_a_core": round((time.process_time() - processor_s) / took_s, 3),
-        "of_real_time": round((hollow.now - now) / (hollow.now - now + hollow.lost_s - lost_s), 3),
+    members.run(time.monotonic() + 2.0)
+    began_s, processor_before_s, clock_before_s, held_back_before_s = (
+        time.monotonic(),
+        time.process_time(),
+        members.now,
+        members.held_back_s,
+    )
+    delays_s = _make_changes(members, args.changes, began_s + args.seconds) if args.changes else []
+    members.run(began_s + args.seconds)
+    elapsed_s = time.monotonic() - began_s
+    figures = members.status() | {
+        "of_a_core": round((time.process_time() - processor_before_s) / elapsed_s, 3),
+        "of_real_time": round(
+            (members.now - clock_before_s)
+            / (members.now - clock_before_s + members.held_back_s - held_back_before_s),
+            3,
+        ),
     }
-    if took:
-        told["in_force"] = {
-            "count": len(took),
-            "median_s": round(took[len(took) // 2], 3),
-            "p99_s": round(took[int(len(took) * 0.99)], 3),
-            "most_s": round(took[-1], 3),
+    if delays_s:
+        figures["in_force"] = {
+            "count": len(delays_s),
+            "median_s": round(delays_s[len(delays_s) // 2], 3),
+            "p99_s": round(delays_s[int(len(delays_s) * 0.99)], 3),
+            "most_s": round(delays_s[-1], 3),
         }
-    print(json.dumps(told, indent=1))
+    print(json.dumps(figures, indent=1))
     return 0
 
 
-def _changed(hollow: Hollow, rate: float, until_s: float) -> list[float]:
-    """Make so many changes a second until a time; return how long each took to be everywhere."""
-    random, due_s, count = Random(2), hollow.now, 0
-    waiting: list[tuple[str, int, float]] = []
-    took: list[float] = []
-    while time.monotonic() < until_s or (waiting and time.monotonic() < until_s + SYNC_S[1]):
-        if hollow.now >= due_s and time.monotonic() < until_s:
-            waiting.append((*hollow.change(f"t{count}"), hollow.now))
+def _make_changes(members: SimulatedMembers, rate: float, until_s: float) -> list[float]:
+    """Make `rate` changes a second until a time; return the sorted delays until each had reached all members.
+
+    A change that has not reached all members in time counts as infinity.
+    """
+    random, due_s, count = Random(2), members.now, 0
+    pending: list[tuple[str, int, float]] = []
+    delays_s: list[float] = []
+    while time.monotonic() < until_s or (pending and time.monotonic() < until_s + SYNC_INTERVAL_S[1]):
+        if members.now >= due_s and time.monotonic() < until_s:
+            pending.append((*members.change(f"t{count}"), members.now))
             due_s, count = due_s + random.expovariate(rate), count + 1
-        hollow.run(time.monotonic() + LOOK_S)
-        there = [one for one in waiting if not hollow.lacking(*one[:2])]
-        took += [hollow.now - began_s for _, _, began_s in there]
-        waiting = [one for one in waiting if one not in there]
-    took += [float("inf") for _ in waiting]
-    return sorted(took)
+        members.run(time.monotonic() + CHECK_INTERVAL_S)
+        complete = [change for change in pending if not members.count_lacking(*change[:2])]
+        delays_s += [members.now - began_s for _, _, began_s in complete]
+        pending = [change for change in pending if change not in complete]
+    delays_s += [float("inf") for _ in pending]
+    return sorted(delays_s)
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -36,7 +36,7 @@
     answers_for,
     worker_of,
 )
-from reelusher.lab.capacity.hollow import hosts_of
+from reelusher.lab.capacity.hollow import loopback_hosts
 from reelusher.lab.capacity.nodes import CLASS, NodeAddresses, NodeProcesses
 from reelusher.lab.capacity.wires import (
     Callers,
@@ -273,7 +273,7 @@
     async def _add_hollow(self) -> None:
         """Have hollow members join, from processes of their own."""
         count, parts = self.proof.hollow, self.proof.hollow_parts
-        port, life = free_port(hosts_of(count)), int(time.time() * 1000)
+        port, life = free_port(loopback_hosts(count)), int(time.time() * 1000)
         for part in range(parts):
             log = self.nodes.log_file(f"hollow-{part}").open("ab")
             self.hollow.append(
