--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -152,7 +152,7 @@
                 f"{phase}_most_ms": _ms(ordered[-1]),
             }
         self.figures |= self.counts
-        self.figures["broken"] = [line for name in (WRITER, FRESH) for line in self.nodes.faults(name)]
+        self.figures["broken"] = [line for name in (WRITER, FRESH) for line in self.nodes.error_lines(name)]
 
     async def _start(self, name: str) -> None:
         self.nodes.start(name)
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -747,7 +747,7 @@
             if (status := self.nodes.running[name].poll()) != 0:
                 self.books.broken.append(f"{name} left with status {status}")
         for name in self.names:
-            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.faults(name)[:3]]
+            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
 
     def _report(self) -> None:
         times = self.books.in_force(self.names, self.writer_of)
--- a/reelusher/lab/capacity/nodes.py
+++ b/reelusher/lab/capacity/nodes.py
@@ -119,7 +119,7 @@
         """Return where a node's log is."""
         return self.folder / f"{name}.log"
 
-    def faults(self, name: str) -> list[str]:
+    def error_lines(self, name: str) -> list[str]:
         """Return the lines of a node's log that tell of an error."""
         lines = self.log_file(name).read_text(errors="replace").splitlines()
         return [line for line in lines if any(word in line for word in FAULTS)]
