--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -31,7 +31,7 @@
     answers,
     call,
 )
-from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
+from reelusher.lab.fleet.rig import STAND_IN_HOST, address_of, free_port
 
 WRITER, FRESH, SERVED, WORKER = "n1", "n2", "served", "w0"
 ROUTED = 41 / 260  # the part of tenants with a route of their own
@@ -90,7 +90,7 @@
 
     async def play(self) -> None:
         """Play it."""
-        server = await asyncio.start_server(NamedWorker(WORKER, 2.0).serve, SERVICES, 0)
+        server = await asyncio.start_server(NamedWorker(WORKER, 2.0).serve, STAND_IN_HOST, 0)
         hosts = {name: address_of(0, number, 0)[0] for number, name in enumerate((WRITER, FRESH))}
         ports = set[int]()
         while len(ports) < 3:
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -44,7 +44,7 @@
 from reelusher.fleet.replication.pull_scheduler import Pull
 from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.token_bucket import TokenBucket
 
 ZONES, REGIONS = 17, 7
@@ -150,7 +150,7 @@
         parts: int = 1,
     ) -> None:
         """Hold the nodes of each so many-th region, from the part's on; all, where there is one part."""
-        self.line, self.loss = VirtualLine(), loss
+        self.line, self.loss = VirtualClock(), loss
         self.random = Random(f"{seed} {part}") if parts > 1 else Random(seed)
         self.seed, self.part, self.parts = seed, part, parts
         self.replicate = replicate
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -49,8 +49,8 @@
 )
 from reelusher.lab.fleet.plan import Fault
 from reelusher.lab.fleet.processes import ROOT
-from reelusher.lab.fleet.relay import Net
-from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
+from reelusher.lab.fleet.relay import FaultProxyNetwork
+from reelusher.lab.fleet.rig import STAND_IN_HOST, address_of, free_port
 
 ZONES = ("a", "b", "c")
 NEWS_S = 0.01  # for each hollow member of a process after a kill: it carries the news of it for all
@@ -104,7 +104,7 @@
         self.proof, self.folder = proof, folder
         self.loop = asyncio.get_running_loop()
         self.random = random.Random(proof.seed)
-        self.books, self.net = Books(), Net(proof.seed)
+        self.books, self.net = Books(), FaultProxyNetwork(proof.seed)
         self.names = [f"n{number + 1}" for number in range(proof.nodes)]
         self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
         self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
@@ -161,7 +161,7 @@
         """Play the proof; the books then tell what broke a rule."""
         self._beat(self.loop.time())
         workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
-        servers = [await asyncio.start_server(one.serve, SERVICES, 0) for one in workers]
+        servers = [await asyncio.start_server(one.serve, STAND_IN_HOST, 0) for one in workers]
         addresses = {
             one.name.decode(): server.sockets[0].getsockname()
             for one, server in zip(workers, servers, strict=True)
@@ -220,8 +220,12 @@
             ports.add(free_port(hosts))
         ajp, admin, fleet = ports
         for name, host in host_of.items():
-            self.net.party_of[host] = name
-            door = await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
+            self.net.endpoint_of[host] = name
+            door = (
+                await self.net.open_shared_proxy(name, (host, fleet), streams=True)
+                if self.control
+                else (host, fleet)
+            )
             self.places[name] = Places((host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]])
             self.callers[name] = Callers((host, ajp))
         seeds = [self.places[name].advertise for name in self.names[: len(ZONES)]]
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -21,7 +21,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
 from reelusher.lab.capacity.keys import bytes_of
-from reelusher.lab.fleet.members import cost, time_to_know
+from reelusher.lab.fleet.members import cost_at_rest, time_to_detect_death
 
 DEATHS = 3
 
@@ -42,12 +42,12 @@
 
 def rest(size: int) -> Figures:
     """Measure members at rest, and the time until a death is known to 99 %."""
-    sent, sent_bytes, core = cost(size)
+    sent, sent_bytes, core = cost_at_rest(size)
     return {
         "datagrams_per_s": sent,
         "bytes_per_s": sent_bytes,
         "core": core,
-        "death_known_s": median(time_to_know(size, seed) for seed in range(DEATHS)),
+        "death_known_s": median(time_to_detect_death(size, seed) for seed in range(DEATHS)),
     }
 
 
--- a/reelusher/lab/capacity/nodes.py
+++ b/reelusher/lab/capacity/nodes.py
@@ -12,8 +12,8 @@
 import tomli_w
 
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.census import TOKEN
-from reelusher.lab.fleet.processes import ROOT, deployed
+from reelusher.lab.fleet.census import RIG_ADMIN_TOKEN
+from reelusher.lab.fleet.processes import ROOT, deploy_command
 
 FAULTS = ("Traceback", " ERROR ")  # words in a node's log that spoil a run
 STOP_MS = 4000
@@ -53,7 +53,7 @@
     def configure(self, name: str, places: Places, seeds: list[Address], control: list[str]) -> None:
         """Write a node's operator's file; without `control` it has tenants of its own, in a journal."""
         at = "{}:{}".format
-        admin: dict[str, Any] = {"listen": at(*places.admin), "token": TOKEN}
+        admin: dict[str, Any] = {"listen": at(*places.admin), "token": RIG_ADMIN_TOKEN}
         told: dict[str, Any] = {
             "node": {"name": name, "stop_ms": STOP_MS},
             "ajp": {"listen": at(*places.ajp)},
@@ -96,7 +96,7 @@
         environ = {key: value for key, value in os.environ.items() if key != "PROXY_CONFIG"}
         with self.log_file(name).open("ab") as log:
             self.running[name] = subprocess.Popen(
-                deployed("run"),
+                deploy_command("run"),
                 cwd=ROOT,
                 env={**environ, "REELUSHER_OPERATOR": str(self.file(name))},
                 stdin=subprocess.DEVNULL,
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -7,7 +7,7 @@
 from reelusher.codecs import http1
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, each_us
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.report_schedule import REGISTRATION_TTL_S, ReportFailure, ReportSchedule
 
 ANSWER_S = 0.002  # of the list, on the virtual clock
@@ -21,7 +21,7 @@
     """Nodes that report, each by a cadence of its own."""
 
     def __init__(self, count: int) -> None:
-        self.line, self.random = VirtualLine(), Random(1)
+        self.line, self.random = VirtualClock(), Random(1)
         self.made = [0] * int((START_S + REST_S) / SLOT_S + 1)
         self.last = [0.0] * count
         self.lapsed = 0
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -17,8 +17,8 @@
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale
-from reelusher.lab.fleet.processes import waited_s
-from reelusher.lab.load import Line, StandIn
+from reelusher.lab.fleet.processes import core_wait_s
+from reelusher.lab.load import LoadConnection, StandIn
 from reelusher.lab.plan import Worker
 
 SERVICE_MS = 2.0  # of the stand-in worker
@@ -62,7 +62,7 @@
     target: site.Address, rate: float, seconds: float, requests: Sequence[bytes], seed: int
 ) -> dict[str, Any]:
     """Ask at random times of their own; a latency counts from when its request was due."""
-    random, idle, tasks = Random(seed), list[Line](), set[asyncio.Task[None]]()
+    random, idle, tasks = Random(seed), list[LoadConnection](), set[asyncio.Task[None]]()
     took_ms: list[float] = []
     refused = failed = 0
     began, at = time.monotonic() + 0.05, 0.0
@@ -70,8 +70,8 @@
     async def one(data: bytes, due: float) -> None:
         nonlocal refused, failed
         try:
-            line = idle.pop() if idle else Line(*await asyncio.open_connection(*target))
-            status, reuse = await line.ask(data)
+            line = idle.pop() if idle else LoadConnection(*await asyncio.open_connection(*target))
+            status, reuse = await line.exchange(data)
         except (OSError, MalformedError):
             status, reuse = 0, False
         took = time.monotonic() - began - due
@@ -142,10 +142,10 @@
     """Ask the stand-in alone, then through the node, at the same due times."""
     direct = ask(worker, rate, seconds, hosts, seed=1)
     pid = made.process.pid
-    before, waited, began = site.processor_s(pid), sum(waited_s(pid).values()), time.monotonic()
+    before, waited, began = site.processor_s(pid), sum(core_wait_s(pid).values()), time.monotonic()
     through = ask(made.ajp, rate, seconds, hosts, seed=1)
     took, lasted = site.processor_s(pid) - before, time.monotonic() - began
-    waited = sum(waited_s(pid).values()) - waited
+    waited = sum(core_wait_s(pid).values()) - waited
     asked = through["count"] * (WARM_S + seconds) / seconds
     return {
         "request_us": took / asked * 1e6,
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -16,7 +16,7 @@
 from reelusher.config.load import Config, merge
 from reelusher.config.operator.file import parse
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.fleet.processes import deployed
+from reelusher.lab.fleet.processes import deploy_command
 from reelusher.net.sockets import connect
 
 TOKEN = "a-token-of-the-scale-tests"
@@ -136,7 +136,7 @@
     environ = {key: one for key, one in os.environ.items() if not key.startswith("PROXY_")}
     with log.open("wb") as out:
         process = subprocess.Popen(
-            deployed("run"),
+            deploy_command("run"),
             env={**environ, "REELUSHER_OPERATOR": str(path)},
             cwd=Path(__file__).parents[3],
             stderr=out,
--- a/reelusher/lab/capacity/starts.py
+++ b/reelusher/lab/capacity/starts.py
@@ -23,8 +23,8 @@
         shorter.write_text(SHORTER[plan])
         account = model.play(read([PLANS / "base.toml", PLANS / plan, shorter], size / NODES))
     figures = account.figures()
-    if account.broken:
-        raise RuntimeError(f"a rule was broken: {account.broken[0]}")
+    if account.violations:
+        raise RuntimeError(f"a rule was broken: {account.violations[0]}")
     return {
         "listed_s": float(figures["all_listed_s"]),
         "most_reports": float(figures["reports_most_in_100ms"]),
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -10,7 +10,7 @@
 from reelusher.codecs import ajp13, http1
 from reelusher.codecs.errors import MalformedError
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.census import TOKEN
+from reelusher.lab.fleet.census import RIG_ADMIN_TOKEN
 from reelusher.lab.load import StandIn
 from reelusher.lab.plan import Worker
 
@@ -52,7 +52,11 @@
                         method,
                         path,
                         body,
-                        {"Authorization": f"Bearer {TOKEN}", "Connection": "close", **(headers or {})},
+                        {
+                            "Authorization": f"Bearer {RIG_ADMIN_TOKEN}",
+                            "Connection": "close",
+                            **(headers or {}),
+                        },
                     )
                 )
                 decoder = http1.Decoder(MOST_BODY)
@@ -208,7 +212,7 @@
     async def run(self, writer: asyncio.StreamWriter) -> None:
         """Answer a request."""
         await asyncio.sleep(self.worker.service_ms / 1000)
-        self.done += 1
+        self.completed_runs += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(self.name))))
         with contextlib.suppress(OSError):
             writer.write(
--- a/reelusher/lab/fleet/__main__.py
+++ b/reelusher/lab/fleet/__main__.py
@@ -68,19 +68,19 @@
         return 2
     figures = account.figures()
     print(table(figures))
-    for line in account.broken[:MOST_TOLD]:
+    for line in account.violations[:MOST_TOLD]:
         print(f"broken: {line}")
     if given.json:
         made = {
             "figures": figures,
             "series": account.series(),
             "marks": account.marks,
-            "broken": account.broken,
+            "broken": account.violations,
         }
         given.json.write_text(json.dumps(made, indent=1) + "\n")
     if given.picture:
         draw(account, given.picture)
-    return 1 if account.broken else 0
+    return 1 if account.violations else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -112,7 +112,7 @@
         self.marks: list[tuple[float, str]] = []
         self.lags: list[tuple[float, float]] = []  # when the rig was late, and by how much
         self.runs: dict[str, list[tuple[float, str]]] = defaultdict(list)  # by keyed request and node
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.away: dict[str, list[tuple[float, float]]] = defaultdict(list)  # of nodes that stood still
         self.coreless: dict[str, list[tuple[float, float, float]]] = defaultdict(list)  # since, until, a part
         self.lives: dict[str, float] = {}  # when nodes' former lives ended
@@ -182,7 +182,7 @@
         """Note a run; a keyed request runs once in its window on a node that lives on."""
         found = self.tries.get(call)
         if found is None:
-            self.broken.append(f"{node} ran {call}, which no caller sent")
+            self.violations.append(f"{node} ran {call}, which no caller sent")
             return
         if not found.ask.key:
             return
@@ -191,7 +191,7 @@
         for sent_s, other in past:
             before = sent_s < self.lives.get(node, -1.0)
             if other != call and not before and found.sent_s - sent_s < window_s:
-                self.broken.append(f"{node} ran key {found.ask.key} twice: {other} and {call}")
+                self.violations.append(f"{node} ran key {found.ask.key} twice: {other} and {call}")
         past.append((found.sent_s, call))
 
     def note_sent(self, now: float, call: str, node: str, ask: Ask) -> Try:
@@ -205,14 +205,14 @@
         one.answers.append(verdict)
         one.ended_s = min(one.ended_s, now - self.zero_s)
         if len(one.answers) > 1:
-            self.broken.append(f"{one.node} answered {one.call} twice: {', '.join(one.answers)}")
+            self.violations.append(f"{one.node} answered {one.call} twice: {', '.join(one.answers)}")
             return
         if verdict == "served" and body[1:] != one.ask.body:
-            self.broken.append(f"{one.node} served {one.call} with what no run made for it")
+            self.violations.append(f"{one.node} served {one.call} with what no run made for it")
         late_s = now - self.zero_s - one.sent_s - one.ask.kind.deadline_ms / 1000 - SLACK_S
         late_s -= self.lag_since(one.sent_s)
         if late_s > self._away_s(one.node, one.sent_s, now - self.zero_s) and not one.excused:
-            self.broken.append(f"{one.node} answered {one.call} {late_s:.3f} s too late")
+            self.violations.append(f"{one.node} answered {one.call} {late_s:.3f} s too late")
         self.counts[verdict] += 1
 
     def note_lag(self, now: float, lag_s: float) -> None:
@@ -241,7 +241,7 @@
         one.excused = one.excused or excused
         one.ended_s = min(one.ended_s, now - self.zero_s)
         if not one.answers and not one.excused:
-            self.broken.append(
+            self.violations.append(
                 f"{one.node} closed under {one.call}, written {now - self.zero_s - one.sent_s:.3f} s before"
             )
 
@@ -257,7 +257,7 @@
             due_s = one.sent_s + one.ask.kind.deadline_ms / 1000 + SLACK_S
             late = now - self.zero_s > due_s + self._away_s(one.node, one.sent_s, now - self.zero_s)
             if not one.answers and not one.excused and late:
-                self.broken.append(f"{one.node} never answered {one.call}")
+                self.violations.append(f"{one.node} never answered {one.call}")
 
     # What came of it
 
@@ -345,7 +345,7 @@
             "all_listed_s": self.all_listed_s(count),
             "recovered_s": None if ends is None else self.recovered_s(ends, faults[0].at_s),
             "rig_late_s": round(self.lag_since(0.0), 3),
-            "broken": len(self.broken),
+            "broken": len(self.violations),
         }
 
     def all_listed_s(self, count: int) -> float | None:
--- a/reelusher/lab/fleet/census.py
+++ b/reelusher/lab/fleet/census.py
@@ -9,7 +9,7 @@
 from reelusher.codecs import http1
 from reelusher.config.checked_table import Address
 
-TOKEN = "a-token-of-the-rig"
+RIG_ADMIN_TOKEN = "a-token-of-the-rig"
 EVERY_S = 0.2
 ANSWER_S = 0.5
 MOST_ASKED = 20  # nodes; of more, some are asked
@@ -66,7 +66,9 @@
     until = time.monotonic() + ANSWER_S
     try:
         with socket.create_connection(place, ANSWER_S) as sock:
-            sock.sendall(http1.request("GET", "/v1/fleet", headers={"Authorization": f"Bearer {TOKEN}"}))
+            sock.sendall(
+                http1.request("GET", "/v1/fleet", headers={"Authorization": f"Bearer {RIG_ADMIN_TOKEN}"})
+            )
             decoder = http1.Decoder()
             while data := sock.recv(1 << 16):
                 for answer in decoder.feed(data):
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -17,19 +17,19 @@
 from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import Datagram, MemberState, Update
 from reelusher.fleet.membership.swim import StepResult, Swim
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 
 WAY_S = 0.0005, 0.002  # from one member to another
 NEVER = float("inf")
 
 
-class Members:
+class SimulatedFleet:
     """A fleet that has joined, and what stands between its members."""
 
     def __init__(self, count: int, seed: int = 1, joined: bool = True) -> None:
-        self.line, self.random = VirtualLine(), Random(seed)
-        self.loss = self.twice = 0.0  # parts of the datagrams
-        self.way_s = WAY_S
+        self.clock, self.random = VirtualClock(), Random(seed)
+        self.loss = self.duplication = 0.0  # parts of the datagrams
+        self.latency_s = WAY_S
         self.cut: Callable[[str, str], bool] = lambda source, target: False
         self.swims: dict[str, Swim] = {}
         self.alive: set[str] = set()
@@ -52,36 +52,36 @@
         """Start a member that knows no other."""
         address = f"127.1.{number // 250}.{number % 250 + 1}:7000"
         own = Update(address, f"n{number}", f"z{number % 3}", "r", incarnation, MemberState.ALIVE)
-        self.swims[address] = Swim(own, Random(f"{number} {self.random.random()}"), self.line.now)
+        self.swims[address] = Swim(own, Random(f"{number} {self.random.random()}"), self.clock.now)
         self.alive.add(address)
         self._wake(address)
         return address
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
-        self.line.run(self.line.now + seconds)
+        self.clock.run(self.clock.now + seconds)
 
-    def until(self, holds: Callable[[], bool], most_s: float) -> float:
+    def run_until(self, holds: Callable[[], bool], most_s: float) -> float:
         """Let time pass until something holds; return how long that took, infinity past the most."""
-        began = self.line.now
+        began = self.clock.now
         while not holds():
-            if self.line.now - began > most_s:
+            if self.clock.now - began > most_s:
                 return NEVER
             self.run(0.05)
-        return self.line.now - began
+        return self.clock.now - began
 
     def kill(self, address: str) -> None:
         """Stop a member without notice."""
         self.alive.discard(address)
 
-    def stand_still(self, address: str, still: bool) -> None:
+    def set_stalled(self, address: str, still: bool) -> None:
         """Have a member stand still, or go on."""
         (self.still.add if still else self.still.discard)(address)
         if not still:
             self._due.pop(address, None)
             self._wake(address)
 
-    def holding_dead(self, address: str) -> int:
+    def count_seeing_dead(self, address: str) -> int:
         """Return how many live members hold a member for dead."""
         return sum(
             address in swim.table.members and not swim.table.members[address].is_live
@@ -99,16 +99,16 @@
     def _wake(self, address: str) -> None:
         if address not in self.alive or address in self.still:
             return
-        at = max(self.line.now, self.swims[address].next_tick_s())
-        if self.line.now < self._due.get(address, NEVER) <= at:
+        at = max(self.clock.now, self.swims[address].next_tick_s())
+        if self.clock.now < self._due.get(address, NEVER) <= at:
             return  # an earlier look is set
         self._due[address] = at
-        self.line.call_later(at - self.line.now, self._tick, address, at)
+        self.clock.call_later(at - self.clock.now, self._tick, address, at)
 
     def _tick(self, address: str, at: float) -> None:
         if self._due.get(address) == at and address in self.alive and address not in self.still:
             self._due.pop(address)
-            self._deliver(address, self.swims[address].tick(self.line.now))
+            self._deliver(address, self.swims[address].tick(self.clock.now))
             self._wake(address)
 
     def _deliver(self, address: str, result: StepResult) -> None:
@@ -116,9 +116,11 @@
         for target, message in result.datagrams:
             self.sent += 1
             self.sent_bytes += len(self._authenticator.seal(message))
-            for _ in range(1 + (self.random.random() < self.twice)):
+            for _ in range(1 + (self.random.random() < self.duplication)):
                 if not self.cut(address, target) and self.random.random() >= self.loss:
-                    self.line.call_later(self.random.uniform(*self.way_s), self._receive, target, message)
+                    self.clock.call_later(
+                        self.random.uniform(*self.latency_s), self._receive, target, message
+                    )
         swim = self.swims[address]
         if swim.sync_with:
             other = swim.sync_with.pop()
@@ -132,44 +134,44 @@
         digests = asked.compare_digest(asker.digest())
         buckets = asker.differing_buckets(digests) if digests else []
         states = asker.in_buckets(buckets), asked.in_buckets(buckets)
-        self._deliver(one, asker.merge(states[1], self.line.now))
-        self._deliver(other, asked.merge(states[0], self.line.now))
+        self._deliver(one, asker.merge(states[1], self.clock.now))
+        self._deliver(other, asked.merge(states[0], self.clock.now))
         self._wake(one)
         self._wake(other)
 
     def _receive(self, address: str, message: Datagram) -> None:
         if address in self.alive and address not in self.still:
-            self._deliver(address, self.swims[address].receive(message, self.line.now))
+            self._deliver(address, self.swims[address].receive(message, self.clock.now))
             self._wake(address)
 
 
-def apart(half: set[str]) -> Callable[[str, str], bool]:
+def split_off(half: set[str]) -> Callable[[str, str], bool]:
     """Return a cut between these and all others."""
     return lambda source, target: (source in half) != (target in half)
 
 
-def time_to_know(size: int, seed: int) -> float:
+def time_to_detect_death(size: int, seed: int) -> float:
     """Return the seconds until 99 % know of a death."""
-    fleet = Members(size, seed)
+    fleet = SimulatedFleet(size, seed)
     fleet.run(5)
     victim = list(fleet.swims)[seed % size]
     fleet.kill(victim)
-    return fleet.until(lambda: fleet.holding_dead(victim) >= 0.99 * (size - 1), 30)
+    return fleet.run_until(lambda: fleet.count_seeing_dead(victim) >= 0.99 * (size - 1), 30)
 
 
 def time_to_heal(size: int, seed: int, cut_s: float = 15.0) -> float:
     """Return the seconds until two halves that were cut apart agree on who lives."""
-    fleet = Members(size, seed)
+    fleet = SimulatedFleet(size, seed)
     fleet.run(3)
-    fleet.cut = apart(set(list(fleet.swims)[: size // 2]))
+    fleet.cut = split_off(set(list(fleet.swims)[: size // 2]))
     fleet.run(cut_s)
     fleet.cut = lambda source, target: False
-    return fleet.until(fleet.agreed, 60)
+    return fleet.run_until(fleet.agreed, 60)
 
 
-def cost(size: int, seconds: float = 10.0) -> tuple[float, float, float]:
+def cost_at_rest(size: int, seconds: float = 10.0) -> tuple[float, float, float]:
     """Return the datagrams and bytes that each sends in a second at rest, and the part of a core it takes."""
-    fleet = Members(size, 9)
+    fleet = SimulatedFleet(size, 9)
     fleet.run(5)
     sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
     fleet.run(seconds)
@@ -184,7 +186,10 @@
 def main(sizes: list[int]) -> None:
     """Measure fleets of these sizes."""
     for size in sizes:
-        known, (sent, sent_bytes, cpu) = [time_to_know(size, seed) for seed in range(5)], cost(size)
+        known, (sent, sent_bytes, cpu) = (
+            [time_to_detect_death(size, seed) for seed in range(5)],
+            cost_at_rest(size),
+        )
         healed = time_to_heal(size, 5)
         print(
             f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -32,7 +32,7 @@
 from reelusher.lab.fleet.processes import seed_of, settings
 from reelusher.lab.fleet.services import Job, Runtime, result_of
 from reelusher.lab.fleet.stage import LAST_S, Stage
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
 from reelusher.policy.events import Outcome
 
@@ -266,7 +266,7 @@
         for number, fault in enumerate(plan.faults):
             if fault.kind in UNKNOWN:
                 raise ConfigError(f"faults[{number}].kind", f"the model knows no {fault.kind}")
-        self.virtual = VirtualLine()
+        self.virtual = VirtualClock()
         super().__init__(plan, self.virtual)
         self.settings = {fresh: settings(plan, fresh) for fresh in (False, True)}
         self.nodes: dict[str, Node] = {}
--- a/reelusher/lab/fleet/processes.py
+++ b/reelusher/lab/fleet/processes.py
@@ -14,13 +14,13 @@
 import tomli_w
 
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.census import TOKEN
+from reelusher.lab.fleet.census import RIG_ADMIN_TOKEN
 from reelusher.lab.fleet.plan import EFFECTS, Plan
 
 ROOT = Path(__file__).parents[3]
 
 
-def deployed(command: str) -> list[str]:
+def deploy_command(command: str) -> list[str]:
     """Return a command of the deploy file as the platform starts it, with this interpreter."""
     text = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())[command]
     return ["/bin/sh", "-c", text.replace(".venv/bin/python", sys.executable)]
@@ -80,7 +80,7 @@
     }
 
 
-def waited_s(pid: int) -> dict[str, float]:
+def core_wait_s(pid: int) -> dict[str, float]:
     """Return for how many seconds each thread that a process has now was ready and had no core."""
     made: dict[str, float] = {}
     for path in Path(f"/proc/{pid}/task").glob("*/schedstat"):
@@ -93,7 +93,7 @@
     """All nodes of a run. Leaving the block ends every process that it started."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan, self.folder, self.command = plan, folder, deployed("run")
+        self.plan, self.folder, self.command = plan, folder, deploy_command("run")
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.configs: dict[str, dict[str, Any]] = {}
         self.operators: dict[str, Path] = {}  # files of those that are members of a fleet
@@ -142,7 +142,7 @@
                         "seeds": [at(*seed) for seed in seeds],
                         "secret_file": str(secret),
                     },
-                    "admin": {"listen": at(*admin), "token": TOKEN},
+                    "admin": {"listen": at(*admin), "token": RIG_ADMIN_TOKEN},
                 }
             )
         )
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -69,7 +69,7 @@
 class Pair:
     """One connection through a link: two ends and what is held between them."""
 
-    def __init__(self, net: "Net", link: Link) -> None:
+    def __init__(self, net: "FaultProxyNetwork", link: Link) -> None:
         self.net, self.link = net, link
         self.near, self.far = End(self, link.out), End(self, link.back)
         self.near.other, self.far.other = self.far, self.near
@@ -184,7 +184,7 @@
 class Inlet(asyncio.DatagramProtocol):
     """All datagrams to one party; whose they are is told by the address they come from."""
 
-    def __init__(self, net: "Net", target: str, place: Address) -> None:
+    def __init__(self, net: "FaultProxyNetwork", target: str, place: Address) -> None:
         self.net, self.target, self.place = net, target, place
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -192,7 +192,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)  # which that of an event loop is not
 
     def datagram_received(self, data: bytes, came_from: Address) -> None:
-        source = self.net.party_of.get(came_from[0], "")
+        source = self.net.endpoint_of.get(came_from[0], "")
         way = self.net.link(source, self.target, self.place).out
         loss, twice, late = way.has("loss"), way.has("duplicate"), way.has("reorder")
         draw = self.net.random.random
@@ -214,23 +214,23 @@
 class Door(asyncio.Protocol):
     """A connection to one party from whoever its address says; it becomes a pair of the link between them."""
 
-    def __init__(self, net: "Net", target: str, place: Address) -> None:
+    def __init__(self, net: "FaultProxyNetwork", target: str, place: Address) -> None:
         self.net, self.target, self.place = net, target, place
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        source = self.net.party_of.get(transport.get_extra_info("peername")[0], "")
+        source = self.net.endpoint_of.get(transport.get_extra_info("peername")[0], "")
         pair = Pair(self.net, self.net.link(source, self.target, self.place))
         cast(asyncio.Transport, transport).set_protocol(pair.near)
         pair.near.connection_made(transport)
 
 
-class Net:
+class FaultProxyNetwork:
     """All links of a run."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.links: dict[tuple[str, str], Link] = {}
-        self.party_of: dict[str, str] = {}  # by loopback address
+        self.endpoint_of: dict[str, str] = {}  # by loopback address
         self._standing: list[Fault] = []
         self._doors: dict[tuple[str, str], Address] = {}
         self._open: list[asyncio.Server | asyncio.DatagramTransport] = []
@@ -263,7 +263,7 @@
             door = self._doors[source, target] = server.sockets[0].getsockname()
         return door
 
-    async def inlet(self, target: str, place: Address, streams: bool = False) -> Address:
+    async def open_shared_proxy(self, target: str, place: Address, streams: bool = False) -> Address:
         """Return where datagrams to `target` at `place` are to be sent, and connections too for `streams`."""
         loop = asyncio.get_running_loop()
         port = 0
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -17,8 +17,8 @@
 from reelusher.lab.fleet.account import Account
 from reelusher.lab.fleet.census import Census
 from reelusher.lab.fleet.plan import Fault, Plan, check_room
-from reelusher.lab.fleet.processes import Processes, waited_s
-from reelusher.lab.fleet.relay import Net
+from reelusher.lab.fleet.processes import Processes, core_wait_s
+from reelusher.lab.fleet.relay import FaultProxyNetwork
 from reelusher.lab.fleet.stage import LAST_S, LOOK_S, Stage
 from reelusher.lab.fleet.wires import BelowWire, Lines, ListWire, RuntimeHost, RuntimeWire
 
@@ -26,7 +26,7 @@
 CORES_S = 0.1  # between looks at how long a node waited for a core, or more:
 CORE_LOOKS_PER_S = 240.0  # at all nodes together, each some twelve small files; more would starve the rig
 STARVE_S = 0.02  # a starved node is stopped and continued within each such span
-SERVICES = "127.200.0.2"  # where the stand-ins listen, behind the relays
+STAND_IN_HOST = "127.200.0.2"  # where the stand-ins listen, behind the relays
 PORTS, PORT_TRIES = (10_000, 32_000), 100
 FAULTS = ("Traceback", " ERROR ")  # words in a node's log that spoil a run
 
@@ -58,7 +58,7 @@
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
         super().__init__(plan, self.loop)
-        self.net, self.processes = Net(plan.run.seed), Processes(plan, folder)
+        self.net, self.processes = FaultProxyNetwork(plan.run.seed), Processes(plan, folder)
         self.census = Census(self.loop.time)
         self.hosts = {name: RuntimeHost(runtime) for name, runtime in self.runtimes.items()}
         self.places: dict[str, Address] = {}
@@ -68,7 +68,9 @@
 
     def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Spoil the run for a fault in a stand-in: its figures would be wrong."""
-        self.account.broken.append(f"the rig failed: {context.get('exception') or context.get('message')!r}")
+        self.account.violations.append(
+            f"the rig failed: {context.get('exception') or context.get('message')!r}"
+        )
 
     async def play(self) -> Account:
         """Play the plan and return the books."""
@@ -100,7 +102,7 @@
             await asyncio.gather(*(self._left(name) for name in self.places if self.processes.alive(name)))
             for name in self.places:
                 if any(word in self.processes.log(name) for word in FAULTS):
-                    self.account.broken.append(f"{name} logged a fault")
+                    self.account.violations.append(f"{name} logged a fault")
         finally:
             self.census.stop(account.zero_s)
             account.census = self.census
@@ -118,19 +120,22 @@
     def _look_for_cores(self, name: str, before: dict[str, float], since: float) -> None:
         """Note for how long the thread of a node that waited longest had no core since the last look."""
         now, alive = self.loop.time(), self.processes.alive(name)
-        waited = waited_s(self.processes.running[name].pid) if alive else {}
+        waited = core_wait_s(self.processes.running[name].pid) if alive else {}
         if now > since:
             self.account.note_coreless(
                 name,
                 since,
                 now,
-                max((waited_s - before.get(thread, 0.0) for thread, waited_s in waited.items()), default=0.0),
+                max(
+                    (core_wait_s - before.get(thread, 0.0) for thread, core_wait_s in waited.items()),
+                    default=0.0,
+                ),
             )
         wait_s = max(CORES_S, len(self.places) / CORE_LOOKS_PER_S)
         self.loop.call_later(wait_s, self._look_for_cores, name, waited, now)
 
     async def _serve(self, make: Callable[[], asyncio.Protocol]) -> Address:
-        server = await self.loop.create_server(make, SERVICES, 0, backlog=4096)
+        server = await self.loop.create_server(make, STAND_IN_HOST, 0, backlog=4096)
         self.servers.append(server)
         found: Address = server.sockets[0].getsockname()
         return found
@@ -151,7 +156,7 @@
             for number in range(zone.nodes):
                 name = next(names)
                 mine, place = self.below_of(name), address_of(zone_no, number, port)
-                self.places[name], self.net.party_of[place[0]] = place, name
+                self.places[name], self.net.endpoint_of[place[0]] = place, name
                 runtime = await self._serve(partial(RuntimeWire, self.hosts[name]))
                 self.processes.configure(
                     name,
@@ -170,7 +175,7 @@
         while admin_port == fleet_port:
             admin_port = free_port(hosts)
         doors = {
-            name: await self.net.inlet(name, (place[0], fleet_port), streams=True)
+            name: await self.net.open_shared_proxy(name, (place[0], fleet_port), streams=True)
             for name, place in self.places.items()
         }
         by_zone: dict[str, list[str]] = {}
@@ -227,7 +232,7 @@
         while process.poll() is None and self.loop.time() < until:
             await asyncio.sleep(0.01)
         if process.poll() != 0:
-            self.account.broken.append(f"{name} left with status {process.poll()}")
+            self.account.violations.append(f"{name} left with status {process.poll()}")
 
     def starve(self, name: str, part: float) -> None:
         """Let a process run for a part of the time."""
--- a/reelusher/lab/fleet/virtual.py
+++ b/reelusher/lab/fleet/virtual.py
@@ -20,7 +20,7 @@
         self.callback, self.args = None, ()
 
 
-class VirtualLine:
+class VirtualClock:
     """Does what is due in the order of its time; equal times in the order in which they were set."""
 
     def __init__(self) -> None:
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -13,7 +13,7 @@
 from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.account import Try
 from reelusher.lab.fleet.callers import Caller
-from reelusher.lab.fleet.relay import Link, Net
+from reelusher.lab.fleet.relay import FaultProxyNetwork, Link
 from reelusher.lab.fleet.services import Below, Job, ListService, Runtime, result_of
 
 MOST_OPEN = 32  # requests on one connection, by the protocol
@@ -64,7 +64,7 @@
                 self.transport.abort()
 
 
-class Asks:
+class DownstreamCallDecoder:
     """Splits what a node sends to a service below into words, call and body."""
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
     """One connection of a node to a service below."""
 
     def __init__(self, service: Below) -> None:
-        self.service, self.decoder, self.open = service, Asks(), dict[str, int]()
+        self.service, self.decoder, self.open = service, DownstreamCallDecoder(), dict[str, int]()
 
     def take(self, data: bytes) -> None:
         for word, call, _ in self.decoder.feed(data):
@@ -239,7 +239,7 @@
                 if number in self.past:
                     self.caller.answered(self.past[number], "again", {}, b"")
                 else:
-                    self.caller.account.broken.append(f"{self.node} answered {number}, which is not open")
+                    self.caller.account.violations.append(f"{self.node} answered {number}, which is not open")
                 continue
             self.past[number] = one
             if error:
@@ -267,7 +267,11 @@
     """The connections of all callers to all nodes; a `callers.Way`."""
 
     def __init__(
-        self, net: Net, places: dict[str, Address], alive: Callable[[str], bool], read: Callable[[str], None]
+        self,
+        net: FaultProxyNetwork,
+        places: dict[str, Address],
+        alive: Callable[[str], bool],
+        read: Callable[[str], None],
     ) -> None:
         self.net, self.places, self.alive, self.read = net, places, alive, read
         self.free: dict[tuple[int, str], NodeLine] = {}
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -30,14 +30,14 @@
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
 
 
-class Line:
+class LoadConnection:
     """One connection to the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
 
-    async def ask(self, data: bytes) -> tuple[int, bool]:
+    async def exchange(self, data: bytes) -> tuple[int, bool]:
         """Send a request; return the status of its answer, and whether the connection may be used again."""
         self.writer.write(data)
         status = 0
@@ -58,7 +58,7 @@
         self.plan, self.caller = plan, caller
         self.random = random.Random(plan.seed * 1000 + number)
         self.tally = Tally()
-        self.idle: deque[Line] = deque()
+        self.idle: deque[LoadConnection] = deque()
         self.places = asyncio.Semaphore(caller.connections)
         self.keys = itertools.count(1)
         self.began = 0.0
@@ -108,9 +108,11 @@
         async with self.places:
             try:
                 line = (
-                    self.idle.pop() if self.idle else Line(*await asyncio.open_connection(*self.plan.target))
+                    self.idle.pop()
+                    if self.idle
+                    else LoadConnection(*await asyncio.open_connection(*self.plan.target))
                 )
-                status, reuse = await line.ask(data)
+                status, reuse = await line.exchange(data)
             except (OSError, MalformedError):
                 return 0
             if reuse and self.caller.keeps:
@@ -137,7 +139,7 @@
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
         self.slots = asyncio.Semaphore(worker.slots)
-        self.done = 0
+        self.completed_runs = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer one connection's requests until it closes."""
@@ -162,7 +164,7 @@
         """Hold a slot, then answer."""
         async with self.slots:
             await asyncio.sleep(self.worker.service_ms / 1000)
-        self.done += 1
+        self.completed_runs += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", "2"))
         writer.write(
             ajp13.write_response(
@@ -181,4 +183,6 @@
     finally:
         for server in servers:
             server.close()
-    return {client.caller.name: client.tally for client in clients}, sum(one.done for one in stand_ins)
+    return {client.caller.name: client.tally for client in clients}, sum(
+        one.completed_runs for one in stand_ins
+    )
--- a/tests/pacing/test_report_schedule.py
+++ b/tests/pacing/test_report_schedule.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import max_count
 
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.report_schedule import REGISTRATION_TTL_S, ReportFailure, ReportSchedule
 
 ANSWER_S = 0.002
@@ -16,7 +16,7 @@
 class Reporter:
     """A node that reports on a virtual clock; `outcome` returns that of each attempt, by its time."""
 
-    def __init__(self, line: VirtualLine, seed: int, outcome: Callable[[float], str]) -> None:
+    def __init__(self, line: VirtualClock, seed: int, outcome: Callable[[float], str]) -> None:
         self.line, self.outcome, self.schedule = line, outcome, ReportSchedule(Random(seed))
         self.attempts: list[float] = []
         self.succeeded: list[float] = []
@@ -46,7 +46,7 @@
 
 
 def simulate(nodes: int, seconds: float, outcome: Callable[[int], Callable[[float], str]]) -> list[Reporter]:
-    line = VirtualLine()
+    line = VirtualClock()
     made = [Reporter(line, seed, outcome(seed)) for seed in range(nodes)]
     line.run(seconds)
     return made
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from reelusher.codecs import ajp13, http1, lines, msgpack
-from reelusher.lab.fleet.wires import Asks
+from reelusher.lab.fleet.wires import DownstreamCallDecoder
 
 PATIENCE_S = 10.0  # for what is expected; generous, so that a busy machine gives the same verdict
 QUIET_S = 0.3  # for what is expected not to come
@@ -230,7 +230,7 @@
     """The vault: `expect ask ID BODY`, `send $X yes BODY`, `send $X notnow`."""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return Asks(), lambda ask: f"{ask[0]} {ask[1]} {ask[2].decode()}".strip()
+        return DownstreamCallDecoder(), lambda ask: f"{ask[0]} {ask[1]} {ask[2].decode()}".strip()
 
     def send(self, words: Words) -> None:
         call = self.names.get(words[0][1:], words[0])
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -86,7 +86,7 @@
 def test_24_cold_nodes_stay_within_what_they_take_by_a_clock_of_their_own(seed: int) -> None:
     """The same with the machine left out: the real decisions, every one of their windows."""
     account = model.play(parse({**PLAN, "run": {**PLAN["run"], "seed": seed}}))
-    assert account.broken == []
+    assert account.violations == []
     assert account.figures()["falls"] == 0
     assert account.counts["served"] > 500
     assert over(account, account.in_hand) == []
@@ -100,7 +100,7 @@
     """
     plan = parse(PLAN)
     account = play(plan, tmp_path)
-    assert account.broken == []
+    assert account.violations == []
     most = max(mean for _, mean in windows(account.held["below"], plan.below.over_s))
     assert 1 < most <= with_chance(plan.below.capacity)
     assert account.figures()["falls"] == 0
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -23,10 +23,10 @@
 from reelusher.lab.fleet.__main__ import main
 from reelusher.lab.fleet.account import Account, Ask
 from reelusher.lab.fleet.plan import BelowPlan, Fault, ListPlan, Plan, parse, read
-from reelusher.lab.fleet.relay import Net
+from reelusher.lab.fleet.relay import FaultProxyNetwork
 from reelusher.lab.fleet.rig import play
 from reelusher.lab.fleet.services import Below, ListService
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 
 ROOT = Path(__file__).parent.parent
 CLASSES = [
@@ -96,7 +96,7 @@
         account.note_run(0.1, node, call)
         account.note_answer(0.2, one, "served", b"+body")
     account.close(100.0)
-    assert account.broken == []
+    assert account.violations == []
 
 
 def test_the_books_catch_a_second_answer() -> None:
@@ -104,7 +104,7 @@
     one = account.note_sent(0.0, "t1", "n1", ask)
     account.note_answer(0.1, one, "refused", b"")
     account.note_answer(0.2, one, "served", b"+body")
-    assert account.broken == ["n1 answered t1 twice: refused, served"]
+    assert account.violations == ["n1 answered t1 twice: refused, served"]
 
 
 def test_the_books_catch_a_lost_answer_unless_a_fault_stood_between() -> None:
@@ -113,7 +113,7 @@
     account.note_ended(1.0, account.note_sent(0.0, "t2", "n1", ask), excused=False)
     account.note_ended(1.0, account.note_sent(0.0, "t3", "n1", ask), excused=True)
     account.close(100.0)
-    assert account.broken == [
+    assert account.violations == [
         "n1 closed under t2, written 1.000 s before",
         "n1 never answered t1",
         "n1 never answered t2",
@@ -126,7 +126,7 @@
     account.note_away("n2", 1.0, 3.0)
     for one in (first, second):
         account.note_answer(7.5, one, "failed", b"")
-    assert account.broken == ["n1 answered t1 1.370 s too late"]
+    assert account.violations == ["n1 answered t1 1.370 s too late"]
 
 
 def test_the_books_know_how_late_the_rig_was_at_worst_and_in_all() -> None:
@@ -144,25 +144,28 @@
     for call in ("t1", "t2"):
         account.note_sent(0.0, call, "n1", ask)
         account.note_run(0.1, "n1", call)
-    assert account.broken == ["n1 ran key k1 twice: t1 and t2"]
+    assert account.violations == ["n1 ran key k1 twice: t1 and t2"]
     account.note_end_of_life("n1", 1.0)
     account.note_sent(2.0, "t3", "n1", ask)
     account.note_run(2.1, "n1", "t3")
-    assert len(account.broken) == 1
+    assert len(account.violations) == 1
 
 
 def test_the_books_catch_a_result_that_no_run_made_and_a_run_that_nobody_asked_for() -> None:
     account, ask = booked(keyed=False)
     account.note_answer(0.1, account.note_sent(0.0, "t1", "n1", ask), "served", b"+other")
     account.note_run(0.2, "n1", "t9")
-    assert account.broken == ["n1 served t1 with what no run made for it", "n1 ran t9, which no caller sent"]
+    assert account.violations == [
+        "n1 served t1 with what no run made for it",
+        "n1 ran t9, which no caller sent",
+    ]
 
 
 # The stand-ins
 
 
 def test_the_list_answers_late_past_its_capacity_and_then_not_at_all() -> None:
-    line = VirtualLine()
+    line = VirtualClock()
     service = ListService(line, ListPlan(10, 0.0, 3.0, 1.0), Account(planned()))
     came: dict[str, float] = {}
 
@@ -178,7 +181,7 @@
 
 
 def test_an_entry_of_the_list_lapses_but_not_in_an_outage_and_callers_see_it_late() -> None:
-    line = VirtualLine()
+    line = VirtualClock()
     service = ListService(line, ListPlan(1000, 0.0, 3.0, 1.0), Account(planned()))
 
     def look() -> None:
@@ -204,7 +207,7 @@
 
 
 def test_a_service_below_slows_down_turns_away_falls_over_and_returns_cold() -> None:
-    line, account = VirtualLine(), Account(planned())
+    line, account = VirtualClock(), Account(planned())
     service = Below(line, BelowPlan(2, 100.0, 8, 4.0, 1.0, 2.0, 0.5, 10.0, False, False), "below", account)
     came: list[tuple[float, str]] = []
 
@@ -245,9 +248,9 @@
         writer.write(data)
 
 
-def over_a_link(work: Callable[[Net, Address], Awaitable[None]]) -> None:
+def over_a_link(work: Callable[[FaultProxyNetwork, Address], Awaitable[None]]) -> None:
     async def run() -> None:
-        net = Net(1)
+        net = FaultProxyNetwork(1)
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         try:
             place = await net.through("x", "y", server.sockets[0].getsockname())
@@ -268,7 +271,7 @@
 
 
 def test_a_cut_link_loses_what_crosses_it_and_ends_its_connections_when_it_heals() -> None:
-    async def work(net: Net, place: Address) -> None:
+    async def work(net: FaultProxyNetwork, place: Address) -> None:
         reader, writer = await said(place, b"before")
         fault = Fault("cut", 0, 0, *PAIR, one_way=True)
         net.begin(fault)
@@ -286,7 +289,7 @@
 
 
 def test_a_silent_link_accepts_holds_and_speaks_again_in_order() -> None:
-    async def work(net: Net, place: Address) -> None:
+    async def work(net: FaultProxyNetwork, place: Address) -> None:
         fault = Fault("silent", 0, 0, *PAIR)
         net.begin(fault)
         reader, writer = await asyncio.open_connection(*place)
@@ -302,7 +305,7 @@
 
 
 def test_a_reset_link_ends_what_is_there_and_what_comes() -> None:
-    async def work(net: Net, place: Address) -> None:
+    async def work(net: FaultProxyNetwork, place: Address) -> None:
         reader, _ = await said(place, b"before")
         fault = Fault("reset", 0, 0, *PAIR)
         net.begin(fault)
@@ -317,7 +320,7 @@
 
 
 def test_a_slow_link_delays_and_a_lossy_one_retransmits_but_neither_loses_or_reorders() -> None:
-    async def work(net: Net, place: Address) -> None:
+    async def work(net: FaultProxyNetwork, place: Address) -> None:
         for fault, least_s in (
             (Fault("delay", 0, 0, *PAIR, ms=100), 0.18),
             (Fault("loss", 0, 0, *PAIR, part=1.0), 0.38),
@@ -338,7 +341,7 @@
 def test_connections_from_one_port_to_two_parties_are_told_apart() -> None:
     """A kernel gives a port again where the other end differs: what reached one says nothing of another."""
 
-    async def work(net: Net, place: Address) -> None:
+    async def work(net: FaultProxyNetwork, place: Address) -> None:
         other = await net.through("x", "z", net.links["x", "y"].place)
         socks = [socket.socket() for _ in range(2)]
         try:
@@ -381,10 +384,10 @@
     fault: Fault | None, low: int, high: int, sorted_: bool
 ) -> None:
     async def run() -> None:
-        net, loop = Net(1), asyncio.get_running_loop()
+        net, loop = FaultProxyNetwork(1), asyncio.get_running_loop()
         there, far = await loop.create_datagram_endpoint(Datagrams, ("127.0.0.1", 0))
-        net.party_of["127.9.9.9"] = "x"
-        place = await net.inlet("y", there.get_extra_info("sockname"))
+        net.endpoint_of["127.9.9.9"] = "x"
+        place = await net.open_shared_proxy("y", there.get_extra_info("sockname"))
         here, _ = await loop.create_datagram_endpoint(Datagrams, ("127.9.9.9", 0))
         if fault:
             net.begin(fault)
@@ -419,7 +422,7 @@
 
 def test_the_model_breaks_no_rule_and_plays_the_same_twice() -> None:
     first, second = (model.play(planned(*FAULTS, seconds=4)) for _ in range(2))
-    assert first.broken == [], first.figures()
+    assert first.violations == [], first.figures()
     assert first.figures()["served_worth"] > 0.8, first.figures()
     assert first.figures() == second.figures()
     assert first.series() == second.series()
@@ -429,7 +432,7 @@
 def test_a_lost_call_below_is_given_up_in_the_model_and_the_request_has_its_answer() -> None:
     cut = {"kind": "cut", "of": "nodes", "to": "below", "at_s": 0, "for_s": 9}
     account = model.play(planned(cut, seconds=3))
-    assert account.broken == []
+    assert account.violations == []
     assert not account.calls
     assert all(one.answers for one in account.tries.values())
     assert any(ask.omitted for ask in account.asks), "it went on without the call"
@@ -480,7 +483,7 @@
     starve = {"kind": "starve", "of": "node:n4", "at_s": 0.5, "for_s": 2, "part": 0.3}
     plan = planned(*FAULTS, starve, seconds=4)
     account = play(plan, tmp_path)
-    assert account.broken == []
+    assert account.violations == []
     figures = account.figures()
     assert figures["served_worth"] > 0.7, figures
     assert figures["asked"] > 100, figures
@@ -494,7 +497,7 @@
     plan = planned({"kind": "outage", "of": "list", "at_s": 0.5, "for_s": 4}, seconds=5)
     account = play(plan, tmp_path)
     figures = account.figures()
-    assert account.broken == []
+    assert account.violations == []
     assert account.counts["reports_unread"] > 0
     assert figures["all_listed_s"] is not None, figures
     assert figures["served_worth"] > 0.9, figures
@@ -561,7 +564,7 @@
         {"kind": "stop", "of": "node:n5", "at_s": 13, "for_s": 7},
     )
     account = play(plan, tmp_path)
-    assert account.broken == []
+    assert account.violations == []
     assert account.figures()["served_worth"] > 0.5
     census = account.census
     assert census is not None
@@ -589,7 +592,7 @@
     ]
     plan = member_plan(8, *bad, {"kind": "outage", "of": "list", "at_s": 0, "for_s": 4})
     account = play(replace(plan, run=replace(plan.run, wait_s=0.0)), tmp_path)
-    assert account.broken == []
+    assert account.violations == []
     assert account.census is not None
     joined_s = account.census.since(account.start_s, lambda name, live: live == A | B | C)
     assert joined_s is not None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -55,7 +55,7 @@
         )
         made = report(plan, *await play(plan))
         server.close()
-        assert stand_in.done == sum(row["served"] for row in made["callers"])
+        assert stand_in.completed_runs == sum(row["served"] for row in made["callers"])
         return made
 
     made = asyncio.run(run())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -49,7 +49,7 @@
 from reelusher.fleet.membership.requests import MemberUnreachableError, NoReplyError
 from reelusher.fleet.membership.service import Membership, read_secret
 from reelusher.fleet.membership.swim import REJOIN_DISTRUST_S, Swim
-from reelusher.lab.fleet.members import Members, apart, time_to_heal, time_to_know
+from reelusher.lab.fleet.members import SimulatedFleet, split_off, time_to_detect_death, time_to_heal
 from reelusher.pacing.token_bucket import TokenBucket
 
 SECRET = b"a secret of sixteen or more"
@@ -393,7 +393,7 @@
 
 
 def test_no_live_member_is_declared_dead_with_a_tenth_of_datagrams_lost() -> None:
-    fleet = Members(5)
+    fleet = SimulatedFleet(5)
     fleet.loss = 0.1
     fleet.run(10_000 * PROBE_PERIOD_S)
     assert fleet.deaths == 0
@@ -401,18 +401,18 @@
 
 
 def test_death_is_detected_despite_loss_and_duplicates() -> None:
-    fleet = Members(16, 3)
-    fleet.loss, fleet.twice = 0.2, 0.3
+    fleet = SimulatedFleet(16, 3)
+    fleet.loss, fleet.duplication = 0.2, 0.3
     fleet.run(5)
     victim = list(fleet.swims)[4]
     fleet.kill(victim)
-    assert fleet.until(lambda: fleet.holding_dead(victim) == 15, 20) < 10
-    assert fleet.until(fleet.agreed, 20) < 20
+    assert fleet.run_until(lambda: fleet.count_seeing_dead(victim) == 15, 20) < 10
+    assert fleet.run_until(fleet.agreed, 20) < 20
 
 
 @pytest.mark.parametrize(("size", "max_s"), [(2, 6.0), (3, 5.0), (16, 4.0), (60, 4.0)])
 def test_death_is_known_to_99_percent_soon(size: int, max_s: float) -> None:
-    assert max(time_to_know(size, seed) for seed in range(3)) < max_s
+    assert max(time_to_detect_death(size, seed) for seed in range(3)) < max_s
 
 
 @pytest.mark.parametrize(("size", "max_rounds"), [(8, 15), (32, 25), (64, 30)])
@@ -421,8 +421,8 @@
 
 
 def test_distant_members_with_loss_are_hardly_ever_suspected() -> None:
-    fleet = Members(60, 2)
-    fleet.way_s, fleet.loss = (0.09, 0.12), 0.02  # an answer takes longer than 0.15 s
+    fleet = SimulatedFleet(60, 2)
+    fleet.latency_s, fleet.loss = (0.09, 0.12), 0.02  # an answer takes longer than 0.15 s
     fleet.run(10)
     refutations_before = sum(swim.refutations for swim in fleet.swims.values())
     sent_before = fleet.sent
@@ -448,30 +448,30 @@
 
 
 def test_stalled_member_accuses_nobody_and_is_back_at_once() -> None:
-    fleet = Members(30, 4)
+    fleet = SimulatedFleet(30, 4)
     fleet.run(3)
     stalled = list(fleet.swims)[7]
-    fleet.stand_still(stalled, True)
+    fleet.set_stalled(stalled, True)
     fleet.run(5)
-    assert fleet.holding_dead(stalled) == 29
+    assert fleet.count_seeing_dead(stalled) == 29
     deaths_before = fleet.deaths
-    fleet.stand_still(stalled, False)
-    assert fleet.until(fleet.agreed, 10) < 3
+    fleet.set_stalled(stalled, False)
+    assert fleet.run_until(fleet.agreed, 10) < 3
     assert fleet.deaths == deaths_before
     assert fleet.swims[stalled].stalls == 1
 
 
 def test_isolated_node_degrades_its_local_health() -> None:
-    fleet = Members(16, 6)
+    fleet = SimulatedFleet(16, 6)
     isolated = list(fleet.swims)[3]
-    fleet.cut = apart({isolated})
+    fleet.cut = split_off({isolated})
     fleet.run(5)
     assert fleet.swims[isolated].detector.local_health.score > 0
     assert fleet.swims[next(iter(fleet.swims))].detector.local_health.score == 0
 
 
 def test_name_may_move_to_another_address_and_live_duplicates_are_both_kept() -> None:
-    fleet = Members(8, 2)
+    fleet = SimulatedFleet(8, 2)
     fleet.run(2)
     old = list(fleet.swims)[2]
     fleet.kill(old)
@@ -480,20 +480,20 @@
     new = fleet.add(500, incarnation=2)
     fleet.swims[new].own = Update(new, "n2", "z", "r", 2, MemberState.ALIVE)
     fleet.exchange(new, next(iter(fleet.swims)))
-    assert fleet.until(fleet.agreed, 10) < 5
+    assert fleet.run_until(fleet.agreed, 10) < 5
     table = fleet.swims[next(iter(fleet.swims))].table
     assert table.duplicate_names() == {}
     duplicate = fleet.add(501, incarnation=3)
     fleet.swims[duplicate].own = Update(duplicate, "n2", "z", "r", 3, MemberState.ALIVE)
     fleet.exchange(duplicate, next(iter(fleet.swims)))
-    assert fleet.until(fleet.agreed, 10) < 5
+    assert fleet.run_until(fleet.agreed, 10) < 5
     assert table.duplicate_names() == {"n2": sorted([new, duplicate])}
 
 
 def test_datagrams_per_member_at_rest_do_not_grow_with_the_fleet() -> None:
     rates = []
     for size in (10, 80):
-        fleet = Members(size, 1)
+        fleet = SimulatedFleet(size, 1)
         fleet.run(4)
         sent_before = fleet.sent
         fleet.run(5)
@@ -502,26 +502,26 @@
 
 
 def test_members_that_know_one_seed_each_all_learn_of_each_other() -> None:
-    fleet = Members(60, 1, joined=False)
+    fleet = SimulatedFleet(60, 1, joined=False)
     seeds = list(fleet.swims)[:3]
     for number, address in enumerate(fleet.swims):
         if address not in seeds:
-            fleet.line.call_later(number / 60, fleet.exchange, address, seeds[number % 3])
+            fleet.clock.call_later(number / 60, fleet.exchange, address, seeds[number % 3])
     fleet.exchange(seeds[0], seeds[1])
     fleet.exchange(seeds[1], seeds[2])
-    assert fleet.until(fleet.agreed, 20) < 5
+    assert fleet.run_until(fleet.agreed, 20) < 5
 
 
 def test_short_partition_of_a_few_does_not_have_all_others_declared_dead() -> None:
-    fleet = Members(60, 4)
+    fleet = SimulatedFleet(60, 4)
     minority = set(list(fleet.swims)[:6])
     fleet.run(3)
-    fleet.cut = apart(minority)
+    fleet.cut = split_off(minority)
     fleet.run(6)  # the minority is still detecting and broadcasting the deaths of the others
-    assert all(fleet.holding_dead(address) > 50 for address in minority)
+    assert all(fleet.count_seeing_dead(address) > 50 for address in minority)
     fleet.cut = lambda source, target: False
     deaths_before = fleet.deaths
-    assert fleet.until(fleet.agreed, 20) < 10
+    assert fleet.run_until(fleet.agreed, 20) < 10
     assert fleet.deaths - deaths_before < 60  # 279 if the deaths that the minority broadcasts are believed
 
 
@@ -707,10 +707,10 @@
 
     When they were believed after the partition, they caused 66 to 359 false deaths.
     """
-    fleet = Members(100, seed)
+    fleet = SimulatedFleet(100, seed)
     fleet.run(3)
     minority = list(fleet.swims)[:20]
-    fleet.cut = apart(set(minority))
+    fleet.cut = split_off(set(minority))
     fleet.run(detection_s)
     for number in (3, 7):
         fleet.kill(minority[number])
@@ -720,7 +720,7 @@
     fleet.run(6)
     fleet.cut = lambda source, target: False
     deaths_before = fleet.deaths
-    assert fleet.until(fleet.agreed, 30) < 5
+    assert fleet.run_until(fleet.agreed, 30) < 5
     assert fleet.deaths - deaths_before <= 20
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -378,7 +378,7 @@
     # by exec, so that signals reach the program and not a shell
     assert python
     assert before in ("exec ", "trap '' HUP; MALLOC_ARENA_MAX=1 exec ")
-    return processes.deployed(command)
+    return processes.deploy_command(command)
 
 
 def test_run_starts_answers_health_and_leaves_with_status_0(tmp_path: Path) -> None:
