--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -44,7 +44,7 @@
 from reelusher.fleet.replication.pull_scheduler import Pull
 from reelusher.fleet.replication.replica import NotLeaderError, Replica
 from reelusher.fleet.replication.replica_store import MemoryReplicaStore
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.token_bucket import TokenBucket
 
 ZONES, REGIONS = 17, 7
@@ -155,7 +155,7 @@
         shard_count: int = 1,
     ) -> None:
         """Create the nodes of a shard: those whose region's number modulo `shard_count` is `shard`."""
-        self.clock, self.loss = VirtualLine(), loss
+        self.clock, self.loss = VirtualClock(), loss
         self.random = Random(f"{seed} {shard}") if shard_count > 1 else Random(seed)
         self.seed, self.shard, self.shard_count = seed, shard, shard_count
         self.replicate = replicate
