--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -38,9 +38,9 @@
 
 def test_openapi_document_has_every_route_and_no_other() -> None:
     from core_harness import Backend
-    from helpers import settings
+    from helpers import small_node_settings
 
-    core = Core(settings(), [], 1, Backend())
+    core = Core(small_node_settings(), [], 1, Backend())
     api = AdminApi(
         Admin(("127.0.0.1", 0), "a-token-for-tests", (), "", False, ""),
         AdminContext(core, None, TenantStore(None), None, dict, lambda: True),  # type: ignore[arg-type]
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -16,7 +16,7 @@
 import parties
 import pytest
 import tomli_w
-from helpers import soon
+from helpers import wait_until
 from replicas import names_of
 from scenario import SETTINGS, TOKEN
 
@@ -101,14 +101,14 @@
             operator_file.pop(without, None)
             node = self.all[name] = Node(merge(None, parse(operator_file)))
             node.start()
-        assert soon(
+        assert wait_until(
             lambda: all(
                 len(node.parts.fleet.live()) == len(self.all)
                 for node in self.all.values()
                 if node.parts.fleet
             )
         )
-        assert soon(lambda: not any(self.refusal(at) for at in self.all if at in CONTROL))
+        assert wait_until(lambda: not any(self.refusal(at) for at in self.all if at in CONTROL))
 
     def stop(self, name: str) -> None:
         self.all.pop(name).close()
@@ -159,7 +159,7 @@
 
     def catches_up(self, first: str, second: str) -> bool:
         """Wait until two nodes have the same positions; return whether they do in time."""
-        return soon(lambda: self.positions(first) == self.positions(second))
+        return wait_until(lambda: self.positions(first) == self.positions(second))
 
     def tenant_of(self, at: str, host: str) -> str:
         """Return the name of the tenant that a node serves a host for, an empty string, or `REJECTED`."""
@@ -216,7 +216,7 @@
     nodes.start("c1", "c2")
     status, value, headers = nodes.call("c1", "POST", "/v1/tenants", tenant(C2[0]))
     assert (status, value["name"], value["state"], headers["etag"]) == (201, C2[0], "active", '"9.1"')
-    assert soon(lambda: nodes.serves("c2", C2[0]))
+    assert wait_until(lambda: nodes.serves("c2", C2[0]))
     path = f"/v1/tenants/{C2[0]}"
     assert nodes.call("c2", "GET", path)[2]["etag"] == '"9.1"'
     assert nodes.call("c1", "PATCH", path, {"max_open": 7}, If_Match='"9.7"')[0] == 412
@@ -229,7 +229,7 @@
     assert nodes.call("c1", "DELETE", path)[0] == 204
     assert nodes.call("c1", "DELETE", path)[0] == 404
     assert nodes.call("c2", "GET", path)[0] == 404
-    assert soon(lambda: not nodes.serves("c2", C2[0]))
+    assert wait_until(lambda: not nodes.serves("c2", C2[0]))
     trail = nodes.call("c2", "GET", "/v1/audit")[1]["changes"]
     assert [one["tenant"] for one in trail] == [C2[0]] * 6
     assert {one["who"] for one in trail} == {"operator"}
@@ -384,10 +384,12 @@
     nodes.start("c1", "c2", "n1")
     for at, name in (("n1", C1[0]), ("c1", C2[0]), ("n1", C2[1])):
         assert nodes.call(at, "POST", "/v1/tenants", tenant(name))[0] == 201
-    assert soon(lambda: all(nodes.serves(at, name) for at in nodes.all for name in (C1[0], C2[0], C2[1])))
+    assert wait_until(
+        lambda: all(nodes.serves(at, name) for at in nodes.all for name in (C1[0], C2[0], C2[1]))
+    )
     assert nodes.call("n1", "POST", f"/v1/tenants/{C2[0]}/suspend")[0] == 200
     assert nodes.call("n1", "DELETE", f"/v1/tenants/{C1[0]}")[0] == 204
-    assert soon(lambda: not any(nodes.serves(at, name) for at in nodes.all for name in (C1[0], C2[0])))
+    assert wait_until(lambda: not any(nodes.serves(at, name) for at in nodes.all for name in (C1[0], C2[0])))
     listed = [nodes.call(at, "GET", "/v1/tenants")[1] for at in nodes.all]
     assert [one["name"] for one in listed[0]["tenants"]] == sorted([C2[0], C2[1]])
     assert listed[0] == listed[1] == listed[2]
@@ -416,14 +418,14 @@
     word, other = ("shadowed", won) if winner_first else ("shadows", lost)
     assert value[word] == [{"host": "same.example", "tenant": other}]
     for at in nodes.all:
-        assert soon(lambda: nodes.tenant_of(at, "same.example") == won)  # noqa: B023
+        assert wait_until(lambda: nodes.tenant_of(at, "same.example") == won)  # noqa: B023
         assert nodes.call(at, "GET", f"/v1/tenants/{lost}")[1]["shadowed"] == [
             {"host": "same.example", "tenant": won}
         ]
     value = nodes.call("n1", "PATCH", f"/v1/tenants/{won}?dry_run=true", {"hosts": ["other.example"]})[1]
     assert "shadows" not in value["after"]
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{won}", {"hosts": ["other.example"]})[0] == 200
-    assert soon(lambda: all(nodes.tenant_of(at, "same.example") == lost for at in nodes.all))
+    assert wait_until(lambda: all(nodes.tenant_of(at, "same.example") == lost for at in nodes.all))
     assert any(node.parts.counters.snapshot().get("replication.shadowed") for node in nodes.all.values())
 
 
@@ -468,7 +470,7 @@
             for one in streams
         ]
 
-    assert soon(lambda: counted() == [(2, 2, "8.1"), (2, 2, "9.2")])
+    assert wait_until(lambda: counted() == [(2, 2, "8.1"), (2, 2, "9.2")])
     nodes.stop_pulls("n1")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=1", tenant(C1[1]))[0] == 201
     assert counted()[0] == (1, 2, "8.1")
@@ -482,7 +484,7 @@
     nodes.start("c1", "c2")
     nodes.start("n1", workers=[{"name": "w1"}])
     assert nodes.call("n1", "POST", "/v1/tenants", tenant(C2[0], backend="w2"))[0] == 201
-    assert soon(lambda: nodes.serves("c1", C2[0]))
+    assert wait_until(lambda: nodes.serves("c1", C2[0]))
     assert nodes.catches_up("n1", "c2")
     answer = nodes.call("n1", "GET", f"/v1/tenants/{C2[0]}")[1]
     assert "backend" in answer["unreadable"]
@@ -492,7 +494,7 @@
     assert answer["tenants"][0]["name"] == C2[0]
     assert nodes.call("c1", "GET", "/v1/fleet/changes")[1]["unreadable"]["count"] == 0
     assert nodes.call("n1", "PATCH", f"/v1/tenants/{C2[0]}", {"backend": "w1"})[0] == 200
-    assert soon(lambda: nodes.serves("n1", C2[0]))
+    assert wait_until(lambda: nodes.serves("n1", C2[0]))
 
 
 # Changes of leader
@@ -507,7 +509,7 @@
     assert nodes.call("c2", "POST", "/v1/tenants", tenant(C2[2]))[0] == 201  # that nobody else has
     path = "/v1/fleet/take-over/c2"
     assert nodes.call("c1", "POST", path + "?dry_run=true")[1]["heard_of"] == "9.3"  # it asks the holder
-    assert soon(lambda: nodes.table("c1").position_ahead("c2"))  # and has heard by now
+    assert wait_until(lambda: nodes.table("c1").position_ahead("c2"))  # and has heard by now
     nodes.stop("c2")
     assert nodes.call("c1", "POST", "/v1/tenants", tenant(C2[3]))[0] == 503
     for at, where, status, named in (
@@ -525,13 +527,13 @@
     assert (status, value["begins"], value["lost"]) == (200, "16.2", 1)
     for at in ("c1", "n1"):
         nodes.stop_pulls(at, False)
-    assert soon(lambda: nodes.table("n1").leader("c2") == "c1")
+    assert wait_until(lambda: nodes.table("n1").leader("c2") == "c1")
     status, _, headers = nodes.call("n1", "POST", "/v1/tenants?copies=1", tenant(C2[3]))
     assert (status, headers["etag"]) == (201, '"16.3"')
     nodes.start("c2")
     assert nodes.catches_up("c2", "c1")
     assert not nodes.serves("c2", C2[2])
-    assert soon(lambda: nodes.serves("c2", C2[3]))
+    assert wait_until(lambda: nodes.serves("c2", C2[3]))
     answer = nodes.call("c2", "GET", "/v1/fleet/changes")[1]
     assert [(one["tenant"], one["version"]) for one in answer["orphans"]] == [(C2[2], "9.3")]
     assert nodes.call("c2", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[2]["etag"] == '"16.4"'
@@ -544,7 +546,7 @@
     assert nodes.catches_up("c2", "c1")
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["holder"], value["holder_lives"], value["begins"]) == (200, "c1", True, "25.5")
-    assert soon(lambda: nodes.table("c1").leader("c2") == "c2")
+    assert wait_until(lambda: nodes.table("c1").leader("c2") == "c2")
 
 
 # Nodes of another kind
@@ -554,7 +556,7 @@
     nodes.start("c1")
     nodes.start("c2", without="admin")
     assert nodes.call("c1", "POST", "/v1/tenants?copies=1", tenant(C2[0]))[0] == 201
-    assert soon(lambda: nodes.serves("c1", C2[0]) and nodes.serves("c2", C2[0]))
+    assert wait_until(lambda: nodes.serves("c1", C2[0]) and nodes.serves("c2", C2[0]))
 
 
 def test_node_without_a_fleet_leads_its_partition(nodes: Nodes) -> None:
@@ -562,7 +564,7 @@
     nodes.start("c1", without="fleet", **operator_file)
     for name in (C1[0], C2[0]):
         assert nodes.call("c1", "POST", "/v1/tenants", tenant(name))[0] == 201
-        assert soon(lambda: nodes.serves("c1", name))  # noqa: B023
+        assert wait_until(lambda: nodes.serves("c1", name))  # noqa: B023
     assert nodes.call("c1", "POST", "/v1/tenants?copies=1", tenant(C2[1]))[0] == 400
     changes = nodes.call("c1", "GET", "/v1/fleet/changes")[1]
     assert [(one["stream"], one["position"]) for one in changes["streams"]] == [("c1", "8.2")]
@@ -727,7 +729,7 @@
                 return True
             return False
 
-        assert soon(connects)
+        assert wait_until(connects)
         for name in (C1[0], C2[0]):
             web.send(["GET", "/days", f"host={name}.example"])
             worker.expect(["GET", "/days"])
@@ -761,7 +763,7 @@
     tags: dict[str, str] = {}
     for round_ in range(2):
         with process(tmp_path, operator_file) as made, contextlib.ExitStack() as stack:
-            assert soon(lambda: reachable(admin)), (tmp_path / "log").read_text()
+            assert wait_until(lambda: reachable(admin)), (tmp_path / "log").read_text()
             killer = threading.Timer(0.3 + 0.2 * round_, made.kill)
             killer.start()
             stack.callback(killer.join)
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from helpers import KEYED, MUST_CALL, SAFE, settings
+from helpers import KEYED, MUST_CALL, SAFE, small_node_settings
 
 from reelusher.core.clock import Clock
 from reelusher.core.event_loop import Core
@@ -42,7 +42,7 @@
         self.backend = Backend()
         self.answers: dict[str, list[Answer]] = {}
         self.core = Core(
-            settings(*CLASSES, **changes),
+            small_node_settings(*CLASSES, **changes),
             [],
             1,
             self.backend,
--- a/tests/drain/test_node_drain.py
+++ b/tests/drain/test_node_drain.py
@@ -102,14 +102,16 @@
 @pytest.mark.parametrize(
     "load",
     [
-        starved.Load(busy=9, rate=120.0, connects=0.0, seed=1),
-        starved.Load(busy=9, rate=40.0, connects=230.0, seed=2, hup_s=0.2),
+        starved.Load(busy_processes=9, requests_per_s=120.0, new_connections_per_s=0.0, seed=1),
+        starved.Load(
+            busy_processes=9, requests_per_s=40.0, new_connections_per_s=230.0, seed=2, sighup_before_s=0.2
+        ),
     ],
     ids=["callers", "connections"],
 )
 def test_drain_on_a_tenth_of_a_core_meets_the_requirements(load: starved.Load) -> None:
-    tally = starved.play(load)
-    broken = tally.broken()
+    tally = starved.measure_drain(load)
+    broken = tally.violations()
     broken.pop("late", None)  # how late a starved node answers depends on the machine
     assert broken == {}, f"{dict(tally)}\n{tally.log}"
     assert tally["served"] > 0, f"{dict(tally)}\n{tally.log}"
--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -8,7 +8,7 @@
 import parties
 import pytest
 import scenario
-from helpers import soon
+from helpers import wait_until
 
 from golden.recordings import load
 from reelusher.backends.runtime import RuntimeLink
@@ -94,7 +94,7 @@
     data = bytearray()
     stand_in.codec = lambda: (Recorder(JsonLineDecoder(), data), stand_in.note)  # type: ignore[method-assign]
     link.connect()
-    assert soon(lambda: link.up)
+    assert wait_until(lambda: link.up)
     request = IncomingRequest("00000000000000aa", 0, b"body \x01", 0, lambda answer: None)
     link.start(request, "day-view")
     link.stop(request.run_id)
@@ -102,7 +102,7 @@
     link.deliver_reply(request.run_id, b"reply")
     link.skip_call(request.run_id, 7)
     link.request_gauges("t9")
-    assert soon(lambda: data.count(b"\n") == 8)
+    assert wait_until(lambda: data.count(b"\n") == 8)
     link.close()
     stand_in.close(["listener"])
     return data.decode("latin-1")
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -11,7 +11,7 @@
 
 import scenario
 import test_parts as samples
-from helpers import soon
+from helpers import wait_until
 
 from golden.recordings import as_json, key_tree, load
 from reelusher.admin import openapi
@@ -88,9 +88,9 @@
 
 def platform_answers() -> dict[str, Any]:
     """Return the answers of a node of the platform with an operator's file of its own."""
-    with tempfile.TemporaryDirectory() as folder, scenario.standing(folder, {}) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario.scenario_environment(folder, {}) as world:
         party = world["node"]
-        assert soon(lambda: party.node.parts.runtime.up)
+        assert wait_until(lambda: party.node.parts.runtime.up)
         places = world["places"]
         made = {
             f"second address: {method} {path}": answer(places["operator"], method, path, None)
@@ -130,7 +130,7 @@
         try:
             assert node.parts.admin is not None
             place = node.parts.admin.address
-            assert soon(lambda: answer(place, "POST", "/v1/tenants?dry_run=true", TENANT)[0] == 200)
+            assert wait_until(lambda: answer(place, "POST", "/v1/tenants?dry_run=true", TENANT)[0] == 200)
             return {
                 f"{number}: {method} {path}": answer(place, method, path, value)
                 for number, (method, path, value) in enumerate(
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -15,7 +15,7 @@
 
 import msgspec
 import pytest
-from helpers import soon
+from helpers import wait_until
 
 from golden.recordings import as_json, load, path_of
 from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
@@ -91,10 +91,10 @@
     log.start()
     for number, key in enumerate((RUNNING, ENDED, FAILED)):
         log.persist(key, START_US + (number + 1) * WINDOW_US, bytes([number] * 8), done.append)
-        assert soon(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # one frame each
+        assert wait_until(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # one frame each
     log.forget(FAILED)
     log.persist(IdempotencyKey("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
-    assert soon(lambda: len(done) == 4)
+    assert wait_until(lambda: len(done) == 4)
     assert all(done)
     log.close()
     disk.close()
@@ -122,7 +122,7 @@
     claims.complete(FAILED, None)
     claims.release(IdempotencyKey("never", 0, "there"))
     kept = folder / "node_3.keys"
-    assert soon(lambda: sorted(state for state, _ in claims_in(kept)) == ["failed", "ok", "runs"])
+    assert wait_until(lambda: sorted(state for state, _ in claims_in(kept)) == ["failed", "ok", "runs"])
     claims.close()
 
 
@@ -328,7 +328,7 @@
                 key, START_US, START_US + WINDOW_US, START_US + 10, "0a0b", heard.append, heard.append
             )
         )
-    assert soon(lambda: told["ended"] and told["failed"])
+    assert wait_until(lambda: told["ended"] and told["failed"])
     assert told == {
         "running": [],
         "failed": [None],
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,7 +28,7 @@
 )
 
 
-def soon(holds: Callable[[], object], most_s: float = 20.0) -> bool:
+def wait_until(holds: Callable[[], object], most_s: float = 20.0) -> bool:
     """Wait until something holds; tell whether it came to that."""
     until = time.monotonic() + most_s
     while not holds() and time.monotonic() < until:
@@ -36,7 +36,7 @@
     return bool(holds())
 
 
-def settings(*classes: RequestClass, **changes: Any) -> Settings:
+def small_node_settings(*classes: RequestClass, **changes: Any) -> Settings:
     """Return those of a small worker, with changes."""
     given: dict[str, Any] = {
         "classes": classes or (SAFE,),
@@ -59,19 +59,19 @@
     *classes: RequestClass, scheduler: TenantScheduler | None = None, **changes: Any
 ) -> Controller:
     """Return one that has just started at time 0."""
-    controller = Controller(settings(*classes, **changes), 1, scheduler)
+    controller = Controller(small_node_settings(*classes, **changes), 1, scheduler)
     controller.handle(0, [])
     return controller
 
 
-def of(actions: Sequence[Action], *types: type) -> list[Any]:
+def select_actions(actions: Sequence[Action], *types: type) -> list[Any]:
     """Pick the actions of some types."""
     return [action for action in actions if isinstance(action, types)]
 
 
 def ids(actions: Sequence[Action], *types: type) -> list[int]:
     """Pick the request ids of the actions of some types."""
-    return [action.id for action in of(actions, *types)]
+    return [action.id for action in select_actions(actions, *types)]
 
 
 def tick(
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -16,7 +16,7 @@
 from reelusher.codecs import ajp13, http1, lines, msgpack
 from reelusher.lab.fleet.wires import Asks
 
-PATIENCE_S = 10.0  # for what is expected; generous, so that a busy machine gives the same verdict
+EXPECT_TIMEOUT_S = 10.0  # for what is expected; generous, so that a busy machine gives the same verdict
 QUIET_S = 0.3  # for what is expected not to come
 Words = list[str]
 
@@ -39,7 +39,7 @@
     def __init__(self, world: dict[str, Any]) -> None:
         self.world = world
         self.names: dict[str, str] = world.setdefault("names", {})
-        self.came: queue.Queue[str] = queue.Queue()
+        self.inbox: queue.Queue[str] = queue.Queue()
         self.sock: socket.socket | None = None
         self.reader: threading.Thread | None = None
 
@@ -47,11 +47,11 @@
         """Take the next thing that came and compare it, word by word; `*` stands for any word."""
         if words == ["nothing"]:
             time.sleep(QUIET_S)
-            assert self.came.empty(), f"came: {self.came.get()}"
+            assert self.inbox.empty(), f"came: {self.inbox.get()}"
             return
         label = words[-1] if len(words) > 2 and words[-2] == "as" else ""
         wanted = words[:-2] if label else words
-        got = self.came.get(timeout=PATIENCE_S).split(" ")
+        got = self.inbox.get(timeout=EXPECT_TIMEOUT_S).split(" ")
         for place, word in enumerate(wanted):
             word = self.names.get(word[1:], word) if word.startswith("$") else word
             fits = place < len(got) and word in ("*", got[place])
@@ -69,10 +69,10 @@
                     for item in decoder.feed(data):
                         text = note(item)
                         if text is not None:
-                            self.came.put(text)
+                            self.inbox.put(text)
             except OSError:
                 pass
-            self.came.put("closed")
+            self.inbox.put("closed")
 
         self.reader = threading.Thread(target=work, daemon=True)
         self.reader.start()
@@ -83,7 +83,7 @@
         """Connect to the node, once, from an address of this machine."""
         if self.sock is None:
             self.sock = socket.create_connection(
-                self.world["places"][place], PATIENCE_S, (source, 0) if source else None
+                self.world["places"][place], EXPECT_TIMEOUT_S, (source, 0) if source else None
             )
             self.sock.settimeout(None)
             self.read(decoder, note, self.sock)
@@ -116,7 +116,9 @@
             except OSError:
                 return
             if self.one_at_a_time and self.reader is not None:
-                self.reader.join(PATIENCE_S)  # the old link's end is told before the new one's beginning
+                self.reader.join(
+                    EXPECT_TIMEOUT_S
+                )  # the old link's end is told before the new one's beginning
             self.sock = sock
             self.read(*self.codec(), sock)  # not `self.sock`, which a `close` takes away
 
@@ -175,7 +177,7 @@
     """The runtime: answers `sync` and gauges by itself, `send end $X ok BODY`, `send wants $X BODY`."""
 
     one_at_a_time = True
-    at_once = False  # every run ends as it begins
+    ends_runs_at_once = False  # every run ends as it begins
 
     def __init__(self, world: dict[str, Any]) -> None:
         super().__init__(world)
@@ -191,7 +193,7 @@
             if self.ready:
                 self.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": 5}))
             return f"sync {message['serial']}"
-        if word == "start" and self.at_once:
+        if word == "start" and self.ends_runs_at_once:
             self.send(["end", message["call"], "ok", "r"])
         if word == "gauges":
             if self.gauges or message["cookie"].startswith("sync"):
@@ -397,10 +399,10 @@
 
     def expect(self, words: Words) -> None:
         """Take an answer; `ready` asks for one until it is yes, as the platform does."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + EXPECT_TIMEOUT_S
         while words == ["ready"] and time.monotonic() < until:
             self.send(["GET", "/healthcheck"])
-            code = self.came.get(timeout=PATIENCE_S).split(" ")[0]
+            code = self.inbox.get(timeout=EXPECT_TIMEOUT_S).split(" ")[0]
             super().expect(["closed"])
             if code == "200":
                 return
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,6 +1,6 @@
 """Random rejection, and the retry hints that rejected callers get."""
 
-from helpers import ids, of, started_controller, tick
+from helpers import ids, select_actions, started_controller, tick
 
 from reelusher.policy.actions import (
     Reject,
@@ -48,18 +48,22 @@
         tick(controller, step * PERIOD_US, 0.0, 2)
     assert controller.utilization.degraded_fraction == 0.0
     assert controller.admission.rejection_probability > 0
-    answers = [of(controller.handle(controller.now_us, [Request(n, 0)]), Reject) for n in range(100, 300)]
+    answers = [
+        select_actions(controller.handle(controller.now_us, [Request(n, 0)]), Reject) for n in range(100, 300)
+    ]
     assert 0 < sum(map(len, answers)) < 200
 
 
 def test_retry_after_is_bounded_by_what_callers_follow() -> None:
     controller = started_controller(max_retry_after_us=1_000_000)
-    assert of(controller.handle(0, [Request(1, 0, waited_us=8_000_000)]), Reject) == [
+    assert select_actions(controller.handle(0, [Request(1, 0, waited_us=8_000_000)]), Reject) == [
         Reject(1, MIN_RETRY_AFTER_US, False)
     ]
     fill(controller := started_controller(max_retry_after_us=1_000_000), 1_700_000)
     controller.admission.rejection_probability, controller.admission.recent_rate = 1.0, 1.0
-    assert of(controller.handle(controller.now_us, [Request(99, 0)]), Reject) == [Reject(99, 1_000_000, True)]
+    assert select_actions(controller.handle(controller.now_us, [Request(99, 0)]), Reject) == [
+        Reject(99, 1_000_000, True)
+    ]
 
 
 def test_retries_elsewhere_are_discouraged_only_in_a_full_fleet() -> None:
@@ -79,7 +83,7 @@
             tick(controller, step * PERIOD_US, 0.5, 1)
             actions = controller.handle(controller.now_us, events)
             controller.handle(controller.now_us, [RunEnded(n, Outcome.OK, 100) for n in ids(actions, Run)])
-        rejections = of(
+        rejections = select_actions(
             [*actions, *controller.handle(controller.now_us, [Request(0, 0, waited_us=9_000_000)])], Reject
         )
         assert rejections[-1].no_retry is expected
@@ -88,7 +92,7 @@
 def test_retries_are_rejected_while_waits_are_long() -> None:
     fill(controller := started_controller(), 600_000)
     controller.admission.rejection_probability = 0.0
-    assert of(controller.handle(controller.now_us, [Request(99, 0, is_retry=True)]), Reject)
-    assert not of(controller.handle(controller.now_us, [Request(98, 0)]), Reject)
+    assert select_actions(controller.handle(controller.now_us, [Request(99, 0, is_retry=True)]), Reject)
+    assert not select_actions(controller.handle(controller.now_us, [Request(98, 0)]), Reject)
     controller = started_controller()
-    assert not of(controller.handle(0, [Request(99, 0, is_retry=True)]), Reject)
+    assert not select_actions(controller.handle(0, [Request(99, 0, is_retry=True)]), Reject)
--- a/tests/policy/test_client_hints.py
+++ b/tests/policy/test_client_hints.py
@@ -1,6 +1,6 @@
 """Advertised capacity, health status and idle time-outs."""
 
-from helpers import ids, of, started_controller, tick
+from helpers import ids, select_actions, started_controller, tick
 
 from reelusher.policy.actions import (
     AdvertiseCapacity,
@@ -36,20 +36,20 @@
     controller = started_controller(
         capacity_hint=CapacityHint.TOKENS, caller_count=900, hint_ttl_us=1_000_000
     )
-    (largest,) = of(tick(controller, PERIOD_US), AdvertiseCapacity)
+    (largest,) = select_actions(tick(controller, PERIOD_US), AdvertiseCapacity)
     assert largest.value == MAX_ADVERTISED_PER_CORE * 2
     for n in range(1, 12):
         controller.handle(controller.now_us, [Request(n, 0, caller=n % 3)])
-    (shared,) = of(tick(controller, 2 * PERIOD_US), AdvertiseCapacity)
+    (shared,) = select_actions(tick(controller, 2 * PERIOD_US), AdvertiseCapacity)
     assert shared.value == largest.value / 3
     for step in range(3, 10):
         tick(controller, step * PERIOD_US)
-    (smallest,) = of(controller.actions, AdvertiseCapacity)
+    (smallest,) = select_actions(controller.actions, AdvertiseCapacity)
     assert smallest.value < shared.value / 2
     controller.handle(controller.now_us, [ClientDisconnected(n) for n in range(1, 12)])
     for _ in range(100):
         tick(controller, controller.now_us + PERIOD_US)
-    assert of(controller.actions, AdvertiseCapacity) == [largest]
+    assert select_actions(controller.actions, AdvertiseCapacity) == [largest]
 
 
 def test_health_fails_while_this_worker_alone_is_slow_not_in_a_full_fleet() -> None:
@@ -67,7 +67,9 @@
                     Run,
                 )
                 controller.handle(controller.now_us, [RunEnded(n, Outcome.OK, 100) for n in started])
-            reported += [a.healthy for a in of(tick(controller, step * PERIOD_US, 0.5, 1), ReportHealth)]
+            reported += [
+                a.healthy for a in select_actions(tick(controller, step * PERIOD_US, 0.5, 1), ReportHealth)
+            ]
         assert reported == expected
 
 
@@ -79,7 +81,7 @@
     timeouts_us = [
         a.idle_timeout_us
         for n in range(1, 20)
-        for a in of(controller.handle(n * PERIOD_US, [Tick(0, gauges)]), CloseIdleConnections)
+        for a in select_actions(controller.handle(n * PERIOD_US, [Tick(0, gauges)]), CloseIdleConnections)
     ]
     assert timeouts_us == sorted(timeouts_us, reverse=True)
     assert timeouts_us[-1] == MIN_IDLE_TIMEOUT_US
@@ -87,10 +89,10 @@
     timeouts_us = [
         a.idle_timeout_us
         for n in range(20, 60)
-        for a in of(controller.handle(n * PERIOD_US, [Tick(0, gauges)]), CloseIdleConnections)
+        for a in select_actions(controller.handle(n * PERIOD_US, [Tick(0, gauges)]), CloseIdleConnections)
     ]
     assert timeouts_us[-1] == 30_000_000
-    assert not of(
+    assert not select_actions(
         started_controller(idle_timeout_us=30_000_000).handle(1, [Tick(0, gauges)]), CloseIdleConnections
     )
 
--- a/tests/policy/test_concurrency_limiter.py
+++ b/tests/policy/test_concurrency_limiter.py
@@ -1,7 +1,7 @@
 """The limit on concurrent runs, and the ceiling while a worker warms up."""
 
 import pytest
-from helpers import ids, settings, started_controller, tick
+from helpers import ids, small_node_settings, started_controller, tick
 
 from reelusher.policy.actions import (
     Run,
@@ -16,7 +16,7 @@
 
 
 def test_limit_starts_at_the_core_count() -> None:
-    actions = Controller(settings(), 1).handle(0, [Request(n, 0) for n in range(1, 5)])
+    actions = Controller(small_node_settings(), 1).handle(0, [Request(n, 0) for n in range(1, 5)])
     assert ids(actions, Run) == [1, 2]
 
 
--- a/tests/policy/test_dependency_limiter.py
+++ b/tests/policy/test_dependency_limiter.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import SAFE, ids, of, started_controller, tick
+from helpers import SAFE, ids, select_actions, started_controller, tick
 
 from reelusher.policy.actions import (
     Action,
@@ -39,7 +39,7 @@
     controller.dependency.mean_duration_us = 1_900_000.0
     decisions = []
     for n in range(1, 600):
-        decisions += of(at_call(controller, n * PERIOD_US, Request(n, 0)), Call, SkipCall)
+        decisions += select_actions(at_call(controller, n * PERIOD_US, Request(n, 0)), Call, SkipCall)
         call_ended = [CallEnded(n, Outcome.OK, 20_000)] if isinstance(decisions[-1], Call) else []
         controller.handle(controller.now_us, [*call_ended, RunEnded(n, Outcome.OK, 200_000)])
         tick(controller, controller.now_us, 0.5, 1)
@@ -54,10 +54,10 @@
     """
     controller = started_controller(replace(SAFE, degraded_value_fraction=0.5, makes_calls=True))
     controller.handle(1, [Request(1, 0, 1, 0, 0, 1.0, 1, 0, 0, 0)])
-    now, calls = 2, of(controller.handle(2, [CallNeeded(1)]), Call)
+    now, calls = 2, select_actions(controller.handle(2, [CallNeeded(1)]), Call)
     assert len(calls) == 1
     for _ in range(MAX_CALL_RETRIES):
-        assert not of(controller.handle(now, [CallEnded(1, Outcome.REJECTED, 5)]), Call, SkipCall)
+        assert not select_actions(controller.handle(now, [CallEnded(1, Outcome.REJECTED, 5)]), Call, SkipCall)
         now += PERIOD_US
         assert ids(tick(controller, now), Call) == [1]
     assert ids(controller.handle(now, [CallEnded(1, Outcome.REJECTED, 5)]), SkipCall) == [1]
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -3,7 +3,17 @@
 from typing import Any
 
 import pytest
-from helpers import KEYED, MUST_CALL, SAFE, UNSAFE, ids, of, settings, started_controller, tick
+from helpers import (
+    KEYED,
+    MUST_CALL,
+    SAFE,
+    UNSAFE,
+    ids,
+    select_actions,
+    small_node_settings,
+    started_controller,
+    tick,
+)
 
 from reelusher.policy.actions import (
     AttachToOriginal,
@@ -38,9 +48,9 @@
 
 
 def test_request_without_time_left_is_answered_at_once() -> None:
-    actions = Controller(settings(), 1).handle(0, [Request(1, 0, waited_us=8_000_000)])
+    actions = Controller(small_node_settings(), 1).handle(0, [Request(1, 0, waited_us=8_000_000)])
     assert ids(actions, Reject) == [1]
-    assert not of(actions, Run)
+    assert not select_actions(actions, Run)
 
 
 def answered_at(controller: Controller, request_id: int, until_us: int) -> int | None:
@@ -57,7 +67,7 @@
     answered_us = answered_at(controller, 1, 9_000_000)
     assert answered_us is not None
     assert 7_500_000 < answered_us < 8_000_000
-    assert of(controller.actions, FailRequest, Preempt) == [FailRequest(1), Preempt(1)]
+    assert select_actions(controller.actions, FailRequest, Preempt) == [FailRequest(1), Preempt(1)]
     assert controller.in_flight.by_id[1].answered
     assert controller.handle(answered_us + 1, [RunEnded(1, Outcome.CANCELLED)]) == []
     assert not controller.in_flight.by_id
@@ -94,7 +104,7 @@
 
 
 def test_request_and_disconnect_in_one_batch() -> None:
-    assert not of(
+    assert not select_actions(
         started_controller().handle(1, [Request(1, 0), ClientDisconnected(1)]), Run, Reject, FailRequest
     )
 
@@ -114,7 +124,7 @@
 
 def test_key_is_remembered_for_its_whole_window_before_the_run() -> None:
     controller = started_controller(KEYED)
-    actions = of(controller.handle(5, [Request(1, 0, waited_us=1_000)]), RememberKey, Run)
+    actions = select_actions(controller.handle(5, [Request(1, 0, waited_us=1_000)]), RememberKey, Run)
     assert [type(action) for action in actions] == [RememberKey, Run]
     assert actions[0].ttl_us >= KEYED.idempotency_window_us - 1_000
 
@@ -122,7 +132,7 @@
 def test_keyed_request_is_rejected_without_memory_for_its_entry() -> None:
     controller = started_controller(KEYED, memory_kb=40.0)
     assert ids(controller.handle(0, [Request(1, 0)]), Reject, Run, RememberKey) == [1]
-    assert of(controller.actions, Reject)
+    assert select_actions(controller.actions, Reject)
 
 
 def test_retry_is_attached_to_its_original_and_never_run_or_rejected() -> None:
@@ -133,7 +143,7 @@
     controller.admission.rejection_probability = 1.0
     actions = controller.handle(1, [RunEnded(1, Outcome.OK), Request(3, 0, original_id=1)])
     assert ids(actions, AttachToOriginal) == [3]
-    assert not of(actions, Reject)
+    assert not select_actions(actions, Reject)
 
 
 def test_key_of_a_request_that_never_ran_is_forgotten() -> None:
@@ -147,8 +157,8 @@
     controller = started_controller(UNSAFE, preemption=PreemptionMode.DROP)
     controller.handle(0, [Request(1, 0)])
     assert answered_at(controller, 1, 9_000_000) is not None
-    assert of(controller.actions, FailRequest) == [FailRequest(1)]
-    assert not of(controller.actions, Preempt, Reject)
+    assert select_actions(controller.actions, FailRequest) == [FailRequest(1)]
+    assert not select_actions(controller.actions, Preempt, Reject)
 
 
 def test_mandatory_call_is_retried_only_if_it_never_ran() -> None:
@@ -158,25 +168,27 @@
         controller.handle(1, [CallNeeded(1)])
         actions = controller.handle(2, [CallEnded(1, outcome)])
         actions += tick(controller, 2 + PERIOD) + tick(controller, 2 + 2 * PERIOD)
-        retried = bool(of(actions, Call))
+        retried = bool(select_actions(actions, Call))
         assert retried == (outcome in (Outcome.REJECTED, Outcome.UNREACHABLE))
-        assert bool(of(actions, FailRequest)) == (not retried and outcome is not Outcome.OK)
+        assert bool(select_actions(actions, FailRequest)) == (not retried and outcome is not Outcome.OK)
 
 
 def test_call_ends_before_its_request_is_due() -> None:
     controller = started_controller(MUST_CALL)
     controller.handle(0, [Request(1, 0)])
-    (call,) = of(controller.handle(1, [CallNeeded(1)]), Call)
+    (call,) = select_actions(controller.handle(1, [CallNeeded(1)]), Call)
     assert 1 < call.until_us < 8_000_000
 
 
 def test_draining_worker_is_unhealthy_and_does_not_run_late_arrivals() -> None:
     controller = started_controller()
-    assert of(controller.handle(0, [Drain(5_000_000)]), ReportHealth) == [ReportHealth(False, True)]
+    assert select_actions(controller.handle(0, [Drain(5_000_000)]), ReportHealth) == [
+        ReportHealth(False, True)
+    ]
     assert ids(controller.handle(2_100_000, [Request(1, 0, waited_us=100_000)]), Run) == [1]
     actions = controller.handle(2_100_001, [Request(2, 0, waited_us=100_000)])
     assert ids(actions, Reject) == [2]
-    assert not of(actions, Run)
+    assert not select_actions(actions, Run)
 
 
 def test_everything_is_answered_before_the_stop() -> None:
@@ -234,7 +246,7 @@
             events.append(Tick(0, Gauges(0.5, 1)))
         actions = controller.handle(now, events)
         actions += controller.handle(now, [CallNeeded(call_id) for call_id in ids(actions, Run)])
-        for call in of(actions, Call):
+        for call in select_actions(actions, Call):
             end_by_id[call.id] = call.until_us
             call_spans.append((now, call.until_us + 200_000))
     steps = range(5_000_000, duration_us, 100_000)
@@ -273,7 +285,7 @@
     controller.handle(0, [Request(1, 0), Request(2, 0)])
     controller.handle(1, [CallNeeded(1), CallNeeded(2)])
     actions = controller.handle(2, [ClientDisconnected(1)])
-    assert not of(actions, Call)
+    assert not select_actions(actions, Call)
     assert controller.dependency.in_flight(controller.now_us, len(controller.in_flight.calling)) == 1
 
 
--- a/tests/policy/test_utilization_loop.py
+++ b/tests/policy/test_utilization_loop.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import MUST_CALL, ids, of, started_controller, tick
+from helpers import MUST_CALL, ids, select_actions, started_controller, tick
 
 from reelusher.policy.actions import (
     Action,
@@ -86,9 +86,9 @@
         for subject in range(1, 200):
             controller = started_controller()
             controller.utilization.degraded_fraction = degraded
-            assert of(at_call(controller, 0, Request(subject, 0, subject=subject)), Call, SkipCall) == of(
-                controller.actions, expected
-            )
+            assert select_actions(
+                at_call(controller, 0, Request(subject, 0, subject=subject)), Call, SkipCall
+            ) == select_actions(controller.actions, expected)
 
 
 def test_mandatory_calls_are_never_skipped() -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -115,14 +115,14 @@
 
     def expect(self, words: list[str]) -> None:
         if words[0] == "left":  # `left late`: not all was answered by the owner
-            self.thread.join(parties.PATIENCE_S)
+            self.thread.join(parties.EXPECT_TIMEOUT_S)
             assert self.left == [words[1:] != ["late"]]
             return
         if words == ["asked"]:
-            assert self.node.drain_requested.wait(parties.PATIENCE_S)
+            assert self.node.drain_requested.wait(parties.EXPECT_TIMEOUT_S)
             return
         _, name, wanted = words
-        until = time.monotonic() + parties.PATIENCE_S
+        until = time.monotonic() + parties.EXPECT_TIMEOUT_S
         while (got := self.node.parts.counters.snapshot().get(name, 0)) != int(wanted):
             assert time.monotonic() < until, f"{name} is {got}, not {wanted}"
             time.sleep(0.02)
@@ -203,7 +203,7 @@
     """Play a scenario against a node of its own. Lines that begin with `with` come first and change it."""
     steps = [line.split("#")[0].split() for line in text.strip().splitlines() if line.split("#")[0].strip()]
     changes = dict(word.split("=", 1) for step in steps if step[0] == "with" for word in step[1:])
-    with tempfile.TemporaryDirectory() as folder, standing(folder, changes) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as world:
         for step in steps:
             if step[0] == "wait":
                 time.sleep(float(step[1]))
@@ -217,7 +217,7 @@
 
 
 @contextlib.contextmanager
-def standing(folder: str, changes: dict[str, str]) -> Iterator[dict[str, Any]]:
+def scenario_environment(folder: str, changes: dict[str, str]) -> Iterator[dict[str, Any]]:
     """Have a node of its own among stand-ins, and take all of them down again."""
     world: dict[str, Any] = {"count": itertools.count(1), "folder": folder}
     for which in ("", "2"):
--- a/tests/starved.py
+++ b/tests/starved.py
@@ -42,16 +42,16 @@
 class Load:
     """What callers do, and on how much of a core the node is to bear it."""
 
-    busy: int = 0  # processes that want the node's core too
-    rate: float = 120.0  # requests each second
-    connects: float = 0.0  # new connections each second that are asked once and kept
+    busy_processes: int = 0  # processes that want the node's core too
+    requests_per_s: float = 120.0  # requests each second
+    new_connections_per_s: float = 0.0  # new connections each second that are asked once and kept
     lead_s: float = 1.5  # of service before SIGTERM
-    goes_on_s: float = 3.5  # after it: callers hear late
+    arrivals_after_s: float = 3.5  # after it: callers hear late
     stop_ms: int = 4000
     grace_ms: int = 1500
     work_ms: float = 15.0
     seed: int = 1
-    hup_s: float = -1.0  # SIGHUP so long before SIGTERM; negative: none
+    sighup_before_s: float = -1.0  # SIGHUP so long before SIGTERM; negative: none
 
 
 class Tally(Counter[str]):
@@ -61,7 +61,7 @@
     status: int | None = None
     log = ""
 
-    def broken(self) -> dict[str, int]:
+    def violations(self) -> dict[str, int]:
         """Return the rules that did not hold, and how often."""
         return {name: self[name] for name in BROKEN if self[name]}
 
@@ -240,7 +240,7 @@
                 pinned([sys.executable, "-O", "-m", "reelusher"], log, {"PROXY_CONFIG": str(path)})
             )
             await self.up(node)
-            for _ in range(self.load.busy):
+            for _ in range(self.load.busy_processes):
                 stack.enter_context(pinned([sys.executable, "-c", BUSY.format(parent=os.getpid())], None, {}))
             await self.call_and_leave(node)
             self.tally.log = log.read_text()
@@ -264,11 +264,11 @@
     async def call_and_leave(self, node: "subprocess.Popen[bytes]") -> None:
         load, loop = self.load, asyncio.get_running_loop()
         self.begin_s = loop.time()
-        tasks = [asyncio.ensure_future(self.arrivals(load.rate, False))]
-        if load.connects:
-            tasks.append(asyncio.ensure_future(self.arrivals(load.connects, True)))
-        if load.hup_s >= 0:
-            loop.call_later(load.lead_s - load.hup_s, node.send_signal, signal.SIGHUP)
+        tasks = [asyncio.ensure_future(self.arrivals(load.requests_per_s, False))]
+        if load.new_connections_per_s:
+            tasks.append(asyncio.ensure_future(self.arrivals(load.new_connections_per_s, True)))
+        if load.sighup_before_s >= 0:
+            loop.call_later(load.lead_s - load.sighup_before_s, node.send_signal, signal.SIGHUP)
         await asyncio.sleep(load.lead_s)
         term_s = time.monotonic()
         self.grace_end_s = term_s + load.grace_ms / 1000 + 0.05
@@ -287,7 +287,7 @@
 
     async def arrivals(self, rate: float, always_new: bool) -> None:
         """Ask at random times, whatever comes back."""
-        at, end = self.begin_s, self.begin_s + self.load.lead_s + self.load.goes_on_s
+        at, end = self.begin_s, self.begin_s + self.load.lead_s + self.load.arrivals_after_s
         while (at := at + self.random.expovariate(rate)) < end:
             await asyncio.sleep(max(0.0, at - asyncio.get_running_loop().time()))
             task = asyncio.ensure_future(self.ask(always_new))
@@ -342,7 +342,7 @@
         process.wait()
 
 
-def play(load: Load) -> Tally:
+def measure_drain(load: Load) -> Tally:
     """Play one drain; this process keeps off the shared core meanwhile, if it has another."""
     rest = ALLOWED - {core()} or ALLOWED
     os.sched_setaffinity(0, rest)
@@ -366,8 +366,10 @@
     for busy in given.busy:
         total, broken_runs = Tally(), 0
         for seed in range(given.runs):
-            tally = play(Load(busy, given.rate, given.connects, seed=seed, hup_s=given.hup))
-            broken_runs += bool(tally.broken())
+            tally = measure_drain(
+                Load(busy, given.rate, given.connects, seed=seed, sighup_before_s=given.hup)
+            )
+            broken_runs += bool(tally.violations())
             total.update(tally)
             print(
                 f"1/{busy + 1} of a core, seed {seed}: left after {tally.exit_ms:.0f} ms, {tally.status}; "
@@ -378,7 +380,7 @@
                 print(tally.log)
         print(
             f"1/{busy + 1} of a core: {broken_runs} of {given.runs} drains broke a rule, "
-            f"{total['served'] / max(1, total['asked']):.3f} served; {total.broken()}",
+            f"{total['served'] / max(1, total['asked']):.3f} served; {total.violations()}",
             flush=True,
         )
 
--- a/tests/tenancy/simulated_node.py
+++ b/tests/tenancy/simulated_node.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from helpers import settings
+from helpers import small_node_settings
 
 from reelusher.policy.actions import Action, FailRequest, Reject, Run, SetTimer
 from reelusher.policy.controller import Controller
@@ -55,7 +55,7 @@
         seed: int = 1,
         **changes: float,
     ) -> None:
-        node_settings = settings(
+        node_settings = small_node_settings(
             *CLASSES,
             cores=cores,
             memory_kb=changes.pop("memory_kb", 65_536.0),
--- a/tests/tenancy/test_fair_queue.py
+++ b/tests/tenancy/test_fair_queue.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from helpers import ids, of, started_controller
+from helpers import ids, select_actions, started_controller
 
 from reelusher.policy.actions import Reject, Run
 from reelusher.policy.events import Request
@@ -145,7 +145,7 @@
     else:
         assert len(rejected) >= 20
     other = controller.handle(3, [Request(100, 0, tenant=2, held_kb=20.0)])
-    assert not of(other, Reject)
+    assert not select_actions(other, Reject)
     assert not limits.running or ids(other, Run) == [100]
 
 
--- a/tests/tenancy/test_index.py
+++ b/tests/tenancy/test_index.py
@@ -8,7 +8,7 @@
 
 import pytest
 from core_harness import Backend
-from helpers import KEYED, SAFE, settings
+from helpers import KEYED, SAFE, small_node_settings
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -331,7 +331,7 @@
 
 
 def registry() -> tuple[TenantRegistry, Core]:
-    node_settings = settings(SAFE, KEYED, cores=2)
+    node_settings = small_node_settings(SAFE, KEYED, cores=2)
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = Core(node_settings, [], 1, Backend(), scheduler=fair_queue)
     core.process_batch([])
--- a/tests/tenancy/test_lifecycle.py
+++ b/tests/tenancy/test_lifecycle.py
@@ -5,7 +5,7 @@
 
 import pytest
 from core_harness import Backend
-from helpers import KEYED, SAFE, settings
+from helpers import KEYED, SAFE, small_node_settings
 
 from reelusher.config.operator.tenants import Tenant
 from reelusher.core.clock import Clock
@@ -73,7 +73,7 @@
 
     def __init__(self, seed: int) -> None:
         self.random, self.now_us = random.Random(seed), 1_000_000_000_000
-        node_settings = settings(SAFE, KEYED, cores=2, memory_kb=5_000.0)
+        node_settings = small_node_settings(SAFE, KEYED, cores=2, memory_kb=5_000.0)
         fair_queue = self.fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
         self.backend = Backend()
         self.core = Core(
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -11,7 +11,7 @@
 
 import pytest
 from core_harness import Backend
-from helpers import KEYED, SAFE, settings, soon
+from helpers import KEYED, SAFE, small_node_settings, wait_until
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -128,7 +128,7 @@
 
     def __init__(self, source: "SqliteReplica | None" = None, **changes: Any) -> None:
         self.now_us, self.source = 1_000_000_000_000, SourceDouble()
-        node_settings = settings(SAFE, KEYED, **{"cores": 2, **changes})
+        node_settings = small_node_settings(SAFE, KEYED, **{"cores": 2, **changes})
         self.fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
         self.core = Core(
@@ -373,7 +373,7 @@
     assert node.source.reached.acquire(timeout=WAIT_S)
     doing.append(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")))
     event: Any = node.cache._loads["a"].done if known_host else node.cache._host_reads["h"]
-    assert soon(lambda: bool(event._cond._waiters))
+    assert wait_until(lambda: bool(event._cond._waiters))
     node.source.held.set()
     found = [node.wait_for(one) for one in doing]
     assert found[0] == found[1]
@@ -657,7 +657,7 @@
     readers = ReaderPool(counts, 5.0, 2)
     with ThreadPoolExecutor(2) as pool:
         waiting = [pool.submit(readers.read, held.wait) for _ in range(2)]
-        assert soon(lambda: not readers._waiting_slots._value)
+        assert wait_until(lambda: not readers._waiting_slots._value)
         with pytest.raises(TenantUnavailableError, match="too many"):
             readers.read(lambda: 1)
         held.set()
@@ -797,7 +797,7 @@
 
 
 def test_ajp_front_end_answers_503_while_a_tenant_cannot_be_read_and_serves_others() -> None:
-    node_settings, rows, runner = settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
+    node_settings, rows, runner = small_node_settings(SAFE, cores=2), SourceDouble(), ImmediateBackend()
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
     registry = CachedTenantRegistry(("safe",), lambda backend: None, core, fair_queue, frozenset({"w"}), rows)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,8 +13,8 @@
 import parties
 import pytest
 from core_harness import Backend
-from helpers import MUST_CALL, SAFE, settings, soon
-from scenario import platform_config, retuned, standing
+from helpers import MUST_CALL, SAFE, small_node_settings, wait_until
+from scenario import platform_config, retuned, scenario_environment
 
 from reelusher.backends.runtime import RuntimeLink
 from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
@@ -50,7 +50,7 @@
         self.sock = socket.socket()
         if receive_bytes:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_bytes)
-        self.sock.settimeout(parties.PATIENCE_S)
+        self.sock.settimeout(parties.EXPECT_TIMEOUT_S)
         self.received: deque[Any] = deque()
         self.decoder = msgpack.Decoder(1 << 14)
         self.sock.connect(node.parts.frontends["platform"].address)
@@ -94,7 +94,7 @@
 @pytest.fixture
 def world(request: pytest.FixtureRequest) -> Iterator[dict[str, Any]]:
     changes = dict(getattr(request, "param", {}))
-    with tempfile.TemporaryDirectory() as folder, standing(folder, changes) as made:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as made:
         yield made
 
 
@@ -113,11 +113,11 @@
         done.set()
 
     front._poller.call(step)
-    assert done.wait(parties.PATIENCE_S)
+    assert done.wait(parties.EXPECT_TIMEOUT_S)
 
 
 def only_connection(front: RpcFrontend) -> Connection:
-    assert soon(lambda: front.open_connections() == 1)
+    assert wait_until(lambda: front.open_connections() == 1)
     return front.connections()[0]
 
 
@@ -127,7 +127,7 @@
     front, peer = front_of(world), Peer(world["node"].node)
     peer.send(1, method="health")
     connection = only_connection(front)
-    assert soon(lambda: connection.messages_read)
+    assert wait_until(lambda: connection.messages_read)
     shut, release = connection.send_buffer.shutdown_write, connection.send_buffer.release
     crossed: list[bool] = []
 
@@ -135,7 +135,7 @@
         if not crossed:
             crossed.append(True)
             peer.send(2)  # now: the node has seen nothing and closes
-            assert soon(lambda: unread_bytes(connection.sock) > 0)
+            assert wait_until(lambda: unread_bytes(connection.sock) > 0)
         return step()
 
     monkeypatch.setattr(connection.send_buffer, "shutdown_write", lambda: crossing(shut))
@@ -147,7 +147,7 @@
         ["nothing"]
     )  # a request that crossed the close is not run: its caller sends it again
     peer.sock.close()
-    assert soon(lambda: not front._half_closed)
+    assert wait_until(lambda: not front._half_closed)
 
 
 def test_sent_answers_survive_malformed_bytes_behind_their_requests(world: dict[str, Any]) -> None:
@@ -155,7 +155,7 @@
     for first in range(1, count + 1, 500):
         peer.send(*range(first, first + 500), method="health")
     peer.sock.sendall(GARBAGE)
-    assert soon(lambda: world["node"].node.parts.counters.snapshot().get("platform.malformed"))
+    assert wait_until(lambda: world["node"].node.parts.counters.snapshot().get("platform.malformed"))
     assert len(peer.until_end()) == count
 
 
@@ -165,7 +165,7 @@
     busy = [Peer(world["node"].node) for _ in range(front.max_connections)]
     for number, peer in enumerate(busy, 1):
         peer.send(number)  # unanswered, so none of them is closed for others
-    assert soon(lambda: front.open_connections() == front.max_connections)
+    assert wait_until(lambda: front.open_connections() == front.max_connections)
     later = [Peer(world["node"].node) for _ in range(3 * rpc_frontend.MAX_SPARE)]
     for number, peer in enumerate(later, 101):
         peer.send(number)
@@ -183,14 +183,14 @@
     front, peer, data = front_of(world), Peer(world["node"].node), request_bytes(1, "health")
     peer.sock.sendall(data[:20])
     connection = only_connection(front)
-    assert soon(lambda: connection.partial_since_s)
+    assert wait_until(lambda: connection.partial_since_s)
 
     def check_late() -> None:
         if state == "rejected":
             connection.rejecting_since_s = time.monotonic() - LINGER_S - 1
         connection.partial_since_s = time.monotonic() - rpc_frontend.MAX_FRAME_S - 1
         peer.sock.sendall(data[20:])
-        assert soon(lambda: unread_bytes(connection.sock) > 0)
+        assert wait_until(lambda: unread_bytes(connection.sock) > 0)
         front._check(connection, time.monotonic(), IdleLimits(100.0, 100.0, 100.0))
 
     on_poller(front, check_late)
@@ -234,7 +234,7 @@
 
     def cross(connection: Connection, *args: Any, **more: Any) -> None:
         peer.sock.sendall(request_bytes(2)[40:] + GARBAGE)  # now: the node has given it up
-        assert soon(lambda: unread_bytes(connection.sock) > 0)
+        assert wait_until(lambda: unread_bytes(connection.sock) > 0)
         end(connection, *args, **more)
 
     monkeypatch.setattr(front, "_end", cross)
@@ -248,11 +248,11 @@
 ) -> None:
     front = world["node"].node.parts.frontends["ajp"]
     web = socket.socket()
-    web.settimeout(parties.PATIENCE_S)
+    web.settimeout(parties.EXPECT_TIMEOUT_S)
 
     def cross(sock: socket.socket) -> bool:
         web.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
-        assert soon(lambda: unread_bytes(sock) > 0)
+        assert wait_until(lambda: unread_bytes(sock) > 0)
         return False
 
     monkeypatch.setattr(front, "_wait_for_request", cross)
@@ -326,13 +326,13 @@
 
     def part(sock: socket.socket) -> None:
         closing.append(sock)
-        hold.wait(parties.PATIENCE_S)
+        hold.wait(parties.EXPECT_TIMEOUT_S)
 
     monkeypatch.setattr(ajp_frontend, "shut_and_discard", part)
-    webs = [socket.create_connection(front.address, parties.PATIENCE_S) for _ in range(30)]
+    webs = [socket.create_connection(front.address, parties.EXPECT_TIMEOUT_S) for _ in range(30)]
     counters = world["node"].node.parts.counters
     try:
-        assert soon(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
+        assert wait_until(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
         assert len(closing) <= ajp_frontend.MAX_REJECTED_CONNECTIONS
     finally:
         hold.set()
@@ -345,7 +345,7 @@
     world: dict[str, Any], monkeypatch: pytest.MonkeyPatch, step_s: int
 ) -> None:
     runtime, peer = world["runtime"], Peer(world["node"].node)
-    runtime.at_once = True
+    runtime.ends_runs_at_once = True
     peer.sock.sendall(request_bytes(1, "book-visit", unique="k"))
     assert peer.answer()[2] is None
     runtime.expect(["start", "*", "book-visit"])
@@ -366,12 +366,12 @@
 
     def open_late() -> socket.socket | None:
         ready.set()
-        assert proceed.wait(parties.PATIENCE_S)
+        assert proceed.wait(parties.EXPECT_TIMEOUT_S)
         return opened()
 
     runtime._open = open_late  # type: ignore[method-assign]
     runtime.move(first)
-    assert ready.wait(parties.PATIENCE_S)  # the old link is down, the new one is about to be used
+    assert ready.wait(parties.EXPECT_TIMEOUT_S)  # the old link is down, the new one is about to be used
     runtime.move(second)
     proceed.set()
 
@@ -379,8 +379,8 @@
 def test_move_back_that_crosses_a_move_wins(world: dict[str, Any]) -> None:
     runtime = world["node"].node.parts.runtime
     move_twice(runtime, world["runtime2"].address, world["runtime"].address)
-    assert soon(lambda: runtime.up and runtime._linked_address == world["runtime"].address)
-    world["runtime"].at_once, peer = True, Peer(world["node"].node)
+    assert wait_until(lambda: runtime.up and runtime._linked_address == world["runtime"].address)
+    world["runtime"].ends_runs_at_once, peer = True, Peer(world["node"].node)
     peer.send(1)
     assert peer.answer()[3][0] == b"r"
 
@@ -397,7 +397,7 @@
 
     runtime._open = crossing
     world["runtime"].close([])
-    assert opened.wait(parties.PATIENCE_S)
+    assert opened.wait(parties.EXPECT_TIMEOUT_S)
     world["runtime"].expect(["closed"])
     world["runtime"].expect(["closed"])
 
@@ -405,7 +405,7 @@
 def test_commands_buffered_for_an_unreachable_runtime_are_bounded(world: dict[str, Any]) -> None:
     node, peer = world["node"].node, Peer(world["node"].node)
     world["runtime"].close(["listener"])
-    assert soon(lambda: not node.parts.runtime.up)
+    assert wait_until(lambda: not node.parts.runtime.up)
     for first in range(1, 200, 20):
         peer.send(*range(first, first + 20), method="day-view")
         for _ in range(18):  # two may wait for their deadline
@@ -469,7 +469,7 @@
     monkeypatch.setattr(
         node.parts.core, "run_on_loop", lambda function, timeout_s=0.1: run_on_loop(function, timeout_s)
     )
-    node.parts.core.post(EventLoopTask(lambda: hold.wait(parties.PATIENCE_S), Future()))
+    node.parts.core.post(EventLoopTask(lambda: hold.wait(parties.EXPECT_TIMEOUT_S), Future()))
     try:
         assert not node.reload(lambda: reloads.read(settings=retuned({"add": "extra"})))
     finally:
@@ -498,13 +498,13 @@
     reloads, hold = Reloads(world), threading.Event()
 
     def slow() -> Config:
-        hold.wait(parties.PATIENCE_S)
+        hold.wait(parties.EXPECT_TIMEOUT_S)
         return reloads.read()
 
     threads = [threading.Thread(target=lambda: reloads.node.reload(slow)) for _ in range(20)]
     for thread in threads:
         thread.start()
-    assert soon(lambda: sum(thread.is_alive() for thread in threads) == 2)
+    assert wait_until(lambda: sum(thread.is_alive() for thread in threads) == 2)
     hold.set()
     for thread in threads:
         thread.join()
@@ -532,9 +532,9 @@
 
 
 def test_reload_does_not_make_a_cold_node_warm() -> None:
-    core = Core(settings(SAFE, cold_start=True), [], 1, Backend())
+    core = Core(small_node_settings(SAFE, cold_start=True), [], 1, Backend())
     core.begin()
-    core.apply_settings(settings(SAFE, MUST_CALL, cold_start=False), [], ["safe", "must"])
+    core.apply_settings(small_node_settings(SAFE, MUST_CALL, cold_start=False), [], ["safe", "must"])
     assert core.settings.cold_start
     assert core._controller.concurrency.is_warming_up(core.now_us)
 
@@ -549,7 +549,7 @@
     def serve(sock: socket.socket, peer: Address) -> None:
         with sock:
             served.append(peer)
-            hold.wait(parties.PATIENCE_S)
+            hold.wait(parties.EXPECT_TIMEOUT_S)
 
     listener = Listener("some", ("127.0.0.1", 0), counters, serve, max_connections=2)
     listener.start()
@@ -561,12 +561,12 @@
 
     monkeypatch.setattr(listener_module, "start_thread", no_thread)
     for number in range(3):  # each would keep its slot for good
-        with socket.create_connection(listener.address, parties.PATIENCE_S) as sock:
+        with socket.create_connection(listener.address, parties.EXPECT_TIMEOUT_S) as sock:
             assert sock.recv(1) == b""
             assert len(failed) == number + 1
     monkeypatch.setattr(listener_module, "start_thread", start)
-    socks = [socket.create_connection(listener.address, parties.PATIENCE_S) for _ in range(5)]
-    assert soon(lambda: counters.snapshot().get("some.turned_away") == 3)
+    socks = [socket.create_connection(listener.address, parties.EXPECT_TIMEOUT_S) for _ in range(5)]
+    assert wait_until(lambda: counters.snapshot().get("some.turned_away") == 3)
     assert len(served) == 2
     hold.set()
     listener.stop()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,9 +16,9 @@
 
 import parties
 import pytest
-from scenario import SETTINGS, platform_config, standing
+from scenario import SETTINGS, platform_config, scenario_environment
 from test_crossings import request_bytes
-from test_parts import ROOT, deployed
+from test_parts import ROOT, deploy_file_command
 
 from reelusher.assembly.descriptors import max_ajp_connections, max_caller_connections
 from reelusher.codecs import http1
@@ -97,7 +97,7 @@
     path.write_text(json.dumps(told))
     with log.open("wb") as out:
         process = subprocess.Popen(
-            deployed("run"),
+            deploy_file_command("run"),
             cwd=ROOT,
             stderr=out,
             env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(tmp_path)},
@@ -126,13 +126,13 @@
 
 def started(world: dict[str, Any], number: int) -> parties.Caller:
     """Ask until a run begins: a node that waits have made late may refuse, but it answers."""
-    until = time.monotonic() + parties.PATIENCE_S
+    until = time.monotonic() + parties.EXPECT_TIMEOUT_S
     while time.monotonic() < until:
         peer = parties.Caller(world)
         peer.send([str(number + 1), "slot-search", f"txn={number:016x}a"])
-        while time.monotonic() < until and world["runtime"].came.empty() and peer.came.empty():
+        while time.monotonic() < until and world["runtime"].inbox.empty() and peer.inbox.empty():
             time.sleep(0.01)
-        if not world["runtime"].came.empty():
+        if not world["runtime"].inbox.empty():
             world["runtime"].expect(["start", f"{number:016x}a"])
             return peer
         peer.expect([str(number + 1), "Full"])
@@ -147,16 +147,16 @@
     idle = Idle(world["places"]["platform"], kind)
     try:
         held = Path(f"/proc/{process.pid}/fd")
-        until = time.monotonic() + parties.PATIENCE_S
+        until = time.monotonic() + parties.EXPECT_TIMEOUT_S
         while len(list(held.iterdir())) < LIMIT * 0.5:  # what callers may have is taken
             assert time.monotonic() < until, len(list(held.iterdir()))
             time.sleep(0.05)
         began_s, spent_s = time.monotonic(), cpu_s(process)
-        world["runtime"].at_once = False
+        world["runtime"].ends_runs_at_once = False
         for number in range(6):  # new callers are served, with a call below each
             peer = started(world, number)
             world["runtime"].send(["wants", f"{number:016x}a", "q"])
-            while (came := world["vault"].came.get(timeout=parties.PATIENCE_S)) == "closed":
+            while (came := world["vault"].inbox.get(timeout=parties.EXPECT_TIMEOUT_S)) == "closed":
                 pass  # the connection of the call before
             assert came == f"ask {number:016x}a q"
             world["vault"].send([f"{number:016x}a", "yes", "r"])
@@ -174,7 +174,7 @@
         sock.settimeout(4.0)
         assert sock.recv(1 << 12).startswith(b"PUT /catalog/register/n3 ")
         sock.sendall(http1.response(204))
-        assert world["runtime"].came.empty()  # the link held: no further `sync`
+        assert world["runtime"].inbox.empty()  # the link held: no further `sync`
         catalog.close()
         sock.close()
     finally:
@@ -184,7 +184,7 @@
 
 def test_the_reserve_is_the_sum_of_what_the_parts_say() -> None:
     """With all parts on at once, what they may hold and what callers get is the limit, not more."""
-    with tempfile.TemporaryDirectory() as folder, standing(folder, {"sockets": "1024"}) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
         front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("sockets", [128, 512, 1024])
 def test_callers_get_half_of_the_descriptors_and_more(sockets: int) -> None:
     """The protocol allows them half of the limit."""
-    with tempfile.TemporaryDirectory() as folder, standing(folder, {}) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, {}) as world:
         told = platform_config(world, limits={"sockets": sockets})
         node = Node(merge(parse_platform(told, {}), None))
         front = node.parts.frontends["platform"]
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from helpers import SAFE, of, started_controller
+from helpers import SAFE, select_actions, started_controller
 
 from reelusher.lab.fleet import model
 from reelusher.lab.fleet.account import Account, less, windows
@@ -121,14 +121,14 @@
     )
     told: dict[int, tuple[int, float]] = {}  # what each was told last, and when
     value, most = None, 0.0
-    for advise in of(node.actions, AdvertiseCapacity):
+    for advise in select_actions(node.actions, AdvertiseCapacity):
         value = advise.value
     for step in range(200):  # 2 s in which one caller more is heard at a time, again and again
         now += 10_000
         events: list[Event] = [Request(step + 1, 0, step % callers, 0, 0, 1.0, 1000)]
         if step % 10 == 9:
             events.append(Tick(0, Gauges(0.2, 1.0)))
-        for advise in of(node.handle(now, events), AdvertiseCapacity):
+        for advise in select_actions(node.handle(now, events), AdvertiseCapacity):
             value = advise.value
         assert value is not None  # who is told nothing sends what it likes
         told[step % callers] = now, value
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -9,7 +9,7 @@
 
 import parties
 import pytest
-from helpers import soon
+from helpers import wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -197,10 +197,12 @@
 def test_new_node_skips_a_worker_that_warm_nodes_found_unreachable(hosted: Hosted) -> None:
     for name in "ab":
         hosted.serve_requests(hosted.start(name))
-    assert soon(lambda: all(len(node.parts.fleet.live()) == 2 for node in hosted.nodes if node.parts.fleet))
+    assert wait_until(
+        lambda: all(len(node.parts.fleet.live()) == 2 for node in hosted.nodes if node.parts.fleet)
+    )
     assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # found by a failed attempt
     fresh = hosted.start("c")
-    assert soon(lambda: "learning.believed" in warm_start_counters(fresh))
+    assert wait_until(lambda: "learning.believed" in warm_start_counters(fresh))
     assert warm_start_counters(fresh)["learning.believed"] == 3  # both workers and a run time
     members = fresh.parts.worker_pool.workers
     assert members["gone"].suspected
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from helpers import soon
+from helpers import wait_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from msgspec.structs import replace
@@ -823,17 +823,17 @@
     first = start("a", [])
     others = [start(name, [first]) for name in "bcde"]
     fleet = [first, *others]
-    assert soon(lambda: all(names(node) == list("abcde") for node in fleet))
+    assert wait_until(lambda: all(names(node) == list("abcde") for node in fleet))
     others[3].leave()
-    assert soon(lambda: all(names(node) == list("abcd") for node in fleet[:4]))
+    assert wait_until(lambda: all(names(node) == list("abcd") for node in fleet[:4]))
     others[2].close()  # without announcing that it leaves
-    assert soon(lambda: all(names(node) == list("abc") for node in fleet[:3]))
+    assert wait_until(lambda: all(names(node) == list("abc") for node in fleet[:3]))
     states = {member["name"]: member["state"] for member in first.status()["members"]}
     assert states == {"b": "alive", "c": "alive", "d": "dead", "e": "left"}
     assert first.forget("b") is False
     assert first.forget("x") is None
     assert first.forget("d") is True
-    assert soon(
+    assert wait_until(
         lambda: (
             {"d": "left"}.items()
             <= {member["name"]: member["state"] for member in others[0].status()["members"]}.items()
@@ -856,7 +856,7 @@
 ) -> None:
     first, vectors = start("a", []), dict[str, list[int]]()
     second = start("b", [first])
-    assert soon(lambda: names(first) == names(second) == ["a", "b"])
+    assert wait_until(lambda: names(first) == names(second) == ["a", "b"])
     at_first, at_second = (node.live()[0].address for node in (first, second))
     first.handlers[Question] = lambda question: Answer(question.text[::-1]) if question.text else None
     assert second.request(at_first, Question(at_second, "abc"), Answer) == Answer("cba")
@@ -869,7 +869,7 @@
     first.piggyback(lambda: [1, 2, 3], lambda *args: None)
     second.piggyback(list, lambda sender, vector, now: vectors.update({sender: vector}))
     second.ping([at_first])
-    assert soon(lambda: vectors == {at_first: [1, 2, 3]})
+    assert wait_until(lambda: vectors == {at_first: [1, 2, 3]})
 
 
 def test_unreachable_member_and_missing_reply_are_different_errors(
@@ -907,7 +907,7 @@
 def test_node_with_another_secret_is_ignored(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     stranger, friend = start("x", [first], "other"), start("b", [first])
-    assert soon(lambda: names(friend) == ["a", "b"])
+    assert wait_until(lambda: names(friend) == ["a", "b"])
     assert names(stranger) == ["x"]
     assert not stranger.status()["own"]["joined"]
     assert first._counters.snapshot()["fleet.refused_forged"] > 0
@@ -917,16 +917,16 @@
     first = start("a", [])
     start("b", [first])
     start("b", [first])
-    assert soon(lambda: names(first) == ["a", "b", "b"])
+    assert wait_until(lambda: names(first) == ["a", "b", "b"])
     assert len(first.status()["namesakes"]["b"]) == 2
-    assert soon(lambda: "fleet.namesakes" in first._counters.snapshot())
+    assert wait_until(lambda: "fleet.namesakes" in first._counters.snapshot())
 
 
 def test_node_whose_seeds_are_dead_serves_alone(start: Callable[..., Membership]) -> None:
     closed = start("s", [])
     closed.close()
     alone = start("a", [closed])
-    assert soon(lambda: alone._counters.snapshot().get("fleet.unjoined", 0) > 1)
+    assert wait_until(lambda: alone._counters.snapshot().get("fleet.unjoined", 0) > 1)
     assert names(alone) == ["a"]
     assert not alone.status()["own"]["joined"]
 
@@ -962,9 +962,9 @@
 def test_member_limits_full_states_and_redirects_further_requesters(start: Callable[..., Membership]) -> None:
     first = start("a", [])
     start("b", [first])
-    assert soon(lambda: names(first) == ["a", "b"])
+    assert wait_until(lambda: names(first) == ["a", "b"])
     requester = start("c", [first])
-    assert soon(lambda: requester.status()["own"]["joined"])
+    assert wait_until(lambda: requester.status()["own"]["joined"])
     first.state_sync.state_reply_limiter = TokenBucket(0.0, 5.0, time.monotonic())
     replies: list[StateReply | None] = [
         requester.state_sync.exchange("{}:{}".format(*first.address)) for _ in range(20)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,7 @@
 import pytest
 import scenario
 from core_harness import Backend
-from helpers import settings
+from helpers import small_node_settings
 
 from reelusher.backends import downstream_client
 from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
@@ -371,7 +371,7 @@
     assert "tenants = [" in printed.out
 
 
-def deployed(command: str) -> list[str]:
+def deploy_file_command(command: str) -> list[str]:
     """Return a command of the deploy file as the platform starts it, with the interpreter of the tests."""
     text = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())[command]
     before, python, _ = text.partition(".venv/bin/python")
@@ -387,7 +387,7 @@
         place = free.getsockname()
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**PLATFORM, "listen": f"127.0.0.1:{place[1]}", "stop_ms": 1000}))
-    command = deployed("run")
+    command = deploy_file_command("run")
     assert " -O " in command[-1]
     process = subprocess.Popen(
         command, cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE
@@ -436,7 +436,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed(PLATFORM, "runtime", None)))
     done = subprocess.run(
-        deployed("run"),
+        deploy_file_command("run"),
         cwd=ROOT,
         env={**os.environ, "PROXY_CONFIG": str(path)},
         capture_output=True,
@@ -453,7 +453,10 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**PLATFORM, "listen": "127.0.0.1:0", "stop_ms": 1000}))
     process = subprocess.Popen(
-        deployed("run"), cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE
+        deploy_file_command("run"),
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
     )
     assert process.stderr is not None
     os.set_blocking(process.stderr.fileno(), False)
@@ -476,13 +479,15 @@
 
 def test_sim_answers_an_empty_batch() -> None:
     batch = bytes.fromhex("01000000 5a5c800000000000 04000000 00000000")
-    done = subprocess.run(deployed("sim"), cwd=ROOT, input=batch, capture_output=True, timeout=60, check=True)
+    done = subprocess.run(
+        deploy_file_command("sim"), cwd=ROOT, input=batch, capture_output=True, timeout=60, check=True
+    )
     assert done.stdout == bytes.fromhex("01000000 00000000 00000000")
 
 
 def test_what_lies_unread_when_an_idle_connection_is_closed_is_still_answered() -> None:
     """On a busy core the reader runs late: a close that did not wait for it lost what had come in."""
-    front = RpcFrontend(Core(settings(), [], 1, Backend()), ("127.0.0.1", 0), "t", 8, 1 << 20)
+    front = RpcFrontend(Core(small_node_settings(), [], 1, Backend()), ("127.0.0.1", 0), "t", 8, 1 << 20)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         far = socket.create_connection(listener.getsockname(), 10)
         near, _ = listener.accept()
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -21,7 +21,7 @@
 import pytest
 from scenario import SETTINGS
 from test_crossings import request_bytes
-from test_parts import ROOT, deployed
+from test_parts import ROOT, deploy_file_command
 
 from reelusher.codecs import msgpack
 from reelusher.lab.fleet.rig import free_port
@@ -68,7 +68,7 @@
     def start(self) -> None:
         self.began_s, self.ready_s = time.monotonic(), 0.0
         self.process = subprocess.Popen(
-            deployed("run"),
+            deploy_file_command("run"),
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
             env={**os.environ, "PROXY_CONFIG": str(self.path)},
@@ -83,7 +83,7 @@
         """Wait until it is ready, and note how long that took; 0 where it is not ready in twice the time."""
         until = self.began_s + 2 * READY_S
         with contextlib.suppress(OSError, ValueError, queue.Empty):
-            while self.runtime.came.get(timeout=until - time.monotonic()) != "sync 0":
+            while self.runtime.inbox.get(timeout=until - time.monotonic()) != "sync 0":
                 pass
             if self.late:  # the runtime comes up only now; the node must have served all the while
                 time.sleep(LATE_S)
@@ -154,7 +154,7 @@
         started(machines)
         for machine in machines:
             machine.end()
-            machine.runtime.came = queue.Queue()
+            machine.runtime.inbox = queue.Queue()
         if isinstance(catalog, Reported):
             catalog.first.clear()
         took = started(machines)
@@ -174,7 +174,7 @@
             )
         one = machines[0]
         one.end()
-        one.runtime.came = queue.Queue()
+        one.runtime.inbox = queue.Queue()
         return took, started([one])
 
 
--- a/tests/test_replication_service.py
+++ b/tests/test_replication_service.py
@@ -8,7 +8,7 @@
 from typing import ClassVar
 
 import pytest
-from helpers import soon
+from helpers import wait_until
 from replicas import CONTROL, Replicas, entry, names_of
 from test_sqlite_replica import spoil
 
@@ -348,7 +348,7 @@
     results: list[int] = []
     waiter = threading.Thread(target=lambda: results.append(progress.wait("c1", position, 2, 10.0)))
     waiter.start()
-    assert soon(lambda: progress.is_due(0.0))
+    assert wait_until(lambda: progress.is_due(0.0))
     assert set(progress.tick(live_members("c1", "c2", "n1", "n2"), 1.0)) == {"c2", "n1", "n2"}
     fleet.settle()
     progress.observe("n1", list(fleet.replicas["n1"].announce()), 1.0)
@@ -437,9 +437,9 @@
     started_s = time.monotonic()
     for number in range(30):
         accept_when_allowed(others[0], "c2", entry(C2[number]))
-    assert soon(lambda: all(node.store.count() == 31 for node in [c1, *others]))
+    assert wait_until(lambda: all(node.store.count() == 31 for node in [c1, *others]))
     assert time.monotonic() - started_s < 5
-    assert soon(lambda: bool(c1.replication.progress_report()[0]["everywhere"]))
+    assert wait_until(lambda: bool(c1.replication.progress_report()[0]["everywhere"]))
     (report,) = c1.replication.progress_report()
     assert (report["members"], report["have"], report["slowest"]) == (3, 3, [])
     pulls = others[1].counters.snapshot()["replication.pulls"]
@@ -453,12 +453,12 @@
     accept_when_allowed(c1, "c1", large)
     for name in C1[1:]:
         accept_when_allowed(c1, "c1", entry(name, pad="y" * 4000))
-    assert soon(lambda: n1.store.count() == 40)
+    assert wait_until(lambda: n1.store.count() == 40)
     n2 = start("n2", n1)
     count = n2.store.count()
     assert n2.replication.is_bootstrapping() or count == 40  # rows may not have arrived yet
-    assert soon(lambda: n2.store.count() == 40, 15)
-    assert soon(lambda: not n2.replication.is_bootstrapping())
+    assert wait_until(lambda: n2.store.count() == 40, 15)
+    assert wait_until(lambda: not n2.replication.is_bootstrapping())
     row = n2.store.get(C1[0])
     assert row is not None
     assert row.tenant == large.tenant
@@ -472,19 +472,19 @@
     n1 = start("n1", c1)
     for name in C1:
         accept_when_allowed(c1, "c1", entry(name, pad="z" * 500))
-    assert soon(lambda: n1.store.count() == 40)
+    assert wait_until(lambda: n1.store.count() == 40)
     conn = n1.store.database.writer
     assert conn is not None
     conn.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     spoil(n1.store.path)
     assert not n1.store.check()
     assert n1.store.damage
-    assert soon(lambda: not n1.store.damage and n1.store.count() == 40, 15)
+    assert wait_until(lambda: not n1.store.damage and n1.store.count() == 40, 15)
     assert not n1.replica.states["c1"].lost
-    assert soon(lambda: not n1.replication.is_bootstrapping())
+    assert wait_until(lambda: not n1.replication.is_bootstrapping())
     assert n1.counters.snapshot()["replication.copies_damaged"] == 1
     accept_when_allowed(c1, "c1", entry(C1[0], pad="after"))
-    assert soon(lambda: n1.replica.announce() == c1.replica.announce())
+    assert wait_until(lambda: n1.replica.announce() == c1.replica.announce())
 
 
 def test_leader_with_a_damaged_store_writes_only_after_a_take_over(
@@ -495,9 +495,9 @@
     n1 = start("n1", c1)
     for name in C1[:20]:
         accept_when_allowed(c1, "c1", entry(name))
-    assert soon(lambda: n1.store.count() == 20)
+    assert wait_until(lambda: n1.store.count() == 20)
     c1.store.database.damage = "by the test"
-    assert soon(lambda: not c1.store.damage and c1.store.count() == 20, 15)
+    assert wait_until(lambda: not c1.store.damage and c1.store.count() == 20, 15)
     with pytest.raises(NotLeaderError, match="damaged"):
         accept_when_allowed(c1, "c1", entry(C1[30]), RESTORE_QUIET_S + 2)
     position = c1.replication.leadership.take_over("c1")
@@ -505,7 +505,7 @@
     assert leader_of(position.term, CONTROL) == "c1"
     accepted = accept_when_allowed(c1, "c1", entry(C1[30]))
     assert (accepted.term, accepted.index) == (position.term, 21)
-    assert soon(lambda: n1.store.get(C1[30]) is not None)
+    assert wait_until(lambda: n1.store.get(C1[30]) is not None)
     assert n1.counters.snapshot().get("replication.orphans", 0) == 0
 
 
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 import parties
-from helpers import soon
+from helpers import wait_until
 from scenario import SETTINGS
-from test_parts import ROOT, deployed
+from test_parts import ROOT, deploy_file_command
 
 from reelusher.codecs import http1, msgpack
 
@@ -21,7 +21,7 @@
 
     def __init__(self, folder: Path, number: int, listen: str, catalog: str) -> None:
         self.runtime = parties.Runtime({})
-        self.runtime.at_once = True
+        self.runtime.ends_runs_at_once = True
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.operator = free.getsockname()
         path = folder / f"p{number}.json"
@@ -41,7 +41,7 @@
             )
         )
         self.process = subprocess.Popen(
-            deployed("run"),
+            deploy_file_command("run"),
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
             env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(folder)},
@@ -95,16 +95,16 @@
 
     threads = [threading.Thread(target=call, args=(caller,), daemon=True) for caller in range(1, 5)]
     try:
-        assert soon(old.ready)
+        assert wait_until(old.ready)
         for thread in threads:
             thread.start()
-        assert soon(lambda: len(answered) > 50)
+        assert wait_until(lambda: len(answered) > 50)
         new = Process(tmp_path, 2, f"127.0.0.1:{port}", "{}:{}".format(*catalog.address))
-        assert soon(new.ready)
+        assert wait_until(new.ready)
         old.process.terminate()
         assert old.process.wait(10) == 0
         before = len(answered)
-        assert soon(lambda: len(answered) > before + 50)
+        assert wait_until(lambda: len(answered) > before + 50)
         stop.set()
         for thread in threads:
             thread.join(10)
--- a/tests/upgrade/test_key_locks.py
+++ b/tests/upgrade/test_key_locks.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from helpers import soon
+from helpers import wait_until
 
 from reelusher.core.messages import IdempotencyKey, KeyLockRequest, Result
 from reelusher.upgrade.key_lock_directory import KeyLock
@@ -70,7 +70,7 @@
 
 
 def receives(outcomes: list[Any], expected: Any) -> bool:
-    return soon(lambda: outcomes == [expected])
+    return wait_until(lambda: outcomes == [expected])
 
 
 def receives_anything(outcomes: list[Any]) -> bool:
@@ -153,8 +153,10 @@
             thread.start()
         for thread in threads:
             thread.join()
-        assert soon(partial(all, outcomes))
+        assert wait_until(partial(all, outcomes))
         assert sum(received == [True] for received in outcomes) == 1
         both.locks[0].release(KEY)
         both.close()
-        assert soon(lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"])
+        assert wait_until(
+            lambda: not [path for path in (tmp_path / "n3.keys").iterdir() if path.name != "lock"]
+        )
