--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -36,21 +36,21 @@
     answers_for,
     worker_of,
 )
-from reelusher.lab.capacity.hollow import hosts_of
-from reelusher.lab.capacity.nodes import CLASS, Nodes, Places
+from reelusher.lab.capacity.hollow import loopback_hosts
+from reelusher.lab.capacity.nodes import CLASS, NodeAddresses, NodeProcesses
 from reelusher.lab.capacity.wires import (
     Callers,
     NamedWorker,
     NoAnswerError,
     NodeUnreachableError,
     Told,
-    answers,
-    call,
+    call_admin_api,
+    wait_until_ready,
 )
 from reelusher.lab.fleet.plan import Fault
 from reelusher.lab.fleet.processes import ROOT
-from reelusher.lab.fleet.relay import Net
-from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
+from reelusher.lab.fleet.relay import FaultProxyNetwork
+from reelusher.lab.fleet.rig import STAND_IN_HOST, address_of, free_port
 
 ZONES = ("a", "b", "c")
 NEWS_S = 0.01  # for each hollow member of a process after a kill: it carries the news of it for all
@@ -104,12 +104,12 @@
         self.proof, self.folder = proof, folder
         self.loop = asyncio.get_running_loop()
         self.random = random.Random(proof.seed)
-        self.books, self.net = Books(), Net(proof.seed)
+        self.books, self.net = Books(), FaultProxyNetwork(proof.seed)
         self.names = [f"n{number + 1}" for number in range(proof.nodes)]
         self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
         self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
         self.writer_of = self._writers()
-        self.places: dict[str, Places] = {}
+        self.places: dict[str, NodeAddresses] = {}
         self.callers: dict[str, Callers] = {}
         self.state: dict[str, str] = dict.fromkeys(self.names, "new")
         self.rows: dict[str, dict[str, Row]] = {name: {} for name in self.names}
@@ -161,12 +161,12 @@
         """Play the proof; the books then tell what broke a rule."""
         self._beat(self.loop.time())
         workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
-        servers = [await asyncio.start_server(one.serve, SERVICES, 0) for one in workers]
+        servers = [await asyncio.start_server(one.serve, STAND_IN_HOST, 0) for one in workers]
         addresses = {
             one.name.decode(): server.sockets[0].getsockname()
             for one, server in zip(workers, servers, strict=True)
         }
-        with Nodes(self.folder, addresses) as self.nodes:
+        with NodeProcesses(self.folder, addresses) as self.nodes:
             try:
                 await self._begin()
                 await self._break_things()
@@ -220,9 +220,15 @@
             ports.add(free_port(hosts))
         ajp, admin, fleet = ports
         for name, host in host_of.items():
-            self.net.party_of[host] = name
-            door = await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
-            self.places[name] = Places((host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]])
+            self.net.endpoint_of[host] = name
+            door = (
+                await self.net.open_shared_proxy(name, (host, fleet), streams=True)
+                if self.control
+                else (host, fleet)
+            )
+            self.places[name] = NodeAddresses(
+                (host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]]
+            )
             self.callers[name] = Callers((host, ajp))
         seeds = [self.places[name].advertise for name in self.names[: len(ZONES)]]
         for name, places in self.places.items():
@@ -233,7 +239,7 @@
         self.state[name] = "starting"
         self.nodes.start(name)
         places = self.places[name]
-        if not await answers(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
+        if not await wait_until_ready(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
             self.books.broken.append(f"{name} did not come up within {START_S:.0f} s")
             return
         self.state[name] = "up"
@@ -247,7 +253,7 @@
         headers: dict[str, str] | None = None,
         most_s: float = 10.0,
     ) -> Told | None:
-        return await call(self.places[node].admin, method, path, value, headers, most_s)
+        return await call_admin_api(self.places[node].admin, method, path, value, headers, most_s)
 
     async def _joined(self, hollow: int) -> None:
         """Wait until each node counts all others as live."""
@@ -271,7 +277,7 @@
     async def _add_hollow(self) -> None:
         """Have hollow members join, from processes of their own."""
         count, parts = self.proof.hollow, self.proof.hollow_parts
-        port, life = free_port(hosts_of(count)), int(time.time() * 1000)
+        port, life = free_port(loopback_hosts(count)), int(time.time() * 1000)
         for part in range(parts):
             log = self.nodes.log_file(f"hollow-{part}").open("ab")
             self.hollow.append(
@@ -745,7 +751,7 @@
             if (status := self.nodes.running[name].poll()) != 0:
                 self.books.broken.append(f"{name} left with status {status}")
         for name in self.names:
-            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.faults(name)[:3]]
+            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
 
     def _report(self) -> None:
         times = self.books.in_force(self.names, self.writer_of)
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -10,7 +10,7 @@
 from reelusher.codecs import ajp13, http1
 from reelusher.codecs.errors import MalformedError
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.census import TOKEN
+from reelusher.lab.fleet.census import RIG_ADMIN_TOKEN
 from reelusher.lab.load import StandIn
 from reelusher.lab.plan import Worker
 
@@ -30,7 +30,7 @@
     """Nobody listens there: nothing was asked."""
 
 
-async def call(
+async def call_admin_api(
     place: Address,
     method: str,
     path: str,
@@ -52,7 +52,11 @@
                         method,
                         path,
                         body,
-                        {"Authorization": f"Bearer {TOKEN}", "Connection": "close", **(headers or {})},
+                        {
+                            "Authorization": f"Bearer {RIG_ADMIN_TOKEN}",
+                            "Connection": "close",
+                            **(headers or {}),
+                        },
                     )
                 )
                 decoder = http1.Decoder(MOST_BODY)
@@ -70,12 +74,12 @@
     return None
 
 
-async def answers(admin: Address, ajp: Address, alive: Callable[[], bool], most_s: float) -> bool:
+async def wait_until_ready(admin: Address, ajp: Address, alive: Callable[[], bool], most_s: float) -> bool:
     """Wait until a node that was started answers at both addresses; tell whether it came to that."""
     ends_s = asyncio.get_running_loop().time() + most_s
     while alive() and asyncio.get_running_loop().time() < ends_s:
         with contextlib.suppress(NodeUnreachableError, OSError):
-            told = await call(admin, "GET", "/v1/status", most_s=most_s)
+            told = await call_admin_api(admin, "GET", "/v1/status", most_s=most_s)
             if told is not None and told.status == 200:
                 _, writer = await asyncio.open_connection(*ajp)
                 writer.close()
@@ -208,7 +212,7 @@
     async def run(self, writer: asyncio.StreamWriter) -> None:
         """Answer a request."""
         await asyncio.sleep(self.worker.service_ms / 1000)
-        self.done += 1
+        self.completed_runs += 1
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(self.name))))
         with contextlib.suppress(OSError):
             writer.write(
--- a/tests/pacing/test_report_schedule.py
+++ b/tests/pacing/test_report_schedule.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import max_count
 
-from reelusher.lab.fleet.virtual import VirtualLine
+from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.report_schedule import REGISTRATION_TTL_S, ReportFailure, ReportSchedule
 
 REPLY_S = 0.002
@@ -20,7 +20,7 @@
     (the registry is unavailable), or the seconds until a successful reply.
     """
 
-    def __init__(self, clock: VirtualLine, seed: int, outcome: Callable[[float], str]) -> None:
+    def __init__(self, clock: VirtualClock, seed: int, outcome: Callable[[float], str]) -> None:
         self.clock, self.outcome, self.schedule = clock, outcome, ReportSchedule(Random(seed))
         self.attempts: list[float] = []
         self.succeeded: list[float] = []
@@ -52,7 +52,7 @@
 
 def simulate(nodes: int, seconds: float, outcome: Callable[[int], Callable[[float], str]]) -> list[Reporter]:
     """Run nodes for some time; `outcome` returns the outcome function of each node by its number."""
-    clock = VirtualLine()
+    clock = VirtualClock()
     reporters = [Reporter(clock, seed, outcome(seed)) for seed in range(nodes)]
     clock.run(seconds)
     return reporters
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -11,7 +11,7 @@
 
 import pytest
 from core_harness import Backend
-from helpers import KEYED, SAFE, settings, soon
+from helpers import KEYED, SAFE, small_node_settings, wait_until
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -132,7 +132,7 @@
 
     def __init__(self, source: "SqliteReplica | None" = None, **changes: Any) -> None:
         self.now_us, self.source = 1_000_000_000_000, FakeSource()
-        node_settings = settings(SAFE, KEYED, **{"cores": 2, **changes})
+        node_settings = small_node_settings(SAFE, KEYED, **{"cores": 2, **changes})
         self.fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
         self.runners = {"w": Backend(), "v": Backend()}
         self.core = Core(
@@ -383,7 +383,7 @@
     assert node.source.row_reads.acquire(timeout=WAIT_S)
     lookups.append(node.run_in_thread(lambda: node.tenants.match("GET", "h", "/")))
     read_ended: Any = node.cache._loads["a"].done if known_host else node.cache._host_reads["h"]
-    assert soon(lambda: bool(read_ended._cond._waiters))
+    assert wait_until(lambda: bool(read_ended._cond._waiters))
     node.source.row_reads_allowed.set()
     found = [node.wait_for(lookup) for lookup in lookups]
     assert found[0] == found[1]
@@ -667,7 +667,7 @@
     readers = ReaderPool(counters, 5.0, 2)
     with ThreadPoolExecutor(2) as pool:
         reads = [pool.submit(readers.read, may_end.wait) for _ in range(2)]
-        assert soon(lambda: not readers._waiting_slots._value)
+        assert wait_until(lambda: not readers._waiting_slots._value)
         with pytest.raises(TenantUnavailableError, match="too many"):
             readers.read(lambda: 1)
         may_end.set()
@@ -807,7 +807,7 @@
 
 
 def test_ajp_front_end_answers_503_while_a_tenant_cannot_be_read_and_serves_others() -> None:
-    node_settings, source, runner = settings(SAFE, cores=2), FakeSource(), ImmediateBackend()
+    node_settings, source, runner = small_node_settings(SAFE, cores=2), FakeSource(), ImmediateBackend()
     fair_queue = FairQueue(node_settings.cores, node_settings.memory_kb)
     core = runner.core = Core(node_settings, [], 1, runner, class_names=["safe"], scheduler=fair_queue)
     registry = CachedTenantRegistry(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -16,9 +16,9 @@
 
 import parties
 import pytest
-from scenario import SETTINGS, platform_config, standing
+from scenario import SETTINGS, platform_config, scenario_environment
 from test_crossings import request_bytes
-from test_parts import ROOT, deployed
+from test_parts import ROOT, deploy_file_command
 
 from reelusher.assembly.descriptors import max_ajp_connections, max_caller_connections
 from reelusher.codecs import http1
@@ -99,7 +99,7 @@
     path.write_text(json.dumps(config))
     with log.open("wb") as out:
         process = subprocess.Popen(
-            deployed("run"),
+            deploy_file_command("run"),
             cwd=ROOT,
             stderr=out,
             env={**os.environ, "PROXY_CONFIG": str(path), "TMPDIR": str(tmp_path)},
@@ -128,13 +128,13 @@
 
 def start_run(world: dict[str, Any], number: int) -> parties.Caller:
     """Send requests until a run starts: a node that is late may reject some, but it answers all."""
-    until = time.monotonic() + parties.PATIENCE_S
+    until = time.monotonic() + parties.EXPECT_TIMEOUT_S
     while time.monotonic() < until:
         peer = parties.Caller(world)
         peer.send([str(number + 1), "slot-search", f"txn={number:016x}a"])
-        while time.monotonic() < until and world["runtime"].came.empty() and peer.came.empty():
+        while time.monotonic() < until and world["runtime"].inbox.empty() and peer.inbox.empty():
             time.sleep(0.01)
-        if not world["runtime"].came.empty():
+        if not world["runtime"].inbox.empty():
             world["runtime"].expect(["start", f"{number:016x}a"])
             return peer
         peer.expect([str(number + 1), "Full"])
@@ -149,16 +149,16 @@
     idle = IdleCallers(world["places"]["platform"], kind)
     try:
         descriptor_folder = Path(f"/proc/{process.pid}/fd")
-        until = time.monotonic() + parties.PATIENCE_S
+        until = time.monotonic() + parties.EXPECT_TIMEOUT_S
         while len(list(descriptor_folder.iterdir())) < LIMIT * 0.5:  # until the callers' share is used up
             assert time.monotonic() < until, len(list(descriptor_folder.iterdir()))
             time.sleep(0.05)
         start_s, start_cpu_s = time.monotonic(), cpu_s(process)
-        world["runtime"].at_once = False
+        world["runtime"].ends_runs_at_once = False
         for number in range(6):  # new callers are served, with a downstream call for each
             peer = start_run(world, number)
             world["runtime"].send(["wants", f"{number:016x}a", "q"])
-            while (message := world["vault"].came.get(timeout=parties.PATIENCE_S)) == "closed":
+            while (message := world["vault"].inbox.get(timeout=parties.EXPECT_TIMEOUT_S)) == "closed":
                 pass  # the connection of the previous call
             assert message == f"ask {number:016x}a q"
             world["vault"].send([f"{number:016x}a", "yes", "r"])
@@ -177,7 +177,7 @@
         sock.settimeout(4.0)
         assert sock.recv(1 << 12).startswith(b"PUT /catalog/register/n3 ")
         sock.sendall(http1.response(204))
-        assert world["runtime"].came.empty()  # the link to the runtime stayed open: no further `sync`
+        assert world["runtime"].inbox.empty()  # the link to the runtime stayed open: no further `sync`
         catalog.close()
         sock.close()
     finally:
@@ -187,7 +187,7 @@
 
 def test_the_reserve_covers_the_descriptors_of_all_parts() -> None:
     """With all parts enabled, the descriptors they may hold and those of callers don't exceed the limit."""
-    with tempfile.TemporaryDirectory() as folder, standing(folder, {"sockets": "1024"}) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
         front = node.parts.frontends["platform"]
         assert isinstance(front, RpcFrontend)
@@ -201,7 +201,7 @@
 @pytest.mark.parametrize("sockets", [128, 512, 1024])
 def test_callers_get_at_least_half_of_the_descriptors(sockets: int) -> None:
     """The protocol entitles callers to half of the limit."""
-    with tempfile.TemporaryDirectory() as folder, standing(folder, {}) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, {}) as world:
         config = platform_config(world, limits={"sockets": sockets})
         node = Node(merge(parse_platform(config, {}), None))
         front = node.parts.frontends["platform"]
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -22,7 +22,7 @@
 import pytest
 from scenario import SETTINGS
 from test_crossings import request_bytes
-from test_parts import ROOT, deployed
+from test_parts import ROOT, deploy_file_command
 
 from reelusher.codecs import msgpack
 from reelusher.lab.fleet.rig import free_port
@@ -69,7 +69,7 @@
     def start(self) -> None:
         self.started_s, self.ready_after_s = time.monotonic(), 0.0
         self.process = subprocess.Popen(
-            deployed("run"),
+            deploy_file_command("run"),
             cwd=ROOT,
             stderr=subprocess.DEVNULL,
             env={**os.environ, "PROXY_CONFIG": str(self.path)},
@@ -84,7 +84,7 @@
         """Wait up to twice `READY_S`; set `ready_after_s`, the seconds from the start, 0 without success."""
         deadline = self.started_s + 2 * READY_S
         with contextlib.suppress(OSError, ValueError, queue.Empty):
-            while self.runtime.came.get(timeout=deadline - time.monotonic()) != "sync 0":
+            while self.runtime.inbox.get(timeout=deadline - time.monotonic()) != "sync 0":
                 pass
             if self.has_late_runtime:  # it is ready only now; the node must have stayed connected
                 time.sleep(LATE_S)
@@ -159,7 +159,7 @@
         start_all(machines)
         for machine in machines:
             machine.kill()
-            machine.runtime.came = queue.Queue()
+            machine.runtime.inbox = queue.Queue()
         if isinstance(registry, RecordingRegistry):
             registry.first_report_s.clear()
         durations_s = start_all(machines)
@@ -179,7 +179,7 @@
             )
         first = machines[0]
         first.kill()
-        first.runtime.came = queue.Queue()
+        first.runtime.inbox = queue.Queue()
         return durations_s, start_all([first])
 
 
