--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -1,9 +1,9 @@
-"""The live proof: real processes whose tenants are changed while they are killed, stopped and cut off.
+"""Fault injection into real processes: tenants change while nodes are killed, paused and cut off.
 
     python -m reelusher.lab.capacity.live --nodes 24 --kills 200 --json FILE
     python -m reelusher.lab.capacity.live fill --rows 260000
 
-Loopback only. Exit status: 0, 1 where a rule was broken. Ctrl-C ends every process by its id.
+Loopback only. Exit status: 0, or 1 if an invariant was violated. Ctrl-C ends every process by its id.
 """
 
 import argparse
@@ -39,11 +39,11 @@
 from reelusher.lab.capacity.hollow import loopback_hosts
 from reelusher.lab.capacity.nodes import CLASS, NodeAddresses, NodeProcesses
 from reelusher.lab.capacity.wires import (
+    ApiResponse,
     Callers,
     NamedWorker,
     NoAnswerError,
     NodeUnreachableError,
-    Told,
     call_admin_api,
     wait_until_ready,
 )
@@ -53,126 +53,134 @@
 from reelusher.lab.fleet.rig import SERVICES, address_of, free_port
 
 ZONES = ("a", "b", "c")
-NEWS_S = 0.01  # for each hollow member of a process after a kill: it carries the news of it for all
-MOST_CONTROL = 3
-POLL_S = 0.2  # between looks at one node's table
-BEAT_S = 0.02
-START_S = 60.0  # a process is up by then
-HOLLOW_S = 120.0  # the process of hollow members answers by then
-SETTLE_S = 60.0  # with everybody there again, all show the same by then
-ANSWER_S = 12.0  # a request has its answer by then: its due time is 5 s
-REST_S = 0.05, 0.3  # before a change that was not made is asked for again
-SERIALS = 1_000_000  # a row's `max_open` is so much and its serial number
-KINDS = ("after", "during", "asked", "after", "any")  # of kills, in turn
-EACH_STOP, EACH_CUT, EACH_RESTART, EACH_LOSS = 5, 20, 7, 9  # kills to a stop, a cut, a restart, a lost copy
-UNDECIDED = {500, 502, 504}  # statuses that leave open whether a change was made
-MADE = {"put": 412, "patch": 412, "suspend": 412, "resume": 412, "create": 409, "delete": 404}
+# wait after a kill, for each simulated member of a process: the process gossips the news for all of them
+GOSSIP_S_PER_MEMBER = 0.01
+MAX_CONTROL_MEMBERS = 3
+POLL_INTERVAL_S = 0.2  # between two reads of one node's tenant table
+LAG_CHECK_INTERVAL_S = 0.02  # between measurements of this process's lag
+START_TIMEOUT_S = 60.0  # in which a process must start, or end
+COMMAND_TIMEOUT_S = 120.0  # in which a process of simulated members must reply to a command
+SETTLE_TIMEOUT_S = 60.0  # in which all nodes must show the same rows once they are all up
+ANSWER_TIMEOUT_S = 12.0  # in which a request must be answered; its due time is 5 s
+RETRY_PAUSE_RANGE_S = 0.05, 0.3  # shortest and longest pause before a change is sent again
+SERIAL_BASE = 1_000_000  # a row's `max_open` is this plus its serial number
+# Moments of kills, in turn. "after" and "during" a change its leader is killed, "asked" kills the node that
+# the change was sent to, "any" kills any node at any time.
+KILL_MOMENTS = ("after", "during", "asked", "after", "any")
+# number of kills for each pause, cut, restart and lost replica
+KILLS_PER_PAUSE, KILLS_PER_CUT, KILLS_PER_RESTART, KILLS_PER_LOST_REPLICA = 5, 20, 7, 9
+INDEFINITE_STATUSES = {500, 502, 504}  # after these statuses a change may have been made or not
+# the status by which each operation is rejected if an earlier attempt has already made the change
+ALREADY_MADE_STATUS = {"put": 412, "patch": 412, "suspend": 412, "resume": 412, "create": 409, "delete": 404}
 
 
 @dataclass(slots=True, frozen=True)
-class Proof:
-    """What a run does."""
+class FaultRunPlan:
+    """The size, load and faults of a run."""
 
     nodes: int = 24
     kills: int = 200
-    hollow: int = 0
-    hollow_parts: int = 1  # processes that they share
+    simulated_members: int = 0
+    member_process_count: int = 1  # processes that run the simulated members
     tenants: int = 40
-    rate: float = 100.0  # requests a second in all
-    changes: float = 8.0  # a second in all, while nothing is broken
-    most_away: int = 3  # nodes at once
+    requests_per_s: float = 100.0  # in total
+    changes_per_s: float = 8.0  # in total, without faults
+    max_away: int = 3  # nodes that are down at once
     replicated: bool = True
     seed: int = 1
 
 
 def revision_of(headers: dict[str, str]) -> Revision | None:
-    """Read an entity tag."""
+    """Return the revision in an `ETag` header, or None without one."""
     text = headers.get("etag", "").strip('"')
     epoch, _, number = text.rpartition(".")
     return (int(epoch or 0), int(number)) if number.isdigit() else None
 
 
-def row_of(told: dict[str, Any]) -> Row:
-    """Read a tenant as the administration API shows it."""
-    return told["max_open"] - SERIALS, told["state"]
+def row_of(tenant: dict[str, Any]) -> Row:
+    """Return the row of a tenant that the administration API returned."""
+    return tenant["max_open"] - SERIAL_BASE, tenant["state"]
 
 
-class Rig:
-    """One run."""
+class FaultRun:
+    """One run of a plan."""
 
-    def __init__(self, proof: Proof, folder: Path) -> None:
-        self.proof, self.folder = proof, folder
+    def __init__(self, plan: FaultRunPlan, folder: Path) -> None:
+        self.plan, self.folder = plan, folder
         self.loop = asyncio.get_running_loop()
-        self.random = random.Random(proof.seed)
-        self.books, self.net = Books(), Net(proof.seed)
-        self.names = [f"n{number + 1}" for number in range(proof.nodes)]
-        self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
-        self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
-        self.writer_of = self._writers()
-        self.places: dict[str, NodeAddresses] = {}
+        self.random = random.Random(plan.seed)
+        self.checker, self.net = Books(), Net(plan.seed)
+        self.names = [f"n{number + 1}" for number in range(plan.nodes)]
+        self.tenants = [f"t{number + 1}" for number in range(plan.tenants)]
+        self.control = (
+            self.names[: min(MAX_CONTROL_MEMBERS, max(1, plan.nodes // 3))] if plan.replicated else []
+        )
+        self.leader_of = self._leaders()
+        self.addresses: dict[str, NodeAddresses] = {}
         self.callers: dict[str, Callers] = {}
         self.state: dict[str, str] = dict.fromkeys(self.names, "new")
         self.rows: dict[str, dict[str, Row]] = {name: {} for name in self.names}
-        self.wants: deque[tuple[str, asyncio.Future[None]]] = deque()  # kills that wait for their moment
-        self.tags: dict[str, str] = {}  # the newest entity tag of each tenant
+        # kills that wait for their moment, and the futures to set then
+        self.pending_kills: deque[tuple[str, asyncio.Future[None]]] = deque()
+        self.etags: dict[str, str] = {}  # newest entity tag of each tenant
         self.figures: dict[str, Any] = {}
-        self.broke: Counter[str] = Counter()
-        self.healed_s: list[float] = []
+        self.fault_counts: Counter[str] = Counter()
+        self.heal_times_s: list[float] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.changing = self.asking = True
-        self.late_s = 0.0
-        self.cut = False
-        self.hollow: list[asyncio.subprocess.Process] = []
-        self.hollow_line = asyncio.Lock()
-        self.hollow_before: dict[str, Any] = {}
-
-    def _writers(self) -> dict[str, str]:
+        self.changing = self.requesting = True
+        self.max_lag_s = 0.0
+        self.cut_active = False
+        self.member_processes: list[asyncio.subprocess.Process] = []
+        self.command_lock = asyncio.Lock()
+        self.status_before: dict[str, Any] = {}
+
+    def _leaders(self) -> dict[str, str]:
         if not self.control:
             return dict.fromkeys(self.tenants, self.names[0])
         return {name: partition_of(name, self.control) for name in self.tenants}
 
-    def spawn(self, work: Any) -> None:
-        """Run something beside all else; a fault in it spoils the run."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine in the background; an error in it fails the run."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._on_task_done)
 
-    def _over(self, task: "asyncio.Task[None]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.books.broken.append(f"the rig failed: {error!r}")
+            self.checker.broken.append(f"the run failed: {error!r}")
 
-    async def until(self, holds: Callable[[], bool], most_s: float) -> bool:
-        """Wait until something holds; tell whether it came to that."""
-        ends_s = self.loop.time() + most_s
-        while not holds():
-            if self.loop.time() > ends_s:
+    async def until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Wait until a condition holds; return whether it did in time."""
+        deadline_s = self.loop.time() + timeout_s
+        while not condition():
+            if self.loop.time() > deadline_s:
                 return False
             await asyncio.sleep(0.02)
         return True
 
     def up(self) -> list[str]:
-        """Return the nodes that are there."""
+        """Return the nodes that are up."""
         return [name for name in self.names if self.state[name] == "up"]
 
     # The run
 
-    async def play(self) -> None:
-        """Play the proof; the books then tell what broke a rule."""
-        self._beat(self.loop.time())
+    async def execute(self) -> None:
+        """Run the plan; the checker then has the invariants that were violated."""
+        self._measure_lag(self.loop.time())
         workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
-        servers = [await asyncio.start_server(one.serve, SERVICES, 0) for one in workers]
+        servers = [await asyncio.start_server(worker.serve, SERVICES, 0) for worker in workers]
         addresses = {
-            one.name.decode(): server.sockets[0].getsockname()
-            for one, server in zip(workers, servers, strict=True)
+            worker.name.decode(): server.sockets[0].getsockname()
+            for worker, server in zip(workers, servers, strict=True)
         }
         with NodeProcesses(self.folder, addresses) as self.nodes:
             try:
-                await self._begin()
-                await self._break_things()
-                await self._end()
+                await self._start_all()
+                await self._inject_faults()
+                await self._finish()
             finally:
-                for process in self.hollow:
+                for process in self.member_processes:
                     if process.returncode is None:
                         process.kill()
                 for task in list(self.tasks):
@@ -185,34 +193,35 @@
                     server.close()
         self._report()
 
-    def _beat(self, due_s: float) -> None:
-        """Note by how much this process is late: it sees what others do so much later."""
+    def _measure_lag(self, due_s: float) -> None:
+        """Measure the lag of this event loop: what other processes do is observed later by that much."""
         now = self.loop.time()
-        self.late_s = max(self.late_s, now - due_s)
-        self.loop.call_at(now + BEAT_S, self._beat, now + BEAT_S)
+        self.max_lag_s = max(self.max_lag_s, now - due_s)
+        self.loop.call_at(now + LAG_CHECK_INTERVAL_S, self._measure_lag, now + LAG_CHECK_INTERVAL_S)
 
-    async def _begin(self) -> None:
+    async def _start_all(self) -> None:
         began_s = self.loop.time()
-        await self._place()
-        await asyncio.gather(*(self._start(name) for name in self.names))
+        await self._configure_nodes()
+        await asyncio.gather(*(self._start_node(name) for name in self.names))
         self.figures["all_up_s"] = round(self.loop.time() - began_s, 3)
         if self.control:
-            await self._joined(0)
-        if self.proof.hollow:
-            await self._add_hollow()
+            await self._wait_until_joined(0)
+        if self.plan.simulated_members:
+            await self._add_simulated_members()
         for name in self.names:
             self.spawn(self._watch(name))
         for name in self.tenants:
-            self.spawn(self._change_on(name))
+            self.spawn(self._change_repeatedly(name))
         self.spawn(self._load())
-        histories = [self.books.history(name) for name in self.tenants]
+        histories = [self.checker.history(name) for name in self.tenants]
         if not await self.until(
-            lambda: all(len(one.steps) > 2 or one.last.revision for one in histories), SETTLE_S
+            lambda: all(len(history.steps) > 2 or history.last.revision for history in histories),
+            SETTLE_TIMEOUT_S,
         ):
-            self.books.broken.append("not all tenants could be made before anything was broken")
+            self.checker.broken.append("not all tenants could be created before the first fault")
         self.figures["all_made_s"] = round(self.loop.time() - began_s, 3)
 
-    async def _place(self) -> None:
+    async def _configure_nodes(self) -> None:
         zone_of = {name: number % len(ZONES) for number, name in enumerate(self.names)}
         host_of = {name: address_of(zone_of[name], number, 0)[0] for number, name in enumerate(self.names)}
         hosts, ports = list(host_of.values()), set[int]()
@@ -221,62 +230,68 @@
         ajp, admin, fleet = ports
         for name, host in host_of.items():
             self.net.party_of[host] = name
-            door = await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
-            self.places[name] = NodeAddresses(
-                (host, ajp), (host, admin), (host, fleet), door, ZONES[zone_of[name]]
+            advertised = (
+                await self.net.inlet(name, (host, fleet), streams=True) if self.control else (host, fleet)
+            )
+            self.addresses[name] = NodeAddresses(
+                (host, ajp), (host, admin), (host, fleet), advertised, ZONES[zone_of[name]]
             )
             self.callers[name] = Callers((host, ajp))
-        seeds = [self.places[name].advertise for name in self.names[: len(ZONES)]]
-        for name, places in self.places.items():
-            self.nodes.configure(name, places, seeds, self.control)
+        seeds = [self.addresses[name].advertise for name in self.names[: len(ZONES)]]
+        for name, addresses in self.addresses.items():
+            self.nodes.configure(name, addresses, seeds, self.control)
 
-    async def _start(self, name: str) -> None:
-        """Start a node and wait until it answers."""
+    async def _start_node(self, name: str) -> None:
+        """Start a node and wait until it responds."""
         self.state[name] = "starting"
         self.nodes.start(name)
-        places = self.places[name]
-        if not await wait_until_ready(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not come up within {START_S:.0f} s")
+        addresses = self.addresses[name]
+        if not await wait_until_ready(
+            addresses.admin, addresses.ajp, lambda: self.nodes.alive(name), START_TIMEOUT_S
+        ):
+            self.checker.broken.append(f"{name} did not come up within {START_TIMEOUT_S:.0f} s")
             return
         self.state[name] = "up"
 
-    async def _api(
+    async def _call_api(
         self,
         node: str,
         method: str,
         path: str,
-        value: Any = None,
+        body: Any = None,
         headers: dict[str, str] | None = None,
-        most_s: float = 10.0,
-    ) -> Told | None:
-        return await call_admin_api(self.places[node].admin, method, path, value, headers, most_s)
+        timeout_s: float = 10.0,
+    ) -> ApiResponse | None:
+        return await call_admin_api(self.addresses[node].admin, method, path, body, headers, timeout_s)
 
-    async def _joined(self, hollow: int) -> None:
-        """Wait until each node counts all others as live."""
-        began_s, wanted = self.loop.time(), len(self.names) + hollow
+    async def _wait_until_joined(self, simulated_count: int) -> None:
+        """Wait until each node considers all nodes and simulated members live."""
+        began_s, wanted = self.loop.time(), len(self.names) + simulated_count
 
         async def sees(name: str) -> bool:
             with contextlib.suppress(NodeUnreachableError):
-                told = await self._api(name, "GET", "/v1/fleet")
-                return told is not None and told.status == 200 and told.value["live"] >= wanted
+                response = await self._call_api(name, "GET", "/v1/fleet")
+                return response is not None and response.status == 200 and response.value["live"] >= wanted
             return False
 
         while not all(await asyncio.gather(*map(sees, self.names))):
-            if self.loop.time() - began_s > SETTLE_S:
-                self.books.broken.append("the nodes did not find each other")
+            if self.loop.time() - began_s > SETTLE_TIMEOUT_S:
+                self.checker.broken.append("not all nodes consider all others live")
                 return
             await asyncio.sleep(0.1)
-        self.figures["hollow_joined_s" if hollow else "all_joined_s"] = round(self.loop.time() - began_s, 3)
+        self.figures["hollow_joined_s" if simulated_count else "all_joined_s"] = round(
+            self.loop.time() - began_s, 3
+        )
 
-    # Hollow members
+    # Simulated members
 
-    async def _add_hollow(self) -> None:
-        """Have hollow members join, from processes of their own."""
-        count, parts = self.proof.hollow, self.proof.hollow_parts
-        port, life = free_port(loopback_hosts(count)), int(time.time() * 1000)
-        for part in range(parts):
-            log = self.nodes.log_file(f"hollow-{part}").open("ab")
-            self.hollow.append(
+    async def _add_simulated_members(self) -> None:
+        """Start the processes of simulated members, and have them join the nodes."""
+        count, shard_count = self.plan.simulated_members, self.plan.member_process_count
+        port, incarnation = free_port(loopback_hosts(count)), int(time.time() * 1000)
+        for shard in range(shard_count):
+            log = self.nodes.log_file(f"hollow-{shard}").open("ab")
+            self.member_processes.append(
                 await asyncio.create_subprocess_exec(
                     sys.executable,
                     "-O",
@@ -290,13 +305,13 @@
                     str(self.nodes.secret),
                     "--sealed",
                     "--part",
-                    str(part),
+                    str(shard),
                     "--parts",
-                    str(parts),
+                    str(shard_count),
                     "--port",
                     str(port),
                     "--life",
-                    str(life),
+                    str(incarnation),
                     stdin=asyncio.subprocess.PIPE,
                     stdout=asyncio.subprocess.PIPE,
                     stderr=log,
@@ -304,205 +319,217 @@
                 )
             )
             log.close()
-        await asyncio.gather(*map(self._told_by, self.hollow))
-        await self._tell_hollow(join=["{}:{}".format(*places.advertise) for places in self.places.values()])
-        await self._joined(count)
-        self.hollow_before = await self._tell_hollow()
+        await asyncio.gather(*map(self._read_status, self.member_processes))
+        await self._command_all(
+            join=["{}:{}".format(*addresses.advertise) for addresses in self.addresses.values()]
+        )
+        await self._wait_until_joined(count)
+        self.status_before = await self._command_all()
 
-    async def _told_by(self, process: asyncio.subprocess.Process) -> dict[str, Any]:
+    async def _read_status(self, process: asyncio.subprocess.Process) -> dict[str, Any]:
         assert process.stdout is not None
-        line = await asyncio.wait_for(process.stdout.readline(), HOLLOW_S)
+        line = await asyncio.wait_for(process.stdout.readline(), COMMAND_TIMEOUT_S)
         if not line:
-            raise RuntimeError("a process of hollow members has ended")
-        told: dict[str, Any] = json.loads(line)
-        return told
+            raise RuntimeError("a process of simulated members has ended")
+        status: dict[str, Any] = json.loads(line)
+        return status
 
-    async def _tell(self, process: asyncio.subprocess.Process, command: dict[str, Any]) -> dict[str, Any]:
+    async def _command(self, process: asyncio.subprocess.Process, command: dict[str, Any]) -> dict[str, Any]:
         assert process.stdin is not None
         process.stdin.write(json.dumps(command).encode() + b"\n")
-        return await self._told_by(process)
+        return await self._read_status(process)
 
-    async def _tell_hollow(self, **command: Any) -> dict[str, Any]:
-        """Give all processes of hollow members a command; return how their members stand together."""
-        async with self.hollow_line:
-            return together(await asyncio.gather(*(self._tell(one, command) for one in self.hollow)))
+    async def _command_all(self, **command: Any) -> dict[str, Any]:
+        """Send a command to all processes of simulated members; return their merged status."""
+        async with self.command_lock:
+            return merged_statuses(
+                await asyncio.gather(*(self._command(process, command) for process in self.member_processes))
+            )
 
-    async def _end_hollow(self) -> None:
-        """See that all hollow members have the table too, and end their processes."""
-        if not self.hollow:
+    async def _end_simulated_members(self) -> None:
+        """Check that all simulated members have the expected table, and end their processes."""
+        if not self.member_processes:
             return
-        wanted = {name: [SERIALS + row[0], row[1]] for name, row in self.books.expected().items() if row}
-        ends_s, told = self.loop.time() + SETTLE_S, dict[str, Any]()
-        most = self.proof.hollow
-        while (told := await self._tell_hollow(rows=wanted))["right"] < most:
-            if self.loop.time() > ends_s:
-                self.books.broken.append(f"only {told['right']} of {most} hollow members have all changes")
+        wanted = {
+            name: [SERIAL_BASE + row[0], row[1]] for name, row in self.checker.expected().items() if row
+        }
+        deadline_s, status = self.loop.time() + SETTLE_TIMEOUT_S, dict[str, Any]()
+        member_count = self.plan.simulated_members
+        while (status := await self._command_all(rows=wanted))["right"] < member_count:
+            if self.loop.time() > deadline_s:
+                self.checker.broken.append(
+                    f"only {status['right']} of {member_count} simulated members have all changes"
+                )
                 break
             await asyncio.sleep(0.5)
         clock_s, lost_s, processor_s = (
-            told[key] - self.hollow_before[key] for key in ("clock_s", "lost_s", "processor_s")
+            status[key] - self.status_before[key] for key in ("clock_s", "lost_s", "processor_s")
         )
-        self.figures["hollow"] = told | {
+        self.figures["hollow"] = status | {
             "of_real_time": round(clock_s / (clock_s + lost_s), 3),
             "of_a_core": round(processor_s / (clock_s + lost_s), 3),
         }
-        for process in self.hollow:
+        for process in self.member_processes:
             assert process.stdin is not None
             process.stdin.close()
-            await asyncio.wait_for(process.wait(), START_S)
+            await asyncio.wait_for(process.wait(), START_TIMEOUT_S)
 
-    # Looking
+    # Reading tables
 
     async def _watch(self, node: str) -> None:
-        """Look at a node's table again and again."""
+        """Read a node's table periodically while it is up."""
         while True:
             if self.state[node] == "up":
-                await self._look(node)
-            await asyncio.sleep(POLL_S)
+                await self._read_table(node)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _look(self, node: str) -> bool:
-        """Look at a node's table; tell whether it was shown."""
-        floors = {name: self.books.floor(node, name) for name in self.tenants}
-        self.books.counts["looks"] += 1
+    async def _read_table(self, node: str) -> bool:
+        """Read a node's table; return whether that succeeded."""
+        floors = {name: self.checker.floor(node, name) for name in self.tenants}
+        self.checker.counts["looks"] += 1
         try:
-            told = await self._api(node, "GET", "/v1/tenants?limit=1000")
+            response = await self._call_api(node, "GET", "/v1/tenants?limit=1000")
         except NodeUnreachableError:
             return False
-        if told is None or told.status != 200 or self.state[node] not in ("up", "leaving"):
-            self.books.counts["looks_in_vain"] += 1
+        if response is None or response.status != 200 or self.state[node] not in ("up", "leaving"):
+            self.checker.counts["looks_in_vain"] += 1
             return False
-        rows = {one["name"]: row_of(one) for one in told.value["tenants"]}
+        rows = {tenant["name"]: row_of(tenant) for tenant in response.value["tenants"]}
         now = self.loop.time()
         for name in self.tenants:
-            self.books.note_row(node, name, rows.get(name), floors[name], now)
+            self.checker.note_row(node, name, rows.get(name), floors[name], now)
         self.rows[node] = rows
         return True
 
     # Load
 
     async def _load(self) -> None:
-        """Ask at random times, whatever comes back."""
+        """Send requests at random times in an open loop, whatever becomes of earlier ones."""
         at_s = self.loop.time()
-        while self.asking:
-            at_s += self.random.expovariate(self.proof.rate)
+        while self.requesting:
+            at_s += self.random.expovariate(self.plan.requests_per_s)
             await asyncio.sleep(max(0.0, at_s - self.loop.time()))
             up = self.up()
             if up:
-                self.spawn(self._ask(self.random.choice(up), self.random.choice(self.tenants)))
+                self.spawn(self._request(self.random.choice(up), self.random.choice(self.tenants)))
 
-    async def _ask(self, node: str, name: str) -> tuple[int, str] | None:
-        """Make a request; return its answer's status and worker."""
-        books, began_s = self.books, self.loop.time()
-        floor = books.floor(node, name)
-        books.counts["asked"] += 1
+    async def _request(self, node: str, name: str) -> tuple[int, str] | None:
+        """Send a request for a tenant; return its answer's status and worker, or None without an answer."""
+        checker, began_s = self.checker, self.loop.time()
+        floor = checker.floor(node, name)
+        checker.counts["asked"] += 1
         try:
             status, worker = await self.callers[node].ask(
-                f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_twice(node, name)
+                f"{name}.example", ANSWER_TIMEOUT_S + self.max_lag_s, lambda: checker.note_twice(node, name)
             )
         except (NoAnswerError, NodeUnreachableError) as error:
-            books.note_lost(node, name, began_s, self.loop.time(), str(error))
+            checker.note_lost(node, name, began_s, self.loop.time(), str(error))
             return None
-        books.note_answer(node, name, status, worker, floor, self.loop.time(), began_s)
+        checker.note_answer(node, name, status, worker, floor, self.loop.time(), began_s)
         return status, worker
 
     # Changes
 
-    async def _change_on(self, name: str) -> None:
-        """Change a tenant again and again."""
-        while self.changing and name not in self.books.spoilt:
+    async def _change_repeatedly(self, name: str) -> None:
+        """Change a tenant repeatedly at random times."""
+        while self.changing and name not in self.checker.spoilt:
             await self._change(name)
             if self.changing:
-                await asyncio.sleep(self.random.expovariate(self.proof.changes / len(self.tenants)))
+                await asyncio.sleep(self.random.expovariate(self.plan.changes_per_s / len(self.tenants)))
 
-    def _next(self, history: History) -> tuple[str, Row]:
-        """Choose the next change of a tenant: one that makes a row which it has not had."""
+    def _next_change(self, history: History) -> tuple[str, Row]:
+        """Choose the next change of a tenant: an operation, and a row that the tenant has not had before."""
         row, serial = history.last.row, history.serial() + 1
         if row is None:
             return "create", (serial, ACTIVE)
         changed = serial, row[1]
-        able: list[tuple[str, Row]] = [("put", changed), ("patch", changed), ("delete", None)]
-        turned = ("suspend", (row[0], SUSPENDED)) if row[1] == ACTIVE else ("resume", (row[0], ACTIVE))
-        if turned[1] not in history.rows():
-            able.append(turned)
-        return self.random.choices(able, [3, 3, 1, 2 if row[1] == ACTIVE else 8][: len(able)])[0]
-
-    def _call_of(self, name: str, step: Step, key: str) -> tuple[str, str, Any, dict[str, str]]:
-        """Return method, path, body and headers of a change."""
+        candidates: list[tuple[str, Row]] = [("put", changed), ("patch", changed), ("delete", None)]
+        toggle = ("suspend", (row[0], SUSPENDED)) if row[1] == ACTIVE else ("resume", (row[0], ACTIVE))
+        if toggle[1] not in history.rows():
+            candidates.append(toggle)
+        return self.random.choices(candidates, [3, 3, 1, 2 if row[1] == ACTIVE else 8][: len(candidates)])[0]
+
+    def _api_call_of(self, name: str, step: Step, key: str) -> tuple[str, str, Any, dict[str, str]]:
+        """Return the method, path, body and headers of the API call for a change."""
         path = f"/v1/tenants/{name}"
-        match = {"If-Match": self.tags[name]} if name in self.tags else {}
+        precondition = {"If-Match": self.etags[name]} if name in self.etags else {}
         serial = step.row[0] if step.row else 0
-        fields = {"backend": worker_of(serial), "max_open": SERIALS + serial}
-        whole = {"name": name, "hosts": [f"{name}.example"], "default_class": CLASS, **fields}
+        fields = {"backend": worker_of(serial), "max_open": SERIAL_BASE + serial}
+        tenant = {"name": name, "hosts": [f"{name}.example"], "default_class": CLASS, **fields}
         match step.op:
             case "create":
-                return "POST", "/v1/tenants", whole, {"Idempotency-Key": key}
+                return "POST", "/v1/tenants", tenant, {"Idempotency-Key": key}
             case "put":
-                return "PUT", path, whole, match
+                return "PUT", path, tenant, precondition
             case "patch":
-                return "PATCH", path, fields, match
+                return "PATCH", path, fields, precondition
             case "delete":
-                return "DELETE", path if self.control else f"{path}?within_ms=500", None, match
-        return "POST", f"{path}/{step.op}", None, match
+                return "DELETE", path if self.control else f"{path}?within_ms=500", None, precondition
+        return "POST", f"{path}/{step.op}", None, precondition
 
     async def _change(self, name: str) -> None:
-        """Make a tenant's next change, asking for it until it has a definite answer."""
-        books, history = self.books, self.books.history(name)
-        step = books.begin(name, *self._next(history), self.loop.time())
-        key = f"{name}-{len(history.steps)}-{self.proof.seed}"
+        """Make a tenant's next change, retrying until there is a definite answer."""
+        checker, history = self.checker, self.checker.history(name)
+        step = checker.begin(name, *self._next_change(history), self.loop.time())
+        key = f"{name}-{len(history.steps)}-{self.plan.seed}"
         while True:
             up = self.up()
             node = self.random.choice(up) if up else ""
             if node:
                 step.out = True
                 self._kill_during(name, node)
-                method, path, value, headers = self._call_of(name, step, key)
+                method, path, body, headers = self._api_call_of(name, step, key)
                 try:
-                    told = await self._api(node, method, path, value, headers)
+                    response = await self._call_api(node, method, path, body, headers)
                 except NodeUnreachableError:
                     step.out = False
                 else:
-                    if await self._answered(name, step, told) or name in books.spoilt:
+                    if await self._record_attempt(name, step, response) or name in checker.spoilt:
                         return
-            await asyncio.sleep(self.random.uniform(*REST_S))
+            await asyncio.sleep(self.random.uniform(*RETRY_PAUSE_RANGE_S))
 
-    async def _answered(self, name: str, step: Step, told: Told | None) -> bool:
-        """Take the answer to a change; tell whether it is made."""
-        books = self.books
-        if told is None or told.status in UNDECIDED:
-            books.note_doubtful(name, told.status if told else 0)
+    async def _record_attempt(self, name: str, step: Step, response: ApiResponse | None) -> bool:
+        """Record the answer to an attempt at a change; return whether the change was made."""
+        checker = self.checker
+        if response is None or response.status in INDEFINITE_STATUSES:
+            checker.note_doubtful(name, response.status if response else 0)
             return False
-        if 200 <= told.status < 300:
-            tag = told.headers.get("etag")
+        if 200 <= response.status < 300:
+            etag = response.headers.get("etag")
             if step.row is None:
-                self.tags.pop(name, None)
-            elif tag:
-                self.tags[name] = tag
+                self.etags.pop(name, None)
+            elif etag:
+                self.etags[name] = etag
             else:
-                books.broken.append(f"{name}: {step.op} was answered {told.status} without a revision")
-            books.note_acked(name, revision_of(told.headers), self.loop.time())
+                checker.broken.append(f"{name}: {step.op} was answered {response.status} without a revision")
+            checker.note_acked(name, revision_of(response.headers), self.loop.time())
             self._kill_after(name)
             return True
-        if told.status in (400, 401, 403, 405, 422):
-            raise RuntimeError(f"{step.op} of {name} was answered {told.status}: {told.value}")
-        if told.status == MADE[step.op] and await self._made_before(name, step, told.status):
+        if response.status in (400, 401, 403, 405, 422):
+            raise RuntimeError(f"{step.op} of {name} was answered {response.status}: {response.value}")
+        if response.status == ALREADY_MADE_STATUS[step.op] and await self._was_made_before(
+            name, step, response.status
+        ):
             return True
-        if told.status == 404:
-            books.spoilt.add(name)
-            books.broken.append(f"{name}: {step.op} found no tenant, though its last change was acknowledged")
+        if response.status == 404:
+            checker.spoilt.add(name)
+            checker.broken.append(
+                f"{name}: {step.op} found no tenant, though its last change was acknowledged"
+            )
         if step.out:
-            books.note_refused(name, told.status)
+            checker.note_refused(name, response.status)
         return False
 
-    async def _made_before(self, name: str, step: Step, status: int) -> bool:
-        """Tell whether the newest step is made already, by a try that had no definite answer."""
-        step.out = step.doubtful  # while it is looked for, only such a try makes it possible
+    async def _was_made_before(self, name: str, step: Step, status: int) -> bool:
+        """Return whether an earlier attempt without a definite answer has already made the newest step."""
+        step.out = step.doubtful  # during this check only such an attempt can explain a node that shows it
         if step.row is None:
-            self.tags.pop(name, None)
-            self.books.note_made_before(name, status)
-            self.books.note_acked(name, None, self.loop.time())
+            self.etags.pop(name, None)
+            self.checker.note_made_before(name, status)
+            self.checker.note_acked(name, None, self.loop.time())
             return True
         if status == 412 and not step.doubtful:
-            self.books.note_made_before(name, status)
+            self.checker.note_made_before(name, status)
             return False
 
         def showing() -> list[str]:
@@ -512,11 +539,11 @@
             step.out = True
             return False
         with contextlib.suppress(NodeUnreachableError, IndexError):
-            told = await self._api(showing()[0], "GET", f"/v1/tenants/{name}")
-            if told is not None and told.status == 200 and row_of(told.value) == step.row:
-                self.tags[name] = told.headers["etag"]
-                self.books.note_made_before(name, status)
-                self.books.note_acked(name, revision_of(told.headers), self.loop.time())
+            response = await self._call_api(showing()[0], "GET", f"/v1/tenants/{name}")
+            if response is not None and response.status == 200 and row_of(response.value) == step.row:
+                self.etags[name] = response.headers["etag"]
+                self.checker.note_made_before(name, status)
+                self.checker.note_acked(name, revision_of(response.headers), self.loop.time())
                 return True
         step.out = True
         return False
@@ -524,258 +551,272 @@
     # Faults
 
     def _kill_during(self, name: str, node: str) -> None:
-        """Kill the writer, or the node that is asked, while a change is under way, where that is wanted."""
-        for kind, victim in (("during", self.writer_of[name]), ("asked", node)):
-            if self.wants and self.wants[0][0] == kind and self.state[victim] == "up":
-                _, done = self.wants.popleft()
+        """Kill the leader, or the node that the change is sent to, during a change if such a kill is due."""
+        for moment, victim in (("during", self.leader_of[name]), ("asked", node)):
+            if self.pending_kills and self.pending_kills[0][0] == moment and self.state[victim] == "up":
+                _, done = self.pending_kills.popleft()
                 self.loop.call_later(self.random.uniform(0.0, 0.03), self._kill, victim, done)
                 return
 
     def _kill_after(self, name: str) -> None:
-        """Kill the writer right after its answer, where that is wanted."""
-        victim = self.writer_of[name]
-        if self.wants and self.wants[0][0] == "after" and self.state[victim] == "up":
-            self._kill(victim, self.wants.popleft()[1])
-
-    def _kill(self, name: str, done: "asyncio.Future[None] | None" = None, loses_copy: bool = False) -> None:
-        """End a process at once and have it come back."""
+        """Kill the leader right after its acknowledgement if such a kill is due."""
+        victim = self.leader_of[name]
+        if self.pending_kills and self.pending_kills[0][0] == "after" and self.state[victim] == "up":
+            self._kill(victim, self.pending_kills.popleft()[1])
+
+    def _kill(
+        self, name: str, done: "asyncio.Future[None] | None" = None, loses_replica: bool = False
+    ) -> None:
+        """Kill a process with SIGKILL, and start it again later."""
         if done is not None and not done.done():
             done.set_result(None)
-        if self.state[name] != "up":  # another fault came first
-            self.broke["kills_missed"] += 1
+        if self.state[name] != "up":  # another fault has already taken it down
+            self.fault_counts["kills_missed"] += 1
             return
-        self.broke["kills"] += 1
-        self.broke["kills_of_writers"] += name in self.writer_of.values()
-        self._away(name, "dead")
+        self.fault_counts["kills"] += 1
+        self.fault_counts["kills_of_writers"] += name in self.leader_of.values()
+        self._mark_away(name, "dead")
         self.nodes.send(name, signal.SIGKILL)
-        self.spawn(self._come_back(name, loses_copy))
+        self.spawn(self._restart_when_ended(name, loses_replica))
 
-    def _away(self, name: str, state: str) -> None:
+    def _mark_away(self, name: str, state: str) -> None:
         self.state[name] = state
-        self.books.note_away(name, self.loop.time())
+        self.checker.note_away(name, self.loop.time())
 
-    async def _come_back(self, name: str, loses_copy: bool = False) -> None:
-        """Start a node again once its process has ended, and note that it is there."""
-        if not await self.until(lambda: not self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not end within {START_S:.0f} s")
+    async def _restart_when_ended(self, name: str, loses_replica: bool = False) -> None:
+        """Start a node again once its process has ended, and record that it is up."""
+        if not await self.until(lambda: not self.nodes.alive(name), START_TIMEOUT_S):
+            self.checker.broken.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s")
             return
         await asyncio.sleep(self.random.uniform(0.0, 0.5))
-        if loses_copy:
-            self.broke["copies_lost"] += 1
-            self.nodes.lose_copy(name)
-            self.books.forget(name)
+        if loses_replica:
+            self.fault_counts["copies_lost"] += 1
+            self.nodes.delete_replica(name)
+            self.checker.forget(name)
             self.rows[name] = {}
         self.callers[name].close()
-        await self._start(name)
-        self.books.note_back(name, self.loop.time())
+        await self._start_node(name)
+        self.checker.note_back(name, self.loop.time())
 
-    async def _stop(self, name: str, seconds: float) -> None:
-        """Have a process stand still for a time."""
-        self.broke["stops"] += 1
-        self._away(name, "still")
+    async def _pause(self, name: str, seconds: float) -> None:
+        """Pause a process with SIGSTOP for a time."""
+        self.fault_counts["stops"] += 1
+        self._mark_away(name, "still")
         self.nodes.send(name, signal.SIGSTOP)
         await asyncio.sleep(seconds)
         self.nodes.send(name, signal.SIGCONT)
         self.state[name] = "up"
-        self.books.note_back(name, self.loop.time())
+        self.checker.note_back(name, self.loop.time())
 
-    async def _restart(self, name: str) -> None:
-        """Drain a process and start it again."""
-        self.broke["restarts"] += 1
-        self._away(name, "leaving")
+    async def _drain_and_restart(self, name: str) -> None:
+        """Drain a process with SIGTERM and start it again."""
+        self.fault_counts["restarts"] += 1
+        self._mark_away(name, "leaving")
         self.nodes.send(name, signal.SIGTERM)
-        if not await self.until(lambda: not self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not leave within {START_S:.0f} s")
+        if not await self.until(lambda: not self.nodes.alive(name), START_TIMEOUT_S):
+            self.checker.broken.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s of SIGTERM")
             return
         if (status := self.nodes.running[name].returncode) != 0:
-            self.books.broken.append(f"{name} left with status {status}")
-        await self._come_back(name)
+            self.checker.broken.append(f"{name} ended with status {status}")
+        await self._restart_when_ended(name)
 
     async def _cut_off(self, zone: str, seconds: float) -> None:
-        """Cut a zone off from the others for a time, and see how long both sides take to agree after it."""
-        self.broke["cuts"] += 1
-        inside = frozenset(name for name, places in self.places.items() if places.zone == zone)
+        """Cut a zone off from the others for a time, and measure how long both sides then take to agree."""
+        self.fault_counts["cuts"] += 1
+        inside = frozenset(name for name, addresses in self.addresses.items() if addresses.zone == zone)
         fault = Fault("cut", 0.0, 0.0, inside, frozenset(self.names) - inside)
-        self.cut = True
-        self.books.note_cut(self.names, self.loop.time(), True)
-        await self._tell_hollow(cut=[zone])
+        self.cut_active = True
+        self.checker.note_cut(self.names, self.loop.time(), True)
+        await self._command_all(cut=[zone])
         self.net.begin(fault)
         await asyncio.sleep(seconds)
         self.net.end(fault)
-        await self._tell_hollow(cut=[])
+        await self._command_all(cut=[])
         healed_s = self.loop.time()
-        histories = [self.books.history(name) for name in self.tenants]
-        made = [(one, len(one.steps) - 1 - (one.last.acked_s is None)) for one in histories]
+        histories = [self.checker.history(name) for name in self.tenants]
+        targets = [
+            (history, len(history.steps) - 1 - (history.last.acked_s is None)) for history in histories
+        ]
 
         def agreed() -> bool:
             steady = [
                 node
                 for node in self.names
-                if not self.books.was_away(node, healed_s - seconds, self.loop.time())
+                if not self.checker.was_away(node, healed_s - seconds, self.loop.time())
             ]
             return all(
                 history.at.get(node, 0) >= number or history.steps[number].row is None
                 for node in steady
-                for history, number in made
+                for history, number in targets
             )
 
-        if await self.until(agreed, SETTLE_S):
-            self.healed_s.append(self.loop.time() - healed_s)
+        if await self.until(agreed, SETTLE_TIMEOUT_S):
+            self.heal_times_s.append(self.loop.time() - healed_s)
         else:
-            self.books.broken.append(f"{SETTLE_S:.0f} s after a cut of zone {zone} the sides do not agree")
-        self.books.note_cut(self.names, self.loop.time(), False)
-        self.cut = False
-
-    async def _break_things(self) -> None:
-        """Kill as often as the proof says, and stop, cut and restart in between."""
-        began_s, most = self.loop.time(), max(1, min(self.proof.most_away, len(self.names) // 4))
-        for number in range(self.proof.kills):
-            if not await self.until(lambda: len(self.names) - len(self.up()) < most, 2 * START_S):
-                self.books.broken.append("too many nodes stay away")
+            self.checker.broken.append(
+                f"{SETTLE_TIMEOUT_S:.0f} s after a cut of zone {zone} the sides do not agree"
+            )
+        self.checker.note_cut(self.names, self.loop.time(), False)
+        self.cut_active = False
+
+    async def _inject_faults(self) -> None:
+        """Inject the planned number of kills, with pauses, cuts and restarts in between."""
+        began_s, max_away = self.loop.time(), max(1, min(self.plan.max_away, len(self.names) // 4))
+        for number in range(self.plan.kills):
+            if not await self.until(lambda: len(self.names) - len(self.up()) < max_away, 2 * START_TIMEOUT_S):
+                self.checker.broken.append("too many nodes stay down")
                 return
-            if number % EACH_CUT == EACH_CUT // 2 and self.control and not self.cut:
-                zone = ZONES[number // EACH_CUT % len(ZONES)]
+            if number % KILLS_PER_CUT == KILLS_PER_CUT // 2 and self.control and not self.cut_active:
+                zone = ZONES[number // KILLS_PER_CUT % len(ZONES)]
                 self.spawn(self._cut_off(zone, self.random.uniform(2.0, 5.0)))
-            if number % EACH_STOP == 2:
-                self.spawn(self._stop(self.random.choice(self.up()), self.random.uniform(0.5, 3.0)))
-            if number % EACH_RESTART == 3 and (up := self.up()):
-                self.spawn(self._restart(self.random.choice(up)))
-            await self._one_kill(number)
-            await self._news_told()
+            if number % KILLS_PER_PAUSE == 2:
+                self.spawn(self._pause(self.random.choice(self.up()), self.random.uniform(0.5, 3.0)))
+            if number % KILLS_PER_RESTART == 3 and (up := self.up()):
+                self.spawn(self._drain_and_restart(self.random.choice(up)))
+            await self._inject_kill(number)
+            await self._wait_for_gossip()
         self.figures["faults_s"] = round(self.loop.time() - began_s, 3)
 
-    async def _news_told(self) -> None:
-        """Wait until hollow members have had the time, by their clock, to tell each other of a kill."""
-        if not self.hollow:
+    async def _wait_for_gossip(self) -> None:
+        """Wait until simulated members have had time, by their clock, to gossip about a kill."""
+        if not self.member_processes:
             return
-        told_s = self.proof.hollow / self.proof.hollow_parts * NEWS_S
-        until_s = (await self._tell_hollow())["clock_s"] + told_s
-        ends_s = self.loop.time() + HOLLOW_S
-        while (await self._tell_hollow())["clock_s"] < until_s:
-            if self.loop.time() > ends_s:
-                self.books.broken.append(f"hollow members do not go on: {HOLLOW_S:.0f} s for one kill")
+        gossip_s = self.plan.simulated_members / self.plan.member_process_count * GOSSIP_S_PER_MEMBER
+        until_s = (await self._command_all())["clock_s"] + gossip_s
+        deadline_s = self.loop.time() + COMMAND_TIMEOUT_S
+        while (await self._command_all())["clock_s"] < until_s:
+            if self.loop.time() > deadline_s:
+                self.checker.broken.append(
+                    f"simulated members took more than {COMMAND_TIMEOUT_S:.0f} s to gossip about a kill"
+                )
                 return
             await asyncio.sleep(0.2)
 
-    async def _one_kill(self, number: int) -> None:
-        kind, before = KINDS[number % len(KINDS)], self.broke["kills"]
-        loses_copy = bool(self.control) and number % EACH_LOSS == 4
-        while self.broke["kills"] == before:
+    async def _inject_kill(self, number: int) -> None:
+        moment, kills_before = KILL_MOMENTS[number % len(KILL_MOMENTS)], self.fault_counts["kills"]
+        loses_replica = bool(self.control) and number % KILLS_PER_LOST_REPLICA == 4
+        while self.fault_counts["kills"] == kills_before:
             others = [name for name in self.up() if name not in self.control]
-            if loses_copy and others:
-                self._kill(self.random.choice(others), loses_copy=True)
-            elif kind == "any" and (up := self.up()):
+            if loses_replica and others:
+                self._kill(self.random.choice(others), loses_replica=True)
+            elif moment == "any" and (up := self.up()):
                 self._kill(self.random.choice(up))
             else:
                 done = self.loop.create_future()
-                self.wants.append((kind, done))
+                self.pending_kills.append((moment, done))
                 try:
-                    await asyncio.wait_for(done, START_S)
+                    await asyncio.wait_for(done, START_TIMEOUT_S)
                 except TimeoutError:
-                    self.books.broken.append(f"no change came in {START_S:.0f} s to kill a writer at")
+                    self.checker.broken.append(
+                        f"no change within {START_TIMEOUT_S:.0f} s at which to kill a node"
+                    )
                     return
             await asyncio.sleep(0.02)
 
-    # The end
+    # Final checks
 
-    async def _end(self) -> None:
-        """Wait until all are there and show the same, and hold that against the books."""
-        books = self.books
-        if not await self.until(lambda: len(self.up()) == len(self.names) and not self.cut, 2 * START_S):
-            books.broken.append(f"not all came back: {self.state}")
+    async def _finish(self) -> None:
+        """Wait until all nodes are up and show the same rows, and check those against the history."""
+        checker = self.checker
+        if not await self.until(
+            lambda: len(self.up()) == len(self.names) and not self.cut_active, 2 * START_TIMEOUT_S
+        ):
+            checker.broken.append(f"not all nodes are up again: {self.state}")
         self.changing = False
         if not await self.until(
             lambda: all(
-                history.last.acked_s is not None or history.name in books.spoilt
-                for history in books.histories.values()
+                history.last.acked_s is not None or history.name in checker.spoilt
+                for history in checker.histories.values()
             ),
-            SETTLE_S,
+            SETTLE_TIMEOUT_S,
         ):
-            books.broken.append("not all changes have a definite answer, with all nodes there")
+            checker.broken.append("not all changes have a definite answer although all nodes are up")
         began_s = self.loop.time()
         settled: set[str] = set()
 
-        def look() -> bool:
+        def poll() -> bool:
             now = self.loop.time()
-            settled.update(node for node in self.up() if books.settles(node, self.rows[node], now))
+            settled.update(node for node in self.up() if checker.settles(node, self.rows[node], now))
             return len(settled) == len(self.names)
 
-        if not await self.until(look, SETTLE_S):
-            books.broken.append(f"{sorted(set(self.names) - settled)} show another table in the end")
+        if not await self.until(poll, SETTLE_TIMEOUT_S):
+            checker.broken.append(f"{sorted(set(self.names) - settled)} show another table at the end")
         self.figures["settled_s"] = round(self.loop.time() - began_s, 3)
-        self.asking = False
-        await asyncio.gather(*map(self._last_requests, self.up()))
+        self.requesting = False
+        await asyncio.gather(*map(self._check_answers, self.up()))
         shown = {node: self.rows[node] for node in self.up()}
         revisions = dict(zip(shown, await asyncio.gather(*map(self._revisions, shown)), strict=True))
-        books.close(shown, revisions)
+        checker.close(shown, revisions)
         resident_kb = median(map(self.nodes.resident_kb, self.up()))
         self.figures["resident_mb"] = round(resident_kb / 1024, 1)
-        await self._end_hollow()
-        await self._leave()
-
-    async def _last_requests(self, node: str) -> None:
-        """Make a request of each tenant: it is answered under the last row, also where there is none."""
-        for name, row in self.books.expected().items():
-            found, ends_s = None, self.loop.time() + SETTLE_S
-            while found != answers_for(row) and self.loop.time() < ends_s:
-                found = await self._ask(node, name)
-                if found is not None and found[0] != 503:
+        await self._end_simulated_members()
+        await self._drain_all()
+
+    async def _check_answers(self, node: str) -> None:
+        """Check that a request for each tenant is answered as its last row, or its absence, demands."""
+        for name, row in self.checker.expected().items():
+            answer, deadline_s = None, self.loop.time() + SETTLE_TIMEOUT_S
+            while answer != answers_for(row) and self.loop.time() < deadline_s:
+                answer = await self._request(node, name)
+                if answer is not None and answer[0] != 503:
                     break
-                if found != answers_for(row):
-                    await asyncio.sleep(0.1)  # it may refuse for a while, under any row
-            if found != answers_for(row):
-                self.books.broken.append(f"{node} answers {found} for {name} in the end, whose row is {row}")
+                if answer != answers_for(row):
+                    await asyncio.sleep(0.1)  # a node may reject requests for a while, whatever the row
+            if answer != answers_for(row):
+                self.checker.broken.append(
+                    f"{node} answers {answer} for {name} at the end, whose row is {row}"
+                )
 
     async def _revisions(self, node: str) -> dict[str, Revision]:
-        found = {}
-        for name, row in self.books.expected().items():
+        revisions = {}
+        for name, row in self.checker.expected().items():
             with contextlib.suppress(NodeUnreachableError):
-                told = await self._api(node, "GET", f"/v1/tenants/{name}")
-                if row and told and (revision := revision_of(told.headers)):
-                    found[name] = revision
-        return found
-
-    async def _leave(self) -> None:
-        """Have all nodes leave, and look for errors in their logs."""
-        left = self.up()
-        for name in left:
-            self._away(name, "leaving")
+                response = await self._call_api(node, "GET", f"/v1/tenants/{name}")
+                if row and response and (revision := revision_of(response.headers)):
+                    revisions[name] = revision
+        return revisions
+
+    async def _drain_all(self) -> None:
+        """Drain all nodes with SIGTERM, and report errors in their logs."""
+        draining = self.up()
+        for name in draining:
+            self._mark_away(name, "leaving")
             self.nodes.send(name, signal.SIGTERM)
-        if not await self.until(lambda: not any(map(self.nodes.alive, left)), START_S):
-            self.books.broken.append("not all left in time")
-        for name in left:
+        if not await self.until(lambda: not any(map(self.nodes.alive, draining)), START_TIMEOUT_S):
+            self.checker.broken.append("not all nodes ended in time")
+        for name in draining:
             if (status := self.nodes.running[name].poll()) != 0:
-                self.books.broken.append(f"{name} left with status {status}")
+                self.checker.broken.append(f"{name} ended with status {status}")
         for name in self.names:
-            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
+            self.checker.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
 
     def _report(self) -> None:
-        times = self.books.in_force(self.names, self.writer_of)
-        told = {f"in_force_{kind}": percentiles(found) for kind, found in times.items()}
+        times = self.checker.in_force(self.names, self.leader_of)
+        percentiles_by_kind = {f"in_force_{kind}": percentiles(times_s) for kind, times_s in times.items()}
         self.figures |= {
-            **self.broke,
-            **self.books.counts,
-            **told,
-            "after_cut": percentiles(self.healed_s),
-            "slowest": self.books.slowest,
-            "rig_late_s": round(self.late_s, 3),
+            **self.fault_counts,
+            **self.checker.counts,
+            **percentiles_by_kind,
+            "after_cut": percentiles(self.heal_times_s),
+            "slowest": self.checker.slowest,
+            "rig_late_s": round(self.max_lag_s, 3),
         }
 
 
-def together(told: Sequence[dict[str, Any]]) -> dict[str, Any]:
-    """Return what several processes of hollow members tell, as if one did: the slowest clock counts."""
-    how = {"clock_s": min, "lost_s": max, "live_least": min, "live_most": max}
+def merged_statuses(statuses: Sequence[dict[str, Any]]) -> dict[str, Any]:
+    """Merge the statuses of several processes of simulated members; the slowest clock counts."""
+    combine = {"clock_s": min, "lost_s": max, "live_least": min, "live_most": max}
     return {
-        key: how.get(key, sum)([one.get(key, 0) for one in told])
-        for key in dict.fromkeys(key for one in told for key in one)
+        key: combine.get(key, sum)([status.get(key, 0) for status in statuses])
+        for key in dict.fromkeys(key for status in statuses for key in status)
     }
 
 
-def percentiles(found: list[float]) -> dict[str, float]:
-    """Return how many there are, their median, their 99th percentile and the most, in seconds."""
-    if not found:
+def percentiles(times_s: list[float]) -> dict[str, float]:
+    """Return the count, the median, the 99th percentile and the maximum of some times in seconds."""
+    if not times_s:
         return {"count": 0}
-    ordered = sorted(found)
+    ordered = sorted(times_s)
     return {
         "count": len(ordered),
         "median_s": round(median(ordered), 3),
@@ -784,71 +825,80 @@
     }
 
 
-def play(proof: Proof, folder: Path | None = None) -> Rig:
-    """Play a proof. Logs and configurations of nodes go to `folder`, which is else a passing one."""
+def run_plan(plan: FaultRunPlan, folder: Path | None = None) -> FaultRun:
+    """Run a plan. Logs and configurations of nodes go to `folder`, by default a temporary one."""
 
-    async def work(where: Path) -> Rig:
-        rig, task = Rig(proof, where), asyncio.current_task()
+    async def run_in(run_folder: Path) -> FaultRun:
+        run, task = FaultRun(plan, run_folder), asyncio.current_task()
         assert task is not None
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-        await rig.play()
-        return rig
+        await run.execute()
+        return run
 
     with contextlib.ExitStack() as stack:
-        where = folder or Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        where.mkdir(parents=True, exist_ok=True)
+        run_folder = folder or Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        run_folder.mkdir(parents=True, exist_ok=True)
         try:
-            return asyncio.run(work(where))
+            return asyncio.run(run_in(run_folder))
         except asyncio.CancelledError:
             raise SystemExit(128 + signal.SIGTERM) from None
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play a proof and print its figures; 0, or 1 where a rule was broken."""
-    words = sys.argv[1:] if argv is None else argv
-    if words[:1] == ["fill"]:
-        return fill.main(words[1:])
-    usual = Proof()
+    """Run a plan and print its figures; return 0, or 1 if an invariant was violated."""
+    arguments = sys.argv[1:] if argv is None else argv
+    if arguments[:1] == ["fill"]:
+        return fill.main(arguments[1:])
+    defaults = FaultRunPlan()
     parser = argparse.ArgumentParser(prog="reelusher.lab.capacity.live", description="On loopback only.")
-    parser.add_argument("--nodes", type=int, default=usual.nodes)
-    parser.add_argument("--kills", type=int, default=usual.kills)
-    parser.add_argument("--hollow", type=int, default=usual.hollow, help="members without a process")
-    parser.add_argument("--hollow-parts", type=int, default=usual.hollow_parts, help="processes they share")
-    parser.add_argument("--tenants", type=int, default=usual.tenants)
-    parser.add_argument("--rate", type=float, default=usual.rate, help="requests a second in all")
-    parser.add_argument("--changes", type=float, default=usual.changes, help="changes a second in all")
-    parser.add_argument("--away", type=int, default=usual.most_away, help="nodes at once")
-    parser.add_argument("--seed", type=int, default=usual.seed)
+    parser.add_argument("--nodes", type=int, default=defaults.nodes)
+    parser.add_argument("--kills", type=int, default=defaults.kills)
+    parser.add_argument("--hollow", type=int, default=defaults.simulated_members, help="simulated members")
+    parser.add_argument(
+        "--hollow-parts",
+        type=int,
+        default=defaults.member_process_count,
+        help="processes that run the simulated members",
+    )
+    parser.add_argument("--tenants", type=int, default=defaults.tenants)
+    parser.add_argument(
+        "--rate", type=float, default=defaults.requests_per_s, help="requests a second in all"
+    )
+    parser.add_argument(
+        "--changes", type=float, default=defaults.changes_per_s, help="changes a second in all"
+    )
+    parser.add_argument("--away", type=int, default=defaults.max_away, help="nodes that are down at once")
+    parser.add_argument("--seed", type=int, default=defaults.seed)
     parser.add_argument("--alone", action="store_true", help="one node with a journal, not replicated")
     parser.add_argument("--logs", type=Path, help="keep the nodes' logs and configurations in this folder")
     parser.add_argument("--json", type=Path, help="write the figures there")
-    given = parser.parse_args(words)
-    nodes = 1 if given.alone else given.nodes
+    args = parser.parse_args(arguments)
+    nodes = 1 if args.alone else args.nodes
     began_s = time.monotonic()
-    rig = play(
-        Proof(
+    run = run_plan(
+        FaultRunPlan(
             nodes,
-            given.kills,
-            given.hollow,
-            given.hollow_parts,
-            given.tenants,
-            given.rate,
-            given.changes,
-            given.away,
-            not given.alone,
-            given.seed,
+            args.kills,
+            args.hollow,
+            args.hollow_parts,
+            args.tenants,
+            args.rate,
+            args.changes,
+            args.away,
+            not args.alone,
+            args.seed,
         ),
-        given.logs,
+        args.logs,
     )
-    figures = {**rig.figures, "took_s": round(time.monotonic() - began_s, 1)}
+    figures = {**run.figures, "took_s": round(time.monotonic() - began_s, 1)}
     width = max(map(len, figures))
     for name, value in figures.items():
         print(f"{name.ljust(width)}  {value}")
-    for line in rig.books.broken[:40]:
+    for line in run.checker.broken[:40]:
         print(f"broken: {line}")
-    if given.json:
-        given.json.write_text(json.dumps({"figures": figures, "broken": rig.books.broken}, indent=1) + "\n")
-    return 1 if rig.books.broken else 0
+    if args.json:
+        args.json.write_text(json.dumps({"figures": figures, "broken": run.checker.broken}, indent=1) + "\n")
+    return 1 if run.checker.broken else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -1,4 +1,4 @@
-"""What the live proof speaks to nodes: the administration API, AJP, and workers that tell their names."""
+"""Clients of real nodes, for the administration API and for AJP, and workers that answer with their names."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,12 @@
 from reelusher.lab.load import StandIn
 from reelusher.lab.plan import Worker
 
-MOST_BODY = 1 << 24
+MAX_BODY_BYTES = 1 << 24
 
 
 @dataclass(slots=True)
-class Told:
-    """An answer of the administration API."""
+class ApiResponse:
+    """A response of the administration API, with its decoded JSON body."""
 
     status: int
     value: Any = None
@@ -27,22 +27,25 @@
 
 
 class NodeUnreachableError(Exception):
-    """Nobody listens there: nothing was asked."""
+    """No connection could be opened, so no request was sent."""
 
 
 async def call_admin_api(
-    place: Address,
+    address: Address,
     method: str,
     path: str,
     value: Any = None,
     headers: dict[str, str] | None = None,
-    most_s: float = 10.0,
-) -> Told | None:
-    """Ask a node over a connection of its own; None where no answer came. Raises `NodeUnreachableError`."""
+    timeout_s: float = 10.0,
+) -> ApiResponse | None:
+    """Call a node's administration API over a new connection.
+
+    Returns None if no complete response arrived. Raises `NodeUnreachableError`.
+    """
     try:
-        async with asyncio.timeout(most_s):
+        async with asyncio.timeout(timeout_s):
             try:
-                reader, writer = await asyncio.open_connection(*place)
+                reader, writer = await asyncio.open_connection(*address)
             except OSError:
                 raise NodeUnreachableError from None
             try:
@@ -55,10 +58,10 @@
                         {"Authorization": f"Bearer {TOKEN}", "Connection": "close", **(headers or {})},
                     )
                 )
-                decoder = http1.Decoder(MOST_BODY)
+                decoder = http1.Decoder(MAX_BODY_BYTES)
                 while data := await reader.read(1 << 16):
                     for message in decoder.feed(data):
-                        return Told(
+                        return ApiResponse(
                             int(message.start[1]),
                             json.loads(message.body) if message.body else None,
                             message.headers,
@@ -70,13 +73,13 @@
     return None
 
 
-async def wait_until_ready(admin: Address, ajp: Address, alive: Callable[[], bool], most_s: float) -> bool:
-    """Wait until a node that was started answers at both addresses; tell whether it came to that."""
-    ends_s = asyncio.get_running_loop().time() + most_s
-    while alive() and asyncio.get_running_loop().time() < ends_s:
+async def wait_until_ready(admin: Address, ajp: Address, alive: Callable[[], bool], timeout_s: float) -> bool:
+    """Wait until a node that was started responds at both addresses; return whether it did in time."""
+    deadline_s = asyncio.get_running_loop().time() + timeout_s
+    while alive() and asyncio.get_running_loop().time() < deadline_s:
         with contextlib.suppress(NodeUnreachableError, OSError):
-            told = await call_admin_api(admin, "GET", "/v1/status", most_s=most_s)
-            if told is not None and told.status == 200:
+            response = await call_admin_api(admin, "GET", "/v1/status", timeout_s=timeout_s)
+            if response is not None and response.status == 200:
                 _, writer = await asyncio.open_connection(*ajp)
                 writer.close()
                 return True
@@ -85,29 +88,32 @@
 
 
 class NoAnswerError(Exception):
-    """A request had none; the text says why."""
+    """A request got no answer; the text says why."""
+
 
+class AjpConnection(asyncio.Protocol):
+    """A connection to a node's AJP front end, for one request at a time.
 
-class AjpLine(asyncio.Protocol):
-    """A connection to a node's AJP front: one request at a time, and a word of what nobody asked for."""
+    `on_stray` is called for a packet that arrives while no request is pending.
+    """
 
-    def __init__(self, stray: Callable[[], None]) -> None:
-        self.stray = stray
+    def __init__(self, on_stray: Callable[[], None]) -> None:
+        self.on_stray = on_stray
         self.transport: asyncio.Transport | None = None
         self.packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
         self.answer: asyncio.Future[tuple[int, bytes, bool]] | None = None
         self.status, self.body = 0, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take packets."""
+        """Process the packets of an answer."""
         try:
             for payload in self.packets.feed(data):
                 if self.answer is None or self.answer.done():
-                    self.stray()
+                    self.on_stray()
                     return
                 match ajp13.read_reply(payload):
                     case ajp13.ResponseHead() as head:
@@ -122,84 +128,87 @@
             self.fail(f"malformed: {error}")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that it has ended."""
-        self.fail(f"closed: {error or 'at its end'}")
+        """Fail the pending request."""
+        self.fail(f"closed: {error or 'end of stream'}")
 
-    def fail(self, why: str) -> None:
-        """End a request that waits."""
+    def fail(self, reason: str) -> None:
+        """Fail the pending request, if there is one, with `NoAnswerError`."""
         if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(NoAnswerError(why))
+            self.answer.set_exception(NoAnswerError(reason))
 
     @property
     def usable(self) -> bool:
-        """Tell whether a request may go over it."""
+        """Return whether a request can be sent over this connection."""
         return self.transport is not None and not self.transport.is_closing()
 
-    async def ask(self, data: bytes, most_s: float) -> tuple[int, bytes, bool]:
-        """Send a request; return status and body of its answer, and whether the connection goes on."""
+    async def ask(self, data: bytes, timeout_s: float) -> tuple[int, bytes, bool]:
+        """Send a request; return its answer's status and body, and whether the connection can be reused.
+
+        Raises `NoAnswerError`.
+        """
         assert self.transport is not None
         self.status, self.body = 0, b""
         self.answer = asyncio.get_running_loop().create_future()
         self.transport.write(data)
         try:
-            async with asyncio.timeout(most_s):
+            async with asyncio.timeout(timeout_s):
                 return await self.answer
         except TimeoutError:
-            raise NoAnswerError(f"none within {most_s:.1f} s") from None
+            raise NoAnswerError(f"no answer within {timeout_s:.1f} s") from None
 
 
 class Callers:
-    """Web servers before one node: connections that are kept between requests."""
+    """The web servers in front of one node, as a pool of connections that are kept between requests."""
 
-    def __init__(self, place: Address) -> None:
-        self.place = place
-        self.idle: list[AjpLine] = []
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        self.idle: list[AjpConnection] = []
 
-    async def ask(self, host: str, most_s: float, stray: Callable[[], None]) -> tuple[int, str]:
-        """Send a request of a tenant; return status and worker.
+    async def ask(self, host: str, timeout_s: float, on_stray: Callable[[], None]) -> tuple[int, str]:
+        """Send a request for a tenant's host; return the status and the worker that answered.
 
         Raises `NoAnswerError` and `NodeUnreachableError`.
         """
-        line = None
-        while self.idle and (line is None or not line.usable):
-            line = self.idle.pop()
-        if line is None or not line.usable:
+        connection = None
+        while self.idle and (connection is None or not connection.usable):
+            connection = self.idle.pop()
+        if connection is None or not connection.usable:
             try:
-                async with asyncio.timeout(most_s):
-                    _, line = await asyncio.get_running_loop().create_connection(
-                        lambda: AjpLine(stray), *self.place
+                async with asyncio.timeout(timeout_s):
+                    _, connection = await asyncio.get_running_loop().create_connection(
+                        lambda: AjpConnection(on_stray), *self.address
                     )
             except (OSError, TimeoutError) as error:
                 raise NodeUnreachableError(str(error)) from None
-        line.stray = stray
+        connection.on_stray = on_stray
         try:
-            status, body, reuse = await line.ask(
-                ajp13.write_forward(ajp13.ForwardedRequest(uri="/look", server_name=host)), most_s
+            status, body, reuse = await connection.ask(
+                ajp13.write_forward(ajp13.ForwardedRequest(uri="/look", server_name=host)), timeout_s
             )
         except NoAnswerError:
-            self.end(line)
+            self.close_connection(connection)
             raise
         if reuse:
-            self.idle.append(line)
+            self.idle.append(connection)
         else:
-            self.end(line)
+            self.close_connection(connection)
         return status, body.decode() if status == 200 else ""
 
     @staticmethod
-    def end(line: AjpLine) -> None:
+    def close_connection(connection: AjpConnection) -> None:
         """Close a connection."""
-        if line.transport is not None:
-            line.transport.close()
+        if connection.transport is not None:
+            connection.transport.close()
 
     def close(self) -> None:
-        """Close what is idle."""
-        for line in self.idle:
-            self.end(line)
+        """Close the idle connections."""
+        for connection in self.idle:
+            self.close_connection(connection)
         self.idle.clear()
 
 
 class NamedWorker(StandIn):
-    """A worker whose answers tell its name."""
+    """A stand-in worker whose answers contain its name."""
 
     def __init__(self, name: str, service_ms: float) -> None:
         super().__init__(Worker(("127.0.0.1", 0), 1000, service_ms))
--- a/tests/test_live_changes.py
+++ b/tests/test_live_changes.py
@@ -1,4 +1,4 @@
-"""Changes while nodes are killed: the books catch what is planted, and processes break no rule of theirs."""
+"""Changes while nodes are killed: the checker finds planted violations, and real processes commit none."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,32 +9,32 @@
 from reelusher.codecs import ajp13
 from reelusher.lab.capacity import fill
 from reelusher.lab.capacity.books import ACTIVE, SUSPENDED, Books, Row, answers_for
-from reelusher.lab.capacity.live import Proof, Rig, percentiles, play, revision_of
+from reelusher.lab.capacity.live import FaultRun, FaultRunPlan, percentiles, revision_of, run_plan
 from reelusher.lab.capacity.wires import Callers, NoAnswerError, NodeUnreachableError
 
 FIRST, SECOND, THIRD = (1, ACTIVE), (2, ACTIVE), (3, ACTIVE)
 
 
-def made(*rows: Row, name: str = "t") -> Books:
-    """Return books of a tenant that had these rows, a second apart."""
-    books = Books()
+def checker_of(*rows: Row, name: str = "t") -> Books:
+    """Return a checker with the history of one tenant that had these rows, one second apart."""
+    checker = Books()
     for number, row in enumerate(rows):
-        books.begin(name, "put", row, float(number)).out = True
-        books.note_acked(name, (1, number + 1), number + 0.5)
-    return books
+        checker.begin(name, "put", row, float(number)).out = True
+        checker.note_acked(name, (1, number + 1), number + 0.5)
+    return checker
 
 
-def look(books: Books, row: Row, node: str = "n1", now: float = 10.0) -> None:
-    books.note_row(node, "t", row, books.floor(node, "t"), now)
+def observe_row(checker: Books, row: Row, node: str = "n1", now: float = 10.0) -> None:
+    checker.note_row(node, "t", row, checker.floor(node, "t"), now)
 
 
-def answer(books: Books, row: Row, node: str = "n1", now: float = 10.0) -> None:
-    books.note_answer(node, "t", *answers_for(row), books.floor(node, "t"), now, now - 0.1)
+def observe_answer(checker: Books, row: Row, node: str = "n1", now: float = 10.0) -> None:
+    checker.note_answer(node, "t", *answers_for(row), checker.floor(node, "t"), now, now - 0.1)
 
 
-@pytest.mark.parametrize("note", [look, answer])
+@pytest.mark.parametrize("observe", [observe_row, observe_answer])
 @pytest.mark.parametrize(
-    ("shown", "breaks"),
+    ("shown", "violates"),
     [
         ((FIRST, SECOND, THIRD), False),
         ((None, THIRD), False),
@@ -45,105 +45,105 @@
         (((7, ACTIVE),), True),
     ],
 )
-def test_a_node_shows_the_old_or_the_new_row_and_never_goes_back(
-    note: Callable[..., None], shown: tuple[Row, ...], breaks: bool
+def test_node_may_show_the_old_or_the_new_row_but_no_earlier_one(
+    observe: Callable[..., None], shown: tuple[Row, ...], violates: bool
 ) -> None:
-    books = made(FIRST, SECOND, THIRD)
+    checker = checker_of(FIRST, SECOND, THIRD)
     for row in shown:
-        note(books, row)
-    # a request's answer tells rows apart by the worker, and five rows on it is the same one again
-    told = breaks and not (note is answer and shown == ((7, ACTIVE),))
-    assert bool(books.broken) is told, books.broken
+        observe(checker, row)
+    # An answer identifies a row only by its worker, and five rows later that is the same worker again.
+    expected = violates and not (observe is observe_answer and shown == ((7, ACTIVE),))
+    assert bool(checker.broken) is expected, checker.broken
 
 
-def test_what_was_asked_for_before_a_node_went_on_may_still_show_what_stood_then() -> None:
-    books = made(FIRST, SECOND)
-    floor = books.floor("n1", "t")
-    look(books, SECOND)
-    books.note_row("n1", "t", FIRST, floor, 10.1)
-    assert books.broken == []
-    look(books, FIRST)
-    assert len(books.broken) == 1
+def test_request_sent_before_a_node_advanced_may_show_the_earlier_row() -> None:
+    checker = checker_of(FIRST, SECOND)
+    floor = checker.floor("n1", "t")
+    observe_row(checker, SECOND)
+    checker.note_row("n1", "t", FIRST, floor, 10.1)
+    assert checker.broken == []
+    observe_row(checker, FIRST)
+    assert len(checker.broken) == 1
 
 
-def test_a_refused_change_shows_nowhere_and_an_open_one_may_show_or_not() -> None:
-    for status, breaks in ((503, True), (0, False)):
-        books = made(FIRST)
-        books.begin("t", "put", SECOND, 5.0).out = True
-        (books.note_doubtful if not status else books.note_refused)("t", status)
-        look(books, SECOND)
-        assert bool(books.broken) is breaks, books.broken
+def test_rejected_change_must_not_be_shown_and_a_change_without_definite_answer_may_be() -> None:
+    for status, violates in ((503, True), (0, False)):
+        checker = checker_of(FIRST)
+        checker.begin("t", "put", SECOND, 5.0).out = True
+        (checker.note_doubtful if not status else checker.note_refused)("t", status)
+        observe_row(checker, SECOND)
+        assert bool(checker.broken) is violates, checker.broken
 
 
-def test_a_change_that_is_found_made_must_have_had_a_try_whose_outcome_was_open() -> None:
+def test_change_found_already_made_requires_an_earlier_attempt_without_definite_answer() -> None:
     for doubtful in (True, False):
-        books = made(FIRST)
-        books.begin("t", "put", SECOND, 5.0).out = True
+        checker = checker_of(FIRST)
+        checker.begin("t", "put", SECOND, 5.0).out = True
         if doubtful:
-            books.note_doubtful("t", 0)
+            checker.note_doubtful("t", 0)
         else:
-            books.note_refused("t", 503)
-        books.note_made_before("t", 412)
-        assert bool(books.broken) is not doubtful
-
-
-def test_a_removed_tenant_is_gone_and_one_on_its_way_out_tells_nothing() -> None:
-    books = made(FIRST, None)
-    look(books, (1, "draining"))
-    look(books, None)
-    answer(books, None)
-    assert books.broken == []
-    books = made(FIRST, (1, SUSPENDED), None)
-    books.settles("n1", {}, 11.0)
-    answer(books, FIRST)
-    assert len(books.broken) == 1
-
-
-def test_the_end_tells_of_lost_changes_older_revisions_and_changes_without_an_answer() -> None:
-    books = made(FIRST, SECOND)
-    books.close({"n1": {"t": SECOND}}, {"n1": {"t": (1, 2)}})
-    assert books.broken == []
-    books.close({"n1": {"t": FIRST}, "n2": {}}, {"n1": {"t": (1, 1)}, "n2": {}})
-    assert len(books.broken) == 4
-    books = made(FIRST)
-    books.begin("t", "delete", None, 5.0)
-    books.close({}, {})
-    assert books.broken == ["t: delete never had a definite answer"]
-
-
-def test_a_revision_that_does_not_go_on_is_told() -> None:
-    books = made(FIRST, SECOND)
-    books.begin("t", "put", THIRD, 5.0)
-    books.note_acked("t", (1, 2), 5.1)
-    assert len(books.broken) == 1
-
-
-def test_an_answer_that_stays_out_is_told_unless_its_node_was_away() -> None:
-    books = made(FIRST)
-    books.note_away("n1", 5.0)
-    books.note_lost("n1", "t", 4.9, 5.1, "closed")
-    books.note_back("n1", 6.0)
-    assert books.broken == []
-    assert books.counts["unanswered_excused"] == 1
-    books.note_lost("n1", "t", 6.1, 7.0, "closed")
-    books.note_twice("n1", "t")
-    assert len(books.broken) == 2
-
-
-def test_the_time_until_a_change_is_everywhere_counts_those_that_were_there_all_along() -> None:
-    books = made(FIRST)
+            checker.note_refused("t", 503)
+        checker.note_made_before("t", 412)
+        assert bool(checker.broken) is not doubtful
+
+
+def test_deleted_tenant_must_not_be_served_and_a_draining_one_is_ignored() -> None:
+    checker = checker_of(FIRST, None)
+    observe_row(checker, (1, "draining"))
+    observe_row(checker, None)
+    observe_answer(checker, None)
+    assert checker.broken == []
+    checker = checker_of(FIRST, (1, SUSPENDED), None)
+    checker.settles("n1", {}, 11.0)
+    observe_answer(checker, FIRST)
+    assert len(checker.broken) == 1
+
+
+def test_final_check_reports_lost_changes_older_revisions_and_changes_without_an_answer() -> None:
+    checker = checker_of(FIRST, SECOND)
+    checker.close({"n1": {"t": SECOND}}, {"n1": {"t": (1, 2)}})
+    assert checker.broken == []
+    checker.close({"n1": {"t": FIRST}, "n2": {}}, {"n1": {"t": (1, 1)}, "n2": {}})
+    assert len(checker.broken) == 4
+    checker = checker_of(FIRST)
+    checker.begin("t", "delete", None, 5.0)
+    checker.close({}, {})
+    assert checker.broken == ["t: delete never had a definite answer"]
+
+
+def test_revision_that_does_not_increase_is_reported() -> None:
+    checker = checker_of(FIRST, SECOND)
+    checker.begin("t", "put", THIRD, 5.0)
+    checker.note_acked("t", (1, 2), 5.1)
+    assert len(checker.broken) == 1
+
+
+def test_missing_answer_is_reported_unless_its_node_was_down() -> None:
+    checker = checker_of(FIRST)
+    checker.note_away("n1", 5.0)
+    checker.note_lost("n1", "t", 4.9, 5.1, "closed")
+    checker.note_back("n1", 6.0)
+    assert checker.broken == []
+    assert checker.counts["unanswered_excused"] == 1
+    checker.note_lost("n1", "t", 6.1, 7.0, "closed")
+    checker.note_twice("n1", "t")
+    assert len(checker.broken) == 2
+
+
+def test_time_until_a_change_is_on_all_nodes_leaves_out_nodes_that_were_down_or_cut_off() -> None:
+    checker = checker_of(FIRST)
     for node, at_s in (("n1", 0.7), ("n2", 1.5), ("n3", 9.5)):
-        look(books, FIRST, node, at_s)
-    books.note_away("n3", 3.0)
-    books.note_back("n3", 9.0)
-    assert books.in_force(["n1", "n2", "n3"], {"t": "n1"}) == {"calm": [1.0], "writer_away": []}
-    assert books.in_force(["n1", "n2", "n3"], {"t": "n3"}) == {"calm": [1.0], "writer_away": []}
-    books.note_cut(["n1"], 1.2, True)
-    books.note_cut(["n1"], 1.3, False)
-    assert books.in_force(["n1", "n2", "n3"], {"t": "n1"}) == {"calm": [], "writer_away": [1.0]}
+        observe_row(checker, FIRST, node, at_s)
+    checker.note_away("n3", 3.0)
+    checker.note_back("n3", 9.0)
+    assert checker.in_force(["n1", "n2", "n3"], {"t": "n1"}) == {"calm": [1.0], "writer_away": []}
+    assert checker.in_force(["n1", "n2", "n3"], {"t": "n3"}) == {"calm": [1.0], "writer_away": []}
+    checker.note_cut(["n1"], 1.2, True)
+    checker.note_cut(["n1"], 1.3, False)
+    assert checker.in_force(["n1", "n2", "n3"], {"t": "n1"}) == {"calm": [], "writer_away": [1.0]}
 
 
-def test_a_revision_is_read_from_an_entity_tag_with_an_epoch_or_without() -> None:
+def test_revision_is_read_from_an_entity_tag_with_or_without_an_epoch() -> None:
     assert revision_of({"etag": '"3.14"'}) == (3, 14)
     assert revision_of({"etag": '"14"'}) == (0, 14)
     assert revision_of({}) is None
@@ -156,17 +156,19 @@
     }
 
 
-def test_a_caller_notes_more_than_one_answer_and_an_answer_that_stays_out() -> None:
-    whole = ajp13.write_response(ajp13.ResponseHead(200, "OK"), b"w1", True, ajp13.DEFAULT_PACKET_BYTES)
+def test_caller_reports_a_second_answer_and_a_missing_one() -> None:
+    answer_packets = ajp13.write_response(
+        ajp13.ResponseHead(200, "OK"), b"w1", True, ajp13.DEFAULT_PACKET_BYTES
+    )
     strays: list[str] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        for sends in (whole, whole + whole, b""):
+        for packets in (answer_packets, answer_packets + answer_packets, b""):
             await reader.read(1 << 16)
-            writer.write(sends)
+            writer.write(packets)
         writer.close()
 
-    async def work() -> None:
+    async def check_caller() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         callers = Callers(server.sockets[0].getsockname())
         assert await callers.ask("t", 5.0, lambda: strays.append("first")) == (200, "w1")
@@ -179,45 +181,54 @@
         server.close()
         callers.close()
         with pytest.raises(NodeUnreachableError):
-            await Callers(callers.place).ask("t", 5.0, lambda: None)
+            await Callers(callers.address).ask("t", 5.0, lambda: None)
 
-    asyncio.run(asyncio.wait_for(work(), 20))
+    asyncio.run(asyncio.wait_for(check_caller(), 20))
     assert strays == ["second"]
 
 
 # Real processes
 
 
-def test_eight_nodes_lose_no_change_while_they_are_killed_stopped_and_cut_off(tmp_path: Path) -> None:
-    rig = play(Proof(nodes=8, kills=20, tenants=16, rate=40), tmp_path)
-    assert rig.books.broken == []
-    assert rig.broke["kills"] == 20
-    assert rig.broke["kills_of_writers"] >= 8
-    assert rig.broke["stops"]
-    assert rig.broke["restarts"]
-    assert rig.broke["cuts"]
-    assert rig.broke["copies_lost"]
-    assert rig.books.counts["changes_acked"] > 50
-    assert rig.books.counts["answers_200"] > 100
+def test_eight_nodes_lose_no_change_while_they_are_killed_paused_and_cut_off(tmp_path: Path) -> None:
+    run = run_plan(FaultRunPlan(nodes=8, kills=20, tenants=16, requests_per_s=40), tmp_path)
+    assert run.checker.broken == []
+    assert run.fault_counts["kills"] == 20
+    assert run.fault_counts["kills_of_writers"] >= 8
+    assert run.fault_counts["stops"]
+    assert run.fault_counts["restarts"]
+    assert run.fault_counts["cuts"]
+    assert run.fault_counts["copies_lost"]
+    assert run.checker.counts["changes_acked"] > 50
+    assert run.checker.counts["answers_200"] > 100
 
 
 @pytest.mark.parametrize("parts", [1, 3])
-def test_hollow_members_join_real_nodes_and_have_every_change_in_the_end(tmp_path: Path, parts: int) -> None:
-    """Whether one process holds all of them or several a part each."""
-    rig = play(Proof(nodes=3, kills=0, hollow=40, hollow_parts=parts, tenants=6, rate=10), tmp_path)
-    assert rig.books.broken == []
-    assert rig.figures["hollow"]["right"] == 40
-
-
-def test_a_node_that_serves_gets_a_whole_table_and_its_callers_get_all_answers(tmp_path: Path) -> None:
+def test_simulated_members_join_real_nodes_and_have_every_change_at_the_end(
+    tmp_path: Path, parts: int
+) -> None:
+    """One process runs all simulated members, or each of several runs a shard of them."""
+    run = run_plan(
+        FaultRunPlan(
+            nodes=3, kills=0, simulated_members=40, member_process_count=parts, tenants=6, requests_per_s=10
+        ),
+        tmp_path,
+    )
+    assert run.checker.broken == []
+    assert run.figures["hollow"]["right"] == 40
+
+
+def test_node_under_load_receives_a_large_table_and_answers_all_requests(tmp_path: Path) -> None:
     figures = fill.play(5000, 50.0, 2.0, tmp_path, 60.0)
     assert figures["broken"] == []
     assert figures["during_answers"] > 10
     assert not [name for name in figures if "unanswered" in name or name == "twice"], figures
 
 
-def test_a_node_with_a_journal_loses_no_change_when_it_is_killed(tmp_path: Path) -> None:
-    rig: Rig = play(Proof(nodes=1, kills=5, tenants=4, rate=20, replicated=False), tmp_path)
-    assert rig.books.broken == []
-    assert rig.broke["kills"] == 5
-    assert rig.books.counts["changes_acked"] >= 8
+def test_node_with_a_journal_loses_no_change_when_it_is_killed(tmp_path: Path) -> None:
+    run: FaultRun = run_plan(
+        FaultRunPlan(nodes=1, kills=5, tenants=4, requests_per_s=20, replicated=False), tmp_path
+    )
+    assert run.checker.broken == []
+    assert run.fault_counts["kills"] == 5
+    assert run.checker.counts["changes_acked"] >= 8
