--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: descriptors, threads, bytes and processor time each, idle ones of a hosted node."""
+"""Scale tests of callers' connections: what an idle one costs a hosted node, and how many a node can hold."""
 
 import tempfile
 import time
@@ -12,39 +12,39 @@
 from reelusher.net.sockets import connect
 from reelusher.node import Node
 
-SECONDS = 5.0
+MEASURED_S = 5.0
 
 
-def idle(size: int) -> Figures:
-    """Measure a node with so many connections that have asked once and wait."""
+def measure_idle_connections(size: int) -> Figures:
+    """Measure a node with `size` connections that have sent one CPing each and are idle since."""
     with tempfile.TemporaryDirectory() as name:
-        file = site.value(10, [("127.0.0.1", 1)], sockets=8192)
-        with site.hosted(file, Path(name)) as made:
-            pid, before = made.process.pid, site.status_of(made.process.pid)
+        operator_file = site.value(10, [("127.0.0.1", 1)], sockets=8192)
+        with site.hosted(operator_file, Path(name)) as hosted:
+            pid, status_before = hosted.process.pid, site.status_of(hosted.process.pid)
             socks = []
             for _ in range(size):
-                sock = connect(made.ajp, 10.0)
+                sock = connect(hosted.ajp, 10.0)
                 sock.settimeout(10.0)
                 sock.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
                 require(sock.recv(16), "no CPong")
                 socks.append(sock)
             time.sleep(1.0)
-            after, took = site.status_of(pid), site.processor_s(pid)
-            began = time.monotonic()
-            time.sleep(SECONDS)
-            core = (site.processor_s(pid) - took) / (time.monotonic() - began)
+            status_after, processor_before_s = site.status_of(pid), site.processor_s(pid)
+            began_s = time.monotonic()
+            time.sleep(MEASURED_S)
+            core = (site.processor_s(pid) - processor_before_s) / (time.monotonic() - began_s)
             for sock in socks:
                 sock.close()
     return {
-        "descriptors_each": (after["descriptors"] - before["descriptors"]) / size,
-        "threads_each": (after["threads"] - before["threads"]) / size,
-        "bytes_each": (after["resident"] - before["resident"]) / size,
+        "descriptors_each": (status_after["descriptors"] - status_before["descriptors"]) / size,
+        "threads_each": (status_after["threads"] - status_before["threads"]) / size,
+        "bytes_each": (status_after["resident"] - status_before["resident"]) / size,
         "core": core,
     }
 
 
-def left(size: int) -> Figures:
-    """Count the connections that callers are left of 65,536 descriptors, beside so many workers."""
+def count_connections_left(size: int) -> Figures:
+    """Return how many connections of callers 65,536 descriptors allow beside those for `size` workers."""
     node = Node(site.config(1, size, sockets=65_536))
     node.close()
     return {"connections_left": float(max_caller_connections(node.config))}
@@ -57,7 +57,7 @@
         size_unit="connections",
         sizes=(100, 200, 400, 800),
         quick=(20,),
-        measure=idle,
+        measure=measure_idle_connections,
         repeats=3,
         cheap=False,
         target=10_000,
@@ -69,7 +69,7 @@
         "connections that callers are left of 65,536 descriptors",
         sizes=(500, 1000, 2000, 4000),
         quick=(10, 20, 40, 80),
-        measure=left,
+        measure=count_connections_left,
         repeats=1,
         units={"connections_left": ""},
         notes=("16 connections are kept for each worker",),
--- a/reelusher/lab/capacity/copy.py
+++ b/reelusher/lab/capacity/copy.py
@@ -1,4 +1,4 @@
-"""The local copy of the replicated table: filling and opening it, a look-up, a change, memory."""
+"""Scale tests of the local replica of the tenant table: filling, opening, a look-up, a change, memory."""
 
 import multiprocessing
 import tempfile
@@ -20,107 +20,111 @@
 from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
 
 FLEET, CONTROL = "reelusher", ("control-1", "control-2")
-PIECE = 200  # entries that are taken at once
-LOOKS = 200
+SEGMENT_ENTRIES = 200  # entries that are applied in one transaction
+LOOKUPS = 200
 _processes = multiprocessing.get_context("spawn")
 
 
-def entries(size: int, control: tuple[str, ...], workers: int = 1) -> Iterator[tuple[str, list[LogEntry]]]:
-    """Yield the entries of so many tenants, by stream, in pieces of ascending numbers."""
-    pieces: dict[str, list[LogEntry]] = {stream: [] for stream in control}
-    numbers = dict.fromkeys(control, 0)
-    for number in range(size):
-        told = site.tenant(number, f"worker-{number % workers}")
-        stream = partition_of(told["name"], control)
-        numbers[stream] += 1
-        pieces[stream].append(
+def log_segments(
+    size: int, control: tuple[str, ...], workers: int = 1
+) -> Iterator[tuple[str, list[LogEntry]]]:
+    """Yield the log entries of `size` tenants, in segments of one partition with ascending indexes."""
+    segments: dict[str, list[LogEntry]] = {partition: [] for partition in control}
+    last_indexes = dict.fromkeys(control, 0)
+    for tenant_number in range(size):
+        tenant = site.tenant(tenant_number, f"worker-{tenant_number % workers}")
+        partition = partition_of(tenant["name"], control)
+        last_indexes[partition] += 1
+        segments[partition].append(
             LogEntry(
-                numbers[stream],
-                told["name"],
+                last_indexes[partition],
+                tenant["name"],
                 1_700_000_000_000,
                 "operator",
                 "active",
-                msgspec.json.encode(told),
+                msgspec.json.encode(tenant),
                 "",
-                first_term(stream, control),
+                first_term(partition, control),
             )
         )
-        if len(pieces[stream]) == PIECE:
-            yield stream, pieces[stream]
-            pieces[stream] = []
-    yield from ((stream, piece) for stream, piece in pieces.items() if piece)
+        if len(segments[partition]) == SEGMENT_ENTRIES:
+            yield partition, segments[partition]
+            segments[partition] = []
+    yield from ((partition, segment) for partition, segment in segments.items() if segment)
 
 
-def filled(
+def fill_replica(
     path: Path, size: int, fleet: str = FLEET, control: tuple[str, ...] = CONTROL, workers: int = 1
 ) -> None:
-    """Fill a copy as a fresh machine does, in pieces that are not synced one by one."""
+    """Fill a replica as a fresh machine does, in transactions that are not synced one by one."""
     control = sorted_control(control)
-    copy = SqliteReplica(path, fleet, control)
-    for stream, piece in entries(size, control, workers):
-        upto = piece[-1].index
-        state = PartitionState(first_term(stream, control), upto, covered=upto, goal=upto)
-        copy.apply(stream, piece, state, durable=False)
-    copy.close()
+    replica = SqliteReplica(path, fleet, control)
+    for partition, segment in log_segments(size, control, workers):
+        last_index = segment[-1].index
+        state = PartitionState(
+            first_term(partition, control), last_index, covered=last_index, goal=last_index
+        )
+        replica.apply(partition, segment, state, durable=False)
+    replica.close()
 
 
-def _resident() -> int:
+def _resident_bytes() -> int:
     return site.status_of(multiprocessing.current_process().pid or 0)["resident"]
 
 
-def _filled(size: int, folder: str) -> Figures:
+def _measure_fill(size: int, folder: str) -> Figures:
     path = Path(folder) / "tenants.db"
-    began = time.monotonic()
-    filled(path, size)
-    fill_s = time.monotonic() - began
+    began_s = time.monotonic()
+    fill_replica(path, size)
+    fill_s = time.monotonic() - began_s
     return {
         "fill_s": fill_s,
-        "file_mb": sum(one.stat().st_size for one in path.parent.glob("tenants.db*")) / 1e6,
+        "file_mb": sum(file.stat().st_size for file in path.parent.glob("tenants.db*")) / 1e6,
     }
 
 
-def _opened(size: int, folder: str, pipe: Any) -> None:
+def _measure_open_replica(size: int, folder: str, pipe: Any) -> None:
     path = Path(folder) / "tenants.db"
-    before, began = _resident(), time.monotonic()
-    copy = SqliteReplica(path, FLEET, CONTROL)
-    open_ms = (time.monotonic() - began) * 1000
-    require(copy.count() == size, "rows are lost")
+    before, began_s = _resident_bytes(), time.monotonic()
+    replica = SqliteReplica(path, FLEET, CONTROL)
+    open_ms = (time.monotonic() - began_s) * 1000
+    require(replica.count() == size, "rows are lost")
     random, control = Random(1), sorted_control(CONTROL)
-    numbers = [random.randrange(size) for _ in range(LOOKS)]
+    numbers = [random.randrange(size) for _ in range(LOOKUPS)]
 
-    def look() -> None:
+    def look_up() -> None:
         for number in numbers:
-            require(copy.match(f"tenant-{number}.example", "/visits/1"))
+            require(replica.match(f"tenant-{number}.example", "/visits/1"))
 
     def change() -> None:
-        told = site.tenant(random.randrange(size)) | {"max_open": random.randrange(1, 1000)}
-        stream = partition_of(told["name"], control)
-        state = copy.states()[stream]
-        number = state.index + 1
-        copy.apply(
-            stream,
+        tenant = site.tenant(random.randrange(size)) | {"max_open": random.randrange(1, 1000)}
+        partition = partition_of(tenant["name"], control)
+        state = replica.states()[partition]
+        log_index = state.index + 1
+        replica.apply(
+            partition,
             [
                 LogEntry(
-                    number,
-                    told["name"],
+                    log_index,
+                    tenant["name"],
                     1_700_000_000_000,
                     "operator",
                     "active",
-                    msgspec.json.encode(told),
+                    msgspec.json.encode(tenant),
                     "",
                     state.term,
                 )
             ],
-            PartitionState(state.term, number, covered=number, goal=number),
+            PartitionState(state.term, log_index, covered=log_index, goal=log_index),
         )
 
-    match_us = cpu_us_per_call(look) / LOOKS
-    began = time.monotonic()
-    for _ in range(LOOKS):
+    match_us = cpu_us_per_call(look_up) / LOOKUPS
+    began_s = time.monotonic()
+    for _ in range(LOOKUPS):
         change()
-    change_us = (time.monotonic() - began) / LOOKS * 1e6
-    after = _resident()
-    copy.close()
+    change_us = (time.monotonic() - began_s) / LOOKUPS * 1e6
+    after = _resident_bytes()
+    replica.close()
     pipe.send(
         {
             "open_ms": open_ms,
@@ -131,25 +135,25 @@
     )
 
 
-def _apart(work: Callable[..., None], *given: Any) -> Figures:
-    """Do something in a process of its own and return what it tells."""
+def _run_in_process(function: Callable[..., None], *arguments: Any) -> Figures:
+    """Run a function in a process of its own and return the figures that it sends. Raises RuntimeError."""
     ours, theirs = _processes.Pipe()
-    process = _processes.Process(target=work, args=(*given, theirs), daemon=True)
+    process = _processes.Process(target=function, args=(*arguments, theirs), daemon=True)
     process.start()
     theirs.close()
     try:
-        told: Figures = ours.recv()
+        figures: Figures = ours.recv()
     except EOFError:
-        raise RuntimeError("the process ended without a word") from None
+        raise RuntimeError("the process ended without a result") from None
     finally:
         process.join()
-    return told
+    return figures
 
 
-def copies(size: int) -> Figures:
-    """Measure a copy of so many rows: filled here, opened and used in a process of its own."""
+def measure_replica(size: int) -> Figures:
+    """Measure a replica of `size` rows: filled in this process, opened and used in one of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return _filled(size, folder) | _apart(_opened, size, folder)
+        return _measure_fill(size, folder) | _run_in_process(_measure_open_replica, size, folder)
 
 
 SCALES = [
@@ -158,7 +162,7 @@
         "the local copy of the table on disk, two writers' streams",
         sizes=(1000, 10_000, 60_000, 260_000),
         quick=(10, 20, 30, 40),
-        measure=copies,
+        measure=measure_replica,
         repeats=2,
         units={
             "fill_s": "s",
--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -1,4 +1,4 @@
-"""Plays a scale test and keeps what came of it: sizes, repeats, figures, the machine's load, fits."""
+"""Runs scale tests and stores their results: sizes, repeats, figures, the machine's load and fits."""
 
 import json
 import os
@@ -18,65 +18,69 @@
 
 @dataclass(slots=True, frozen=True)
 class Scale:
-    """One scale test: what it measures at one size, and at which sizes it is played."""
+    """One scale test: the function that measures one size, the sizes, and how the result is described."""
 
     name: str
-    title: str
+    title: str  # what is measured
     size_unit: str  # what the sizes count
     sizes: tuple[int, ...]
-    quick: tuple[int, ...]  # sizes of a play that only shows that it works
-    units: dict[str, str]  # of each figure that `measure` returns
+    quick: tuple[int, ...]  # sizes of a short run that only checks that the test works
+    units: dict[str, str]  # by name of the figures that `measure` returns
     measure: Callable[[int], Figures]
     repeats: int = 3
-    target: float = 0.0  # the operators' size; 0: there is none
-    cheap: bool = True  # it starts no process and is over in seconds, so that CI plays it
-    notes: tuple[str, ...] = field(default=())  # what its figures leave out
+    target: float = 0.0  # size that the operators expect; 0: none
+    cheap: bool = True  # starts no process and takes seconds, so that CI can run it
+    notes: tuple[str, ...] = field(default=())  # remarks on the figures
 
 
 def load_average() -> float:
-    """Return the mean number of processes that ran or wanted to in the last minute, the whole machine's."""
+    """Return the machine's load average over the last minute."""
     return round(os.getloadavg()[0], 2)
 
 
 def machine() -> dict[str, Any]:
-    """Return the machine in general terms."""
+    """Return the number of cores, the version of Python, and whether assertions are off."""
     return {"cores": os.cpu_count() or 0, "python": platform.python_version(), "optimised": not __debug__}
 
 
 def play(
-    scale: Scale, sizes: Sequence[int] = (), repeats: int = 0, tell: Callable[[str], None] = lambda line: None
+    scale: Scale,
+    sizes: Sequence[int] = (),
+    repeats: int = 0,
+    log_line: Callable[[str], None] = lambda line: None,
 ) -> dict[str, Any]:
-    """Play a scale test and return what is kept of it. Repeats are rounds over all sizes.
+    """Run a scale test and return its result as it is stored.
 
-    So a minute in which the machine has something else to do falls on all sizes and not on one.
+    Each repeat is a round over all sizes, so that a minute in which the machine is busy with something else
+    affects all sizes and not only one. `log_line` gets a line about each measurement.
     """
     sizes = tuple(sizes) or scale.sizes
     repeats = repeats or scale.repeats
-    came: dict[int, list[Figures]] = {size: [] for size in sizes}
+    measured: dict[int, list[Figures]] = {size: [] for size in sizes}
     loads: dict[int, list[float]] = {size: [] for size in sizes}
     for _ in range(repeats):
         for size in sizes:
-            began = time.monotonic()
+            began_s = time.monotonic()
             loads[size].append(load_average())
-            came[size].append(scale.measure(size))
-            tell(
-                f"{scale.name} {size}: {_told(came[size][-1], scale.units)} "
-                f"({time.monotonic() - began:.1f} s, load {loads[size][-1]})"
+            measured[size].append(scale.measure(size))
+            log_line(
+                f"{scale.name} {size}: {_format_figures(measured[size][-1], scale.units)} "
+                f"({time.monotonic() - began_s:.1f} s, load {loads[size][-1]})"
             )
     figures: dict[str, dict[str, Any]] = {}
     for name, unit in scale.units.items():
-        series = [[one[name] for one in came[size]] for size in sizes]
-        middle = [_short(median(values)) for values in series]
+        series = [[figures_of_size[name] for figures_of_size in measured[size]] for size in sizes]
+        medians = [_rounded(median(values)) for values in series]
         figures[name] = {
             "unit": unit,
-            "median": middle,
-            "least": [_short(min(one)) for one in series],
-            "most": [_short(max(one)) for one in series],
+            "median": medians,
+            "least": [_rounded(min(samples)) for samples in series],
+            "most": [_rounded(max(samples)) for samples in series],
         }
         if len(sizes) >= 4:
-            figures[name]["fit"] = fit(sizes, middle).to_json()
-    others = "" if sizes == scale.sizes else f" --sizes {','.join(map(str, sizes))}"
-    command = f"python -O -m reelusher.lab.capacity {scale.name}{others}"
+            figures[name]["fit"] = fit(sizes, medians).to_json()
+    other_sizes = "" if sizes == scale.sizes else f" --sizes {','.join(map(str, sizes))}"
+    command = f"python -O -m reelusher.lab.capacity {scale.name}{other_sizes}"
     return {
         "name": scale.name,
         "what": scale.title,
@@ -92,48 +96,51 @@
     }
 
 
-def _short(value: float) -> float:
+def _rounded(value: float) -> float:
     return float(f"{value:.4g}")
 
 
-def _told(figures: Figures, units: dict[str, str]) -> str:
+def _format_figures(figures: Figures, units: dict[str, str]) -> str:
     return ", ".join(f"{name} {value:.4g} {units[name]}".strip() for name, value in figures.items())
 
 
-def fit_of(made: dict[str, Any], figure: str) -> Fit | None:
-    """Return the fit that is kept of a figure; None where there were too few sizes."""
-    kept = made["figures"][figure].get("fit")
-    return Fit(**kept) if kept else None
+def fit_of(result: dict[str, Any], figure: str) -> Fit | None:
+    """Return the stored fit of a figure; None if there were too few sizes for one."""
+    fit_fields = result["figures"][figure].get("fit")
+    return Fit(**fit_fields) if fit_fields else None
 
 
-def write(made: dict[str, Any], folder: Path = FOLDER) -> Path:
-    """Keep what came of a play."""
-    path = folder / f"{made['name']}.json"
-    path.write_text(json.dumps(made, indent=1) + "\n")
+def write(result: dict[str, Any], folder: Path = FOLDER) -> Path:
+    """Store a result as a JSON file named after its test; return the path."""
+    path = folder / f"{result['name']}.json"
+    path.write_text(json.dumps(result, indent=1) + "\n")
     return path
 
 
 def read_all(folder: Path = FOLDER) -> dict[str, dict[str, Any]]:
-    """Return what is kept, by name."""
-    found = [json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))]
-    return {made["name"]: made for made in found}
+    """Return the stored results by name."""
+    results = [json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))]
+    return {result["name"]: result for result in results}
 
 
-def require(value: T | None, what: str = "what is measured is not there") -> T:
-    """Return what must be there; raise RuntimeError where it is not, also where assertions are off."""
+def require(value: T | None, message: str = "what is measured is not there") -> T:
+    """Return a value that must be truthy; raise RuntimeError if it is not, even with assertions off."""
     if not value:
-        raise RuntimeError(what)
+        raise RuntimeError(message)
     return value
 
 
-def cpu_us_per_call(work: Callable[[], object], least_s: float = 0.03) -> float:
-    """Return the microseconds of processor time that something takes, done again until it counts."""
-    count, took = 1, 0.0
+def cpu_us_per_call(function: Callable[[], object], min_total_s: float = 0.03) -> float:
+    """Return the processor time of one call in microseconds.
+
+    The call is repeated until all repeats together take `min_total_s`, which the clock can measure.
+    """
+    count, total_s = 1, 0.0
     while True:
-        began = time.process_time()
+        began_s = time.process_time()
         for _ in range(count):
-            work()
-        took = time.process_time() - began
-        if took >= least_s:
-            return took / count * 1e6
-        count = max(count + 1, min(count * 10, int(count * least_s * 1.2 / max(took, 1e-6))))
+            function()
+        total_s = time.process_time() - began_s
+        if total_s >= min_total_s:
+            return total_s / count * 1e6
+        count = max(count + 1, min(count * 10, int(count * min_total_s * 1.2 / max(total_s, 1e-6))))
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -1,4 +1,4 @@
-"""A request: processor time of the node and the time that it adds, in an open loop with due times."""
+"""Scale test of a request: the node's processor time and the latency that it adds, in an open loop."""
 
 import asyncio
 import itertools
@@ -21,98 +21,106 @@
 from reelusher.lab.load import Line, StandIn
 from reelusher.lab.plan import Worker
 
-SERVICE_MS = 2.0  # of the stand-in worker
-SLOTS = 1000  # it holds: more than come at once
-WARM_S = 1.0  # requests due before are not counted
-LAST_S = 10.0
-SECONDS = 5.0
+SERVICE_MS = 2.0  # time in which the stand-in worker serves a request
+SLOTS = 1000  # requests that the stand-in worker serves at once, more than ever arrive at once
+WARM_UP_S = 1.0  # at the start of a round, in which requests are not counted
+ANSWER_TIMEOUT_S = 10.0  # after the last request, in which answers may arrive
+MEASURED_S = 5.0
 _processes = multiprocessing.get_context("spawn")
 
 
-def _stand_in(listener: socket.socket) -> None:
-    """Play a worker until the process is ended."""
+def _serve_stand_in(listener: socket.socket) -> None:
+    """Serve as a stand-in worker until the process is killed."""
 
     async def serve() -> None:
-        made = StandIn(Worker(listener.getsockname(), SLOTS, SERVICE_MS))
-        server = await asyncio.start_server(made.serve, sock=listener)
+        stand_in = StandIn(Worker(listener.getsockname(), SLOTS, SERVICE_MS))
+        server = await asyncio.start_server(stand_in.serve, sock=listener)
         await server.serve_forever()
 
     asyncio.run(serve())
 
 
 class StandInProcess:
-    """A worker of `SERVICE_MS` in a process of its own, until the block is left."""
+    """A stand-in worker with `SERVICE_MS` in a process of its own, which ends when the block is left."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address: tuple[str, int] = self._listener.getsockname()
-        self._process = _processes.Process(target=_stand_in, args=(self._listener,), daemon=True)
+        self._process = _processes.Process(target=_serve_stand_in, args=(self._listener,), daemon=True)
 
     def __enter__(self) -> "StandInProcess":
         self._process.start()
         self._listener.close()
         return self
 
-    def __exit__(self, *fault: object) -> None:
+    def __exit__(self, *error: object) -> None:
         self._process.kill()
         self._process.join()
 
 
-async def _ask(
+async def _send_requests(
     target: site.Address, rate: float, seconds: float, requests: Sequence[bytes], seed: int
 ) -> dict[str, Any]:
-    """Ask at random times of their own; a latency counts from when its request was due."""
+    """Send requests at random times in an open loop; a latency counts from the time its request was due.
+
+    Returns counts and percentiles in milliseconds, or only counts if a request failed or none was served.
+    """
     random, idle, tasks = Random(seed), list[Line](), set[asyncio.Task[None]]()
-    took_ms: list[float] = []
+    latencies_ms: list[float] = []
     refused = failed = 0
-    began, at = time.monotonic() + 0.05, 0.0
+    began_s, next_due_s = time.monotonic() + 0.05, 0.0
 
-    async def one(data: bytes, due: float) -> None:
+    async def send(data: bytes, due_s: float) -> None:
         nonlocal refused, failed
         try:
-            line = idle.pop() if idle else Line(*await asyncio.open_connection(*target))
-            status, reuse = await line.ask(data)
+            connection = idle.pop() if idle else Line(*await asyncio.open_connection(*target))
+            status, reuse = await connection.ask(data)
         except (OSError, MalformedError):
             status, reuse = 0, False
-        took = time.monotonic() - began - due
+        latency_s = time.monotonic() - began_s - due_s
         if reuse:
-            idle.append(line)
-        if due >= WARM_S and status == 200:
-            took_ms.append(took * 1000)
-        refused += due >= WARM_S and status == 503
+            idle.append(connection)
+        if due_s >= WARM_UP_S and status == 200:
+            latencies_ms.append(latency_s * 1000)
+        refused += due_s >= WARM_UP_S and status == 503
         failed += status not in (200, 503)
 
     for data in itertools.cycle(requests):
-        at += random.expovariate(rate)
-        if at >= WARM_S + seconds:
+        next_due_s += random.expovariate(rate)
+        if next_due_s >= WARM_UP_S + seconds:
             break
-        await asyncio.sleep(max(0.0, began + at - time.monotonic()))
-        task = asyncio.ensure_future(one(data, at))
+        await asyncio.sleep(max(0.0, began_s + next_due_s - time.monotonic()))
+        task = asyncio.ensure_future(send(data, next_due_s))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     if tasks:
-        await asyncio.wait(tasks, timeout=LAST_S)
-    for line in idle:
-        line.writer.close()
-    if not took_ms or failed:
-        return {"failed": failed, "served": len(took_ms)}
-    took_ms.sort()
-    count = len(took_ms)
+        await asyncio.wait(tasks, timeout=ANSWER_TIMEOUT_S)
+    for connection in idle:
+        connection.writer.close()
+    if not latencies_ms or failed:
+        return {"failed": failed, "served": len(latencies_ms)}
+    latencies_ms.sort()
+    count = len(latencies_ms)
     return {
         "count": count + refused,
         "refused": refused,
         "failed": 0,
-        "p50": took_ms[count // 2],
-        "p99": took_ms[count * 99 // 100],
+        "p50": latencies_ms[count // 2],
+        "p99": latencies_ms[count * 99 // 100],
     }
 
 
-def _client(pipe: Any, *given: Any) -> None:
-    pipe.send(asyncio.run(_ask(*given)))
+def _run_client(pipe: Any, *arguments: Any) -> None:
+    pipe.send(asyncio.run(_send_requests(*arguments)))
+
 
+def measure_client(
+    target: site.Address, rate: float, seconds: float, hosts: Sequence[str], seed: int
+) -> dict[str, Any]:
+    """Run a client in a process of its own and return its counts and latencies.
 
-def ask(target: site.Address, rate: float, seconds: float, hosts: Sequence[str], seed: int) -> dict[str, Any]:
-    """Play a client in a process of its own and return what it saw; raise where requests failed."""
+    Raises RuntimeError if a request failed or the client does not end.
+    """
     requests = [
         ajp13.write_forward(
             ajp13.ForwardedRequest("GET", "/visits/1", server_name=host, remote_addr="127.0.0.1")
@@ -121,36 +129,38 @@
     ]
     ours, theirs = _processes.Pipe()
     process = _processes.Process(
-        target=_client, args=(theirs, target, rate, seconds, requests, seed), daemon=True
+        target=_run_client, args=(theirs, target, rate, seconds, requests, seed), daemon=True
     )
     process.start()
     try:
-        if not ours.poll(WARM_S + seconds + LAST_S + 30.0):
+        if not ours.poll(WARM_UP_S + seconds + ANSWER_TIMEOUT_S + 30.0):
             raise RuntimeError("the client did not end")
-        told: dict[str, Any] = ours.recv()
+        client_result: dict[str, Any] = ours.recv()
     finally:
         process.kill()
         process.join()
-    if "count" not in told:
-        raise RuntimeError(f"{told['failed']} requests failed, {told['served']} were served")
-    return told
+    if "count" not in client_result:
+        raise RuntimeError(
+            f"{client_result['failed']} requests failed, {client_result['served']} were served"
+        )
+    return client_result
 
 
-def rounds(
-    made: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
+def measure_added_latency(
+    hosted: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
 ) -> Figures:
-    """Ask the stand-in alone, then through the node, at the same due times."""
-    direct = ask(worker, rate, seconds, hosts, seed=1)
-    pid = made.process.pid
-    before, waited, began = site.processor_s(pid), sum(waited_s(pid).values()), time.monotonic()
-    through = ask(made.ajp, rate, seconds, hosts, seed=1)
-    took, lasted = site.processor_s(pid) - before, time.monotonic() - began
+    """Send requests to the stand-in worker directly, then through the node, at the same due times."""
+    direct = measure_client(worker, rate, seconds, hosts, seed=1)
+    pid = hosted.process.pid
+    processor_before_s, waited, began_s = site.processor_s(pid), sum(waited_s(pid).values()), time.monotonic()
+    through = measure_client(hosted.ajp, rate, seconds, hosts, seed=1)
+    processor_s, elapsed_s = site.processor_s(pid) - processor_before_s, time.monotonic() - began_s
     waited = sum(waited_s(pid).values()) - waited
-    asked = through["count"] * (WARM_S + seconds) / seconds
+    request_count = through["count"] * (WARM_UP_S + seconds) / seconds
     return {
-        "request_us": took / asked * 1e6,
-        "waited_us": waited / asked * 1e6,
-        "core": took / lasted,
+        "request_us": processor_s / request_count * 1e6,
+        "waited_us": waited / request_count * 1e6,
+        "core": processor_s / elapsed_s,
         "refused": through["refused"] / through["count"],
         "alone_p50_ms": direct["p50"],
         "alone_p99_ms": direct["p99"],
@@ -159,16 +169,16 @@
     }
 
 
-def at_rate(rate: int) -> Figures:
-    """Measure a node with ten tenants at a rate."""
+def measure_at_rate(rate: int) -> Figures:
+    """Measure a node with ten tenants at a rate in requests a second."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        file = site.value(10, [worker.address], connections=64)
-        with site.hosted(file, Path(name)) as made:
-            return rounds(
-                made,
+        operator_file = site.value(10, [worker.address], connections=64)
+        with site.hosted(operator_file, Path(name)) as hosted:
+            return measure_added_latency(
+                hosted,
                 worker.address,
                 float(rate),
-                SECONDS,
+                MEASURED_S,
                 [f"tenant-{number}.example" for number in range(10)],
             )
 
@@ -179,7 +189,7 @@
         "a request over AJP through a hosted node with 10 tenants to a worker of 2 ms, open loop",
         sizes=(68, 136, 272, 320, 544),
         quick=(50,),
-        measure=at_rate,
+        measure=measure_at_rate,
         cheap=False,
         repeats=5,
         units={
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and routes: the table in a node's memory, and a whole node with them in its operator's file."""
+"""Scale tests of tenants and routes: the table in a node's memory, and a hosted node with all of them."""
 
 import gc
 import tempfile
@@ -15,143 +15,158 @@
 from reelusher.core.event_loop import Core
 from reelusher.lab.capacity import site
 from reelusher.lab.capacity.budgets import expected
-from reelusher.lab.capacity.copy import filled
+from reelusher.lab.capacity.copy import fill_replica
 from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call, require
-from reelusher.lab.capacity.request import StandInProcess, rounds
+from reelusher.lab.capacity.request import StandInProcess, measure_added_latency
 from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.lifecycle import TenantState
 from reelusher.tenancy.registry import TenantRegistry
 
-LOOKS, MANY = 50, 2000  # hosts that are asked for in turn
+FEW_HOSTS, MANY_HOSTS = 50, 2000  # hosts that requests are for in turn: few and many
 CHANGES = 20
-COLD = "request_us", "refused", "added_p50_ms", "added_p99_ms"
-RATE = 272.0
-SECONDS = 6.0
+COLD_FIGURES = "request_us", "refused", "added_p50_ms", "added_p99_ms"
+REQUESTS_PER_S = 272.0
+MEASURED_S = 6.0
 
 
-class _Nobody(BalancedRunner):
-    """Runs nothing."""
+class _NoRunner(BalancedRunner):
+    """A runner that runs nothing."""
 
     def __init__(self) -> None:
-        """Need no workers."""
+        """Do not call the base class, which needs workers."""
 
 
-def table_of(made: Config) -> TenantRegistry:
-    """Return the tenants of a configuration as a node holds them, without a node round them."""
-    own = require(made.operator)
-    shares = FairQueue(made.settings.cores, made.settings.memory_kb)
-    nobody = _Nobody()
+def create_registry(config: Config) -> TenantRegistry:
+    """Return the tenant registry that a node builds from a configuration, without the rest of the node."""
+    operator_config = require(config.operator)
+    fair_queue = FairQueue(config.settings.cores, config.settings.memory_kb)
+    runner = _NoRunner()
     core = Core(
-        made.settings, made.gauges, 1, nobody, None, made.class_names, counters=Counters(), scheduler=shares
+        config.settings,
+        config.gauges,
+        1,
+        runner,
+        None,
+        config.class_names,
+        counters=Counters(),
+        scheduler=fair_queue,
     )
-    entries = [(one, TenantState.ACTIVE) for one in own.tenants]
+    entries = [(tenant, TenantState.ACTIVE) for tenant in operator_config.tenants]
     return TenantRegistry(
-        entries, own.class_names, lambda name: nobody, core, shares, frozenset({"worker-0"})
+        entries, operator_config.class_names, lambda name: runner, core, fair_queue, frozenset({"worker-0"})
     )
 
 
-def table(size: int) -> Figures:
-    """Measure the table in memory: a look-up, a change, a start, bytes."""
-    began = time.process_time()
-    made = site.config(size)
-    checked_s = time.process_time() - began
+def measure_table(size: int) -> Figures:
+    """Measure the table in memory: checking its file, building it, a look-up and a change."""
+    began_s = time.process_time()
+    config = site.config(size)
+    check_s = time.process_time() - began_s
     gc.collect()
-    began = time.process_time()
-    tenants = table_of(made)
-    built_s = time.process_time() - began
+    began_s = time.process_time()
+    registry = create_registry(config)
+    build_s = time.process_time() - began_s
     random, number = Random(1), 0
-    hosts = [f"tenant-{random.randrange(size)}.example" for _ in range(LOOKS)]
+    hosts = [f"tenant-{random.randrange(size)}.example" for _ in range(FEW_HOSTS)]
 
-    def look() -> None:
+    def look_up() -> None:
         for host in hosts:
-            require(tenants.match("GET", host, "/visits/1"))
+            require(registry.match("GET", host, "/visits/1"))
 
     def change() -> None:
         nonlocal number
         number = (number + 7919) % size
-        found = require(tenants.get(f"tenant-{number}"))
-        tenants.check(found)
-        tenants.put(found)
+        tenant = require(registry.get(f"tenant-{number}"))
+        registry.check(tenant)
+        registry.put(tenant)
 
     return {
-        "check_s": checked_s,
-        "start_s": built_s,
-        "look_up_us": cpu_us_per_call(look) / LOOKS,
+        "check_s": check_s,
+        "start_s": build_s,
+        "look_up_us": cpu_us_per_call(look_up) / FEW_HOSTS,
         "change_us": cpu_us_per_call(change),
     }
 
 
-def memory(size: int) -> Figures:
-    """Measure the bytes of the table: what reading the file leaves, and what the table adds."""
+def measure_memory(size: int) -> Figures:
+    """Measure the memory of the configuration after its file was read, and of the registry built from it."""
     gc.collect()
     tracemalloc.start()
     try:
-        made = site.config(size)
+        config = site.config(size)
         gc.collect()
-        read = tracemalloc.get_traced_memory()[0]
-        tenants = table_of(made)
+        config_bytes = tracemalloc.get_traced_memory()[0]
+        registry = create_registry(config)
         gc.collect()
-        held = tracemalloc.get_traced_memory()[0]
-        require(tenants.get("tenant-0"))
+        total_bytes = tracemalloc.get_traced_memory()[0]
+        require(registry.get("tenant-0"))
     finally:
         tracemalloc.stop()
-    return {"read_mb": read / 1e6, "table_mb": (held - read) / 1e6}
+    return {"read_mb": config_bytes / 1e6, "table_mb": (total_bytes - config_bytes) / 1e6}
 
 
-def _asked(size: int, count: int) -> list[str]:
+def _random_hosts(size: int, count: int) -> list[str]:
     random = Random(f"{size} {count}")
     return [f"tenant-{random.randrange(size)}.example" for _ in range(count)]
 
 
-def _node(file: dict[str, Any], size: int, folder: Path, worker: site.Address, cold: bool) -> Figures:
-    """Measure a node: ready, resident, a change over the API, and requests in an open loop.
+def _measure_node(
+    operator_file: dict[str, Any], size: int, folder: Path, worker: site.Address, cold: bool
+) -> Figures:
+    """Measure a node: start, memory, a change over the API, and requests in an open loop.
 
-    `cold`: then also requests of so many tenants that hardly one was asked for of late.
+    `cold`: also measure requests for so many tenants that hardly one of them was used recently.
     """
-    with site.hosted(file, folder) as made:
-        pid = made.process.pid
+    with site.hosted(operator_file, folder) as hosted:
+        pid = hosted.process.pid
         resident = site.status_of(pid)["resident"]
-        took_ms = []
+        change_times_ms = []
         for number in range(0, size, max(1, size // CHANGES)):
-            began = time.monotonic()
-            answer = made.call("PATCH", f"/v1/tenants/tenant-{number}", b'{"max_open": 100}')
-            took_ms.append((time.monotonic() - began) * 1000)
-            require(answer.start[1] == "200", answer.body.decode(errors="replace"))
-        told = rounds(made, worker, RATE, SECONDS, _asked(size, LOOKS))
-        more = rounds(made, worker, RATE, SECONDS, _asked(size, MANY)) if cold else {}
-        later = site.status_of(pid)["resident"]
-    took_ms.sort()
+            began_s = time.monotonic()
+            response = hosted.call("PATCH", f"/v1/tenants/tenant-{number}", b'{"max_open": 100}')
+            change_times_ms.append((time.monotonic() - began_s) * 1000)
+            require(response.start[1] == "200", response.body.decode(errors="replace"))
+        few = measure_added_latency(
+            hosted, worker, REQUESTS_PER_S, MEASURED_S, _random_hosts(size, FEW_HOSTS)
+        )
+        many = (
+            measure_added_latency(hosted, worker, REQUESTS_PER_S, MEASURED_S, _random_hosts(size, MANY_HOSTS))
+            if cold
+            else {}
+        )
+        resident_after = site.status_of(pid)["resident"]
+    change_times_ms.sort()
     return {
-        "ready_s": made.ready_s,
+        "ready_s": hosted.ready_s,
         "resident_mb": resident / 1e6,
-        "later_mb": later / 1e6,
-        "change_ms": took_ms[len(took_ms) // 2],
-        "request_us": told["request_us"],
-        "waited_us": told["waited_us"],
-        "refused": told["refused"],
-        "added_p50_ms": told["added_p50_ms"],
-        "added_p99_ms": told["added_p99_ms"],
-        **{f"cold_{name}": more[name] for name in COLD if more},
+        "later_mb": resident_after / 1e6,
+        "change_ms": change_times_ms[len(change_times_ms) // 2],
+        "request_us": few["request_us"],
+        "waited_us": few["waited_us"],
+        "refused": few["refused"],
+        "added_p50_ms": few["added_p50_ms"],
+        "added_p99_ms": few["added_p99_ms"],
+        **{f"cold_{name}": many[name] for name in COLD_FIGURES if many},
     }
 
 
-def node_of_file(size: int) -> Figures:
-    """Measure a node that has its tenants from the operator's file."""
+def measure_node_with_file(size: int) -> Figures:
+    """Measure a node with its tenants in the operator's file."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        return _node(site.value(size, [worker.address]), size, Path(name), worker.address, cold=False)
+        return _measure_node(site.value(size, [worker.address]), size, Path(name), worker.address, cold=False)
 
 
-def node_of_copy(size: int) -> Figures:
-    """Measure a node that has its tenants in a local copy, whose only writer it is itself."""
+def measure_node_with_replica(size: int) -> Figures:
+    """Measure a node with its tenants in a local replica, as the only control member."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        file, path = site.value(0, [worker.address]), Path(name) / "tenants.db"
-        del file["tenants"]
-        file["replication"] = {"copy": str(path), "control": [file["node"]["name"]]}
-        filled(path, size, "", (file["node"]["name"],))
-        return _node(file, size, Path(name), worker.address, cold=True)
+        operator_file, path = site.value(0, [worker.address]), Path(name) / "tenants.db"
+        del operator_file["tenants"]
+        operator_file["replication"] = {"copy": str(path), "control": [operator_file["node"]["name"]]}
+        fill_replica(path, size, "", (operator_file["node"]["name"],))
+        return _measure_node(operator_file, size, Path(name), worker.address, cold=True)
 
 
-_UNITS = {
+_NODE_UNITS = {
     "ready_s": "s",
     "resident_mb": "MB",
     "later_mb": "MB",
@@ -162,50 +177,50 @@
     "added_p50_ms": "ms",
     "added_p99_ms": "ms",
 }
-_NOTES = (
+_NODE_NOTES = (
     "added: over what the stand-in worker alone gives to the same client in the same round, if served",
     "refused: part of the requests, of 50 tenants by turns; later_mb: after all requests",
     "waited: the node's threads were ready and had no core: the machine's load, none of the node's",
 )
-_COLD = ("cold: requests of 2,000 tenants by turns, hardly one of which was asked for of late",)
-_OF = partial(Scale, size_unit="tenants", target=expected("tenants"))
+_COLD_NOTES = ("cold: requests of 2,000 tenants by turns, hardly one of which was asked for of late",)
+_TENANT_SCALE = partial(Scale, size_unit="tenants", target=expected("tenants"))
 SCALES = [
-    _OF(
+    _TENANT_SCALE(
         "tenants-table",
         "the tenants in a node's memory, those of the operator's file",
         sizes=(1000, 8000, 60_000, 260_000),
         quick=(50, 100, 200, 400),
-        measure=table,
+        measure=measure_table,
         units={"check_s": "s", "start_s": "s", "look_up_us": "µs", "change_us": "µs"},
         notes=("processor time; one of six tenants has a route, as 41,000 of 260,000",),
     ),
-    _OF(
+    _TENANT_SCALE(
         "tenants-memory",
         "bytes of the same, by the allocator's count",
         sizes=(1000, 4000, 16_000, 64_000),
         quick=(20, 40, 60, 80),
-        measure=memory,
+        measure=measure_memory,
         repeats=1,
         units={"read_mb": "MB", "table_mb": "MB"},
     ),
-    _OF(
+    _TENANT_SCALE(
         "tenants-node",
         "a hosted node with all tenants in its operator's file, 272 requests a second",
         sizes=(10, 1000, 5000, 20_000),
         quick=(10,),
-        measure=node_of_file,
+        measure=measure_node_with_file,
         cheap=False,
-        units=_UNITS,
-        notes=_NOTES,
+        units=_NODE_UNITS,
+        notes=_NODE_NOTES,
     ),
-    _OF(
+    _TENANT_SCALE(
         "tenants-node-copy",
         "a hosted node with all tenants in its local copy, 272 requests a second",
         sizes=(100, 1000, 20_000, 260_000),
         quick=(10,),
-        measure=node_of_copy,
+        measure=measure_node_with_replica,
         cheap=False,
-        units={**_UNITS, **{f"cold_{name}": _UNITS[name] for name in COLD}},
-        notes=_NOTES + _COLD,
+        units={**_NODE_UNITS, **{f"cold_{name}": _NODE_UNITS[name] for name in COLD_FIGURES}},
+        notes=_NODE_NOTES + _COLD_NOTES,
     ),
 ]
