--- a/reelusher/lab/capacity/__main__.py
+++ b/reelusher/lab/capacity/__main__.py
@@ -18,7 +18,7 @@
     tenants,
     workers,
 )
-from reelusher.lab.capacity.harness import FOLDER, Scale, fit_of, play, write
+from reelusher.lab.capacity.harness import FOLDER, Scale, fit_of, run_scale_test, write
 
 SUBJECTS = (tenants, copy, workers, request, callers, keys, membership, reports, starts, state)
 SCALES: dict[str, Scale] = {scale.name: scale for subject in SUBJECTS for scale in subject.SCALES}
@@ -66,7 +66,7 @@
         scale = SCALES[name]
         sizes = given.sizes or (scale.quick if given.quick else scale.sizes)
         try:
-            made = play(scale, sizes, given.repeats or int(given.quick), print)
+            made = run_scale_test(scale, sizes, given.repeats or int(given.quick), print)
         except (OSError, RuntimeError, AssertionError) as error:
             print(f"{name}: failed: {error!r}", file=sys.stderr)
             failed = 1
--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -43,7 +43,7 @@
     return {"cores": os.cpu_count() or 0, "python": platform.python_version(), "optimised": not __debug__}
 
 
-def play(
+def run_scale_test(
     scale: Scale,
     sizes: Sequence[int] = (),
     repeats: int = 0,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,7 +15,7 @@
 from reelusher.lab.capacity import budgets, page
 from reelusher.lab.capacity.__main__ import SCALES, SUBJECTS, main
 from reelusher.lab.capacity.fit import fit
-from reelusher.lab.capacity.harness import FOLDER, Scale, play, read_all, write
+from reelusher.lab.capacity.harness import FOLDER, Scale, read_all, run_scale_test, write
 
 SIZES = (1000, 2000, 4000, 8000, 16_000)
 CHEAP = [name for name, scale in SCALES.items() if scale.cheap]
@@ -91,7 +91,7 @@
 
 
 def test_a_play_keeps_what_is_needed_to_judge_its_figures(tmp_path: Path) -> None:
-    write(play(FAKE, repeats=2), tmp_path)
+    write(run_scale_test(FAKE, repeats=2), tmp_path)
     made = read_all(tmp_path)["fake"]
     assert made["command"] == "python -O -m reelusher.lab.capacity fake"
     assert made["repeats"] == 2
@@ -104,13 +104,13 @@
 
 
 def test_other_sizes_are_part_of_the_command() -> None:
-    assert play(FAKE, (1, 2, 3, 4))["command"].endswith("fake --sizes 1,2,3,4")
+    assert run_scale_test(FAKE, (1, 2, 3, 4))["command"].endswith("fake --sizes 1,2,3,4")
 
 
 @pytest.mark.parametrize("name", CHEAP)
 def test_each_cheap_scale_test_plays(name: str) -> None:
     scale = SCALES[name]
-    made = play(scale, scale.quick, 1)
+    made = run_scale_test(scale, scale.quick, 1)
     assert len(scale.quick) >= 4
     assert set(made["figures"]) == set(scale.units)
     assert all("fit" in figure for figure in made["figures"].values())
@@ -222,7 +222,7 @@
 
 
 def test_a_reference_to_what_is_not_kept_is_told_or_refused() -> None:
-    kept = {"fake": play(FAKE)}
+    kept = {"fake": run_scale_test(FAKE)}
     assert page.resolved("[[nothing.took@4]], [[fake.took@8]]", kept) == "not run, 17 s"
     assert page.resolved("[[fake.took@4/1]], [[fake.took@8-1]], [[fake.took@80/1]]", kept) == (
         "3 times, 14 s, not played at both sizes"
