--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -123,7 +123,7 @@
     return {result["name"]: result for result in results}
 
 
-def require(value: T | None, message: str = "what is measured is not there") -> T:
+def require(value: T | None, message: str = "the measured value is missing") -> T:
     """Return a value that must be truthy; raise RuntimeError if it is not, even with assertions off."""
     if not value:
         raise RuntimeError(message)
