--- a/reelusher/lab/__main__.py
+++ b/reelusher/lab/__main__.py
@@ -34,18 +34,23 @@
     for caller in plan.callers:
         tally = tallies[caller.name]
         counts, latency = tally.counts, tally.latency
-        at = {f"p{part}_ms": latency.get_value_at_percentile(part) / 1000 for part in (50, 90, 99)}
+        percentiles = {
+            f"p{percentile}_ms": latency.get_value_at_percentile(percentile) / 1000
+            for percentile in (50, 90, 99)
+        }
         rows.append(
             {
                 "caller": caller.name,
                 **{name: counts[name] for name in ("asked", "tries", "served", "refused", "failed", "lost")},
                 "in_time": round(counts["in_time"] / max(1, counts["asked"]), 4),
-                **at,
+                **percentiles,
                 "max_ms": latency.get_max_value() / 1000,
             }
         )
     shares = [row["served"] / caller.weight for row, caller in zip(rows, plan.callers, strict=True)]
-    places = sum(worker.slots * 1000 / worker.service_ms for worker in plan.workers if worker.service_ms)
+    capacity_per_s = sum(
+        worker.slots * 1000 / worker.service_ms for worker in plan.workers if worker.service_ms
+    )
     return {
         "seconds": plan.seconds,
         "warm_up_s": plan.warm_up_s,
@@ -53,17 +58,17 @@
         "callers": rows,
         "jain": round(jain(shares), 4),
         "runs": runs,
-        "capacity_used": round(runs / (places * plan.seconds), 4) if places else None,
+        "capacity_used": round(runs / (capacity_per_s * plan.seconds), 4) if capacity_per_s else None,
     }
 
 
-def table(made: dict[str, Any]) -> str:
+def table(figures: dict[str, Any]) -> str:
     """Return a report as a table."""
-    rows = [COLUMNS, *([str(row[name]) for name in COLUMNS] for row in made["callers"])]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(COLUMNS))]
+    rows = [COLUMNS, *([str(row[name]) for name in COLUMNS] for row in figures["callers"])]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
-    last = f"jain {made['jain']}  runs {made['runs']}  of capacity {made['capacity_used']}"
-    return "\n".join([*lines, last])
+    summary = f"jain {figures['jain']}  runs {figures['runs']}  of capacity {figures['capacity_used']}"
+    return "\n".join([*lines, summary])
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -71,16 +76,16 @@
     parser = argparse.ArgumentParser(prog="reelusher.lab", description="Load over AJP, on loopback only.")
     parser.add_argument("plan", type=Path, help="a TOML file, see docs/lab.md")
     parser.add_argument("--json", type=Path, help="write the report there too")
-    given = parser.parse_args(argv)
+    args = parser.parse_args(argv)
     try:
-        plan = read(given.plan)
+        plan = read(args.plan)
     except ConfigError as error:
         print(f"plan: {error}", file=sys.stderr)
         return 2
-    made = report(plan, *asyncio.run(play(plan)))
-    print(table(made))
-    if given.json:
-        given.json.write_text(json.dumps(made, indent=1) + "\n")
+    figures = report(plan, *asyncio.run(play(plan)))
+    print(table(figures))
+    if args.json:
+        args.json.write_text(json.dumps(figures, indent=1) + "\n")
     return 0
 
 
--- a/reelusher/lab/fleet/__main__.py
+++ b/reelusher/lab/fleet/__main__.py
@@ -8,11 +8,11 @@
 
 from reelusher.config.checked_table import ConfigError
 from reelusher.lab.fleet import model
-from reelusher.lab.fleet.account import Account
+from reelusher.lab.fleet.account import RunHistory
 from reelusher.lab.fleet.plan import read
 from reelusher.lab.fleet.rig import play
 
-MOST_TOLD = 20  # broken rules that are printed
+MAX_PRINTED_VIOLATIONS = 20  # broken rules that are printed
 
 
 def table(figures: dict[str, Any]) -> str:
@@ -21,14 +21,14 @@
     return "\n".join(f"{name.ljust(width)}  {value}" for name, value in figures.items())
 
 
-def draw(account: Account, path: Path) -> None:
+def draw(history: RunHistory, path: Path) -> None:
     """Draw what happened over time, with the faults marked."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    series = account.series()
+    series = history.series()
     groups = {
         "a second": ("served", "refused", "failed", "calls"),
         "most in hand below": tuple(name for name in series if name.startswith("held")),
@@ -38,10 +38,10 @@
     for axis, (title, names) in zip(axes, groups.items(), strict=True):
         for name in names:
             axis.step(range(len(series[name])), series[name], where="post", label=name)
-        for at_s, what in account.marks:
+        for at_s, text in history.events:
             axis.axvline(at_s, color="grey", linestyle=":", linewidth=1)
             if axis is axes[0]:
-                axis.annotate(what, (at_s, 1), xycoords=("data", "axes fraction"), rotation=60, fontsize=7)
+                axis.annotate(text, (at_s, 1), xycoords=("data", "axes fraction"), rotation=60, fontsize=7)
         axis.set_ylim(bottom=0)
         axis.set_ylabel(title)
         if names:  # a plan without calls has nothing below
@@ -59,28 +59,28 @@
     parser.add_argument("--picture", type=Path, help="draw the run there (PNG or SVG)")
     parser.add_argument("--logs", type=Path, help="keep the nodes' logs and configurations in this folder")
     parser.add_argument("--model", action="store_true", help="on a virtual clock, without processes")
-    given = parser.parse_args(argv)
+    args = parser.parse_args(argv)
     try:
-        plan = read(given.plan, given.scale)
-        account = model.play(plan) if given.model else play(plan, given.logs)
+        plan = read(args.plan, args.scale)
+        history = model.play(plan) if args.model else play(plan, args.logs)
     except ConfigError as error:
         print(f"plan: {error}", file=sys.stderr)
         return 2
-    figures = account.figures()
+    figures = history.figures()
     print(table(figures))
-    for line in account.violations[:MOST_TOLD]:
+    for line in history.violations[:MAX_PRINTED_VIOLATIONS]:
         print(f"broken: {line}")
-    if given.json:
-        made = {
+    if args.json:
+        output = {
             "figures": figures,
-            "series": account.series(),
-            "marks": account.marks,
-            "broken": account.violations,
+            "series": history.series(),
+            "marks": history.events,
+            "broken": history.violations,
         }
-        given.json.write_text(json.dumps(made, indent=1) + "\n")
-    if given.picture:
-        draw(account, given.picture)
-    return 1 if account.violations else 0
+        args.json.write_text(json.dumps(output, indent=1) + "\n")
+    if args.picture:
+        draw(history, args.picture)
+    return 1 if history.violations else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/fleet/callers.py
+++ b/reelusher/lab/fleet/callers.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from reelusher.lab.fleet.account import Account, Ask, Try
+from reelusher.lab.fleet.account import Attempt, ClientRequest, RunHistory
 from reelusher.lab.fleet.plan import Plan
-from reelusher.lab.fleet.services import Timeline
+from reelusher.lab.fleet.services import Scheduler
 
-PICKS = 8  # at random, before all are looked through
-TOKENS_S = 1.0  # advice is borne in mind for so long
+MAX_RANDOM_PICKS = 8  # at random, before all are looked through
+HINT_TTL_S = 1.0  # advice is borne in mind for so long
 
 
-class Way(Protocol):
+class Transport(Protocol):
     """Carries tries to nodes and answers back."""
 
-    def send(self, caller: "Caller", one: Try) -> None:
+    def send(self, caller: "Caller", attempt: Attempt) -> None:
         """Send a try; its end comes back by `Caller.answered` or `Caller.broken`."""
 
 
@@ -26,118 +26,135 @@
 
     def __init__(
         self,
-        line: Timeline,
+        scheduler: Scheduler,
         plan: Plan,
         zone: str,
         number: int,
-        account: Account,
-        listed: Callable[[], frozenset[str]],
-        way: Way,
+        history: RunHistory,
+        listed_nodes: Callable[[], frozenset[str]],
+        transport: Transport,
         rate: float,
-        names: "itertools.count[int]",
+        ids: "itertools.count[int]",
     ) -> None:
-        self.line, self.plan, self.number, self.account = line, plan, number, account
-        self.listed, self.way, self.rate, self.names = listed, way, rate, names
+        self.scheduler, self.plan, self.number, self.history = scheduler, plan, number, history
+        self.listed_nodes, self.transport, self.rate, self.ids = listed_nodes, transport, rate, ids
         self.random = random.Random(f"{plan.run.seed} caller {number}")
-        self.heeds = self.random.random() < plan.habits.heeds
-        self.out: Counter[str] = Counter()
-        self.tokens: dict[str, tuple[float, float]] = {}  # of nodes: how many, until when
-        self.stays_away: dict[str, float] = {}
-        self.party = f"callers.{zone}"
-        self._listed: frozenset[str] = frozenset()
+        self.follows_hints = self.random.random() < plan.caller_plan.heeds
+        self.outstanding: Counter[str] = Counter()
+        self.advertised_capacity: dict[str, tuple[float, float]] = {}  # of nodes: how many, until when
+        self.retry_not_before_s: dict[str, float] = {}
+        self.endpoint = f"callers.{zone}"
+        self._last_listed: frozenset[str] = frozenset()
         self._order: list[str] = []  # the same, in an order that is the same in each play
 
     def begin(self) -> None:
         """Ask from now on to the end of the load."""
         if self.rate:
-            self._next()
+            self._schedule_next()
 
-    def _next(self) -> None:
-        now = self.line.time() - self.account.zero_s
-        wait_s = self.random.expovariate(self.rate * max(0.001, self.plan.factor(now)))
+    def _schedule_next(self) -> None:
+        now = self.scheduler.time() - self.history.load_start_s
+        wait_s = self.random.expovariate(self.rate * max(0.001, self.plan.load_factor(now)))
         if now + wait_s < self.plan.run.seconds:
-            self.line.call_later(wait_s, self._ask)
-
-    def _ask(self) -> None:
-        self._next()
-        kinds = self.plan.kinds
-        kind = self.random.choices(kinds, [one.share for one in kinds])[0]
-        number = next(self.names)
-        body = f"{kind.name}-{number}".encode()
-        ask = Ask(kind, f"{number:032x}" if kind.keyed else "", body, self.line.time() - self.account.zero_s)
-        self.account.asks.append(ask)
-        self._try(ask, set())
-
-    def _left_s(self, ask: Ask) -> float:
-        return ask.born_s + ask.kind.deadline_ms / 1000 - (self.line.time() - self.account.zero_s)
-
-    def _pick(self, past: set[str]) -> str | None:
+            self.scheduler.call_later(wait_s, self._send_request)
+
+    def _send_request(self) -> None:
+        self._schedule_next()
+        classes = self.plan.classes
+        request_class = self.random.choices(classes, [candidate.share for candidate in classes])[0]
+        number = next(self.ids)
+        body = f"{request_class.name}-{number}".encode()
+        request = ClientRequest(
+            request_class,
+            f"{number:032x}" if request_class.keyed else "",
+            body,
+            self.scheduler.time() - self.history.load_start_s,
+        )
+        self.history.requests.append(request)
+        self._attempt(request, set())
+
+    def _time_left_s(self, request: ClientRequest) -> float:
+        return (
+            request.created_s
+            + request.request_class.deadline_ms / 1000
+            - (self.scheduler.time() - self.history.load_start_s)
+        )
+
+    def _pick(self, tried: set[str]) -> str | None:
         """Return a node from the list, one that was not tried before where there is one."""
-        listed = self.listed()
-        if listed is not self._listed:
-            self._listed, self._order = listed, sorted(listed)
-        for _ in range(PICKS if self._order else 0):  # a look at all would cost more than the request
+        listed_nodes = self.listed_nodes()
+        if listed_nodes is not self._last_listed:
+            self._last_listed, self._order = listed_nodes, sorted(listed_nodes)
+        for _ in range(
+            MAX_RANDOM_PICKS if self._order else 0
+        ):  # a look at all would cost more than the request
             node = self.random.choice(self._order)
-            if node not in past and self._able(node):
+            if node not in tried and self._may_send(node):
                 return node
-        able = [node for node in self._order if self._able(node)]
-        fresh = [node for node in able if node not in past] or able
-        return self.random.choice(fresh) if fresh else None
+        allowed = [node for node in self._order if self._may_send(node)]
+        untried = [node for node in allowed if node not in tried] or allowed
+        return self.random.choice(untried) if untried else None
 
-    def _able(self, node: str) -> bool:
+    def _may_send(self, node: str) -> bool:
         """Tell whether advice allows a try at a node."""
-        now = self.line.time()
-        most, until = self.tokens.get(node, (0.0, 0.0))
-        away = self.stays_away.get(node, 0.0) > now or (until > now and self.out[node] >= most)
-        return not (self.heeds and away)
-
-    def _try(self, ask: Ask, past: set[str], node: str | None = None) -> None:
-        if ask.over or self._left_s(ask) <= 0:
-            ask.over = True
+        now = self.scheduler.time()
+        capacity, expires_s = self.advertised_capacity.get(node, (0.0, 0.0))
+        blocked = self.retry_not_before_s.get(node, 0.0) > now or (
+            expires_s > now and self.outstanding[node] >= capacity
+        )
+        return not (self.follows_hints and blocked)
+
+    def _attempt(self, request: ClientRequest, tried: set[str], node: str | None = None) -> None:
+        if request.finished or self._time_left_s(request) <= 0:
+            request.finished = True
             return
-        habits = self.plan.habits
-        if habits.tries and ask.tries >= habits.tries:
-            ask.over = True
+        caller_plan = self.plan.caller_plan
+        if caller_plan.tries and request.attempt_count >= caller_plan.tries:
+            request.finished = True
             return
-        node = node or self._pick(past)
+        node = node or self._pick(tried)
         if node is None:  # nobody to ask: looked for again until the client has gone
-            self.line.call_later(0.1, self._try, ask, past)
+            self.scheduler.call_later(0.1, self._attempt, request, tried)
             return
-        past.add(node)
-        self.out[node] += 1
-        one = self.account.note_sent(self.line.time(), f"{next(self.names):016x}", node, ask)
-        self.way.send(self, one)
+        tried.add(node)
+        self.outstanding[node] += 1
+        attempt = self.history.record_attempt(self.scheduler.time(), f"{next(self.ids):016x}", node, request)
+        self.transport.send(self, attempt)
 
-    def answered(self, one: Try, verdict: str, fields: dict[str, str], body: bytes) -> None:
+    def on_answer(self, attempt: Attempt, verdict: str, fields: dict[str, str], body: bytes) -> None:
         """Take an answer: `served`, `refused` or `failed`."""
-        now, ask, node = self.line.time(), one.ask, one.node
-        first = not one.answers
-        self.account.note_answer(now, one, verdict, body)
-        if not first:
+        now, request, node = self.scheduler.time(), attempt.request, attempt.node
+        is_first = not attempt.verdicts
+        self.history.record_answer(now, attempt, verdict, body)
+        if not is_first:
             return
-        self.out[node] -= 1
+        self.outstanding[node] -= 1
         if "feedback" in fields:
-            most = float(fields["feedback"])
-            whole = int(most) + (self.random.random() < most - int(most))
-            self.tokens[node] = whole, now + TOKENS_S
+            capacity = float(fields["feedback"])
+            tokens = int(capacity) + (self.random.random() < capacity - int(capacity))
+            self.advertised_capacity[node] = tokens, now + HINT_TTL_S
         if "later" in fields:
-            self.stays_away[node] = now + float(fields["later"]) / 1000
+            self.retry_not_before_s[node] = now + float(fields["later"]) / 1000
         if verdict == "served":
-            if not ask.over and self._left_s(ask) > 0:
-                ask.served_s, ask.omitted, ask.over = now - self.account.zero_s, body[:1] == b"-", True
-        elif verdict == "refused" and self.heeds and fields.get("giveup") == "1":
-            ask.over = True
+            if not request.finished and self._time_left_s(request) > 0:
+                request.served_s, request.call_skipped, request.finished = (
+                    now - self.history.load_start_s,
+                    body[:1] == b"-",
+                    True,
+                )
+        elif verdict == "refused" and self.follows_hints and fields.get("giveup") == "1":
+            request.finished = True
         else:
-            self._again(ask, node, verdict != "refused")
+            self._retry(request, node, verdict != "refused")
 
-    def broken(self, one: Try, excused: bool, ran: bool = True) -> None:
+    def on_no_answer(self, attempt: Attempt, excused: bool, may_have_run: bool = True) -> None:
         """Hear that a try had no answer; `ran`: it may have run."""
-        self.account.note_ended(self.line.time(), one, excused)
-        self.out[one.node] -= 1
-        self._again(one.ask, one.node, ran)
+        self.history.record_no_answer(self.scheduler.time(), attempt, excused)
+        self.outstanding[attempt.node] -= 1
+        self._retry(attempt.request, attempt.node, may_have_run)
 
-    def _again(self, ask: Ask, node: str, ran: bool) -> None:
+    def _retry(self, request: ClientRequest, node: str, may_have_run: bool) -> None:
         """Try again; a keyed try that may have run goes back to the same node."""
-        wait_s = self.plan.habits.wait_ms / 1000 * self.random.uniform(0.5, 1.5)
-        back = node if ask.key and ran else None
-        self.line.call_later(max(0.001, wait_s), self._try, ask, {node}, back)
+        wait_s = self.plan.caller_plan.wait_ms / 1000 * self.random.uniform(0.5, 1.5)
+        same_node = node if request.key and may_have_run else None
+        self.scheduler.call_later(max(0.001, wait_s), self._attempt, request, {node}, same_node)
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -19,7 +19,7 @@
 from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.lab.fleet.virtual import VirtualClock
 
-WAY_S = 0.0005, 0.002  # from one member to another
+LATENCY_S = 0.0005, 0.002  # from one member to another
 NEVER = float("inf")
 
 
@@ -29,11 +29,11 @@
     def __init__(self, count: int, seed: int = 1, joined: bool = True) -> None:
         self.clock, self.random = VirtualClock(), Random(seed)
         self.loss = self.duplication = 0.0  # parts of the datagrams
-        self.latency_s = WAY_S
+        self.latency_s = LATENCY_S
         self.cut: Callable[[str, str], bool] = lambda source, target: False
         self.swims: dict[str, Swim] = {}
         self.alive: set[str] = set()
-        self.still: set[str] = set()
+        self.stalled: set[str] = set()
         self.sent = self.deaths = 0
         self.sent_bytes = 0
         self._due: dict[str, float] = {}
@@ -61,11 +61,11 @@
         """Let time pass."""
         self.clock.run(self.clock.now + seconds)
 
-    def run_until(self, holds: Callable[[], bool], most_s: float) -> float:
+    def run_until(self, condition: Callable[[], bool], max_s: float) -> float:
         """Let time pass until something holds; return how long that took, infinity past the most."""
         began = self.clock.now
-        while not holds():
-            if self.clock.now - began > most_s:
+        while not condition():
+            if self.clock.now - began > max_s:
                 return NEVER
             self.run(0.05)
         return self.clock.now - began
@@ -74,10 +74,10 @@
         """Stop a member without notice."""
         self.alive.discard(address)
 
-    def set_stalled(self, address: str, still: bool) -> None:
+    def set_stalled(self, address: str, stalled: bool) -> None:
         """Have a member stand still, or go on."""
-        (self.still.add if still else self.still.discard)(address)
-        if not still:
+        (self.stalled.add if stalled else self.stalled.discard)(address)
+        if not stalled:
             self._due.pop(address, None)
             self._wake(address)
 
@@ -97,7 +97,7 @@
         )
 
     def _wake(self, address: str) -> None:
-        if address not in self.alive or address in self.still:
+        if address not in self.alive or address in self.stalled:
             return
         at = max(self.clock.now, self.swims[address].next_tick_s())
         if self.clock.now < self._due.get(address, NEVER) <= at:
@@ -106,7 +106,7 @@
         self.clock.call_later(at - self.clock.now, self._tick, address, at)
 
     def _tick(self, address: str, at: float) -> None:
-        if self._due.get(address) == at and address in self.alive and address not in self.still:
+        if self._due.get(address) == at and address in self.alive and address not in self.stalled:
             self._due.pop(address)
             self._deliver(address, self.swims[address].tick(self.clock.now))
             self._wake(address)
@@ -125,29 +125,29 @@
         if swim.sync_with:
             other = swim.sync_with.pop()
             swim.sync_with.clear()
-            if other in self.alive and other not in self.still and not self.cut(address, other):
+            if other in self.alive and other not in self.stalled and not self.cut(address, other):
                 self.exchange(address, other)
 
-    def exchange(self, one: str, other: str) -> None:
+    def exchange(self, requester_address: str, responder_address: str) -> None:
         """Have two members compare their states and exchange where they differ, as over TCP."""
-        asker, asked = self.swims[one], self.swims[other]
-        digests = asked.compare_digest(asker.digest())
-        buckets = asker.differing_buckets(digests) if digests else []
-        states = asker.in_buckets(buckets), asked.in_buckets(buckets)
-        self._deliver(one, asker.merge(states[1], self.clock.now))
-        self._deliver(other, asked.merge(states[0], self.clock.now))
-        self._wake(one)
-        self._wake(other)
+        requester, responder = self.swims[requester_address], self.swims[responder_address]
+        digests = responder.compare_digest(requester.digest())
+        buckets = requester.differing_buckets(digests) if digests else []
+        states = requester.in_buckets(buckets), responder.in_buckets(buckets)
+        self._deliver(requester_address, requester.merge(states[1], self.clock.now))
+        self._deliver(responder_address, responder.merge(states[0], self.clock.now))
+        self._wake(requester_address)
+        self._wake(responder_address)
 
     def _receive(self, address: str, message: Datagram) -> None:
-        if address in self.alive and address not in self.still:
+        if address in self.alive and address not in self.stalled:
             self._deliver(address, self.swims[address].receive(message, self.clock.now))
             self._wake(address)
 
 
-def split_off(half: set[str]) -> Callable[[str, str], bool]:
+def split_off(group: set[str]) -> Callable[[str, str], bool]:
     """Return a cut between these and all others."""
-    return lambda source, target: (source in half) != (target in half)
+    return lambda source, target: (source in group) != (target in group)
 
 
 def time_to_detect_death(size: int, seed: int) -> float:
@@ -175,28 +175,29 @@
     fleet.run(5)
     sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
     fleet.run(seconds)
-    each = seconds * size
+    member_seconds = seconds * size
     return (
-        (fleet.sent - sent) / each,
-        (fleet.sent_bytes - sent_bytes) / each,
-        (process_time() - began) / each,
+        (fleet.sent - sent) / member_seconds,
+        (fleet.sent_bytes - sent_bytes) / member_seconds,
+        (process_time() - began) / member_seconds,
     )
 
 
 def main(sizes: list[int]) -> None:
     """Measure fleets of these sizes."""
     for size in sizes:
-        known, (sent, sent_bytes, cpu) = (
+        detection_s, (sent, sent_bytes, cpu) = (
             [time_to_detect_death(size, seed) for seed in range(5)],
             cost_at_rest(size),
         )
-        healed = time_to_heal(size, 5)
+        heal_s = time_to_heal(size, 5)
         print(
-            f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
+            f"{size} members: a death known to 99 % after {median(detection_s):.2f} s "
+            f"(most {max(detection_s):.2f}), "
             f"{sent:.1f} datagrams and {sent_bytes:.0f} bytes a second each, {cpu:.2%} of a core each, "
-            f"two halves agree {healed:.1f} s after a cut, {healed / PROBE_PERIOD_S:.0f} rounds"
+            f"two halves agree {heal_s:.1f} s after a cut, {heal_s / PROBE_PERIOD_S:.0f} rounds"
         )
 
 
 if __name__ == "__main__":
-    main([int(word) for word in sys.argv[1:]] or [50, 200])
+    main([int(argument) for argument in sys.argv[1:]] or [50, 200])
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -26,64 +26,66 @@
     RunFinished,
     Verdict,
 )
-from reelusher.lab.fleet.account import Account, Try
+from reelusher.lab.fleet.account import Attempt, RunHistory
 from reelusher.lab.fleet.callers import Caller
 from reelusher.lab.fleet.plan import Fault, Plan
-from reelusher.lab.fleet.processes import seed_of, settings
-from reelusher.lab.fleet.services import Job, Runtime, result_of
-from reelusher.lab.fleet.stage import LAST_S, Stage
+from reelusher.lab.fleet.processes import node_seed, node_settings
+from reelusher.lab.fleet.services import Job, Runtime, result_body
+from reelusher.lab.fleet.stage import FINAL_ANSWERS_S, Scenario
 from reelusher.lab.fleet.virtual import VirtualClock
 from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
 from reelusher.policy.events import Outcome
 
-WAY_S = 0.0005  # from one party to another
-BOOT_S = 0.4  # from the start of a process until it listens, as the live rig shows
+LINK_LATENCY_S = 0.0005  # from one party to another
+STARTUP_S = 0.4  # from the start of a process until it listens, as the live rig shows
 EPOCH_S = 1_700_000_000
 STEP_S = 1.0
-UNKNOWN = ("starve", "loss", "duplicate", "reorder")  # faults that need a wire or a processor
+UNSUPPORTED_FAULTS = ("starve", "loss", "duplicate", "reorder")  # faults that need a wire or a processor
 OUTCOMES = {"yes": Outcome.OK, "notnow": Outcome.REJECTED, "failed": Outcome.ERROR}
 
 
 class ModelCore(Core):
     """The core with its thread replaced: messages are handed on to whoever plays the time."""
 
-    hand: Callable[[Message], None]
+    deliver: Callable[[Message], None]
 
     def post(self, message: Message) -> None:
         """Hand a message over."""
-        self.hand(message)
+        self.deliver(message)
 
 
-class Node:
+class SimulatedNode:
     """One life of a node: runner and dependency of its core, and what turns it."""
 
-    def __init__(self, stage: "Model", name: str, life: int) -> None:
-        self.stage, self.name, self.line = stage, name, stage.line
-        self.runtime: Runtime = stage.runtimes[name]
-        self.below = stage.belows[stage.below_of(name)]
-        self.alive, self.still, self.leaving = True, False, False
+    def __init__(self, scenario: "Model", name: str, process_number: int) -> None:
+        self.scenario, self.name, self.scheduler = scenario, name, scenario.scheduler
+        self.runtime: Runtime = scenario.runtimes[name]
+        self.downstream = scenario.downstreams[scenario.downstream_of(name)]
+        self.alive, self.paused, self.draining = True, False, False
         self.inbox: deque[Message] = deque()
-        self.waiting: dict[str, float] = {}
-        self.calls: dict[str, int] = {}
-        self.open: dict[str, tuple[Caller, Try]] = {}
-        self.serial, self._turn_s = 0, float("inf")
-        made, gauges = settings_from(stage.settings[stage.is_fresh(name)])
-        clock = Clock(*[lambda: int((EPOCH_S + self.line.time()) * 1e9)] * 2)  # both clocks are the model's
+        self.remaining_work_ms: dict[str, float] = {}
+        self.call_numbers: dict[str, int] = {}
+        self.open_attempts: dict[str, tuple[Caller, Attempt]] = {}
+        self.call_serial, self._next_turn_s = 0, float("inf")
+        policy_settings, gauges = settings_from(scenario.settings_by_cold_start[scenario.is_cold_start(name)])
+        clock = Clock(
+            *[lambda: int((EPOCH_S + self.scheduler.time()) * 1e9)] * 2
+        )  # both clocks are the model's
         self.core = ModelCore(
-            made,
+            policy_settings,
             gauges,
-            seed_of(stage.plan, name) + life,
+            node_seed(scenario.plan, name) + process_number,
             self,
             self,
-            [kind.name for kind in stage.plan.kinds],
+            [request_class.name for request_class in scenario.plan.classes],
             clock,
         )
-        self.core.hand = self.post
-        self.runtime.ended, self.runtime.wants = self._ended, self._wants
+        self.core.deliver = self.post
+        self.runtime.on_finished, self.runtime.on_call_needed = self._on_run_finished, self._on_call_needed
         self.core.begin()
         self._wake(0.0)
-        self.cadence = ReportSchedule(Random(f"{seed_of(stage.plan, name)} {life}"))
-        self.line.call_later(self.cadence.first_delay_s(), self._report)
+        self.report_schedule = ReportSchedule(Random(f"{node_seed(scenario.plan, name)} {process_number}"))
+        self.scheduler.call_later(self.report_schedule.first_delay_s(), self._report)
 
     # Turns
 
@@ -93,144 +95,154 @@
         self._wake(0.0)
 
     def _wake(self, wait_s: float) -> None:
-        at = self.line.time() + wait_s
-        if at < self._turn_s and self.alive and not self.still:
-            self._turn_s = at
-            self.line.call_later(wait_s, self._turn, at)
+        at = self.scheduler.time() + wait_s
+        if at < self._next_turn_s and self.alive and not self.paused:
+            self._next_turn_s = at
+            self.scheduler.call_later(wait_s, self._turn, at)
 
     def _turn(self, at: float) -> None:
-        if at != self._turn_s or not self.alive or self.still:
+        if at != self._next_turn_s or not self.alive or self.paused:
             return  # an earlier turn has taken its place
         batch = list(self.inbox)
         self.inbox.clear()
-        self._turn_s = float("inf")
+        self._next_turn_s = float("inf")
         self.core.process_batch(batch)
         due = self.core.next_timer_us()
         if self.inbox:
             self._wake(0.0)
         elif due is not None:
-            self._wake(max(1e-6, due / 1e6 - EPOCH_S - self.line.time()))
+            self._wake(max(1e-6, due / 1e6 - EPOCH_S - self.scheduler.time()))
 
-    def go_on(self) -> None:
+    def unpause(self) -> None:
         """Go on after standing still."""
-        self.still, self._turn_s = False, float("inf")
+        self.paused, self._next_turn_s = False, float("inf")
         self._wake(0.0)
 
-    def later(self, act: Callable[..., None], *args: object) -> None:
+    def after_latency(self, act: Callable[..., None], *args: object) -> None:
         """Do something after the way to a party on the same machine, or back."""
-        self.line.call_later(WAY_S, act, *args)
+        self.scheduler.call_later(LINK_LATENCY_S, act, *args)
 
     # Runner
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
         """Start a run."""
-        self.later(self.runtime.start, request.run_id, class_name, request.body)
+        self.after_latency(self.runtime.start, request.run_id, class_name, request.body)
 
-    def stop(self, call: str) -> None:
+    def stop(self, run_id: str) -> None:
         """Nothing: the plan's machines can't stop runs."""
 
-    def resume(self, call: str) -> None:
+    def resume(self, run_id: str) -> None:
         """Nothing, for the same reason."""
 
-    def deliver_reply(self, call: str, body: bytes) -> None:
+    def deliver_reply(self, run_id: str, body: bytes) -> None:
         """Hand over a reply."""
-        self.later(self.runtime.go_on, call, self.waiting.pop(call), False)
+        self.after_latency(self.runtime.continue_run, run_id, self.remaining_work_ms.pop(run_id), False)
 
-    def skip_call(self, call: str, serial: int) -> None:
+    def skip_call(self, run_id: str, call_serial: int) -> None:
         """Go on without the call."""
-        self.later(self.runtime.go_on, call, self.waiting.pop(call), True)
+        self.after_latency(self.runtime.continue_run, run_id, self.remaining_work_ms.pop(run_id), True)
 
     def request_gauges(self, cookie: str) -> bool:
         """Ask for the gauges."""
-        self.later(lambda: self.later(self.post, GaugesReceived(cookie, tuple(self.runtime.gauges()))))
+        self.after_latency(
+            lambda: self.after_latency(self.post, GaugesReceived(cookie, tuple(self.runtime.gauges())))
+        )
         return True
 
-    def _ended(self, job: Job) -> None:
-        took_us = int((self.line.time() - job.began_s) * 1e6)
-        self.later(self.post, RunFinished(job.call, Outcome.OK, took_us, Result(result_of(job))))
+    def _on_run_finished(self, job: Job) -> None:
+        duration_us = int((self.scheduler.time() - job.started_s) * 1e6)
+        self.after_latency(
+            self.post, RunFinished(job.run_id, Outcome.OK, duration_us, Result(result_body(job)))
+        )
 
-    def _wants(self, job: Job, ms: float) -> None:
-        self.waiting[job.call] = ms
-        self.serial += 1
-        self.later(self.post, CallRequested(job.call, self.serial, job.body))
+    def _on_call_needed(self, job: Job, ms: float) -> None:
+        self.remaining_work_ms[job.run_id] = ms
+        self.call_serial += 1
+        self.after_latency(self.post, CallRequested(job.run_id, self.call_serial, job.body))
 
     # Dependency
 
-    def call(self, call: str, ticket: int, until_us: int, body: bytes) -> None:
+    def call(self, run_id: str, ticket: int, until_us: int, body: bytes) -> None:
         """Make a call below."""
-        if self.stage.passes(self.name, self.below.name):
-            self.later(self._call, call, ticket)
+        if self.scenario.passes(self.name, self.downstream.name):
+            self.after_latency(self._start_call, run_id, ticket)
 
-    def _call(self, call: str, ticket: int) -> None:
+    def _start_call(self, run_id: str, ticket: int) -> None:
         if self.alive:
-            number = self.below.call(partial(self._reply, call, ticket))
+            number = self.downstream.call(partial(self._on_reply, run_id, ticket))
             if number:
-                self.calls[call] = number
+                self.call_numbers[run_id] = number
 
-    def _reply(self, call: str, ticket: int, word: str) -> None:
-        self.calls.pop(call, None)
-        if self.stage.passes(self.below.name, self.name):
-            self.later(self.post, CallFinished(call, ticket, OUTCOMES[word], b"ok"))
+    def _on_reply(self, run_id: str, ticket: int, reply: str) -> None:
+        self.call_numbers.pop(run_id, None)
+        if self.scenario.passes(self.downstream.name, self.name):
+            self.after_latency(self.post, CallFinished(run_id, ticket, OUTCOMES[reply], b"ok"))
 
-    def cancel(self, call: str, ticket: int) -> None:
+    def cancel(self, run_id: str, ticket: int) -> None:
         """Give a call up."""
-        self.below.give_up(self.calls.pop(call, 0))
+        self.downstream.cancel(self.call_numbers.pop(run_id, 0))
 
     # List
 
     def _report(self) -> None:
         """Report as the node's own catalog thread does; a service that is away refuses at once."""
-        if not self.alive or self.leaving:
+        if not self.alive or self.draining:
             return
-        began, listed, over = self.line.time(), self.stage.list, False
-
-        def end(why: ReportFailure | None) -> None:
-            nonlocal over
-            if not over:
-                over, now = True, self.line.time()
-                self.line.call_later(
-                    self.cadence.on_failure(why, now) if why else self.cadence.on_success(began, now),
+        began_s, registry, finished = self.scheduler.time(), self.scenario.registry, False
+
+        def finish(failure: ReportFailure | None) -> None:
+            nonlocal finished
+            if not finished:
+                finished, now = True, self.scheduler.time()
+                self.scheduler.call_later(
+                    self.report_schedule.on_failure(failure, now)
+                    if failure
+                    else self.report_schedule.on_success(began_s, now),
                     self._report,
                 )
 
-        if self.still:
-            self.line.call_later(STEP_S, self._report)
+        if self.paused:
+            self.scheduler.call_later(STEP_S, self._report)
             return
-        if self.stage.passes(self.name, "list"):
-            listed.report(self.name, partial(end, None))
-        if listed.away:
-            self.line.call_later(WAY_S, end, ReportFailure.UNAVAILABLE)
+        if self.scenario.passes(self.name, "list"):
+            registry.report(self.name, partial(finish, None))
+        if registry.unavailable:
+            self.scheduler.call_later(LINK_LATENCY_S, finish, ReportFailure.UNAVAILABLE)
         else:
-            self.line.call_later(self.cadence.timeout_s(), end, ReportFailure.NO_REPLY)
+            self.scheduler.call_later(self.report_schedule.timeout_s(), finish, ReportFailure.NO_REPLY)
 
     # Callers
 
-    def arrive(self, caller: Caller, one: Try) -> None:
+    def arrive(self, caller: Caller, attempt: Attempt) -> None:
         """Take a try."""
-        if not self.alive or self.leaving:
-            caller.broken(one, True, ran=False)
+        if not self.alive or self.draining:
+            caller.on_no_answer(attempt, True, may_have_run=False)
             return
-        ask = one.ask
-        kind = next(number for number, kind in enumerate(self.stage.plan.kinds) if kind is ask.kind)
-        self.open[one.call] = caller, one
+        request = attempt.request
+        class_index = next(
+            number
+            for number, class_index in enumerate(self.scenario.plan.classes)
+            if class_index is request.request_class
+        )
+        self.open_attempts[attempt.run_id] = caller, attempt
         self.post(
             RequestArrived(
                 IncomingRequest(
-                    one.call,
-                    kind,
-                    ask.body,
+                    attempt.run_id,
+                    class_index,
+                    request.body,
                     self.core.clock.now(),
-                    partial(self._answer, one.call),
+                    partial(self._answer, attempt.run_id),
                     caller=caller.number,
                     held_kb=10,
-                    expected_work_us=int(ask.kind.work_ms * 1000),
-                    idempotency_key=ask.key,
+                    expected_work_us=int(request.request_class.work_ms * 1000),
+                    idempotency_key=request.key,
                 )
             )
         )
 
-    def _answer(self, call: str, answer: Answer) -> None:
-        caller, one = self.open.pop(call)
+    def _answer(self, run_id: str, answer: Answer) -> None:
+        caller, attempt = self.open_attempts.pop(run_id)
         fields = (
             {} if answer.advertised_capacity is None else {"feedback": f"{answer.advertised_capacity:.4f}"}
         )
@@ -238,113 +250,120 @@
             fields |= {"later": str(answer.retry_after_us // 1000)} if answer.retry_after_us else {}
             fields |= {"giveup": "1"} if answer.no_retry else {}
         body = answer.result.body if answer.result else b""
-        if self.stage.passes(self.name, caller.party):
-            self.later(caller.answered, one, answer.verdict.value, fields, body)
+        if self.scenario.passes(self.name, caller.endpoint):
+            self.after_latency(caller.on_answer, attempt, answer.verdict.value, fields, body)
         else:
-            caller.broken(one, True)
+            caller.on_no_answer(attempt, True)
 
     def drain(self, stop_s: float) -> None:
         """Be told to leave."""
-        self.leaving = True
+        self.draining = True
         now = self.core.clock.now()
         self.post(DrainRequested(now + int(stop_s * 1e6), now))
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """End at once, with all in hand."""
         self.alive = False
-        for number in self.calls.values():
-            self.below.give_up(number)
-        lost, self.open = self.open, {}
-        for caller, one in lost.values():
-            caller.broken(one, True)
+        for number in self.call_numbers.values():
+            self.downstream.cancel(number)
+        unanswered, self.open_attempts = self.open_attempts, {}
+        for caller, attempt in unanswered.values():
+            caller.on_no_answer(attempt, True)
 
 
-class Model(Stage):
+class Model(Scenario):
     """One run on a virtual clock."""
 
     def __init__(self, plan: Plan) -> None:
         for number, fault in enumerate(plan.faults):
-            if fault.kind in UNKNOWN:
+            if fault.kind in UNSUPPORTED_FAULTS:
                 raise ConfigError(f"faults[{number}].kind", f"the model knows no {fault.kind}")
-        self.virtual = VirtualClock()
-        super().__init__(plan, self.virtual)
-        self.settings = {fresh: settings(plan, fresh) for fresh in (False, True)}
-        self.nodes: dict[str, Node] = {}
-        self.lives = 0
-        self._standing: list[Fault] = []
-
-    def play(self) -> Account:
+        self.virtual_clock = VirtualClock()
+        super().__init__(plan, self.virtual_clock)
+        self.settings_by_cold_start = {
+            cold_start: node_settings(plan, cold_start) for cold_start in (False, True)
+        }
+        self.nodes: dict[str, SimulatedNode] = {}
+        self.process_count = 0
+        self._active_faults: list[Fault] = []
+
+    def play(self) -> RunHistory:
         """Play the plan and return the books."""
-        plan, account = self.plan, self.account
-        self.begin_nodes()
-        while self.virtual.now < plan.run.wait_s and not self.all_seen():
-            self.virtual.run(self.virtual.now + 0.02)
-        self.begin_load(self)
-        until = account.zero_s + plan.run.seconds
-        self.virtual.run(until)
-        while self.virtual.now < until + plan.longest_s() + LAST_S and not account.settled():
-            self.virtual.run(self.virtual.now + STEP_S)
-        account.close(self.virtual.now)
-        return account
-
-    def send(self, caller: Caller, one: Try) -> None:
+        plan, history = self.plan, self.history
+        self.start_nodes()
+        while self.virtual_clock.now < plan.run.wait_s and not self.all_nodes_visible():
+            self.virtual_clock.run(self.virtual_clock.now + 0.02)
+        self.start_load(self)
+        deadline_s = history.load_start_s + plan.run.seconds
+        self.virtual_clock.run(deadline_s)
+        while (
+            self.virtual_clock.now < deadline_s + plan.longest_deadline_s() + FINAL_ANSWERS_S
+            and not history.is_settled()
+        ):
+            self.virtual_clock.run(self.virtual_clock.now + STEP_S)
+        history.check_unanswered(self.virtual_clock.now)
+        return history
+
+    def send(self, caller: Caller, attempt: Attempt) -> None:
         """Carry a try to its node; a `callers.Way`."""
-        node = self.nodes.get(one.node)
-        if node is None or not node.alive or not self.passes(caller.party, one.node):
-            self.line.call_later(WAY_S, partial(caller.broken, one, True, ran=False))
+        node = self.nodes.get(attempt.node)
+        if node is None or not node.alive or not self.passes(caller.endpoint, attempt.node):
+            self.scheduler.call_later(
+                LINK_LATENCY_S, partial(caller.on_no_answer, attempt, True, may_have_run=False)
+            )
             return
-        node.runtime.read()
-        self.line.call_later(WAY_S, node.arrive, caller, one)
+        node.runtime.read_request()
+        self.scheduler.call_later(LINK_LATENCY_S, node.arrive, caller, attempt)
 
     def passes(self, source: str, target: str) -> bool:
         """Tell whether a message gets through at present."""
-        return not any(fault.stands_between(source, target) for fault in self._standing)
+        return not any(fault.affects(source, target) for fault in self._active_faults)
 
     # Faults
 
-    def link(self, fault: Fault, begins: bool) -> None:
+    def set_link_fault(self, fault: Fault, active: bool) -> None:
         """Break links or mend them; a delay is too small to matter here and breaks nothing."""
         if fault.kind != "delay":
-            (self._standing.append if begins else self._standing.remove)(fault)
+            (self._active_faults.append if active else self._active_faults.remove)(fault)
 
-    def end_node(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
         """End a node at once."""
         if name in self.nodes:
-            self.nodes.pop(name).end()
+            self.nodes.pop(name).kill()
 
     def start_node(self, name: str) -> None:
         """Start a node, which listens after a while."""
-        self.lives += 1
-        self.line.call_later(BOOT_S, self._boot, name, self.lives)
+        self.process_count += 1
+        self.scheduler.call_later(STARTUP_S, self._on_started, name, self.process_count)
 
-    def _boot(self, name: str, life: int) -> None:
-        if name not in self.dead and name not in self.nodes:
-            self.nodes[name] = Node(self, name, life)
+    def _on_started(self, name: str, process_number: int) -> None:
+        if name not in self.dead_nodes and name not in self.nodes:
+            self.nodes[name] = SimulatedNode(self, name, process_number)
 
-    def freeze(self, name: str, still: bool) -> None:
+    def set_paused(self, name: str, paused: bool) -> None:
         """Have a node stand still, or go on."""
         node = self.nodes.get(name)
-        if node is not None and still:
-            node.still = True
+        if node is not None and paused:
+            node.paused = True
         elif node is not None:
-            node.go_on()
+            node.unpause()
 
     def restart(self, name: str) -> None:
         """Drain a node, and start it again once it owes nothing."""
         node = self.nodes.get(name)
         if node is not None:
             node.drain(self.plan.nodes.stop_ms / 1000)
-            self._leave(name, node, self.line.time() + self.plan.nodes.stop_ms / 1000)
+            self._finish_drain(name, node, self.scheduler.time() + self.plan.nodes.stop_ms / 1000)
 
-    def _leave(self, name: str, node: Node, until: float) -> None:
-        if node.core.attempts.unanswered and self.line.time() < until:
-            self.line.call_later(0.05, self._leave, name, node, until)
+    def _finish_drain(self, name: str, node: SimulatedNode, deadline_s: float) -> None:
+        if node.core.attempts.unanswered and self.scheduler.time() < deadline_s:
+            self.scheduler.call_later(0.05, self._finish_drain, name, node, deadline_s)
         elif self.nodes.get(name) is node:
-            self.end_node(name)
-            self.gone(name)
-            self.come_back(name)
+            self.kill_node(name)
+            self.on_node_ended(name)
+            self.start_again(name)
 
 
-def play(plan: Plan) -> Account:
+def play(plan: Plan) -> RunHistory:
     """Play a plan on a virtual clock."""
     return Model(plan).play()
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -12,14 +12,14 @@
 from reelusher.config.checked_table import CheckedTable, ConfigError
 
 T = TypeVar("T")
-LINK = ("cut", "silent", "reset", "delay", "loss", "duplicate", "reorder")
-PROCESS = ("kill", "stop", "restart", "starve")
-SERVICE = {"outage": ("list",), "late": ("list",), "slow": ("below", "runtime."), "fall": ("below",)}
+LINK_FAULTS = ("cut", "silent", "reset", "delay", "loss", "duplicate", "reorder")
+NODE_FAULTS = ("kill", "stop", "restart", "starve")
+SERVICE_FAULTS = {"outage": ("list",), "late": ("list",), "slow": ("below", "runtime."), "fall": ("below",)}
 EFFECTS = {"safe": "pure", "keyed": "token"}
 NODE_MB = 24  # resident memory of one node, measured at 16 to 24 MB on days of many nodes
 NODE_DESCRIPTORS = 40  # of the rig for each node: four listeners, three a link, ten calls below at once
 CALLER_DESCRIPTORS = 3  # for each caller's connection to a node, through a relay
-MOST_NODES = 1000
+MAX_NODES = 1000
 
 
 def bounded(default: float | None = None, least: float = 0.0, most: float = math.inf) -> Any:
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
+class RequestClass:
     """A class of requests. Worth is that of one request answered within `aim_ms`."""
 
     name: str
@@ -54,12 +54,12 @@
     """A zone: its nodes, and the callers that sit there."""
 
     name: str
-    nodes: int = bounded(None, 0, MOST_NODES)
+    nodes: int = bounded(None, 0, MAX_NODES)
     callers: int = bounded(2, 0, 1000)
 
 
 @dataclass(slots=True, frozen=True)
-class ListPlan:
+class RegistryPlan:
     """The list service. Reports past its capacity are answered late, past a second's worth not at all."""
 
     capacity: float = bounded(1000.0, 0.1)  # reports a second
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BelowPlan:
+class DownstreamPlan:
     """A service below that all runs may call."""
 
     slots: int = bounded(40, 1)  # calls served side by side at full speed
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Habits:
+class CallerPlan:
     """What callers do (minutes of the first meeting, section 4)."""
 
     tries: int = bounded(3)  # of one request at most; 0: without limit
@@ -121,14 +121,14 @@
     ms: float = 0.0
     part: float = 0.0
 
-    def stands_between(self, source: str, target: str) -> bool:
+    def affects(self, source: str, target: str) -> bool:
         """Tell whether this fault of links is met by what goes from one party to another."""
-        there = source in self.of and target in self.to
-        return there or (not self.one_way and source in self.to and target in self.of)
+        forward = source in self.of and target in self.to
+        return forward or (not self.one_way and source in self.to and target in self.of)
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
+class RunPlan:
     """How long and how much."""
 
     seconds: float = bounded(20.0, 0.1, 3600)  # of load
@@ -142,43 +142,43 @@
 class Plan:
     """One run."""
 
-    run: Run
+    run: RunPlan
     zones: tuple[Zone, ...]
-    kinds: tuple[Kind, ...]
+    classes: tuple[RequestClass, ...]
     nodes: NodePlan
-    listing: ListPlan
-    below: BelowPlan
-    habits: Habits
+    registry: RegistryPlan
+    downstream: DownstreamPlan
+    caller_plan: CallerPlan
     faults: tuple[Fault, ...]
 
     def node_names(self) -> list[str]:
         """Return the names of all nodes, those of the first zone first."""
         return [f"n{number + 1}" for number in range(sum(zone.nodes for zone in self.zones))]
 
-    def longest_s(self) -> float:
+    def longest_deadline_s(self) -> float:
         """Return the longest deadline."""
-        return max(kind.deadline_ms for kind in self.kinds) / 1000
+        return max(request_class.deadline_ms for request_class in self.classes) / 1000
 
     def zone_of(self) -> dict[str, str]:
         """Return the zone of each party that has one."""
         names = iter(self.node_names())
-        found = {next(names): zone.name for zone in self.zones for _ in range(zone.nodes)}
-        found |= {f"callers.{zone.name}": zone.name for zone in self.zones}
-        return found | (
-            {f"below.{zone.name}": zone.name for zone in self.zones} if self.below.per_zone else {}
+        zones = {next(names): zone.name for zone in self.zones for _ in range(zone.nodes)}
+        zones |= {f"callers.{zone.name}": zone.name for zone in self.zones}
+        return zones | (
+            {f"below.{zone.name}": zone.name for zone in self.zones} if self.downstream.per_zone else {}
         )
 
-    def belows(self) -> list[str]:
+    def downstream_names(self) -> list[str]:
         """Return the names of the services below."""
-        return [f"below.{zone.name}" for zone in self.zones] if self.below.per_zone else ["below"]
+        return [f"below.{zone.name}" for zone in self.zones] if self.downstream.per_zone else ["below"]
 
-    def factor(self, at_s: float) -> float:
+    def load_factor(self, at_s: float) -> float:
         """Return by what the load is multiplied at a time."""
-        made = 1.0
+        factor = 1.0
         for fault in self.faults:
             if fault.kind == "surge" and fault.at_s <= at_s < fault.at_s + fault.for_s:
-                made *= fault.part
-        return made
+                factor *= fault.part
+        return factor
 
 
 class Selector:
@@ -187,22 +187,22 @@
     def __init__(self, plan: Plan) -> None:
         self.zone_of, self.random = plan.zone_of(), random.Random(plan.run.seed)
         self.nodes = plan.node_names()
-        self.parties = {*self.zone_of, *plan.belows(), "list"}
+        self.endpoints = {*self.zone_of, *plan.downstream_names(), "list"}
 
-    def settle(self, text: str, key: str, rest_of: frozenset[str] = frozenset()) -> frozenset[str]:
+    def resolve(self, text: str, key: str, rest_of: frozenset[str] = frozenset()) -> frozenset[str]:
         """Return the parties that a word selects; `rest_of` is what `others` leaves out."""
         word, _, name = text.partition(":")
         nodes, zones = self.nodes, set(self.zone_of.values())
         if name and word in ("zone", "nodes", "runtimes", "callers") and name not in zones:
             raise ConfigError(key, f"there is no zone {name!r}")
-        within = [node for node in nodes if not name or self.zone_of[node] == name]
+        matching = [node for node in nodes if not name or self.zone_of[node] == name]
         match word:
             case "nodes":
-                return frozenset(within)
+                return frozenset(matching)
             case "runtimes":
-                return frozenset(f"runtime.{node}" for node in within)
+                return frozenset(f"runtime.{node}" for node in matching)
             case "zone" if name:
-                return frozenset(party for party, zone in self.zone_of.items() if zone == name)
+                return frozenset(endpoint for endpoint, zone in self.zone_of.items() if zone == name)
             case "callers":
                 return frozenset(f"callers.{zone}" for zone in zones if name in ("", zone))
             case "part":
@@ -211,26 +211,26 @@
                 except ValueError:
                     raise ConfigError(key, f"a part from 0 to 1 is wanted, not {name!r}") from None
             case "others" if rest_of:
-                return frozenset(self.parties - rest_of)
-        found = name if word in ("node", "party") else text
-        if found in self.parties or found.removeprefix("runtime.") in nodes:
-            return frozenset([found])
+                return frozenset(self.endpoints - rest_of)
+        endpoint_name = name if word in ("node", "party") else text
+        if endpoint_name in self.endpoints or endpoint_name.removeprefix("runtime.") in nodes:
+            return frozenset([endpoint_name])
         raise ConfigError(key, f"there is no party {text!r}")
 
 
 def _fault(table: CheckedTable, selector: Selector) -> Fault:
     table.reject_unknown_keys("kind", "at_s", "for_s", "of", "to", "one_way", "ms", "part")
-    kind = table.choice("kind", (*LINK, *PROCESS, *SERVICE, "surge"))
+    kind = table.choice("kind", (*LINK_FAULTS, *NODE_FAULTS, *SERVICE_FAULTS, "surge"))
     of: frozenset[str] = frozenset()
     to: frozenset[str] = frozenset()
     if kind != "surge":
-        of = selector.settle(table.string("of"), table.path("of"))
-    if kind in LINK:
-        to = selector.settle(table.string("to", "others"), table.path("to"), of)
-    if kind in PROCESS and not of <= set(selector.nodes):
+        of = selector.resolve(table.string("of"), table.path("of"))
+    if kind in LINK_FAULTS:
+        to = selector.resolve(table.string("to", "others"), table.path("to"), of)
+    if kind in NODE_FAULTS and not of <= set(selector.nodes):
         raise ConfigError(table.path("of"), f"{kind} is a fault of nodes")
-    if kind in SERVICE and not all(party.startswith(SERVICE[kind]) for party in of):
-        raise ConfigError(table.path("of"), f"{kind} is a fault of {' or '.join(SERVICE[kind])}")
+    if kind in SERVICE_FAULTS and not all(endpoint.startswith(SERVICE_FAULTS[kind]) for endpoint in of):
+        raise ConfigError(table.path("of"), f"{kind} is a fault of {' or '.join(SERVICE_FAULTS[kind])}")
     needs_part = kind in ("loss", "duplicate", "reorder", "starve", "slow", "surge")
     return Fault(
         kind,
@@ -244,10 +244,10 @@
     )
 
 
-def _filled(made: type[T], table: CheckedTable) -> T:
+def _read_dataclass(cls: type[T], table: CheckedTable) -> T:
     """Read a table as what its fields say."""
-    kinds = get_type_hints(made)
-    table.reject_unknown_keys(*kinds)
+    types = get_type_hints(cls)
+    table.reject_unknown_keys(*types)
     readers: dict[Any, Callable[..., Any]] = {
         float: table.number,
         int: table.integer,
@@ -255,55 +255,55 @@
         str: table.string,
     }
     values = {
-        one.name: readers[kinds[one.name]](
-            one.name, None if one.default is MISSING else one.default, **one.metadata
+        item.name: readers[types[item.name]](
+            item.name, None if item.default is MISSING else item.default, **item.metadata
         )
-        for one in fields(made)  # type: ignore[arg-type]
+        for item in fields(cls)  # type: ignore[arg-type]
     }
-    return made(**values)
+    return cls(**values)
 
 
-def scaled(value: dict[str, Any], factor: float) -> dict[str, Any]:
+def scaled(value: dict[str, Any], load_factor: float) -> dict[str, Any]:
     """Return a plan of so many times the size: nodes, load, and what lies below.
 
     Callers stay as many: each may have a connection to each node, so both at once would grow with the square.
     """
-    made = {name: dict(part) if isinstance(part, dict) else part for name, part in value.items()}
-    made["zones"] = [{**zone, "nodes": round(zone["nodes"] * factor)} for zone in value["zones"]]
+    result = {name: dict(part) if isinstance(part, dict) else part for name, part in value.items()}
+    result["zones"] = [{**zone, "nodes": round(zone["nodes"] * load_factor)} for zone in value["zones"]]
     for name, keys in (("run", ("rate",)), ("list", ("capacity",)), ("below", ("slots", "most", "capacity"))):
         for key in keys:
-            if key in made.get(name, {}):
-                made[name][key] = round(made[name][key] * factor)
-    return made
+            if key in result.get(name, {}):
+                result[name][key] = round(result[name][key] * load_factor)
+    return result
 
 
 def parse(value: Any) -> Plan:
     """Check a plan."""
     table = CheckedTable(value)
     table.reject_unknown_keys("run", "zones", "classes", "nodes", "list", "below", "callers", "faults")
-    zones = tuple(_filled(Zone, entry) for entry in table.tables("zones"))
-    kinds = tuple(_filled(Kind, entry) for entry in table.tables("classes"))
+    zones = tuple(_read_dataclass(Zone, entry) for entry in table.tables("zones"))
+    classes = tuple(_read_dataclass(RequestClass, entry) for entry in table.tables("classes"))
     for entry in table.tables("classes"):
         entry.choice("effect", tuple(EFFECTS), "safe")
-    if not kinds:
+    if not classes:
         raise ConfigError("classes", "at least one is needed")
     if len({zone.name for zone in zones}) != len(zones) or not sum(zone.nodes for zone in zones):
         raise ConfigError("zones", "each needs a name of its own, and one of them a node")
-    made = Plan(
-        _filled(Run, table.table("run")),
+    plan = Plan(
+        _read_dataclass(RunPlan, table.table("run")),
         zones,
-        kinds,
-        _filled(NodePlan, table.table("nodes")),
-        _filled(ListPlan, table.table("list")),
-        _filled(BelowPlan, table.table("below")),
-        _filled(Habits, table.table("callers")),
+        classes,
+        _read_dataclass(NodePlan, table.table("nodes")),
+        _read_dataclass(RegistryPlan, table.table("list")),
+        _read_dataclass(DownstreamPlan, table.table("below")),
+        _read_dataclass(CallerPlan, table.table("callers")),
         (),
     )
-    selector = Selector(made)
-    return replace(made, faults=tuple(_fault(entry, selector) for entry in table.tables("faults")))
+    selector = Selector(plan)
+    return replace(plan, faults=tuple(_fault(entry, selector) for entry in table.tables("faults")))
 
 
-def check_room(plan: Plan) -> None:
+def check_resources(plan: Plan) -> None:
     """Refuse more real nodes than the descriptors and the memory of this machine allow."""
     count = len(plan.node_names())
     if len(plan.zones) > 250:
@@ -312,21 +312,21 @@
     needed = count * (NODE_DESCRIPTORS + CALLER_DESCRIPTORS * sum(zone.callers for zone in plan.zones)) + 200
     if hard != resource.RLIM_INFINITY and needed > hard:
         raise ConfigError("zones", f"{count} nodes need {needed} descriptors, {hard} are allowed")
-    found = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
-    free_mb = int(found["MemAvailable"].split()[0]) // 1024
+    meminfo = dict(line.split(":", 1) for line in Path("/proc/meminfo").read_text().splitlines())
+    free_mb = int(meminfo["MemAvailable"].split()[0]) // 1024
     if count * NODE_MB > free_mb:
         raise ConfigError("zones", f"{count} nodes need {count * NODE_MB} MB, {free_mb} are free")
 
 
 def read(paths: Sequence[Path], scale: float = 1.0) -> Plan:
     """Read a plan from files: a later one adds to the tables of those before, and replaces all else."""
-    whole: dict[str, Any] = {}
+    merged: dict[str, Any] = {}
     for path in paths:
         try:
             for name, part in tomllib.loads(path.read_text()).items():
-                known, both = whole.get(name), isinstance(part, dict)
-                whole[name] = {**known, **part} if both and isinstance(known, dict) else part
+                earlier, is_table = merged.get(name), isinstance(part, dict)
+                merged[name] = {**earlier, **part} if is_table and isinstance(earlier, dict) else part
         except (OSError, ValueError) as error:
             raise ConfigError(str(path), str(error)) from None
-    plan = parse(whole)
-    return parse(scaled(whole, scale)) if scale != 1 else plan
+    plan = parse(merged)
+    return parse(scaled(merged, scale)) if scale != 1 else plan
--- a/reelusher/lab/fleet/processes.py
+++ b/reelusher/lab/fleet/processes.py
@@ -26,12 +26,12 @@
     return ["/bin/sh", "-c", text.replace(".venv/bin/python", sys.executable)]
 
 
-def seed_of(plan: Plan, name: str) -> int:
+def node_seed(plan: Plan, name: str) -> int:
     """Return the seed that a node is told."""
     return random.Random(f"{plan.run.seed} {name}").getrandbits(48)
 
 
-def settings(plan: Plan, fresh: bool) -> dict[str, Any]:
+def node_settings(plan: Plan, cold_start: bool) -> dict[str, Any]:
     """Return what the platform would tell each node of this plan, `fresh` where its machine is cold."""
     count = len(plan.node_names())
     own = {
@@ -40,30 +40,30 @@
         "blowup": 16.0,
         "entry_kb": 10.0,
         "below": "common",
-        "calls_out": plan.below.capacity * len(plan.belows()) / count,
-        "calls_over_us": int(plan.below.over_s * 1e6),
+        "calls_out": plan.downstream.capacity * len(plan.downstream_names()) / count,
+        "calls_over_us": int(plan.downstream.over_s * 1e6),
         "linger_us": 0,
         "say": "tokens",
         "halt": "silent",
-        "class_calls": [kind.calls for kind in plan.kinds],
-        "class_skip_worth": [kind.skip_worth for kind in plan.kinds],
+        "class_calls": [request_class.calls for request_class in plan.classes],
+        "class_skip_worth": [request_class.skip_worth for request_class in plan.classes],
         "caller_idle_us": 30_000_000,
         "heard_for_us": 1_000_000,
         "clients_total": sum(zone.callers for zone in plan.zones),
         "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
-        "fresh_start": fresh,
+        "fresh_start": cold_start,
     }
     return {
         "categories": [
             {
-                "name": kind.name,
-                "effect": EFFECTS[kind.effect],
-                "deadline_us": int(kind.deadline_ms * 1000),
-                "objective_us": int(kind.aim_ms * 1000),
-                "worth": kind.worth,
-                "repeat_window_us": int(kind.window_ms * 1000) if kind.keyed else 0,
+                "name": request_class.name,
+                "effect": EFFECTS[request_class.effect],
+                "deadline_us": int(request_class.deadline_ms * 1000),
+                "objective_us": int(request_class.aim_ms * 1000),
+                "worth": request_class.worth,
+                "repeat_window_us": int(request_class.window_ms * 1000) if request_class.keyed else 0,
             }
-            for kind in plan.kinds
+            for request_class in plan.classes
         ],
         "family_info": own,
         "group_size": count,
@@ -82,11 +82,11 @@
 
 def core_wait_s(pid: int) -> dict[str, float]:
     """Return for how many seconds each thread that a process has now was ready and had no core."""
-    made: dict[str, float] = {}
+    waits: dict[str, float] = {}
     for path in Path(f"/proc/{pid}/task").glob("*/schedstat"):
         with contextlib.suppress(OSError):  # a thread that has just ended
-            made[path.parent.name] = int(path.read_text().split()[1]) / 1e9
-    return made
+            waits[path.parent.name] = int(path.read_text().split()[1]) / 1e9
+    return waits
 
 
 class Processes:
@@ -96,7 +96,7 @@
         self.plan, self.folder, self.command = plan, folder, deploy_command("run")
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.configs: dict[str, dict[str, Any]] = {}
-        self.operators: dict[str, Path] = {}  # files of those that are members of a fleet
+        self.operator_files: dict[str, Path] = {}  # files of those that are members of a fleet
 
     def __enter__(self) -> "Processes":
         return self
@@ -109,48 +109,48 @@
             process.wait()
 
     def configure(
-        self, name: str, listen: Address, below: Address, listed: Address, runtime: Address
+        self, name: str, listen: Address, downstream: Address, registry: Address, runtime: Address
     ) -> None:
         """Write a node's configuration."""
-        at = "{}:{}".format
+        host_port = "{}:{}".format
         self.configs[name] = {
             "name": name,
-            "listen": at(*listen),
-            "runtime": at(*runtime),
-            "directory": at(*listed),
-            "vault": at(*below),
-            "seed": f"{seed_of(self.plan, name):x}",
+            "listen": host_port(*listen),
+            "runtime": host_port(*runtime),
+            "directory": host_port(*registry),
+            "vault": host_port(*downstream),
+            "seed": f"{node_seed(self.plan, name):x}",
             "stop_ms": self.plan.nodes.stop_ms,
             "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
         }
 
-    def join(
+    def configure_fleet(
         self, name: str, listen: Address, advertise: Address, seeds: list[Address], zone: str, admin: Address
     ) -> None:
         """Write a node's operator's file: it is a member of the fleet."""
-        at = "{}:{}".format
+        host_port = "{}:{}".format
         secret = self.folder / "secret"
         secret.write_text(f"the secret of run {self.plan.run.seed:032d}")
-        path = self.operators[name] = self.folder / f"{name}.toml"
+        path = self.operator_files[name] = self.folder / f"{name}.toml"
         path.write_text(
             tomli_w.dumps(
                 {
                     "fleet": {
-                        "listen": at(*listen),
-                        "advertise": at(*advertise),
+                        "listen": host_port(*listen),
+                        "advertise": host_port(*advertise),
                         "zone": zone,
-                        "seeds": [at(*seed) for seed in seeds],
+                        "seeds": [host_port(*seed) for seed in seeds],
                         "secret_file": str(secret),
                     },
-                    "admin": {"listen": at(*admin), "token": RIG_ADMIN_TOKEN},
+                    "admin": {"listen": host_port(*admin), "token": RIG_ADMIN_TOKEN},
                 }
             )
         )
 
-    def start(self, name: str, fresh: bool) -> None:
+    def start(self, name: str, cold_start: bool) -> None:
         """Start a node; its log goes on in the same file."""
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps({**self.configs[name], "settings": settings(self.plan, fresh)}))
+        path.write_text(json.dumps({**self.configs[name], "settings": node_settings(self.plan, cold_start)}))
         with (self.folder / f"{name}.log").open("ab") as log:
             self.running[name] = subprocess.Popen(
                 self.command,
@@ -158,7 +158,11 @@
                 env={
                     **os.environ,
                     "PROXY_CONFIG": str(path),
-                    **({"REELUSHER_OPERATOR": str(self.operators[name])} if name in self.operators else {}),
+                    **(
+                        {"REELUSHER_OPERATOR": str(self.operator_files[name])}
+                        if name in self.operator_files
+                        else {}
+                    ),
                 },
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -166,12 +170,12 @@
                 start_new_session=True,
             )
 
-    def send(self, name: str, number: signal.Signals) -> None:
+    def send_signal(self, name: str, signal_number: signal.Signals) -> None:
         """Send a signal to a node that runs."""
-        if self.alive(name):
-            self.running[name].send_signal(number)
+        if self.is_alive(name):
+            self.running[name].send_signal(signal_number)
 
-    def alive(self, name: str) -> bool:
+    def is_alive(self, name: str) -> bool:
         """Tell whether a node's process is there."""
         process = self.running.get(name)
         return process is not None and process.poll() is None
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -19,21 +19,21 @@
 from reelusher.lab.fleet.plan import Fault
 
 RETRANSMIT_S = 0.2  # the least time-out of TCP on Linux
-MOST_BUFFER = 4 << 20  # a relay that holds more for one that does not read ends the connection
-ORDER_S = 1e-6  # between two pieces: an event loop does not keep the order of equal times
-HOST = "127.200.0.1"  # relays listen here
+MAX_BUFFER_BYTES = 4 << 20  # a relay that holds more for one that does not read ends the connection
+ORDER_STEP_S = 1e-6  # between two pieces: an event loop does not keep the order of equal times
+PROXY_HOST = "127.200.0.1"  # relays listen here
 
 
 @dataclass(slots=True)
-class Way:
+class Direction:
     """One direction of a link."""
 
     faults: list[Fault] = field(default_factory=list)
-    crossed: int = 0  # bytes that went through
-    swallowed: int = 0  # bytes that a cut took
-    touched: float = -1.0  # when a fault last stood on it, by the loop's clock
+    passed_bytes: int = 0  # bytes that went through
+    dropped_bytes: int = 0  # bytes that a cut took
+    last_fault_end_s: float = -1.0  # when a fault last stood on it, by the loop's clock
 
-    def has(self, kind: str) -> Fault | None:
+    def active_fault(self, kind: str) -> Fault | None:
         """Return the fault of a kind that stands on it."""
         return next((fault for fault in self.faults if fault.kind == kind), None)
 
@@ -41,24 +41,26 @@
 class Link:
     """From one party to another, both directions."""
 
-    def __init__(self, source: str, target: str, place: Address) -> None:
-        self.source, self.target, self.place = source, target, place
-        self.out, self.back = Way(), Way()
-        self.pairs: set[Pair] = set()
-        self.by_caller: dict[Address, Pair] = {}  # by where the near end comes from, also once over
+    def __init__(self, source: str, target: str, address: Address) -> None:
+        self.source, self.target, self.address = source, target, address
+        self.forward, self.backward = Direction(), Direction()
+        self.connections: set[ProxiedConnection] = set()
+        self.connection_by_peer: dict[
+            Address, ProxiedConnection
+        ] = {}  # by where the near end comes from, also once over
 
-    def touched_since(self, since_s: float) -> bool:
+    def had_fault_since(self, since_s: float) -> bool:
         """Tell whether a fault has stood on it since a time."""
-        stands = bool(self.out.faults or self.back.faults)
-        return stands or max(self.out.touched, self.back.touched) >= since_s
+        active = bool(self.forward.faults or self.backward.faults)
+        return active or max(self.forward.last_fault_end_s, self.backward.last_fault_end_s) >= since_s
 
     def heal(self) -> None:
         """Go on where no fault stands any longer."""
-        for pair in list(self.pairs):
-            pair.heal()
+        for connection in list(self.connections):
+            connection.heal()
 
 
-def reset(transport: asyncio.Transport | None) -> None:
+def reset_connection(transport: asyncio.Transport | None) -> None:
     """End a connection so that the other side sees a reset, not an end."""
     if transport is not None and not transport.is_closing():
         sock = transport.get_extra_info("socket")
@@ -66,162 +68,174 @@
         transport.abort()
 
 
-class Pair:
+class ProxiedConnection:
     """One connection through a link: two ends and what is held between them."""
 
-    def __init__(self, net: "FaultProxyNetwork", link: Link) -> None:
-        self.net, self.link = net, link
-        self.near, self.far = End(self, link.out), End(self, link.back)
-        self.near.other, self.far.other = self.far, self.near
-        self.spoilt = False  # it lost bytes
-        self.reached = 0  # bytes from the near end that were written to the target
-        link.pairs.add(self)
+    def __init__(self, network: "FaultProxyNetwork", link: Link) -> None:
+        self.network, self.link = network, link
+        self.client_side, self.server_side = (
+            ConnectionSide(self, link.forward),
+            ConnectionSide(self, link.backward),
+        )
+        self.client_side.peer, self.server_side.peer = self.server_side, self.client_side
+        self.lost_data = False  # it lost bytes
+        self.delivered_bytes = 0  # bytes from the near end that were written to the target
+        link.connections.add(self)
 
     async def open(self) -> None:
         """Connect to the target."""
         try:
-            await asyncio.get_running_loop().create_connection(lambda: self.far, *self.link.place)
+            await asyncio.get_running_loop().create_connection(lambda: self.server_side, *self.link.address)
         except OSError:
             self.abort()
 
     def abort(self) -> None:
         """Reset both ends."""
-        self.link.pairs.discard(self)
-        for end in (self.near, self.far):
-            reset(end.transport)
+        self.link.connections.discard(self)
+        for end in (self.client_side, self.server_side):
+            reset_connection(end.transport)
 
     def heal(self) -> None:
         """End it where it lost something, else send on what was held."""
-        if self.link.out.has("cut") or self.link.back.has("cut"):
+        if self.link.forward.active_fault("cut") or self.link.backward.active_fault("cut"):
             return
-        if self.spoilt or self.link.out.has("reset"):
+        if self.lost_data or self.link.forward.active_fault("reset"):
             self.abort()
             return
-        self.near.release()
-        self.far.release()
+        self.client_side.release()
+        self.server_side.release()
 
 
-class End(asyncio.Protocol):
+class ConnectionSide(asyncio.Protocol):
     """What comes from one side goes to the other, by the rules of its direction."""
 
-    def __init__(self, pair: Pair, way: Way) -> None:
-        self.pair, self.way = pair, way
-        self.other: End = self
+    def __init__(self, connection: ProxiedConnection, direction: Direction) -> None:
+        self.connection, self.direction = connection, direction
+        self.peer: ConnectionSide = self
         self.transport: asyncio.Transport | None = None
-        self.held: list[bytes] = []  # for this end, until it is there
-        self.silent: list[bytes] = []  # from this end, until its way speaks again
+        self.pending: list[bytes] = []  # for this end, until it is there
+        self.withheld: list[bytes] = []  # from this end, until its way speaks again
         self.due_s = 0.0  # pieces keep their order
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        link = self.pair.link
-        if self is self.pair.near:
-            if link.out.has("reset"):
-                reset(transport)
-            elif link.out.has("cut") or link.back.has("cut"):
-                self.pair.spoilt = True
+        link = self.connection.link
+        if self is self.connection.client_side:
+            if link.forward.active_fault("reset"):
+                reset_connection(transport)
+            elif link.forward.active_fault("cut") or link.backward.active_fault("cut"):
+                self.connection.lost_data = True
             else:
-                self.pair.net.spawn(self.pair.open())
-            link.by_caller[transport.get_extra_info("peername")] = self.pair
-        for data in self.held:
-            self.other.write(transport, data)
-        self.held.clear()
+                self.connection.network.spawn(self.connection.open())
+            link.connection_by_peer[transport.get_extra_info("peername")] = self.connection
+        for data in self.pending:
+            self.peer.write(transport, data)
+        self.pending.clear()
 
     def data_received(self, data: bytes) -> None:
-        way, loop = self.way, asyncio.get_running_loop()
-        if way.has("cut"):
-            way.swallowed += len(data)
-            self.pair.spoilt = True
+        direction, loop = self.direction, asyncio.get_running_loop()
+        if direction.active_fault("cut"):
+            direction.dropped_bytes += len(data)
+            self.connection.lost_data = True
             return
-        if way.has("silent") or self.silent:
-            self.silent.append(data)
+        if direction.active_fault("silent") or self.withheld:
+            self.withheld.append(data)
             return
-        wait_s = self.pair.net.wait_s(way)
-        if wait_s or self.due_s > loop.time():
-            self.due_s = max(self.due_s + ORDER_S, loop.time() + wait_s)
-            loop.call_at(self.due_s, self.pass_on, data)
+        delay_s = self.connection.network.transit_delay_s(direction)
+        if delay_s or self.due_s > loop.time():
+            self.due_s = max(self.due_s + ORDER_STEP_S, loop.time() + delay_s)
+            loop.call_at(self.due_s, self.deliver, data)
         else:
-            self.pass_on(data)
+            self.deliver(data)
 
-    def pass_on(self, data: bytes) -> None:
+    def deliver(self, data: bytes) -> None:
         """Hand a piece to the other end."""
-        out = self.other.transport
-        if out is None:
-            self.other.held.append(data)
-        elif not out.is_closing():
-            self.write(out, data)
-            if out.get_write_buffer_size() > MOST_BUFFER:
-                self.pair.abort()
-
-    def write(self, out: asyncio.Transport, data: bytes) -> None:
+        peer_transport = self.peer.transport
+        if peer_transport is None:
+            self.peer.pending.append(data)
+        elif not peer_transport.is_closing():
+            self.write(peer_transport, data)
+            if peer_transport.get_write_buffer_size() > MAX_BUFFER_BYTES:
+                self.connection.abort()
+
+    def write(self, peer_transport: asyncio.Transport, data: bytes) -> None:
         """Write a piece that came from this end."""
-        out.write(data)
-        self.way.crossed += len(data)
-        if self is self.pair.near:
-            self.pair.reached += len(data)
+        peer_transport.write(data)
+        self.direction.passed_bytes += len(data)
+        if self is self.connection.client_side:
+            self.connection.delivered_bytes += len(data)
 
     def release(self) -> None:
         """Send on what silence held."""
-        if not self.way.has("silent"):
-            held, self.silent = self.silent, []
-            for data in held:
-                self.pass_on(data)
+        if not self.direction.active_fault("silent"):
+            released, self.withheld = self.withheld, []
+            for data in released:
+                self.deliver(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.pair.link.pairs.discard(self.pair)
-        if self.way.has("cut") or self.way.has("silent"):
-            self.pair.spoilt = True  # the other side does not hear of it
+        self.connection.link.connections.discard(self.connection)
+        if self.direction.active_fault("cut") or self.direction.active_fault("silent"):
+            self.connection.lost_data = True  # the other side does not hear of it
             return
-        out = self.other.transport
-        if out is not None:
+        peer_transport = self.peer.transport
+        if peer_transport is not None:
             asyncio.get_running_loop().call_later(
                 max(0.0, self.due_s - asyncio.get_running_loop().time()),
-                *((reset, out) if error else (out.close,)),
+                *((reset_connection, peer_transport) if error else (peer_transport.close,)),
             )
 
 
-class Inlet(asyncio.DatagramProtocol):
+class SharedDatagramProxy(asyncio.DatagramProtocol):
     """All datagrams to one party; whose they are is told by the address they come from."""
 
-    def __init__(self, net: "FaultProxyNetwork", target: str, place: Address) -> None:
-        self.net, self.target, self.place = net, target, place
+    def __init__(self, network: "FaultProxyNetwork", target: str, address: Address) -> None:
+        self.network, self.target, self.address = network, target, address
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)  # which that of an event loop is not
 
-    def datagram_received(self, data: bytes, came_from: Address) -> None:
-        source = self.net.endpoint_of.get(came_from[0], "")
-        way = self.net.link(source, self.target, self.place).out
-        loss, twice, late = way.has("loss"), way.has("duplicate"), way.has("reorder")
-        draw = self.net.random.random
-        if way.has("cut") or way.has("silent") or way.has("reset") or (loss and draw() < loss.part):
-            way.swallowed += len(data)
+    def datagram_received(self, data: bytes, sender: Address) -> None:
+        source = self.network.endpoint_of.get(sender[0], "")
+        direction = self.network.link(source, self.target, self.address).forward
+        loss, duplicate, reorder = (
+            direction.active_fault("loss"),
+            direction.active_fault("duplicate"),
+            direction.active_fault("reorder"),
+        )
+        draw = self.network.random.random
+        if (
+            direction.active_fault("cut")
+            or direction.active_fault("silent")
+            or direction.active_fault("reset")
+            or (loss and draw() < loss.part)
+        ):
+            direction.dropped_bytes += len(data)
             return
-        wait_s = self.net.wait_s(way, datagram=True)
-        for _ in range(2 if twice and draw() < twice.part else 1):
-            again_s = late.ms / 1000 if late and draw() < late.part else 0.0
-            asyncio.get_running_loop().call_later(wait_s + again_s, self.send, way, data)
+        delay_s = self.network.transit_delay_s(direction, datagram=True)
+        for _ in range(2 if duplicate and draw() < duplicate.part else 1):
+            extra_s = reorder.ms / 1000 if reorder and draw() < reorder.part else 0.0
+            asyncio.get_running_loop().call_later(delay_s + extra_s, self.send, direction, data)
 
-    def send(self, way: Way, data: bytes) -> None:
+    def send(self, direction: Direction, data: bytes) -> None:
         """Pass a datagram on."""
-        way.crossed += len(data)
+        direction.passed_bytes += len(data)
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.sendto(data, self.place)
+            self.transport.sendto(data, self.address)
 
 
-class Door(asyncio.Protocol):
+class SharedStreamProxy(asyncio.Protocol):
     """A connection to one party from whoever its address says; it becomes a pair of the link between them."""
 
-    def __init__(self, net: "FaultProxyNetwork", target: str, place: Address) -> None:
-        self.net, self.target, self.place = net, target, place
+    def __init__(self, network: "FaultProxyNetwork", target: str, address: Address) -> None:
+        self.network, self.target, self.address = network, target, address
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        source = self.net.endpoint_of.get(transport.get_extra_info("peername")[0], "")
-        pair = Pair(self.net, self.net.link(source, self.target, self.place))
-        cast(asyncio.Transport, transport).set_protocol(pair.near)
-        pair.near.connection_made(transport)
+        source = self.network.endpoint_of.get(transport.get_extra_info("peername")[0], "")
+        connection = ProxiedConnection(self.network, self.network.link(source, self.target, self.address))
+        cast(asyncio.Transport, transport).set_protocol(connection.client_side)
+        connection.client_side.connection_made(transport)
 
 
 class FaultProxyNetwork:
@@ -231,97 +245,101 @@
         self.random = random.Random(seed)
         self.links: dict[tuple[str, str], Link] = {}
         self.endpoint_of: dict[str, str] = {}  # by loopback address
-        self._standing: list[Fault] = []
-        self._doors: dict[tuple[str, str], Address] = {}
-        self._open: list[asyncio.Server | asyncio.DatagramTransport] = []
+        self._active_faults: list[Fault] = []
+        self._proxy_addresses: dict[tuple[str, str], Address] = {}
+        self._servers: list[asyncio.Server | asyncio.DatagramTransport] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[object, object, None]) -> None:
+    def spawn(self, coroutine: Coroutine[object, object, None]) -> None:
         """Run something beside all else; kept so that it is not collected."""
-        task = asyncio.ensure_future(work)
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def link(self, source: str, target: str, place: Address) -> Link:
+    def link(self, source: str, target: str, address: Address) -> Link:
         """Return the link between two parties, with the faults that stand on it by now."""
         found = self.links.get((source, target))
         if found is None:
-            found = self.links[source, target] = Link(source, target, place)
-            for fault in self._standing:
-                self._stand(found, fault)
+            found = self.links[source, target] = Link(source, target, address)
+            for fault in self._active_faults:
+                self._apply(found, fault)
         return found
 
-    async def through(self, source: str, target: str, place: Address) -> Address:
+    async def open_link_proxy(self, source: str, target: str, address: Address) -> Address:
         """Return where `source` is to connect to reach `target` at `place`."""
-        door = self._doors.get((source, target))
-        if door is None:
-            link = self.link(source, target, place)
+        proxy_address = self._proxy_addresses.get((source, target))
+        if proxy_address is None:
+            link = self.link(source, target, address)
             server = await asyncio.get_running_loop().create_server(
-                lambda: Pair(self, link).near, HOST, 0, backlog=512
+                lambda: ProxiedConnection(self, link).client_side, PROXY_HOST, 0, backlog=512
             )
-            self._open.append(server)
-            door = self._doors[source, target] = server.sockets[0].getsockname()
-        return door
+            self._servers.append(server)
+            proxy_address = self._proxy_addresses[source, target] = server.sockets[0].getsockname()
+        return proxy_address
 
-    async def open_shared_proxy(self, target: str, place: Address, streams: bool = False) -> Address:
+    async def open_shared_proxy(self, target: str, address: Address, streams: bool = False) -> Address:
         """Return where datagrams to `target` at `place` are to be sent, and connections too for `streams`."""
         loop = asyncio.get_running_loop()
         port = 0
         if streams:
-            server = await loop.create_server(lambda: Door(self, target, place), HOST, 0)
-            self._open.append(server)
+            server = await loop.create_server(lambda: SharedStreamProxy(self, target, address), PROXY_HOST, 0)
+            self._servers.append(server)
             port = server.sockets[0].getsockname()[1]
-        made, inlet = await loop.create_datagram_endpoint(lambda: Inlet(self, target, place), (HOST, port))
-        self._open.append(made)
-        found: Address = inlet.transport.get_extra_info("sockname") if inlet.transport else (HOST, 0)
-        return found
-
-    def wait_s(self, way: Way, datagram: bool = False) -> float:
+        transport, proxy = await loop.create_datagram_endpoint(
+            lambda: SharedDatagramProxy(self, target, address), (PROXY_HOST, port)
+        )
+        self._servers.append(transport)
+        proxy_address: Address = (
+            proxy.transport.get_extra_info("sockname") if proxy.transport else (PROXY_HOST, 0)
+        )
+        return proxy_address
+
+    def transit_delay_s(self, direction: Direction, datagram: bool = False) -> float:
         """Return how long a piece is held on its way."""
-        delay, loss = way.has("delay"), way.has("loss")
-        wait = delay.ms / 1000 * self.random.uniform(0.9, 1.1) if delay else 0.0
+        delay, loss = direction.active_fault("delay"), direction.active_fault("loss")
+        delay_s = delay.ms / 1000 * self.random.uniform(0.9, 1.1) if delay else 0.0
         if loss and not datagram and self.random.random() < loss.part:
-            wait += RETRANSMIT_S
-        return wait
+            delay_s += RETRANSMIT_S
+        return delay_s
 
     @staticmethod
-    def _stand(link: Link, fault: Fault) -> bool:
-        out = fault.stands_between(link.source, link.target)
-        back = fault.stands_between(link.target, link.source)
-        if out:
-            link.out.faults.append(fault)
-        if back:
-            link.back.faults.append(fault)
-        return out or back
+    def _apply(link: Link, fault: Fault) -> bool:
+        forward = fault.affects(link.source, link.target)
+        backward = fault.affects(link.target, link.source)
+        if forward:
+            link.forward.faults.append(fault)
+        if backward:
+            link.backward.faults.append(fault)
+        return forward or backward
 
     def begin(self, fault: Fault) -> None:
         """Let a fault stand, on the links there are and those to come."""
-        self._standing.append(fault)
+        self._active_faults.append(fault)
         for link in self.links.values():
-            if self._stand(link, fault) and fault.kind == "reset":
-                for pair in list(link.pairs):
-                    pair.abort()
+            if self._apply(link, fault) and fault.kind == "reset":
+                for connection in list(link.connections):
+                    connection.abort()
 
     def end(self, fault: Fault) -> None:
         """Let a fault end."""
-        self._standing.remove(fault)
+        self._active_faults.remove(fault)
         now = asyncio.get_running_loop().time()
         for link in self.links.values():
-            hit = False
-            for way in (link.out, link.back):
-                if fault in way.faults:
-                    way.faults.remove(fault)
-                    way.touched, hit = now, True
-            if hit:
+            affected = False
+            for direction in (link.forward, link.backward):
+                if fault in direction.faults:
+                    direction.faults.remove(fault)
+                    direction.last_fault_end_s, affected = now, True
+            if affected:
                 link.heal()
 
     def close(self) -> None:
         """Close all relays and what goes through them."""
         for task in self._tasks:
             task.cancel()
-        for door in self._open:
-            door.close()
+        for server in self._servers:
+            server.close()
         for link in self.links.values():
-            for pair in list(link.pairs):
+            for connection in list(link.connections):
                 with contextlib.suppress(RuntimeError):
-                    pair.abort()
+                    connection.abort()
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -14,21 +14,29 @@
 from typing import Any
 
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.account import Account
-from reelusher.lab.fleet.census import Census
-from reelusher.lab.fleet.plan import Fault, Plan, check_room
+from reelusher.lab.fleet.account import RunHistory
+from reelusher.lab.fleet.census import MembershipObserver
+from reelusher.lab.fleet.plan import Fault, Plan, check_resources
 from reelusher.lab.fleet.processes import Processes, core_wait_s
 from reelusher.lab.fleet.relay import FaultProxyNetwork
-from reelusher.lab.fleet.stage import LAST_S, LOOK_S, Stage
-from reelusher.lab.fleet.wires import BelowWire, Lines, ListWire, RuntimeHost, RuntimeWire
-
-BEAT_S = 0.01
-CORES_S = 0.1  # between looks at how long a node waited for a core, or more:
-CORE_LOOKS_PER_S = 240.0  # at all nodes together, each some twelve small files; more would starve the rig
-STARVE_S = 0.02  # a starved node is stopped and continued within each such span
+from reelusher.lab.fleet.stage import FINAL_ANSWERS_S, SNAPSHOT_INTERVAL_S, Scenario
+from reelusher.lab.fleet.wires import (
+    CallerConnections,
+    DownstreamConnection,
+    RegistryConnection,
+    RuntimeConnection,
+    RuntimeHost,
+)
+
+LAG_CHECK_INTERVAL_S = 0.01
+CORE_WAIT_INTERVAL_S = 0.1  # between looks at how long a node waited for a core, or more:
+MAX_CORE_WAIT_READS_PER_S = (
+    240.0  # at all nodes together, each some twelve small files; more would starve the rig
+)
+STARVE_PERIOD_S = 0.02  # a starved node is stopped and continued within each such span
 STAND_IN_HOST = "127.200.0.2"  # where the stand-ins listen, behind the relays
-PORTS, PORT_TRIES = (10_000, 32_000), 100
-FAULTS = ("Traceback", " ERROR ")  # words in a node's log that spoil a run
+PORT_RANGE, MAX_PORT_ATTEMPTS = (10_000, 32_000), 100
+LOG_FAULT_MARKERS = ("Traceback", " ERROR ")  # words in a node's log that spoil a run
 
 
 def address_of(zone: int, number: int, port: int) -> Address:
@@ -42,8 +50,8 @@
     It lies below those that the kernel gives to whoever asks for any: one of them, free when it was looked
     for, is now and then taken by a connection before its node has come to listen there.
     """
-    for _ in range(PORT_TRIES):
-        port = random.SystemRandom().randrange(*PORTS)
+    for _ in range(MAX_PORT_ATTEMPTS):
+        port = random.SystemRandom().randrange(*PORT_RANGE)
         with contextlib.suppress(OSError):
             for host in hosts:
                 with socket.create_server((host, port)), socket.socket(type=socket.SOCK_DGRAM) as datagrams:
@@ -52,95 +60,97 @@
     raise OSError(f"no port is free on all of {len(hosts)} addresses")
 
 
-class Rig(Stage):
+class Rig(Scenario):
     """One run."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
         super().__init__(plan, self.loop)
-        self.net, self.processes = FaultProxyNetwork(plan.run.seed), Processes(plan, folder)
-        self.census = Census(self.loop.time)
-        self.hosts = {name: RuntimeHost(runtime) for name, runtime in self.runtimes.items()}
-        self.places: dict[str, Address] = {}
-        self.starved: dict[str, float] = {}  # the part of the time that a node runs for
+        self.network, self.processes = FaultProxyNetwork(plan.run.seed), Processes(plan, folder)
+        self.membership_observer = MembershipObserver(self.loop.time)
+        self.runtime_hosts = {name: RuntimeHost(runtime) for name, runtime in self.runtimes.items()}
+        self.node_addresses: dict[str, Address] = {}
+        self.cpu_fractions: dict[str, float] = {}  # the part of the time that a node runs for
         self.servers: list[asyncio.Server] = []
-        self.loop.set_exception_handler(self._failed)
+        self.loop.set_exception_handler(self._on_loop_exception)
 
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Spoil the run for a fault in a stand-in: its figures would be wrong."""
-        self.account.violations.append(
+        self.history.violations.append(
             f"the rig failed: {context.get('exception') or context.get('message')!r}"
         )
 
-    async def play(self) -> Account:
+    async def play(self) -> RunHistory:
         """Play the plan and return the books."""
-        plan, account = self.plan, self.account
-        await self._wire()
+        plan, history = self.plan, self.history
+        await self._set_up_proxies()
         try:
-            self.begin_nodes()
-            self.census.start()
-            self._beat(self.loop.time())
-            for name in self.places:
-                self._look_for_cores(name, {}, self.loop.time())
-            until = self.loop.time() + plan.run.wait_s
-            while self.loop.time() < until and not self.all_seen():
+            self.start_nodes()
+            self.membership_observer.start()
+            self._measure_lag(self.loop.time())
+            for name in self.node_addresses:
+                self._measure_core_wait(name, {}, self.loop.time())
+            deadline_s = self.loop.time() + plan.run.wait_s
+            while self.loop.time() < deadline_s and not self.all_nodes_visible():
                 await asyncio.sleep(0.02)
-            self.begin_load(
-                Lines(
-                    self.net,
-                    self.places,
-                    lambda name: name not in self.dead,
-                    lambda name: self.runtimes[name].read(),
+            self.start_load(
+                CallerConnections(
+                    self.network,
+                    self.node_addresses,
+                    lambda name: name not in self.dead_nodes,
+                    lambda name: self.runtimes[name].read_request(),
                 )
             )
             await asyncio.sleep(plan.run.seconds)
-            until = self.loop.time() + plan.longest_s() + LAST_S
-            while self.loop.time() < until and not account.settled():
-                await asyncio.sleep(LOOK_S)
-            account.close(self.loop.time())
-            self.census.stop(account.zero_s)  # from here on nodes leave
-            await asyncio.gather(*(self._left(name) for name in self.places if self.processes.alive(name)))
-            for name in self.places:
-                if any(word in self.processes.log(name) for word in FAULTS):
-                    self.account.violations.append(f"{name} logged a fault")
+            deadline_s = self.loop.time() + plan.longest_deadline_s() + FINAL_ANSWERS_S
+            while self.loop.time() < deadline_s and not history.is_settled():
+                await asyncio.sleep(SNAPSHOT_INTERVAL_S)
+            history.check_unanswered(self.loop.time())
+            self.membership_observer.stop(history.load_start_s)  # from here on nodes leave
+            await asyncio.gather(
+                *(self._stop_node(name) for name in self.node_addresses if self.processes.is_alive(name))
+            )
+            for name in self.node_addresses:
+                if any(word in self.processes.log(name) for word in LOG_FAULT_MARKERS):
+                    self.history.violations.append(f"{name} logged a fault")
         finally:
-            self.census.stop(account.zero_s)
-            account.census = self.census
-            self.net.close()
+            self.membership_observer.stop(history.load_start_s)
+            history.membership = self.membership_observer
+            self.network.close()
             for server in self.servers:
                 server.close()
-        return account
+        return history
 
-    def _beat(self, due_s: float) -> None:
+    def _measure_lag(self, due_s: float) -> None:
         """Note by how much this process is late: it sees what others do so much later."""
         now = self.loop.time()
-        self.account.note_lag(now, now - due_s)
-        self.loop.call_at(now + BEAT_S, self._beat, now + BEAT_S)
+        self.history.record_lag(now, now - due_s)
+        self.loop.call_at(now + LAG_CHECK_INTERVAL_S, self._measure_lag, now + LAG_CHECK_INTERVAL_S)
 
-    def _look_for_cores(self, name: str, before: dict[str, float], since: float) -> None:
+    def _measure_core_wait(self, name: str, previous_s: dict[str, float], since: float) -> None:
         """Note for how long the thread of a node that waited longest had no core since the last look."""
-        now, alive = self.loop.time(), self.processes.alive(name)
-        waited = core_wait_s(self.processes.running[name].pid) if alive else {}
+        now, alive = self.loop.time(), self.processes.is_alive(name)
+        waits = core_wait_s(self.processes.running[name].pid) if alive else {}
         if now > since:
-            self.account.note_coreless(
+            self.history.record_core_wait(
                 name,
                 since,
                 now,
                 max(
-                    (core_wait_s - before.get(thread, 0.0) for thread, core_wait_s in waited.items()),
+                    (total_s - previous_s.get(thread, 0.0) for thread, total_s in waits.items()),
                     default=0.0,
                 ),
             )
-        wait_s = max(CORES_S, len(self.places) / CORE_LOOKS_PER_S)
-        self.loop.call_later(wait_s, self._look_for_cores, name, waited, now)
+        interval_s = max(CORE_WAIT_INTERVAL_S, len(self.node_addresses) / MAX_CORE_WAIT_READS_PER_S)
+        self.loop.call_later(interval_s, self._measure_core_wait, name, waits, now)
 
-    async def _serve(self, make: Callable[[], asyncio.Protocol]) -> Address:
+    async def _start_stand_in(self, make: Callable[[], asyncio.Protocol]) -> Address:
         server = await self.loop.create_server(make, STAND_IN_HOST, 0, backlog=4096)
         self.servers.append(server)
-        found: Address = server.sockets[0].getsockname()
-        return found
+        address: Address = server.sockets[0].getsockname()
+        return address
 
-    async def _wire(self) -> None:
+    async def _set_up_proxies(self) -> None:
         """Set up relays and configurations."""
         plan, names = self.plan, iter(self.plan.node_names())
         port = free_port(
@@ -150,127 +160,135 @@
                 for number in range(zone.nodes)
             ]
         )
-        listed = await self._serve(partial(ListWire, self.list))
-        below = {name: await self._serve(partial(BelowWire, one)) for name, one in self.belows.items()}
+        registry = await self._start_stand_in(partial(RegistryConnection, self.registry))
+        downstreams = {
+            name: await self._start_stand_in(partial(DownstreamConnection, service))
+            for name, service in self.downstreams.items()
+        }
         for zone_no, zone in enumerate(plan.zones):
             for number in range(zone.nodes):
                 name = next(names)
-                mine, place = self.below_of(name), address_of(zone_no, number, port)
-                self.places[name], self.net.endpoint_of[place[0]] = place, name
-                runtime = await self._serve(partial(RuntimeWire, self.hosts[name]))
+                downstream, address = self.downstream_of(name), address_of(zone_no, number, port)
+                self.node_addresses[name], self.network.endpoint_of[address[0]] = address, name
+                runtime = await self._start_stand_in(partial(RuntimeConnection, self.runtime_hosts[name]))
                 self.processes.configure(
                     name,
-                    place,
-                    await self.net.through(name, mine, below[mine]),
-                    await self.net.through(name, "list", listed),
-                    await self.net.through(name, f"runtime.{name}", runtime),
+                    address,
+                    await self.network.open_link_proxy(name, downstream, downstreams[downstream]),
+                    await self.network.open_link_proxy(name, "list", registry),
+                    await self.network.open_link_proxy(name, f"runtime.{name}", runtime),
                 )
         if plan.nodes.fleet:
-            await self._join()
+            await self._set_up_fleet()
 
-    async def _join(self) -> None:
+    async def _set_up_fleet(self) -> None:
         """Make all nodes members of one fleet, whose datagrams and states go through relays too."""
-        hosts = [place[0] for place in self.places.values()]
+        hosts = [address[0] for address in self.node_addresses.values()]
         fleet_port = admin_port = free_port(hosts)
         while admin_port == fleet_port:
             admin_port = free_port(hosts)
-        doors = {
-            name: await self.net.open_shared_proxy(name, (place[0], fleet_port), streams=True)
-            for name, place in self.places.items()
+        proxy_addresses = {
+            name: await self.network.open_shared_proxy(name, (address[0], fleet_port), streams=True)
+            for name, address in self.node_addresses.items()
         }
         by_zone: dict[str, list[str]] = {}
-        for name in self.places:
+        for name in self.node_addresses:
             by_zone.setdefault(self.zone_of[name], []).append(name)
         # the first of each zone, then the second of each
         order = [name for row in itertools.zip_longest(*by_zone.values()) for name in row if name]
-        seeds = [doors[name] for name in order[: self.plan.nodes.seeds]]
-        for name, place in self.places.items():
-            self.census.places[name] = place[0], admin_port
-            self.processes.join(
-                name, (place[0], fleet_port), doors[name], seeds, self.zone_of[name], (place[0], admin_port)
+        seeds = [proxy_addresses[name] for name in order[: self.plan.nodes.seeds]]
+        for name, address in self.node_addresses.items():
+            self.membership_observer.admin_addresses[name] = address[0], admin_port
+            self.processes.configure_fleet(
+                name,
+                (address[0], fleet_port),
+                proxy_addresses[name],
+                seeds,
+                self.zone_of[name],
+                (address[0], admin_port),
             )
 
     # Faults
 
-    def link(self, fault: Fault, begins: bool) -> None:
+    def set_link_fault(self, fault: Fault, active: bool) -> None:
         """Break links or mend them."""
-        if begins:
-            self.net.begin(fault)
+        if active:
+            self.network.begin(fault)
         else:
-            self.net.end(fault)
+            self.network.end(fault)
 
-    def end_node(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
         """End a process at once."""
         self.processes.kill(name)
 
-    def gone(self, name: str) -> None:
+    def on_node_ended(self, name: str) -> None:
         """Note that a node has ended; its runtime numbers notices from 1 again."""
-        super().gone(name)
-        self.hosts[name].restart()
+        super().on_node_ended(name)
+        self.runtime_hosts[name].restart()
 
     def start_node(self, name: str) -> None:
         """Start a process."""
-        self.processes.start(name, self.is_fresh(name))
+        self.processes.start(name, self.is_cold_start(name))
 
-    def freeze(self, name: str, still: bool) -> None:
+    def set_paused(self, name: str, paused: bool) -> None:
         """Stop or continue a process."""
-        self.processes.send(name, signal.SIGSTOP if still else signal.SIGCONT)
+        self.processes.send_signal(name, signal.SIGSTOP if paused else signal.SIGCONT)
 
     def restart(self, name: str) -> None:
         """Drain a process and start it again."""
-        self.net.spawn(self._restart(name))
+        self.network.spawn(self._restart(name))
 
     async def _restart(self, name: str) -> None:
-        await self._left(name)
-        self.gone(name)
-        self.come_back(name)
+        await self._stop_node(name)
+        self.on_node_ended(name)
+        self.start_again(name)
 
-    async def _left(self, name: str) -> None:
+    async def _stop_node(self, name: str) -> None:
         """Tell a node to leave and see that it does so in time, with status 0."""
-        process, until = self.processes.running[name], self.loop.time() + self.plan.nodes.stop_ms / 1000
-        self.processes.send(name, signal.SIGTERM)
-        while process.poll() is None and self.loop.time() < until:
+        process, deadline_s = self.processes.running[name], self.loop.time() + self.plan.nodes.stop_ms / 1000
+        self.processes.send_signal(name, signal.SIGTERM)
+        while process.poll() is None and self.loop.time() < deadline_s:
             await asyncio.sleep(0.01)
         if process.poll() != 0:
-            self.account.violations.append(f"{name} left with status {process.poll()}")
+            self.history.violations.append(f"{name} left with status {process.poll()}")
 
-    def starve(self, name: str, part: float) -> None:
+    def starve(self, name: str, fraction: float) -> None:
         """Let a process run for a part of the time."""
-        new = name not in self.starved
-        self.starved[name] = part
-        if new:
-            self.net.spawn(self._starve(name))
+        is_new = name not in self.cpu_fractions
+        self.cpu_fractions[name] = fraction
+        if is_new:
+            self.network.spawn(self._starve(name))
 
     async def _starve(self, name: str) -> None:
-        while (part := self.starved[name]) < 1 and self.processes.alive(name):
+        while (fraction := self.cpu_fractions[name]) < 1 and self.processes.is_alive(name):
             stopped = self.loop.time()
-            self.processes.send(name, signal.SIGSTOP)
-            await asyncio.sleep(STARVE_S * (1 - part))
-            self.processes.send(name, signal.SIGCONT)
-            self.account.note_away(name, stopped, self.loop.time())
-            await asyncio.sleep(STARVE_S * part)
-        del self.starved[name]
+            self.processes.send_signal(name, signal.SIGSTOP)
+            await asyncio.sleep(STARVE_PERIOD_S * (1 - fraction))
+            self.processes.send_signal(name, signal.SIGCONT)
+            self.history.record_pause(name, stopped, self.loop.time())
+            await asyncio.sleep(STARVE_PERIOD_S * fraction)
+        del self.cpu_fractions[name]
 
 
-def play(plan: Plan, folder: Path | None = None) -> Account:
+def play(plan: Plan, folder: Path | None = None) -> RunHistory:
     """Play a plan. Logs and configurations of nodes go to `folder`, which is else a passing one."""
-    check_room(plan)
+    check_resources(plan)
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
-    async def work(where: Path) -> Account:
-        rig = Rig(plan, where)
+    async def run_rig(run_folder: Path) -> RunHistory:
+        rig = Rig(plan, run_folder)
         task = asyncio.current_task()
         assert task is not None
         with rig.processes:  # SIGTERM must end its processes as Ctrl-C does, else hundreds go on without it
             asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-            last_s = plan.run.wait_s + plan.run.seconds + plan.longest_s() + 60
+            last_s = plan.run.wait_s + plan.run.seconds + plan.longest_deadline_s() + 60
             return await asyncio.wait_for(rig.play(), last_s)
 
     with contextlib.ExitStack() as stack:
-        where = folder or Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        where.mkdir(parents=True, exist_ok=True)
+        run_folder = folder or Path(stack.enter_context(tempfile.TemporaryDirectory()))
+        run_folder.mkdir(parents=True, exist_ok=True)
         try:
-            return asyncio.run(work(where))
+            return asyncio.run(run_rig(run_folder))
         except asyncio.CancelledError:
             raise SystemExit(128 + signal.SIGTERM) from None
--- a/reelusher/lab/fleet/stage.py
+++ b/reelusher/lab/fleet/stage.py
@@ -3,80 +3,85 @@
 import itertools
 from typing import Any
 
-from reelusher.lab.fleet.account import Account
-from reelusher.lab.fleet.callers import Caller, Way
-from reelusher.lab.fleet.plan import LINK, Fault, Plan
-from reelusher.lab.fleet.services import Below, ListService, Runtime, Timeline
+from reelusher.lab.fleet.account import RunHistory
+from reelusher.lab.fleet.callers import Caller, Transport
+from reelusher.lab.fleet.plan import LINK_FAULTS, Fault, Plan
+from reelusher.lab.fleet.services import DownstreamService, Runtime, Scheduler, ServiceRegistry
 
-LOOK_S = 0.1  # between looks at the list
-LAST_S = 2.0  # beyond the longest deadline, for the last answers
+SNAPSHOT_INTERVAL_S = 0.1  # between looks at the list
+FINAL_ANSWERS_S = 2.0  # beyond the longest deadline, for the last answers
 
 
-class Stage:
+class Scenario:
     """A run on some timeline. Who plays it says what becomes of nodes and links."""
 
-    def __init__(self, plan: Plan, line: Timeline) -> None:
-        self.plan, self.line, self.account = plan, line, Account(plan)
-        self.account.zero_s = line.time()
-        kinds = {kind.name: kind for kind in plan.kinds}
-        self.list = ListService(line, plan.listing, self.account)
-        self.belows = {name: Below(line, plan.below, name, self.account) for name in plan.belows()}
+    def __init__(self, plan: Plan, scheduler: Scheduler) -> None:
+        self.plan, self.scheduler, self.history = plan, scheduler, RunHistory(plan)
+        self.history.load_start_s = scheduler.time()
+        classes = {request_class.name: request_class for request_class in plan.classes}
+        self.registry = ServiceRegistry(scheduler, plan.registry, self.history)
+        self.downstreams = {
+            name: DownstreamService(scheduler, plan.downstream, name, self.history)
+            for name in plan.downstream_names()
+        }
         self.runtimes = {
-            name: Runtime(line, plan.nodes, kinds, name, self.account, plan.run.seed)
+            name: Runtime(scheduler, plan.nodes, classes, name, self.history, plan.run.seed)
             for name in plan.node_names()
         }
         self.zone_of = plan.zone_of()
-        self.dead: set[str] = set()
-        self.again: set[str] = set()  # nodes that have started more than once
-        self.since: dict[str, float] = {}  # when nodes that stand still were stopped
+        self.dead_nodes: set[str] = set()
+        self.restarted_nodes: set[str] = set()  # nodes that have started more than once
+        self.paused_since_s: dict[str, float] = {}  # when nodes that stand still were stopped
 
-    def below_of(self, name: str) -> str:
+    def downstream_of(self, name: str) -> str:
         """Return the service below that a node calls."""
-        return f"below.{self.zone_of[name]}" if self.plan.below.per_zone else "below"
+        return f"below.{self.zone_of[name]}" if self.plan.downstream.per_zone else "below"
 
-    def look(self) -> None:
+    def snapshot_registry(self) -> None:
         """Let the list note what stands on it, again and again."""
-        self.list.look()
-        self.line.call_later(LOOK_S, self.look)
+        self.registry.take_snapshot()
+        self.scheduler.call_later(SNAPSHOT_INTERVAL_S, self.snapshot_registry)
 
-    def begin_nodes(self) -> None:
+    def start_nodes(self) -> None:
         """Start all nodes within the time that the plan gives, and look at the list from now on."""
-        self.look()
+        self.snapshot_registry()
         for number, name in enumerate(self.runtimes):
-            self.line.call_later(number * self.plan.run.spread_s / len(self.runtimes), self.start_node, name)
+            self.scheduler.call_later(
+                number * self.plan.run.spread_s / len(self.runtimes), self.start_node, name
+            )
 
-    def all_seen(self) -> bool:
+    def all_nodes_visible(self) -> bool:
         """Tell whether callers see every node on the list."""
-        return len(self.list.as_seen()) == len(self.runtimes)
+        return len(self.registry.visible_nodes()) == len(self.runtimes)
 
-    def begin_load(self, way: Way) -> None:
+    def start_load(self, transport: Transport) -> None:
         """Let callers ask, and the timetable of faults begin."""
-        self.account.begin(self.line.time())
-        names, number = itertools.count(1), itertools.count(1)
+        self.history.begin_load(self.scheduler.time())
+        ids, number = itertools.count(1), itertools.count(1)
         count = sum(zone.callers for zone in self.plan.zones)
         for zone in self.plan.zones:
             for _ in range(zone.callers):
                 Caller(
-                    self.line,
+                    self.scheduler,
                     self.plan,
                     zone.name,
                     next(number),
-                    self.account,
-                    self.list.as_seen,
-                    way,
+                    self.history,
+                    self.registry.visible_nodes,
+                    transport,
                     self.plan.run.rate / count,
-                    names,
+                    ids,
                 ).begin()
         for fault in self.plan.faults:
-            self.line.call_later(fault.at_s, self._begin, fault)
+            self.scheduler.call_later(fault.at_s, self._begin_fault, fault)
 
     # Who plays it says how
 
-    def link(self, fault: Fault, begins: bool) -> None:
+    def set_link_fault(self, fault: Fault, active: bool) -> None:
         """Break links or mend them."""
         raise NotImplementedError
 
-    def end_node(self, name: str) -> None:
+    def kill_node(self, name: str) -> None:
         """End a node at once."""
         raise NotImplementedError
 
@@ -84,7 +89,7 @@
         """Start a node that has ended."""
         raise NotImplementedError
 
-    def freeze(self, name: str, still: bool) -> None:
+    def set_paused(self, name: str, paused: bool) -> None:
         """Have a node stand still, or go on."""
         raise NotImplementedError
 
@@ -92,75 +97,75 @@
         """Drain a node and start it again."""
         raise NotImplementedError
 
-    def starve(self, name: str, part: float) -> None:
+    def starve(self, name: str, fraction: float) -> None:
         """Let a node run for a part of the time from now on; 1: all the time."""
         raise NotImplementedError
 
     # Faults
 
-    def _begin(self, fault: Fault) -> None:
-        self.account.mark(self.line.time(), f"{fault.kind} begins")
+    def _begin_fault(self, fault: Fault) -> None:
+        self.history.record_event(self.scheduler.time(), f"{fault.kind} begins")
         self._apply(fault, True)
         if fault.for_s and fault.kind not in ("surge", "restart"):
-            self.line.call_later(fault.for_s, self._end, fault)
+            self.scheduler.call_later(fault.for_s, self._end_fault, fault)
 
-    def _end(self, fault: Fault) -> None:
-        self.account.mark(self.line.time(), f"{fault.kind} ends")
+    def _end_fault(self, fault: Fault) -> None:
+        self.history.record_event(self.scheduler.time(), f"{fault.kind} ends")
         self._apply(fault, False)
 
-    def _apply(self, fault: Fault, begins: bool) -> None:
-        if fault.kind in LINK:
-            self.link(fault, begins)
+    def _apply(self, fault: Fault, active: bool) -> None:
+        if fault.kind in LINK_FAULTS:
+            self.set_link_fault(fault, active)
             return
-        for party in sorted(fault.of):
+        for endpoint in sorted(fault.of):
             match fault.kind:
-                case "kill" if begins:
-                    self.end_node(party)
-                    self.gone(party)
+                case "kill" if active:
+                    self.kill_node(endpoint)
+                    self.on_node_ended(endpoint)
                 case "kill":
-                    self.come_back(party)
+                    self.start_again(endpoint)
                 case "stop":
-                    self.freeze(party, begins)
-                    self._still(party, begins)
+                    self.set_paused(endpoint, active)
+                    self._record_pause(endpoint, active)
                 case "restart":
-                    self.restart(party)
+                    self.restart(endpoint)
                 case "starve":
-                    self.starve(party, fault.part if begins else 1.0)
+                    self.starve(endpoint, fault.part if active else 1.0)
                 case _:
-                    self._service(fault, party, begins)
+                    self._apply_service_fault(fault, endpoint, active)
 
-    def _still(self, name: str, still: bool) -> None:
-        if still:
-            self.since[name] = self.line.time()
+    def _record_pause(self, name: str, paused: bool) -> None:
+        if paused:
+            self.paused_since_s[name] = self.scheduler.time()
         else:
-            self.account.note_away(name, self.since.pop(name), self.line.time())
+            self.history.record_pause(name, self.paused_since_s.pop(name), self.scheduler.time())
 
-    def gone(self, name: str) -> None:
+    def on_node_ended(self, name: str) -> None:
         """Note that a node has ended, and its runs with it."""
-        self.dead.add(name)
-        self.account.note_end_of_life(name, self.line.time())
+        self.dead_nodes.add(name)
+        self.history.record_process_end(name, self.scheduler.time())
         self.runtimes[name].restart()
 
-    def come_back(self, name: str) -> None:
+    def start_again(self, name: str) -> None:
         """Start a node that has ended; its machine is cold."""
         self.runtimes[name].restart()
-        self.dead.discard(name)
-        self.again.add(name)
+        self.dead_nodes.discard(name)
+        self.restarted_nodes.add(name)
         self.start_node(name)
 
-    def is_fresh(self, name: str) -> bool:
+    def is_cold_start(self, name: str) -> bool:
         """Tell whether a node that starts finds its machine cold."""
-        return name in self.again or self.plan.nodes.starts_cold
+        return name in self.restarted_nodes or self.plan.nodes.starts_cold
 
-    def _service(self, fault: Fault, party: str, begins: bool) -> None:
+    def _apply_service_fault(self, fault: Fault, endpoint: str, active: bool) -> None:
         """Break or mend a stand-in."""
-        service: Any = self.belows.get(party) or self.runtimes.get(party.removeprefix("runtime."))
+        service: Any = self.downstreams.get(endpoint) or self.runtimes.get(endpoint.removeprefix("runtime."))
         match fault.kind:
             case "slow" if service is not None:
-                service.slow = fault.part if begins else 1.0
-            case "fall" if begins and party in self.belows:
-                service.fall()
-            case "outage" if party == "list":
-                self.list.outage(begins)
-            case "late" if party == "list":
-                self.list.late_s = fault.ms / 1000 if begins else 0.0
+                service.speed_factor = fault.part if active else 1.0
+            case "fall" if active and endpoint in self.downstreams:
+                service.crash()
+            case "outage" if endpoint == "list":
+                self.registry.set_unavailable(active)
+            case "late" if endpoint == "list":
+                self.registry.extra_delay_s = fault.ms / 1000 if active else 0.0
--- a/reelusher/lab/fleet/virtual.py
+++ b/reelusher/lab/fleet/virtual.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Later:
+class VirtualTimer:
     """Something that is to be done later."""
 
     __slots__ = ("args", "callback")
@@ -25,23 +25,23 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._heap: list[tuple[float, int, Later]] = []
+        self._heap: list[tuple[float, int, VirtualTimer]] = []
         self._order = itertools.count()
 
     def time(self) -> float:
         """Return the time in seconds."""
         return self.now
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> Later:
+    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> VirtualTimer:
         """Do something so many seconds from now."""
-        later = Later(callback, args)
-        heapq.heappush(self._heap, (self.now + max(0.0, delay), next(self._order), later))
-        return later
+        timer = VirtualTimer(callback, args)
+        heapq.heappush(self._heap, (self.now + max(0.0, delay), next(self._order), timer))
+        return timer
 
     def run(self, until_s: float) -> None:
         """Let time pass."""
         while self._heap and self._heap[0][0] <= until_s:
-            self.now, _, later = heapq.heappop(self._heap)
-            if later.callback is not None:
-                later.callback(*later.args)
+            self.now, _, timer = heapq.heappop(self._heap)
+            if timer.callback is not None:
+                timer.callback(*timer.args)
         self.now = until_s
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -11,18 +11,18 @@
 from reelusher.codecs import http1, lines, msgpack
 from reelusher.codecs.errors import MalformedError
 from reelusher.config.checked_table import Address
-from reelusher.lab.fleet.account import Try
+from reelusher.lab.fleet.account import Attempt
 from reelusher.lab.fleet.callers import Caller
 from reelusher.lab.fleet.relay import FaultProxyNetwork, Link
-from reelusher.lab.fleet.services import Below, Job, ListService, Runtime, result_of
+from reelusher.lab.fleet.services import DownstreamService, Job, Runtime, ServiceRegistry, result_body
 
-MOST_OPEN = 32  # requests on one connection, by the protocol
-KEPT_NOTICES = 4000
-CROSSING_S = 0.05  # a request may cross a close for so long; it then never ran
+MAX_OPEN_REQUESTS = 32  # requests on one connection, by the protocol
+MAX_KEPT_NOTICES = 4000
+MAX_CROSSING_S = 0.05  # a request may cross a close for so long; it then never ran
 VERDICTS = {"Full": "refused"}
 
 
-class Wire(asyncio.Protocol):
+class StandInConnection(asyncio.Protocol):
     """A connection; what is malformed ends it."""
 
     transport: asyncio.Transport
@@ -38,29 +38,29 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self.take(data)
+            self.handle_data(data)
         except (ValueError, KeyError, MalformedError):
             self.transport.abort()
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         raise NotImplementedError
 
 
-class ListWire(Wire):
+class RegistryConnection(StandInConnection):
     """One node's connection to the list service."""
 
-    def __init__(self, service: ListService) -> None:
+    def __init__(self, service: ServiceRegistry) -> None:
         self.service, self.decoder = service, http1.Decoder()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        if self.service.away:
+        if self.service.unavailable:
             self.transport.abort()
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         for message in self.decoder.feed(data):
             self.service.report(message.start[1].rsplit("/", 1)[-1], lambda: self.write(http1.response(204)))
-            if self.service.away:
+            if self.service.unavailable:
                 self.transport.abort()
 
 
@@ -85,86 +85,92 @@
         return found
 
 
-class BelowWire(Wire):
+class DownstreamConnection(StandInConnection):
     """One connection of a node to a service below."""
 
-    def __init__(self, service: Below) -> None:
-        self.service, self.decoder, self.open = service, DownstreamCallDecoder(), dict[str, int]()
+    def __init__(self, service: DownstreamService) -> None:
+        self.service, self.decoder, self.open_calls = service, DownstreamCallDecoder(), dict[str, int]()
 
-    def take(self, data: bytes) -> None:
-        for word, call, _ in self.decoder.feed(data):
-            self.service.give_up(self.open.pop(call, 0))
-            if word == "ask":
-                self.ask(call)
+    def handle_data(self, data: bytes) -> None:
+        for verb, run_id, _ in self.decoder.feed(data):
+            self.service.cancel(self.open_calls.pop(run_id, 0))
+            if verb == "ask":
+                self.start_call(run_id)
 
-    def ask(self, call: str) -> None:
+    def start_call(self, run_id: str) -> None:
         """Have the service take a call."""
-        number = self.service.call(partial(self.reply, call))
+        number = self.service.call(partial(self.send_reply, run_id))
         if number:
-            self.open[call] = number
+            self.open_calls[run_id] = number
 
-    def reply(self, call: str, word: str) -> None:
+    def send_reply(self, run_id: str, status: str) -> None:
         """Write a reply."""
-        self.open.pop(call, None)
-        self.write(f"{call} yes 2\r\nok\r\n".encode() if word == "yes" else f"{call} {word}\r\n".encode())
+        self.open_calls.pop(run_id, None)
+        self.write(
+            f"{run_id} yes 2\r\nok\r\n".encode() if status == "yes" else f"{run_id} {status}\r\n".encode()
+        )
 
     def connection_lost(self, error: Exception | None) -> None:
-        for number in self.open.values():
-            self.service.give_up(number)
-        self.open.clear()
+        for number in self.open_calls.values():
+            self.service.cancel(number)
+        self.open_calls.clear()
 
 
 class RuntimeHost:
     """A node's runtime with its notices, which outlive links."""
 
     def __init__(self, runtime: Runtime) -> None:
-        self.runtime, self.link = runtime, None
-        runtime.ended, runtime.wants = self.ended, self.wants
+        self.runtime, self.connection = runtime, None
+        runtime.on_finished, runtime.on_call_needed = self.on_finished, self.on_call_needed
         self.restart()
 
-    link: "RuntimeWire | None"
+    connection: "RuntimeConnection | None"
 
     def restart(self) -> None:
         """Number notices from 1, as at each start of the node."""
         self.serial = 0
-        self.notices: deque[tuple[int, bytes]] = deque(maxlen=KEPT_NOTICES)
-        self.waiting: dict[str, float] = {}  # what is left of runs that wait for their call, ms
+        self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_KEPT_NOTICES)
+        self.remaining_work_ms: dict[str, float] = {}  # what is left of runs that wait for their call, ms
 
     def notice(self, **fields: Any) -> None:
         """Say something that counts also over a broken link."""
         self.serial += 1
         line = lines.encode_json_line({**fields, "serial": self.serial})
         self.notices.append((self.serial, line))
-        if self.link is not None:
-            self.link.write(line)
+        if self.connection is not None:
+            self.connection.write(line)
 
-    def ended(self, job: Job) -> None:
+    def on_finished(self, job: Job) -> None:
         """Tell the end of a run."""
-        took_ms = (self.runtime.line.time() - job.began_s) * 1000
+        duration_ms = (self.runtime.scheduler.time() - job.started_s) * 1000
         self.notice(
-            msg="end", call=job.call, how="ok", duration=took_ms, blob=lines.encode_body(result_of(job))
+            msg="end",
+            call=job.run_id,
+            how="ok",
+            duration=duration_ms,
+            blob=lines.encode_body(result_body(job)),
         )
 
-    def wants(self, job: Job, ms: float) -> None:
+    def on_call_needed(self, job: Job, ms: float) -> None:
         """Tell that a run waits for its call."""
-        self.waiting[job.call] = ms
-        self.notice(msg="wants", call=job.call, blob=lines.encode_body(job.body))
+        self.remaining_work_ms[job.run_id] = ms
+        self.notice(msg="wants", call=job.run_id, blob=lines.encode_body(job.body))
 
 
-class RuntimeWire(Wire):
+class RuntimeConnection(StandInConnection):
     """A link of a node to its runtime."""
 
     def __init__(self, host: RuntimeHost) -> None:
         self.host, self.decoder = host, lines.JsonLineDecoder()
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         host = self.host
         for message in self.decoder.feed(data):
-            call = str(message.get("call", ""))
+            run_id = str(message.get("call", ""))
             match message["msg"]:
                 case "sync":
-                    host.link = self
-                    up_ms = (host.runtime.line.time() - host.runtime.began_s) * 1000
+                    host.connection = self
+                    up_ms = (host.runtime.scheduler.time() - host.runtime.started_s) * 1000
                     self.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": up_ms}))
                     for serial, line in host.notices:
                         if serial > message["serial"]:
@@ -176,16 +182,18 @@
                         )
                     )
                 case "start":
-                    host.runtime.start(call, message["service"], lines.decode_body(message["blob"]))
-                case "give" | "omit" if call in host.waiting:
-                    host.runtime.go_on(call, host.waiting.pop(call), message["msg"] == "omit")
+                    host.runtime.start(run_id, message["service"], lines.decode_body(message["blob"]))
+                case "give" | "omit" if run_id in host.remaining_work_ms:
+                    host.runtime.continue_run(
+                        run_id, host.remaining_work_ms.pop(run_id), message["msg"] == "omit"
+                    )
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.host.link is self:
-            self.host.link = None
+        if self.host.connection is self:
+            self.host.connection = None
 
 
-class NodeLine(Wire):
+class CallerConnection(StandInConnection):
     """A caller's connection to a node."""
 
     def __init__(
@@ -193,113 +201,134 @@
         caller: Caller,
         node: str,
         link: Link,
-        done: Callable[["NodeLine"], None],
+        on_unusable: Callable[["CallerConnection"], None],
         alive: Callable[[str], bool],
     ) -> None:
-        self.caller, self.node, self.link, self.done, self.alive = caller, node, link, done, alive
-        self.decoder, self.numbers = msgpack.Decoder(), itertools.count(1)
-        self.open: dict[int, Try] = {}
-        self.past: dict[int, Try] = {}
-        self.told = False
-        self.written = 0  # bytes
-        self.upto: dict[int, int] = {}  # of open tries: the bytes written with them
+        self.caller, self.node, self.link, self.on_unusable, self.alive = (
+            caller,
+            node,
+            link,
+            on_unusable,
+            alive,
+        )
+        self.decoder, self.message_ids = msgpack.Decoder(), itertools.count(1)
+        self.open_attempts: dict[int, Attempt] = {}
+        self.answered: dict[int, Attempt] = {}
+        self.closing_announced = False
+        self.written_bytes = 0  # bytes
+        self.end_offsets: dict[int, int] = {}  # of open tries: the bytes written with them
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.address = transport.get_extra_info("sockname")
 
-    def ask(self, one: Try) -> None:
+    def send_request(self, attempt: Attempt) -> None:
         """Write a try."""
-        number, ask = next(self.numbers), one.ask
+        message_id, request = next(self.message_ids), attempt.request
         fields = {
-            "txn": one.call,
+            "txn": attempt.run_id,
             "lb": str(self.caller.number),
             "ram": "10",
-            "cpu": f"{ask.kind.work_ms:.2f}",
+            "cpu": f"{request.request_class.work_ms:.2f}",
             "door": str(time.time_ns() // 1_000_000),
         }
-        if ask.key:
-            fields["unique"] = ask.key
-        data = msgpack.pack([0, number, ask.kind.name, [fields, ask.body]])
+        if request.key:
+            fields["unique"] = request.key
+        data = msgpack.pack([0, message_id, request.request_class.name, [fields, request.body]])
         self.write(data)
-        self.written += len(data)
-        self.upto[number] = self.written
-        one.sent_s = self.caller.line.time() - self.caller.account.zero_s
-        self.open[number] = one
+        self.written_bytes += len(data)
+        self.end_offsets[message_id] = self.written_bytes
+        attempt.sent_s = self.caller.scheduler.time() - self.caller.history.load_start_s
+        self.open_attempts[message_id] = attempt
 
-    def take(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         for message in self.decoder.feed(data):
             if message[0] == 2:
-                self.told = True
-                self.done(self)
+                self.closing_announced = True
+                self.on_unusable(self)
                 continue
-            _, number, error, result = message
-            one = self.open.pop(number, None)
-            if one is None:  # a second answer, or one to nothing that was asked
-                if number in self.past:
-                    self.caller.answered(self.past[number], "again", {}, b"")
+            _, message_id, error, result = message
+            attempt = self.open_attempts.pop(message_id, None)
+            if attempt is None:  # a second answer, or one to nothing that was asked
+                if message_id in self.answered:
+                    self.caller.on_answer(self.answered[message_id], "again", {}, b"")
                 else:
-                    self.caller.account.violations.append(f"{self.node} answered {number}, which is not open")
+                    self.caller.history.violations.append(
+                        f"{self.node} answered {message_id}, which is not open"
+                    )
                 continue
-            self.past[number] = one
+            self.answered[message_id] = attempt
             if error:
-                self.caller.answered(one, VERDICTS.get(error[0], "failed"), error[1], b"")
+                self.caller.on_answer(attempt, VERDICTS.get(error[0], "failed"), error[1], b"")
             else:
-                self.caller.answered(one, "served", result[1], result[0])
-        if self.told and not self.open:
+                self.caller.on_answer(attempt, "served", result[1], result[0])
+        if self.closing_announced and not self.open_attempts:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.done(self)
-        now = self.caller.line.time()
-        open_, self.open = self.open, {}
-        account, pair = self.caller.account, self.link.by_caller.pop(self.address, None)
-        for number, one in open_.items():
-            age_s = now - account.zero_s - one.sent_s
-            touched = not self.alive(self.node) or self.link.touched_since(now - age_s)
+        self.on_unusable(self)
+        now = self.caller.scheduler.time()
+        open_attempts, self.open_attempts = self.open_attempts, {}
+        history, proxied = self.caller.history, self.link.connection_by_peer.pop(self.address, None)
+        for message_id, attempt in open_attempts.items():
+            age_s = now - history.load_start_s - attempt.sent_s
+            fault_in_path = not self.alive(self.node) or self.link.had_fault_since(now - age_s)
             # what the relay could not hand on never came to the node
-            unread = pair is None or pair.reached < self.upto[number]
-            crossed = age_s <= CROSSING_S + account.blind_since(one.sent_s)
-            self.caller.broken(one, touched or unread or crossed, ran=not unread and not crossed)
+            unread = proxied is None or proxied.delivered_bytes < self.end_offsets[message_id]
+            may_have_crossed = age_s <= MAX_CROSSING_S + history.total_lag_since(attempt.sent_s)
+            self.caller.on_no_answer(
+                attempt,
+                fault_in_path or unread or may_have_crossed,
+                may_have_run=not unread and not may_have_crossed,
+            )
 
 
-class Lines:
+class CallerConnections:
     """The connections of all callers to all nodes; a `callers.Way`."""
 
     def __init__(
         self,
-        net: FaultProxyNetwork,
-        places: dict[str, Address],
+        network: FaultProxyNetwork,
+        node_addresses: dict[str, Address],
         alive: Callable[[str], bool],
-        read: Callable[[str], None],
+        read_request: Callable[[str], None],
     ) -> None:
-        self.net, self.places, self.alive, self.read = net, places, alive, read
-        self.free: dict[tuple[int, str], NodeLine] = {}
+        self.network, self.node_addresses, self.alive, self.read_request = (
+            network,
+            node_addresses,
+            alive,
+            read_request,
+        )
+        self.connections: dict[tuple[int, str], CallerConnection] = {}
 
-    def send(self, caller: Caller, one: Try) -> None:
+    def send(self, caller: Caller, attempt: Attempt) -> None:
         """Send a try on the caller's connection to the node, or on a new one."""
-        line = self.free.get((caller.number, one.node))
-        if line is not None and not line.transport.is_closing() and len(line.open) < MOST_OPEN:
-            line.ask(one)
-            self.read(one.node)
+        connection = self.connections.get((caller.number, attempt.node))
+        if (
+            connection is not None
+            and not connection.transport.is_closing()
+            and len(connection.open_attempts) < MAX_OPEN_REQUESTS
+        ):
+            connection.send_request(attempt)
+            self.read_request(attempt.node)
             return
-        self.net.spawn(self._open(caller, one))
+        self.network.spawn(self._open(caller, attempt))
 
-    async def _open(self, caller: Caller, one: Try) -> None:
-        loop, node = asyncio.get_running_loop(), one.node
-        place = await self.net.through(caller.party, node, self.places[node])
-        link = self.net.links[caller.party, node]
+    async def _open(self, caller: Caller, attempt: Attempt) -> None:
+        loop, node = asyncio.get_running_loop(), attempt.node
+        address = await self.network.open_link_proxy(caller.endpoint, node, self.node_addresses[node])
+        link = self.network.links[caller.endpoint, node]
         try:
-            _, line = await loop.create_connection(
-                lambda: NodeLine(caller, node, link, self._done, self.alive), *place
+            _, connection = await loop.create_connection(
+                lambda: CallerConnection(caller, node, link, self._remove, self.alive), *address
             )
         except OSError:
-            caller.broken(one, True, ran=False)
+            caller.on_no_answer(attempt, True, may_have_run=False)
             return
-        self.free[caller.number, node] = line
-        line.ask(one)
-        self.read(node)
+        self.connections[caller.number, node] = connection
+        connection.send_request(attempt)
+        self.read_request(node)
 
-    def _done(self, line: NodeLine) -> None:
-        if self.free.get((line.caller.number, line.node)) is line:
-            del self.free[line.caller.number, line.node]
+    def _remove(self, connection: CallerConnection) -> None:
+        if self.connections.get((connection.caller.number, connection.node)) is connection:
+            del self.connections[connection.caller.number, connection.node]
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -18,8 +18,8 @@
 from reelusher.codecs.errors import MalformedError
 from reelusher.lab.plan import Caller, Plan, Worker
 
-MOST_US = 120_000_000  # a latency above that is counted as that
-LAST_S = 15.0  # after the last request, for answers
+MAX_LATENCY_US = 120_000_000  # a latency above that is counted as that
+FINAL_ANSWERS_S = 15.0  # after the last request, for answers
 
 
 @dataclass(slots=True)
@@ -27,7 +27,7 @@
     """What became of one caller's requests. Latencies are microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MOST_US, 3))
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
 
 
 class LoadConnection:
@@ -41,8 +41,8 @@
         """Send a request; return the status of its answer, and whether the connection may be used again."""
         self.writer.write(data)
         status = 0
-        while came := await self.reader.read(1 << 16):
-            for payload in self.packets.feed(came):
+        while received := await self.reader.read(1 << 16):
+            for payload in self.packets.feed(received):
                 match ajp13.read_reply(payload):
                     case ajp13.ResponseHead() as head:
                         status = head.status
@@ -51,7 +51,7 @@
         raise ConnectionError("closed without an answer")
 
 
-class Client:
+class LoadGenerator:
     """One caller."""
 
     def __init__(self, plan: Plan, caller: Caller, number: int) -> None:
@@ -59,33 +59,33 @@
         self.random = random.Random(plan.seed * 1000 + number)
         self.tally = Tally()
         self.idle: deque[LoadConnection] = deque()
-        self.places = asyncio.Semaphore(caller.connections)
-        self.keys = itertools.count(1)
-        self.began = 0.0
+        self.connection_slots = asyncio.Semaphore(caller.connections)
+        self.key_numbers = itertools.count(1)
+        self.began_s = 0.0
 
     async def play(self) -> None:
         """Ask until the end of the run, and wait for what is out then."""
-        self.began = time.monotonic()
-        at, end = self.caller.begins_s, min(self.plan.seconds, self.caller.ends_s)
+        self.began_s = time.monotonic()
+        due_s, end = self.caller.begins_s, min(self.plan.seconds, self.caller.ends_s)
         tasks = set[asyncio.Task[None]]()
-        while (at := at + self.random.expovariate(self.caller.rate)) < end:
-            await asyncio.sleep(max(0.0, self.began + at - time.monotonic()))
-            task = asyncio.ensure_future(self.request(at))
+        while (due_s := due_s + self.random.expovariate(self.caller.rate)) < end:
+            await asyncio.sleep(max(0.0, self.began_s + due_s - time.monotonic()))
+            task = asyncio.ensure_future(self.send_request(due_s))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
-            await asyncio.wait(tasks, timeout=LAST_S)
+            await asyncio.wait(tasks, timeout=FINAL_ANSWERS_S)
         for task in tasks:
             task.cancel()
-        for line in self.idle:
-            line.writer.close()
+        for connection in self.idle:
+            connection.writer.close()
 
-    async def request(self, at: float) -> None:
+    async def send_request(self, due_s: float) -> None:
         """Make one request, and again after a refusal as often as this caller does."""
-        key = next(self.keys)
+        key_number = next(self.key_numbers)
         if self.caller.repeats and self.random.random() < self.caller.repeats:
-            key = self.random.randint(1, key)
-        data, counted = self.written(key), at >= self.plan.warm_up_s
+            key_number = self.random.randint(1, key_number)
+        data, counted = self.encode_request(key_number), due_s >= self.plan.warm_up_s
         self.count("asked", counted)
         while True:
             status = await self.attempt(data)
@@ -93,40 +93,40 @@
             if status != 503 or self.random.random() >= self.caller.retries:
                 break
             await asyncio.sleep(self.caller.retry_ms / 1000)
-        took_us = int((time.monotonic() - self.began - at) * 1e6)
+        latency_us = int((time.monotonic() - self.began_s - due_s) * 1e6)
         self.count({200: "served", 503: "refused", 0: "lost"}.get(status, "failed"), counted)
         if status == 200 and counted:
-            self.tally.latency.record_value(min(max(took_us, 1), MOST_US))
-            self.count("in_time", took_us <= self.caller.aim_ms * 1000)
+            self.tally.latency.record_value(min(max(latency_us, 1), MAX_LATENCY_US))
+            self.count("in_time", latency_us <= self.caller.aim_ms * 1000)
 
-    def count(self, what: str, counted: bool) -> None:
+    def count(self, name: str, counted: bool) -> None:
         """Count, unless it belongs to the warm-up."""
-        self.tally.counts[what] += counted
+        self.tally.counts[name] += counted
 
     async def attempt(self, data: bytes) -> int:
         """Make one try; 0 where no answer came."""
-        async with self.places:
+        async with self.connection_slots:
             try:
-                line = (
+                connection = (
                     self.idle.pop()
                     if self.idle
                     else LoadConnection(*await asyncio.open_connection(*self.plan.target))
                 )
-                status, reuse = await line.exchange(data)
+                status, reuse = await connection.exchange(data)
             except (OSError, MalformedError):
                 return 0
             if reuse and self.caller.keeps:
-                self.idle.append(line)
+                self.idle.append(connection)
             else:
-                line.writer.close()
+                connection.writer.close()
             return status
 
-    def written(self, key: int) -> bytes:
+    def encode_request(self, key_number: int) -> bytes:
         """Write a request."""
         caller = self.caller
         forward = ajp13.ForwardedRequest(caller.method, caller.path, server_name=caller.host)
         if caller.keyed:
-            forward.headers.append(("x-request-key", f"{caller.name}-{self.plan.seed}-{key}"))
+            forward.headers.append(("x-request-key", f"{caller.name}-{self.plan.seed}-{key_number}"))
         if not caller.body_bytes:
             return ajp13.write_forward(forward)
         forward.headers.append(("content-length", str(caller.body_bytes)))
@@ -144,19 +144,19 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer one connection's requests until it closes."""
         packets = ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES)
-        missing = 0
+        missing_body_bytes = 0
         # a run that is over cancels what still waits here, and asyncio would print each of those
         with contextlib.suppress(OSError, MalformedError, asyncio.CancelledError):
-            while came := await reader.read(1 << 16):
-                for payload in packets.feed(came):
+            while received := await reader.read(1 << 16):
+                for payload in packets.feed(received):
                     if payload == bytes([ajp13.CPING]):
                         writer.write(ajp13.write_reply(ajp13.Pong()))
                         continue
-                    if missing:
-                        missing -= len(ajp13.read_body(payload))
+                    if missing_body_bytes:
+                        missing_body_bytes -= len(ajp13.read_body(payload))
                     else:
-                        missing = ajp13.read_forward(payload).body_size() or 0
-                    if missing <= 0:
+                        missing_body_bytes = ajp13.read_forward(payload).body_size() or 0
+                    if missing_body_bytes <= 0:
                         await self.run(writer)
         writer.close()
 
@@ -176,13 +176,13 @@
 async def play(plan: Plan) -> tuple[dict[str, Tally], int]:
     """Play a plan; return what became of each caller's requests, and the runs that workers did."""
     stand_ins = [StandIn(worker) for worker in plan.workers]
-    servers = [await asyncio.start_server(one.serve, *one.worker.listen) for one in stand_ins]
-    clients = [Client(plan, caller, number) for number, caller in enumerate(plan.callers)]
+    servers = [await asyncio.start_server(stand_in.serve, *stand_in.worker.listen) for stand_in in stand_ins]
+    clients = [LoadGenerator(plan, caller, number) for number, caller in enumerate(plan.callers)]
     try:
         await asyncio.gather(*(client.play() for client in clients))
     finally:
         for server in servers:
             server.close()
     return {client.caller.name: client.tally for client in clients}, sum(
-        one.completed_runs for one in stand_ins
+        stand_in.completed_runs for stand_in in stand_ins
     )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("plan", "named"),
+    ("plan", "key"),
     [
         ({"run": {"target": "10.0.0.1:8009"}, "callers": [CALLER]}, "run.target"),
         ({"run": {"target": "127.0.0.1:8009"}}, "callers"),
@@ -26,10 +26,10 @@
         ),
     ],
 )
-def test_a_fault_in_a_plan_is_named(plan: dict[str, Any], named: str) -> None:
+def test_a_fault_in_a_plan_is_named(plan: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(plan)
-    assert caught.value.key == named
+    assert caught.value.key == key
 
 
 def test_a_plan_that_is_not_there_ends_with_status_2(capsys: pytest.CaptureFixture[str]) -> None:
@@ -53,17 +53,17 @@
                 ],
             }
         )
-        made = report(plan, *await play(plan))
+        figures = report(plan, *await play(plan))
         server.close()
-        assert stand_in.completed_runs == sum(row["served"] for row in made["callers"])
-        return made
+        assert stand_in.completed_runs == sum(row["served"] for row in figures["callers"])
+        return figures
 
-    made = asyncio.run(run())
-    first, second = made["callers"]
+    figures = asyncio.run(run())
+    first, second = figures["callers"]
     assert first["served"] == first["asked"] == first["tries"] > 20
     assert second["lost"] == 0
     assert first["p50_ms"] > 100
     assert first["in_time"] < 0.5
     assert first["max_ms"] >= first["p99_ms"]
-    assert "in_time" in table(made)
-    assert made["jain"] < 1
+    assert "in_time" in table(figures)
+    assert figures["jain"] < 1
