--- a/reelusher/lab/fleet/__init__.py
+++ b/reelusher/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many nodes at once: real processes behind relays that break links, and stand-ins for all else."""
+"""A rig of many nodes: real processes behind fault proxies, with stand-ins for everything else."""
--- a/reelusher/lab/fleet/__main__.py
+++ b/reelusher/lab/fleet/__main__.py
@@ -12,17 +12,17 @@
 from reelusher.lab.fleet.plan import read
 from reelusher.lab.fleet.rig import play
 
-MAX_PRINTED_VIOLATIONS = 20  # broken rules that are printed
+MAX_PRINTED_VIOLATIONS = 20
 
 
 def table(figures: dict[str, Any]) -> str:
-    """Return the figures as lines."""
+    """Return the figures as a table, one per line."""
     width = max(map(len, figures))
     return "\n".join(f"{name.ljust(width)}  {value}" for name, value in figures.items())
 
 
 def draw(history: RunHistory, path: Path) -> None:
-    """Draw what happened over time, with the faults marked."""
+    """Draw the series of a run over time, with its faults marked."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -44,14 +44,14 @@
                 axis.annotate(text, (at_s, 1), xycoords=("data", "axes fraction"), rotation=60, fontsize=7)
         axis.set_ylim(bottom=0)
         axis.set_ylabel(title)
-        if names:  # a plan without calls has nothing below
+        if names:  # a plan without calls has no series of downstream calls
             axis.legend(fontsize=7)
     axes[-1].set_xlabel("seconds of load")
     figure.savefig(path, dpi=110)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play a plan; 0, 1 where a rule was broken, 2 where the plan is faulty."""
+    """Play a plan; return 0, 1 if the run has violations, or 2 if the plan is invalid."""
     parser = argparse.ArgumentParser(prog="reelusher.lab.fleet", description="Many nodes, on loopback only.")
     parser.add_argument("plan", type=Path, nargs="+", help="TOML files, see docs/fleet-rig.md")
     parser.add_argument("--scale", type=float, default=1.0, help="times the size of the plan")
--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -1,6 +1,6 @@
-"""What callers sent and got, what services held, what the list read: kept apart from the program.
+"""The history of a run and its checker: what callers, stand-ins and the registry saw, apart from the program.
 
-Times are seconds on the run's clock, which is 0 as the load begins.
+Times are seconds on the scheduler's clock, relative to the start of the load.
 """
 
 import bisect
@@ -14,18 +14,20 @@
 from reelusher.lab.fleet.census import MembershipObserver
 from reelusher.lab.fleet.plan import Plan, RequestClass
 
-ANSWER_SLACK_S = 0.08 + 0.05  # of an answer: by the settings, and what sockets are granted
-REPORT_SLOT_S = 0.1
-MIN_LAG_S = 0.005
-RECOVERED_FRACTION = 0.95  # of the service of before
+# of an answer past its deadline: 80 ms by the settings of the nodes, the rest for sockets
+ANSWER_SLACK_S = 0.08 + 0.05
+REPORT_SLOT_S = 0.1  # over which reports are counted
+MIN_LAG_S = 0.005  # smaller lags of the rig are not recorded
+RECOVERED_FRACTION = 0.95  # of the worth served before the fault, from which service counts as recovered
 
 
 def window_means(
     spans: Sequence[tuple[float, float]], window_s: float, step_s: float = 0.1
 ) -> list[tuple[float, float]]:
-    """Return the mean of what was held in each window of `over_s` seconds, with the window's beginning.
+    """Return the mean of a step function in each window of `window_s` seconds, with the window's start.
 
-    `spans` says how much is held, and since when; windows begin `step_s` apart and lie within them.
+    `spans` holds each value with the time from which it holds. Windows start `step_s` apart, and all lie
+    between the first and the last of these times.
     """
     if not spans:
         return []
@@ -49,12 +51,16 @@
 def discounted(
     spans: Sequence[tuple[float, float]], slots: Iterable[tuple[float, float, float]]
 ) -> list[tuple[float, float]]:
-    """Return what was held since when, less a part of it in each slot: since when, until when, which part."""
+    """Return a step function lowered by a fraction within each slot (from, until, fraction).
+
+    Fractions of slots that overlap are applied one after the other. `spans` holds each value with the time
+    from which it holds, and so does the result.
+    """
     steps: list[tuple[float, int, float]] = [(since, 0, held) for since, held in spans]
     for since, until, fraction in slots:
         steps += [(since, 1, 1.0 - fraction), (until, -1, 1.0 - fraction)]
     result: list[tuple[float, float]] = []
-    held, active = 0.0, Counter[float]()  # what is left in the slots that stand
+    held, active = 0.0, Counter[float]()  # how many active slots keep each fraction
     for at_s, change, value in sorted(steps):
         if change:
             active[value] += change
@@ -68,7 +74,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client, over all its tries."""
+    """One request of a client, over all its attempts."""
 
     request_class: RequestClass
     key: str
@@ -80,7 +86,7 @@
     finished: bool = False
 
     def earned_worth(self) -> float:
-        """Return what its answer earned."""
+        """Return the worth that its answer earned, which is 0 unless it was served within the objective."""
         if self.served_s is None or self.served_s - self.created_s > self.request_class.aim_ms / 1000:
             return 0.0
         return self.request_class.worth * (self.request_class.skip_worth if self.call_skipped else 1.0)
@@ -88,23 +94,23 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try at one node."""
+    """One attempt of a request at one node."""
 
     run_id: str
     node: str
     request: ClientRequest
     sent_s: float
     verdicts: list[str] = field(default_factory=list)
-    ended_s: float = inf  # when its first answer came, or its connection ended
-    excused: bool = False  # a fault stood between: whether it was read can't be told
+    ended_s: float = inf  # when it was first answered or its connection closed
+    excused: bool = False  # a fault on the path explains a missing answer
 
 
 class RunHistory:
-    """The books of one run."""
+    """What happened in one run, and the violations found in it."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
-        self.load_start_s = 0.0  # when the load began, by the run's clock
+        self.load_start_s = 0.0  # on the scheduler's clock
         self.requests: list[ClientRequest] = []
         self.attempts: dict[str, Attempt] = {}
         self.reports: list[float] = []
@@ -113,21 +119,21 @@
         self.downstream_calls: dict[str, list[tuple[float, int]]] = defaultdict(list)
         self.events: list[tuple[float, str]] = []
         self.rig_lags: list[tuple[float, float]] = []  # when the rig was late, and by how much
-        self.runs: dict[str, list[tuple[float, str]]] = defaultdict(list)  # by keyed request and node
+        # by node and idempotency key: when attempts were sent, and their run ids
+        self.runs: dict[str, list[tuple[float, str]]] = defaultdict(list)
         self.violations: list[str] = []
-        self.pauses: dict[str, list[tuple[float, float]]] = defaultdict(list)  # of nodes that stood still
-        self.core_waits: dict[str, list[tuple[float, float, float]]] = defaultdict(
-            list
-        )  # since, until, a part
-        self.process_end_s: dict[str, float] = {}  # when nodes' former lives ended
-        self.nodes_start_s = 0.0  # when the nodes were started
+        self.pauses: dict[str, list[tuple[float, float]]] = defaultdict(list)  # of nodes, from and until
+        # of nodes: from, until, and the fraction of that time for which the node waited for a core
+        self.core_waits: dict[str, list[tuple[float, float, float]]] = defaultdict(list)
+        self.process_end_s: dict[str, float] = {}  # when the last process of a node ended
+        self.nodes_start_s = 0.0  # when the first nodes were started
         self.counts: Counter[str] = Counter()
-        self.membership: MembershipObserver | None = None  # of a fleet, by a live rig
+        self.membership: MembershipObserver | None = None  # of the fleet, if there is one; live rig only
 
-    # What happens
+    # Recording
 
     def begin_load(self, now: float) -> None:
-        """Let the load begin: what was noted so far lies before time 0."""
+        """Set time 0 to now; what was recorded before gets negative times."""
         shift, self.load_start_s = now - self.load_start_s, now
         self.nodes_start_s -= shift
         self.reports = [at - shift for at in self.reports]
@@ -151,43 +157,43 @@
         )
 
     def record_pause(self, node: str, since: float, until: float) -> None:
-        """Note that a node stood still."""
+        """Record that a node was paused."""
         self.pauses[node].append((since - self.load_start_s, until - self.load_start_s))
 
     def record_core_wait(self, node: str, since: float, until: float, wait_s: float) -> None:
-        """Note for how long between two times a node was ready and had no core to run on."""
+        """Record for how long between two times a node was ready to run but had no core."""
         if wait_s > 0:
             self.core_waits[node].append(
                 (since - self.load_start_s, until - self.load_start_s, min(1.0, wait_s / (until - since)))
             )
 
     def record_process_end(self, node: str, now: float) -> None:
-        """Note that a node has ended: the next one of its name knows no keys of this one."""
+        """Record that a node's process has ended; its successor does not know its idempotency keys."""
         self.process_end_s[node] = now - self.load_start_s
 
     def record_listed(self, now: float, name: str) -> None:
-        """Note that a node came onto the list."""
+        """Record that the service registry has listed a node."""
         self.listings.append((now - self.load_start_s, name))
 
     def record_event(self, now: float, text: str) -> None:
-        """Note a fault, or what came of one."""
+        """Record a fault or its effect."""
         self.events.append((now - self.load_start_s, text))
 
     def record_report(self, now: float, was_read: bool) -> None:
-        """Note a report to the list service, read or not."""
+        """Record a report to the service registry, and whether the registry read it."""
         self.reports.append(now - self.load_start_s)
         self.counts["reports_read" if was_read else "reports_unread"] += 1
 
     def record_call(self, now: float) -> None:
-        """Note a call below."""
+        """Record a call to a downstream service."""
         self.calls.append(now - self.load_start_s)
 
     def record_downstream_calls(self, now: float, name: str, call_count: int) -> None:
-        """Note how much a service below holds from now on."""
+        """Record the number of calls in progress at a downstream service from now on."""
         self.downstream_calls[name].append((now - self.load_start_s, call_count))
 
     def record_run(self, now: float, node: str, run_id: str) -> None:
-        """Note a run; a keyed request runs once in its window on a node that lives on."""
+        """Record a run, and check that a process runs a key only once within its window."""
         attempt = self.attempts.get(run_id)
         if attempt is None:
             self.violations.append(f"{node} ran {run_id}, which no caller sent")
@@ -205,13 +211,13 @@
         earlier_runs.append((attempt.sent_s, run_id))
 
     def record_attempt(self, now: float, run_id: str, node: str, request: ClientRequest) -> Attempt:
-        """Note a try that is written to a node."""
+        """Record an attempt that is sent to a node."""
         attempt = self.attempts[run_id] = Attempt(run_id, node, request, now - self.load_start_s)
         request.attempt_count += 1
         return attempt
 
     def record_answer(self, now: float, attempt: Attempt, verdict: str, body: bytes) -> None:
-        """Note an answer to a try."""
+        """Record an answer to an attempt, and check that it is the only one, timely, and the run's result."""
         attempt.verdicts.append(verdict)
         attempt.ended_s = min(attempt.ended_s, now - self.load_start_s)
         if len(attempt.verdicts) > 1:
@@ -237,7 +243,7 @@
         self.counts[verdict] += 1
 
     def record_lag(self, now: float, lag_s: float) -> None:
-        """Note that the rig itself was late: what it saw since may have happened so much earlier."""
+        """Record that the rig itself was late: what it sees now may have happened that much earlier."""
         if lag_s > MIN_LAG_S:
             self.rig_lags.append((now - self.load_start_s, lag_s))
 
@@ -246,19 +252,22 @@
         return [lag_s for _, lag_s in recent]
 
     def max_lag_since(self, since: float) -> float:
-        """Return the rig's worst lag since a time."""
+        """Return the rig's maximum lag since a time."""
         return max(self._lags_since(since), default=0.0)
 
     def total_lag_since(self, since: float) -> float:
-        """Return for how long in all the rig saw nothing since a time: a close may be older by as much."""
+        """Return the total time since `since` for which the rig saw nothing.
+
+        A close that it sees now may have happened that much earlier.
+        """
         return sum(self._lags_since(since))
 
     def _paused_s(self, node: str, since: float, until: float) -> float:
-        """Return for how long a node stood still between two times."""
+        """Return for how long a node was paused between two times."""
         return sum(max(0.0, min(end, until) - max(begin, since)) for begin, end in self.pauses[node])
 
     def record_no_answer(self, now: float, attempt: Attempt, excused: bool) -> None:
-        """Note that a connection ended under a try with no answer."""
+        """Record that a connection closed before an attempt was answered, which a fault may excuse."""
         attempt.excused = attempt.excused or excused
         attempt.ended_s = min(attempt.ended_s, now - self.load_start_s)
         if not attempt.verdicts and not attempt.excused:
@@ -268,13 +277,13 @@
             )
 
     def is_settled(self) -> bool:
-        """Tell whether every client has its answer or has given up, and every try its end."""
+        """Return whether every request has finished, and every attempt has an answer or an excuse."""
         return all(request.finished for request in self.requests) and all(
             attempt.verdicts or attempt.excused for attempt in self.attempts.values()
         )
 
     def check_unanswered(self, now: float) -> None:
-        """Look for tries that never had their answer."""
+        """Record a violation for each attempt that is overdue without an answer."""
         for attempt in self.attempts.values():
             due_s = attempt.sent_s + attempt.request.request_class.deadline_ms / 1000 + ANSWER_SLACK_S
             late = now - self.load_start_s > due_s + self._paused_s(
@@ -283,10 +292,10 @@
             if not attempt.verdicts and not attempt.excused and late:
                 self.violations.append(f"{attempt.node} never answered {attempt.run_id}")
 
-    # What came of it
+    # Evaluation
 
     def open_attempts(self, node: str) -> list[tuple[float, int]]:
-        """Return how many tries a node had in hand, since when."""
+        """Return the number of open attempts at a node, each value with the time from which it holds."""
         steps = sorted(
             [(attempt.sent_s, 1) for attempt in self.attempts.values() if attempt.node == node]
             + [(attempt.ended_s, -1) for attempt in self.attempts.values() if attempt.node == node]
@@ -296,9 +305,9 @@
         )
 
     def open_attempts_with_core(self, node: str) -> list[tuple[float, float]]:
-        """Return the same, less what it held while the machine gave it no core, or none to the rig.
+        """Return the open attempts at a node, discounted by the time without a core for the node or the rig.
 
-        A try that waits for that has waited for the machine, not for the node.
+        An attempt that is open during that time waits for the machine, not for the node.
         """
         rig_stalls = [(at_s - lag_s, at_s, 1.0) for at_s, lag_s in self.rig_lags]
         return discounted(self.open_attempts(node), [*self.core_waits[node], *rig_stalls])
@@ -308,7 +317,10 @@
         return [counts[number] for number in range(max(1, int(self.plan.run.seconds / slot_s)))]
 
     def series(self) -> dict[str, list[float]]:
-        """Return what happened in each second of the load, by when requests were first asked."""
+        """Return what happened in each second of the load.
+
+        Requests count in the second in which they were created, attempts in that in which they were sent.
+        """
         count = max(1, int(self.plan.run.seconds))
         series: dict[str, list[float]] = {
             name: [0.0] * count for name in ("asked_worth", "served_worth", "served", "refused", "failed")
@@ -335,7 +347,10 @@
         return series
 
     def recovered_s(self, ends_s: float, before_s: float) -> float | None:
-        """Return how long after a fault's end all seconds serve as before it; None: never."""
+        """Return the seconds from the end of a fault until service has recovered for good; None: never.
+
+        Service has recovered when each second serves `RECOVERED_FRACTION` of the share served before.
+        """
         series = self.series()
         shares = [
             served / asked if asked else 1.0
@@ -348,7 +363,7 @@
         return None if last_bad_second >= len(shares) - 2 else max(0.0, last_bad_second + 1 - ends_s)
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures of the run: parts of 1, counts, seconds."""
+        """Return the figures of the run: counts, seconds, and fractions of 1."""
         asked_worth = sum(request.request_class.worth for request in self.requests)
         slots, count = self._count_per_slot(self.reports, REPORT_SLOT_S), len(self.plan.node_names())
         mean = sum(slots) / len(slots)
@@ -379,7 +394,7 @@
         }
 
     def all_listed_s(self, count: int) -> float | None:
-        """Return how long after the start every node had been listed once; None: never."""
+        """Return the seconds from the start of the nodes until each had been listed once; None: never."""
         first_listed_s: dict[str, float] = {}
         for at_s, name in self.listings:
             first_listed_s.setdefault(name, at_s)
--- a/reelusher/lab/fleet/callers.py
+++ b/reelusher/lab/fleet/callers.py
@@ -1,4 +1,4 @@
-"""Callers, without sockets: they pick by the list, try again by their habits, and follow advice or not."""
+"""Callers, without sockets: they pick listed nodes, retry, and follow the hints of nodes or not."""
 
 import itertools
 import random
@@ -10,19 +10,19 @@
 from reelusher.lab.fleet.plan import Plan
 from reelusher.lab.fleet.services import Scheduler
 
-MAX_RANDOM_PICKS = 8  # at random, before all are looked through
-HINT_TTL_S = 1.0  # advice is borne in mind for so long
+MAX_RANDOM_PICKS = 8  # before all listed nodes are checked
+HINT_TTL_S = 1.0  # how long an advertised capacity is respected
 
 
 class Transport(Protocol):
-    """Carries tries to nodes and answers back."""
+    """Carries attempts to nodes and answers back."""
 
     def send(self, caller: "Caller", attempt: Attempt) -> None:
-        """Send a try; its end comes back by `Caller.answered` or `Caller.broken`."""
+        """Send an attempt; `Caller.on_answer` or `Caller.on_no_answer` reports its end."""
 
 
 class Caller:
-    """One caller, with clients behind it that ask at random times whatever comes back."""
+    """A caller whose clients send requests at random times, independently of earlier answers."""
 
     def __init__(
         self,
@@ -41,14 +41,15 @@
         self.random = random.Random(f"{plan.run.seed} caller {number}")
         self.follows_hints = self.random.random() < plan.caller_plan.heeds
         self.outstanding: Counter[str] = Counter()
-        self.advertised_capacity: dict[str, tuple[float, float]] = {}  # of nodes: how many, until when
+        # by node, each with the time until which it is respected
+        self.advertised_capacity: dict[str, tuple[float, float]] = {}
         self.retry_not_before_s: dict[str, float] = {}
         self.endpoint = f"callers.{zone}"
         self._last_listed: frozenset[str] = frozenset()
-        self._order: list[str] = []  # the same, in an order that is the same in each play
+        self._order: list[str] = []  # the listed nodes, sorted so that equal seeds give equal picks
 
-    def begin(self) -> None:
-        """Ask from now on to the end of the load."""
+    def start(self) -> None:
+        """Send requests from now on until the end of the load."""
         if self.rate:
             self._schedule_next()
 
@@ -80,14 +81,13 @@
             - (self.scheduler.time() - self.history.load_start_s)
         )
 
-    def _pick(self, tried: set[str]) -> str | None:
-        """Return a node from the list, one that was not tried before where there is one."""
+    def _pick_node(self, tried: set[str]) -> str | None:
+        """Return a listed node that hints allow, if possible one that was not tried before."""
         listed_nodes = self.listed_nodes()
         if listed_nodes is not self._last_listed:
             self._last_listed, self._order = listed_nodes, sorted(listed_nodes)
-        for _ in range(
-            MAX_RANDOM_PICKS if self._order else 0
-        ):  # a look at all would cost more than the request
+        # Checking all nodes for each request would cost more than the request itself.
+        for _ in range(MAX_RANDOM_PICKS if self._order else 0):
             node = self.random.choice(self._order)
             if node not in tried and self._may_send(node):
                 return node
@@ -96,7 +96,7 @@
         return self.random.choice(untried) if untried else None
 
     def _may_send(self, node: str) -> bool:
-        """Tell whether advice allows a try at a node."""
+        """Return whether hints allow an attempt at a node; always true for callers that ignore hints."""
         now = self.scheduler.time()
         capacity, expires_s = self.advertised_capacity.get(node, (0.0, 0.0))
         blocked = self.retry_not_before_s.get(node, 0.0) > now or (
@@ -112,8 +112,8 @@
         if caller_plan.tries and request.attempt_count >= caller_plan.tries:
             request.finished = True
             return
-        node = node or self._pick(tried)
-        if node is None:  # nobody to ask: looked for again until the client has gone
+        node = node or self._pick_node(tried)
+        if node is None:  # no node is available: look again until the deadline
             self.scheduler.call_later(0.1, self._attempt, request, tried)
             return
         tried.add(node)
@@ -122,7 +122,7 @@
         self.transport.send(self, attempt)
 
     def on_answer(self, attempt: Attempt, verdict: str, fields: dict[str, str], body: bytes) -> None:
-        """Take an answer: `served`, `refused` or `failed`."""
+        """Handle an answer; its verdict is `served`, `refused` or `failed`."""
         now, request, node = self.scheduler.time(), attempt.request, attempt.node
         is_first = not attempt.verdicts
         self.history.record_answer(now, attempt, verdict, body)
@@ -148,13 +148,16 @@
             self._retry(request, node, verdict != "refused")
 
     def on_no_answer(self, attempt: Attempt, excused: bool, may_have_run: bool = True) -> None:
-        """Hear that a try had no answer; `ran`: it may have run."""
+        """Handle the loss of an attempt without an answer.
+
+        `excused` tells that a fault explains it, `may_have_run` that the node may have run the attempt.
+        """
         self.history.record_no_answer(self.scheduler.time(), attempt, excused)
         self.outstanding[attempt.node] -= 1
         self._retry(attempt.request, attempt.node, may_have_run)
 
     def _retry(self, request: ClientRequest, node: str, may_have_run: bool) -> None:
-        """Try again; a keyed try that may have run goes back to the same node."""
+        """Retry after a delay; a keyed request that may have run returns to the same node."""
         wait_s = self.plan.caller_plan.wait_ms / 1000 * self.random.uniform(0.5, 1.5)
         same_node = node if request.key and may_have_run else None
         self.scheduler.call_later(max(0.001, wait_s), self._attempt, request, {node}, same_node)
--- a/reelusher/lab/fleet/census.py
+++ b/reelusher/lab/fleet/census.py
@@ -1,4 +1,4 @@
-"""Asks nodes again and again whom they count as live, through their administration API."""
+"""Polls nodes through their administration API for the members of the fleet that they consider live."""
 
 import json
 import socket
@@ -12,13 +12,13 @@
 RIG_ADMIN_TOKEN = "a-token-of-the-rig"
 POLL_INTERVAL_S = 0.2
 REPLY_TIMEOUT_S = 0.5
-MAX_POLLED_NODES = 20  # nodes; of more, some are asked
+TARGET_POLLED_NODES = 20  # of a larger fleet, every n-th node is polled
 
-Observation = tuple[float, str, frozenset[str]]  # when, who, and whom it counts as live
+Observation = tuple[float, str, frozenset[str]]  # when, by which node, and the members that it considers live
 
 
 class MembershipObserver:
-    """Looks at nodes' views of their fleet in a thread of its own, so that the rig is not late for it."""
+    """Records each node's view of the fleet, in a thread of its own so that polling doesn't delay the rig."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.admin_addresses: dict[str, Address] = {}
@@ -27,21 +27,21 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Begin to ask, where there is a fleet."""
+        """Begin to poll if there is a fleet."""
         if self.admin_addresses:
-            step = max(1, len(self.admin_addresses) // MAX_POLLED_NODES)
+            step = max(1, len(self.admin_addresses) // TARGET_POLLED_NODES)
             polled = list(self.admin_addresses.items())[::step]
             self._thread = threading.Thread(target=self._poll, args=(polled,), daemon=True)
             self._thread.start()
 
-    def stop(self, zero_s: float) -> None:
-        """Ask no more, and count times from the one given; a second call changes nothing."""
+    def stop(self, load_start_s: float) -> None:
+        """Stop polling and make times relative to `load_start_s`; a second call has no effect."""
         if self._stopped.is_set():
             return
         self._stopped.set()
         if self._thread:
             self._thread.join()
-        self.observations = [(at_s - zero_s, name, live) for at_s, name, live in self.observations]
+        self.observations = [(at_s - load_start_s, name, live) for at_s, name, live in self.observations]
 
     def _poll(self, polled: list[tuple[str, Address]]) -> None:
         while not self._stopped.wait(POLL_INTERVAL_S):
@@ -51,11 +51,11 @@
                     self.observations.append((self._clock(), name, live))
 
     def latest_before(self, before_s: float) -> dict[str, frozenset[str]]:
-        """Return what each node that was asked said last before a time."""
+        """Return the last view of each polled node before a time."""
         return {name: live for at_s, name, live in self.observations if at_s < before_s}
 
     def holds_since(self, after_s: float, condition: Callable[[str, frozenset[str]], bool]) -> float | None:
-        """Return when, after a time, what a node says came to hold of all that were asked, and stayed so."""
+        """Return the time after `after_s` from which all recorded views meet a condition; None: never."""
         failed_s = [
             at_s for at_s, name, live in self.observations if at_s >= after_s and not condition(name, live)
         ]
@@ -64,7 +64,7 @@
 
 
 def fetch_live_members(address: Address) -> frozenset[str] | None:
-    """Return the names that a node counts as live; None where it does not answer."""
+    """Return the names of the members that a node considers live; None if it doesn't answer in time."""
     deadline_s = time.monotonic() + REPLY_TIMEOUT_S
     try:
         with socket.create_connection(address, REPLY_TIMEOUT_S) as sock:
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -1,9 +1,9 @@
-"""Many members on a virtual clock and a network with loss, partitions and duplicates: `Swim` without sockets.
+"""Simulates many members with `Swim` on a virtual clock, over a network that loses and duplicates datagrams.
 
     python -m reelusher.lab.fleet.members 50 200 1000
 
-tells for each size how long a death takes to be known, what each member sends, and how long two halves that
-were cut apart take to know each other again.
+prints for each size how long the detection of a death takes, what each member sends, and how long the two
+halves of a fleet take to agree again after a network split.
 """
 
 import sys
@@ -19,16 +19,16 @@
 from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.lab.fleet.virtual import VirtualClock
 
-LATENCY_S = 0.0005, 0.002  # from one member to another
+LATENCY_S = 0.0005, 0.002  # minimum and maximum, from one member to another
 NEVER = float("inf")
 
 
 class SimulatedFleet:
-    """A fleet that has joined, and what stands between its members."""
+    """Members of one fleet and the simulated network between them."""
 
     def __init__(self, count: int, seed: int = 1, joined: bool = True) -> None:
         self.clock, self.random = VirtualClock(), Random(seed)
-        self.loss = self.duplication = 0.0  # parts of the datagrams
+        self.loss = self.duplication = 0.0  # fractions of the datagrams
         self.latency_s = LATENCY_S
         self.cut: Callable[[str, str], bool] = lambda source, target: False
         self.swims: dict[str, Swim] = {}
@@ -49,7 +49,7 @@
                 swim.gossip.broadcasts.clear()
 
     def add(self, number: int, incarnation: int = 1) -> str:
-        """Start a member that knows no other."""
+        """Start a member that knows no others."""
         address = f"127.1.{number // 250}.{number % 250 + 1}:7000"
         own = Update(address, f"n{number}", f"z{number % 3}", "r", incarnation, MemberState.ALIVE)
         self.swims[address] = Swim(own, Random(f"{number} {self.random.random()}"), self.clock.now)
@@ -58,11 +58,11 @@
         return address
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.clock.run(self.clock.now + seconds)
 
     def run_until(self, condition: Callable[[], bool], max_s: float) -> float:
-        """Let time pass until something holds; return how long that took, infinity past the most."""
+        """Advance the clock until a condition holds; return the seconds taken, infinity beyond `max_s`."""
         began = self.clock.now
         while not condition():
             if self.clock.now - began > max_s:
@@ -71,18 +71,18 @@
         return self.clock.now - began
 
     def kill(self, address: str) -> None:
-        """Stop a member without notice."""
+        """End a member without notice to the others."""
         self.alive.discard(address)
 
     def set_stalled(self, address: str, stalled: bool) -> None:
-        """Have a member stand still, or go on."""
+        """Stall a member, as if its process were stopped, or let it continue."""
         (self.stalled.add if stalled else self.stalled.discard)(address)
         if not stalled:
             self._due.pop(address, None)
             self._wake(address)
 
     def count_seeing_dead(self, address: str) -> int:
-        """Return how many live members hold a member for dead."""
+        """Return how many live members consider a member dead."""
         return sum(
             address in swim.table.members and not swim.table.members[address].is_live
             for other, swim in self.swims.items()
@@ -90,7 +90,7 @@
         )
 
     def agreed(self) -> bool:
-        """Return whether each live member knows exactly the live ones."""
+        """Return whether each live member considers exactly the live members live."""
         live = [(address, self.swims[address].table) for address in self.alive]
         return all(1 + table.live_count() == len(live) for _, table in live) and all(
             {address, *table.live()} == self.alive for address, table in live
@@ -101,7 +101,7 @@
             return
         at = max(self.clock.now, self.swims[address].next_tick_s())
         if self.clock.now < self._due.get(address, NEVER) <= at:
-            return  # an earlier look is set
+            return  # an earlier tick is scheduled
         self._due[address] = at
         self.clock.call_later(at - self.clock.now, self._tick, address, at)
 
@@ -129,7 +129,7 @@
                 self.exchange(address, other)
 
     def exchange(self, requester_address: str, responder_address: str) -> None:
-        """Have two members compare their states and exchange where they differ, as over TCP."""
+        """Let two members compare their states and exchange the differing parts, as over TCP."""
         requester, responder = self.swims[requester_address], self.swims[responder_address]
         digests = responder.compare_digest(requester.digest())
         buckets = requester.differing_buckets(digests) if digests else []
@@ -146,12 +146,12 @@
 
 
 def split_off(group: set[str]) -> Callable[[str, str], bool]:
-    """Return a cut between these and all others."""
+    """Return a predicate that is true for messages between a group and all other members."""
     return lambda source, target: (source in group) != (target in group)
 
 
 def time_to_detect_death(size: int, seed: int) -> float:
-    """Return the seconds until 99 % know of a death."""
+    """Return the seconds until 99 % of the members consider a dead member dead."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(5)
     victim = list(fleet.swims)[seed % size]
@@ -160,7 +160,7 @@
 
 
 def time_to_heal(size: int, seed: int, cut_s: float = 15.0) -> float:
-    """Return the seconds until two halves that were cut apart agree on who lives."""
+    """Return the seconds until two halves agree on the live members after a network split of `cut_s`."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(3)
     fleet.cut = split_off(set(list(fleet.swims)[: size // 2]))
@@ -170,7 +170,7 @@
 
 
 def cost_at_rest(size: int, seconds: float = 10.0) -> tuple[float, float, float]:
-    """Return the datagrams and bytes that each sends in a second at rest, and the part of a core it takes."""
+    """Return the datagrams and bytes that each member sends per second at rest, and its share of a core."""
     fleet = SimulatedFleet(size, 9)
     fleet.run(5)
     sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
@@ -184,7 +184,7 @@
 
 
 def main(sizes: list[int]) -> None:
-    """Measure fleets of these sizes."""
+    """Measure fleets of these sizes and print the results."""
     for size in sizes:
         detection_s, (sent, sent_bytes, cpu) = (
             [time_to_detect_death(size, seed) for seed in range(5)],
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -1,7 +1,8 @@
-"""The same plan on a virtual clock: the real core and decision module of each node, without sockets.
+"""Plays a plan on a virtual clock, with the real core and decision module of each node but without sockets.
 
-What differs from the live rig: a way between two parties takes `WAY_S`; threads, fronts, connections and
-outboxes cost nothing; a call below has no connection to wait for; a broken link loses a message for good.
+Differences from the live rig: a message between two endpoints takes `LINK_LATENCY_S`; threads, front ends,
+connections and send queues cost nothing; a downstream call waits for no connection; a broken link loses a
+message for good.
 """
 
 from collections import deque
@@ -36,26 +37,26 @@
 from reelusher.pacing.report_schedule import ReportFailure, ReportSchedule
 from reelusher.policy.events import Outcome
 
-LINK_LATENCY_S = 0.0005  # from one party to another
-STARTUP_S = 0.4  # from the start of a process until it listens, as the live rig shows
-EPOCH_S = 1_700_000_000
-STEP_S = 1.0
-UNSUPPORTED_FAULTS = ("starve", "loss", "duplicate", "reorder")  # faults that need a wire or a processor
+LINK_LATENCY_S = 0.0005  # of a message between two endpoints
+STARTUP_S = 0.4  # from the start of a process until it listens, as in the live rig
+EPOCH_S = 1_700_000_000  # Unix time at the start of the virtual clock
+STEP_S = 1.0  # of the clock while last answers are awaited, and before a paused node tries again to report
+UNSUPPORTED_FAULTS = ("starve", "loss", "duplicate", "reorder")  # need real sockets or a real processor
 OUTCOMES = {"yes": Outcome.OK, "notnow": Outcome.REJECTED, "failed": Outcome.ERROR}
 
 
 class ModelCore(Core):
-    """The core with its thread replaced: messages are handed on to whoever plays the time."""
+    """The core without its thread: messages go to `deliver`, which decides when they are processed."""
 
     deliver: Callable[[Message], None]
 
     def post(self, message: Message) -> None:
-        """Hand a message over."""
+        """Deliver a message for the core."""
         self.deliver(message)
 
 
 class SimulatedNode:
-    """One life of a node: runner and dependency of its core, and what turns it."""
+    """One process of a node: runner and dependency of its core, which it drives by the virtual clock."""
 
     def __init__(self, scenario: "Model", name: str, process_number: int) -> None:
         self.scenario, self.name, self.scheduler = scenario, name, scenario.scheduler
@@ -68,9 +69,8 @@
         self.open_attempts: dict[str, tuple[Caller, Attempt]] = {}
         self.call_serial, self._next_turn_s = 0, float("inf")
         policy_settings, gauges = settings_from(scenario.settings_by_cold_start[scenario.is_cold_start(name)])
-        clock = Clock(
-            *[lambda: int((EPOCH_S + self.scheduler.time()) * 1e9)] * 2
-        )  # both clocks are the model's
+        # monotonic and wall clock are both the virtual clock
+        clock = Clock(*[lambda: int((EPOCH_S + self.scheduler.time()) * 1e9)] * 2)
         self.core = ModelCore(
             policy_settings,
             gauges,
@@ -87,10 +87,10 @@
         self.report_schedule = ReportSchedule(Random(f"{node_seed(scenario.plan, name)} {process_number}"))
         self.scheduler.call_later(self.report_schedule.first_delay_s(), self._report)
 
-    # Turns
+    # Driving the core
 
     def post(self, message: Message) -> None:
-        """Take a message for the core."""
+        """Queue a message for the core."""
         self.inbox.append(message)
         self._wake(0.0)
 
@@ -102,7 +102,7 @@
 
     def _turn(self, at: float) -> None:
         if at != self._next_turn_s or not self.alive or self.paused:
-            return  # an earlier turn has taken its place
+            return  # another turn was scheduled in its place
         batch = list(self.inbox)
         self.inbox.clear()
         self._next_turn_s = float("inf")
@@ -114,36 +114,36 @@
             self._wake(max(1e-6, due / 1e6 - EPOCH_S - self.scheduler.time()))
 
     def unpause(self) -> None:
-        """Go on after standing still."""
+        """Resume after a pause."""
         self.paused, self._next_turn_s = False, float("inf")
         self._wake(0.0)
 
     def after_latency(self, act: Callable[..., None], *args: object) -> None:
-        """Do something after the way to a party on the same machine, or back."""
+        """Call `act` after the latency of a message between endpoints."""
         self.scheduler.call_later(LINK_LATENCY_S, act, *args)
 
     # Runner
 
     def start(self, request: IncomingRequest, class_name: str) -> None:
-        """Start a run."""
+        """Start a run; `RunFinished` reports its end."""
         self.after_latency(self.runtime.start, request.run_id, class_name, request.body)
 
     def stop(self, run_id: str) -> None:
-        """Nothing: the plan's machines can't stop runs."""
+        """Do nothing: runtimes of the lab can't stop runs."""
 
     def resume(self, run_id: str) -> None:
-        """Nothing, for the same reason."""
+        """Do nothing: runs are never stopped."""
 
     def deliver_reply(self, run_id: str, body: bytes) -> None:
-        """Hand over a reply."""
+        """Let a run continue with the reply to its call."""
         self.after_latency(self.runtime.continue_run, run_id, self.remaining_work_ms.pop(run_id), False)
 
-    def skip_call(self, run_id: str, call_serial: int) -> None:
-        """Go on without the call."""
+    def skip_call(self, run_id: str, serial: int) -> None:
+        """Let a run continue without its call."""
         self.after_latency(self.runtime.continue_run, run_id, self.remaining_work_ms.pop(run_id), True)
 
     def request_gauges(self, cookie: str) -> bool:
-        """Ask for the gauges."""
+        """Request the gauges; `GaugesReceived` reports them."""
         self.after_latency(
             lambda: self.after_latency(self.post, GaugesReceived(cookie, tuple(self.runtime.gauges())))
         )
@@ -163,7 +163,7 @@
     # Dependency
 
     def call(self, run_id: str, ticket: int, until_us: int, body: bytes) -> None:
-        """Make a call below."""
+        """Make a downstream call; `CallFinished` reports its end unless a fault loses a message."""
         if self.scenario.passes(self.name, self.downstream.name):
             self.after_latency(self._start_call, run_id, ticket)
 
@@ -179,13 +179,13 @@
             self.after_latency(self.post, CallFinished(run_id, ticket, OUTCOMES[reply], b"ok"))
 
     def cancel(self, run_id: str, ticket: int) -> None:
-        """Give a call up."""
+        """Cancel a call whose reply is no longer needed."""
         self.downstream.cancel(self.call_numbers.pop(run_id, 0))
 
-    # List
+    # Service registry
 
     def _report(self) -> None:
-        """Report as the node's own catalog thread does; a service that is away refuses at once."""
+        """Report as the node's own reporting thread does; in an outage the registry refuses at once."""
         if not self.alive or self.draining:
             return
         began_s, registry, finished = self.scheduler.time(), self.scenario.registry, False
@@ -214,15 +214,15 @@
     # Callers
 
     def arrive(self, caller: Caller, attempt: Attempt) -> None:
-        """Take a try."""
+        """Accept an attempt, or lose it if the node is dead or draining."""
         if not self.alive or self.draining:
             caller.on_no_answer(attempt, True, may_have_run=False)
             return
         request = attempt.request
         class_index = next(
             number
-            for number, class_index in enumerate(self.scenario.plan.classes)
-            if class_index is request.request_class
+            for number, request_class in enumerate(self.scenario.plan.classes)
+            if request_class is request.request_class
         )
         self.open_attempts[attempt.run_id] = caller, attempt
         self.post(
@@ -256,13 +256,13 @@
             caller.on_no_answer(attempt, True)
 
     def drain(self, stop_s: float) -> None:
-        """Be told to leave."""
+        """Stop accepting attempts and drain, for at most `stop_s`."""
         self.draining = True
         now = self.core.clock.now()
         self.post(DrainRequested(now + int(stop_s * 1e6), now))
 
     def kill(self) -> None:
-        """End at once, with all in hand."""
+        """End the process at once and lose its open attempts."""
         self.alive = False
         for number in self.call_numbers.values():
             self.downstream.cancel(number)
@@ -272,7 +272,7 @@
 
 
 class Model(Scenario):
-    """One run on a virtual clock."""
+    """A run of a plan on a virtual clock."""
 
     def __init__(self, plan: Plan) -> None:
         for number, fault in enumerate(plan.faults):
@@ -288,7 +288,7 @@
         self._active_faults: list[Fault] = []
 
     def play(self) -> RunHistory:
-        """Play the plan and return the books."""
+        """Play the plan and return its history."""
         plan, history = self.plan, self.history
         self.start_nodes()
         while self.virtual_clock.now < plan.run.wait_s and not self.all_nodes_visible():
@@ -305,7 +305,7 @@
         return history
 
     def send(self, caller: Caller, attempt: Attempt) -> None:
-        """Carry a try to its node; a `callers.Way`."""
+        """Send an attempt to its node; see `callers.Transport`."""
         node = self.nodes.get(attempt.node)
         if node is None or not node.alive or not self.passes(caller.endpoint, attempt.node):
             self.scheduler.call_later(
@@ -316,23 +316,23 @@
         self.scheduler.call_later(LINK_LATENCY_S, node.arrive, caller, attempt)
 
     def passes(self, source: str, target: str) -> bool:
-        """Tell whether a message gets through at present."""
+        """Return whether a message from one endpoint to another would be delivered now."""
         return not any(fault.affects(source, target) for fault in self._active_faults)
 
     # Faults
 
     def set_link_fault(self, fault: Fault, active: bool) -> None:
-        """Break links or mend them; a delay is too small to matter here and breaks nothing."""
+        """Begin or end a fault of links; delays are ignored, since they are too small to matter here."""
         if fault.kind != "delay":
             (self._active_faults.append if active else self._active_faults.remove)(fault)
 
     def kill_node(self, name: str) -> None:
-        """End a node at once."""
+        """Kill a node."""
         if name in self.nodes:
             self.nodes.pop(name).kill()
 
     def start_node(self, name: str) -> None:
-        """Start a node, which listens after a while."""
+        """Start a node, which listens after `STARTUP_S`."""
         self.process_count += 1
         self.scheduler.call_later(STARTUP_S, self._on_started, name, self.process_count)
 
@@ -341,7 +341,7 @@
             self.nodes[name] = SimulatedNode(self, name, process_number)
 
     def set_paused(self, name: str, paused: bool) -> None:
-        """Have a node stand still, or go on."""
+        """Pause or resume a node."""
         node = self.nodes.get(name)
         if node is not None and paused:
             node.paused = True
@@ -349,7 +349,7 @@
             node.unpause()
 
     def restart(self, name: str) -> None:
-        """Drain a node, and start it again once it owes nothing."""
+        """Drain a node, and start it again once all attempts are answered or its grace period ends."""
         node = self.nodes.get(name)
         if node is not None:
             node.drain(self.plan.nodes.stop_ms / 1000)
@@ -365,5 +365,5 @@
 
 
 def play(plan: Plan) -> RunHistory:
-    """Play a plan on a virtual clock."""
+    """Play a plan on a virtual clock and return its history."""
     return Model(plan).play()
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What a run of many nodes does, read from TOML; every fault is a `ConfigError` that names the key."""
+"""The plan of a run with many nodes, read from TOML; every error is a `ConfigError` that names the key."""
 
 import math
 import random
@@ -16,42 +16,43 @@
 NODE_FAULTS = ("kill", "stop", "restart", "starve")
 SERVICE_FAULTS = {"outage": ("list",), "late": ("list",), "slow": ("below", "runtime."), "fall": ("below",)}
 EFFECTS = {"safe": "pure", "keyed": "token"}
-NODE_MB = 24  # resident memory of one node, measured at 16 to 24 MB on days of many nodes
-NODE_DESCRIPTORS = 40  # of the rig for each node: four listeners, three a link, ten calls below at once
-CALLER_DESCRIPTORS = 3  # for each caller's connection to a node, through a relay
+NODE_MB = 24  # resident memory of one node, which takes 16 to 24 MB
+# of the rig per node: four listeners, three per proxied connection, ten concurrent downstream calls
+NODE_DESCRIPTORS = 40
+CALLER_DESCRIPTORS = 3  # of the rig per connection of a caller to a node, through a fault proxy
 MAX_NODES = 1000
 
 
 def bounded(default: float | None = None, least: float = 0.0, most: float = math.inf) -> Any:
-    """Return a field with a default (None: it must be given) and bounds."""
+    """Return a dataclass field with bounds; it is required if `default` is None."""
     bounds = {"least": least, "most": most}
     return field(metadata=bounds) if default is None else field(default=default, metadata=bounds)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests. Worth is that of one request answered within `aim_ms`."""
+    """A class of requests. A request earns `worth` if it is answered within `aim_ms`."""
 
     name: str
-    share: float = bounded(1.0)  # of the load
-    work_ms: float = bounded(60.0, 0.1)  # mean, on one core at full speed
+    share: float = bounded(1.0)  # of all requests, relative to the other classes
+    work_ms: float = bounded(60.0, 0.1)  # mean run time on one core at full speed
     aim_ms: float = bounded(2000.0, 1.0)
     deadline_ms: float = bounded(6000.0, 10.0)
     worth: float = bounded(1.0)
     effect: str = "safe"
-    calls: bool = False  # each run makes one call below
-    skip_worth: float = bounded(0.0, 0.0, 1.0)  # part of the worth where that call was left out
-    window_ms: float = bounded(20_000.0, 1.0)  # of a keyed class
+    calls: bool = False  # each run makes one downstream call
+    skip_worth: float = bounded(0.0, 0.0, 1.0)  # fraction of the worth if that call was skipped
+    window_ms: float = bounded(20_000.0, 1.0)  # in which an idempotency key runs once; for keyed classes
 
     @property
     def keyed(self) -> bool:
-        """Tell whether its requests have keys."""
+        """Return whether requests of this class have idempotency keys."""
         return self.effect == "keyed"
 
 
 @dataclass(slots=True, frozen=True)
 class Zone:
-    """A zone: its nodes, and the callers that sit there."""
+    """A zone: its number of nodes and of callers."""
 
     name: str
     nodes: int = bounded(None, 0, MAX_NODES)
@@ -60,25 +61,29 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistryPlan:
-    """The list service. Reports past its capacity are answered late, past a second's worth not at all."""
+    """The service registry.
 
-    capacity: float = bounded(1000.0, 0.1)  # reports a second
+    Reports above its capacity are answered late; those for which more than a second's worth is queued are not
+    answered.
+    """
+
+    capacity: float = bounded(1000.0, 0.1)  # reports per second
     answer_ms: float = bounded(2.0)
-    lapse_s: float = bounded(3.0, 0.1)  # an entry comes off so long after its last report
-    notice_s: float = bounded(1.0)  # callers see changes so much later
+    lapse_s: float = bounded(3.0, 0.1)  # an entry expires this long after its last report
+    notice_s: float = bounded(1.0)  # delay until callers see a change
 
 
 @dataclass(slots=True, frozen=True)
 class DownstreamPlan:
-    """A service below that all runs may call."""
+    """A downstream service, which runs may call."""
 
-    slots: int = bounded(40, 1)  # calls served side by side at full speed
+    slots: int = bounded(40, 1)  # calls served concurrently at full speed
     service_ms: float = bounded(30.0, 0.1)
-    most: int = bounded(320, 1)  # calls in hand past which it turns away
-    capacity: float = bounded(160.0, 0.1)  # calls in hand, in the mean of `over_s`, past which it falls over
+    most: int = bounded(320, 1)  # calls in progress above which further ones are rejected
+    capacity: float = bounded(160.0, 0.1)  # mean calls in progress over `over_s` above which it crashes
     over_s: float = bounded(5.0, 0.1)
-    down_s: float = bounded(5.0)  # it is gone so long then,
-    cold_from: float = bounded(0.3, 0.01, 1.0)  # and starts again at this part of its speed
+    down_s: float = bounded(5.0)  # how long it stays down after a crash
+    cold_from: float = bounded(0.3, 0.01, 1.0)  # fraction of its full speed just after a start
     cold_s: float = bounded(8.0, 0.1)
     starts_cold: bool = False
     per_zone: bool = False
@@ -86,61 +91,65 @@
 
 @dataclass(slots=True, frozen=True)
 class NodePlan:
-    """A node's machine."""
+    """The machine that a node runs on."""
 
     cores: int = bounded(2, 1)
     memory_kb: float = bounded(40_000.0, 1.0)
-    read_ms: float = bounded(0.0)  # work of reading one request, whatever is decided
-    cold_from: float = bounded(1.0, 0.01, 1.0)  # part of its speed when cold
+    read_ms: float = bounded(0.0)  # work to read one request, whatever is decided about it
+    cold_from: float = bounded(1.0, 0.01, 1.0)  # fraction of its full speed just after a start
     cold_s: float = bounded(10.0, 0.1)
-    starts_cold: bool = False  # also at the start of the run; after that a node that starts is cold
+    starts_cold: bool = False  # at the start of the run; nodes that start later are always cold
     stop_ms: int = bounded(4000, 500)
-    fleet: bool = False  # they are members of one fleet
-    seeds: int = bounded(3, 1)  # of them, that all others join through
+    fleet: bool = False  # the nodes are members of one fleet
+    seeds: int = bounded(3, 1)  # number of nodes through which all others join
 
 
 @dataclass(slots=True, frozen=True)
 class CallerPlan:
-    """What callers do (minutes of the first meeting, section 4)."""
+    """How callers retry and whether they follow the hints of nodes."""
 
-    tries: int = bounded(3)  # of one request at most; 0: without limit
-    wait_ms: float = bounded(20.0)  # before the next try
-    heeds: float = bounded(0.85, 0.0, 1.0)  # part of callers that follow advice
+    tries: int = bounded(3)  # maximum number of attempts of a request; 0: unlimited
+    wait_ms: float = bounded(20.0)  # mean delay before a retry
+    heeds: float = bounded(0.85, 0.0, 1.0)  # fraction of callers that follow hints
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """A fault with its time. What `of` and `to` select is settled before anything starts."""
+    """A fault and its time. `of` and `to` are endpoints, resolved before anything starts.
+
+    `ms` is the delay of `delay`, `late` and `reorder`; `part` is a probability for `loss`, `duplicate` and
+    `reorder`, and a factor for `starve`, `slow` and `surge`.
+    """
 
     kind: str
     at_s: float  # after the start of the load
     for_s: float
     of: frozenset[str]
-    to: frozenset[str] = frozenset()  # of links: the other ends
-    one_way: bool = False  # only what goes from `of` to `to`
+    to: frozenset[str] = frozenset()  # the other ends of the links, for faults of links
+    one_way: bool = False  # affects only the direction from `of` to `to`
     ms: float = 0.0
     part: float = 0.0
 
     def affects(self, source: str, target: str) -> bool:
-        """Tell whether this fault of links is met by what goes from one party to another."""
+        """Return whether this fault of links affects messages from `source` to `target`."""
         forward = source in self.of and target in self.to
         return forward or (not self.one_way and source in self.to and target in self.of)
 
 
 @dataclass(slots=True, frozen=True)
 class RunPlan:
-    """How long and how much."""
+    """Duration, load and seed of a run."""
 
-    seconds: float = bounded(20.0, 0.1, 3600)  # of load
-    wait_s: float = bounded(30.0)  # the load begins once callers see all nodes, or after this
-    spread_s: float = bounded(0.2)  # nodes are started within this
+    seconds: float = bounded(20.0, 0.1, 3600)  # duration of the load
+    wait_s: float = bounded(30.0)  # maximum wait for callers to see all nodes, after which the load begins
+    spread_s: float = bounded(0.2)  # period over which node starts are spread
     seed: int = bounded(1)
-    rate: float = bounded(20.0, 0.0, 100_000)  # requests each second in all
+    rate: float = bounded(20.0, 0.0, 100_000)  # requests per second from all callers
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One run."""
+    """The plan of one run."""
 
     run: RunPlan
     zones: tuple[Zone, ...]
@@ -156,11 +165,11 @@
         return [f"n{number + 1}" for number in range(sum(zone.nodes for zone in self.zones))]
 
     def longest_deadline_s(self) -> float:
-        """Return the longest deadline."""
+        """Return the longest deadline of all classes."""
         return max(request_class.deadline_ms for request_class in self.classes) / 1000
 
     def zone_of(self) -> dict[str, str]:
-        """Return the zone of each party that has one."""
+        """Return the zone of each endpoint that belongs to one."""
         names = iter(self.node_names())
         zones = {next(names): zone.name for zone in self.zones for _ in range(zone.nodes)}
         zones |= {f"callers.{zone.name}": zone.name for zone in self.zones}
@@ -169,11 +178,11 @@
         )
 
     def downstream_names(self) -> list[str]:
-        """Return the names of the services below."""
+        """Return the names of the downstream services."""
         return [f"below.{zone.name}" for zone in self.zones] if self.downstream.per_zone else ["below"]
 
     def load_factor(self, at_s: float) -> float:
-        """Return by what the load is multiplied at a time."""
+        """Return the factor by which surges multiply the load at a time."""
         factor = 1.0
         for fault in self.faults:
             if fault.kind == "surge" and fault.at_s <= at_s < fault.at_s + fault.for_s:
@@ -182,7 +191,7 @@
 
 
 class Selector:
-    """Settles words such as `node:n3`, `nodes:a`, `zone:a`, `part:0.3`, `runtimes`, `list`, `others`."""
+    """Resolves selectors such as `node:n3`, `nodes:a`, `zone:a`, `part:0.3`, `runtimes`, `list`, `others`."""
 
     def __init__(self, plan: Plan) -> None:
         self.zone_of, self.random = plan.zone_of(), random.Random(plan.run.seed)
@@ -190,7 +199,7 @@
         self.endpoints = {*self.zone_of, *plan.downstream_names(), "list"}
 
     def resolve(self, text: str, key: str, rest_of: frozenset[str] = frozenset()) -> frozenset[str]:
-        """Return the parties that a word selects; `rest_of` is what `others` leaves out."""
+        """Return the selected endpoints; `others` selects all that are not in `rest_of`."""
         word, _, name = text.partition(":")
         nodes, zones = self.nodes, set(self.zone_of.values())
         if name and word in ("zone", "nodes", "runtimes", "callers") and name not in zones:
@@ -245,7 +254,7 @@
 
 
 def _read_dataclass(cls: type[T], table: CheckedTable) -> T:
-    """Read a table as what its fields say."""
+    """Read a table into a dataclass, whose fields give the types, defaults and bounds of the keys."""
     types = get_type_hints(cls)
     table.reject_unknown_keys(*types)
     readers: dict[Any, Callable[..., Any]] = {
@@ -263,22 +272,23 @@
     return cls(**values)
 
 
-def scaled(value: dict[str, Any], load_factor: float) -> dict[str, Any]:
-    """Return a plan of so many times the size: nodes, load, and what lies below.
+def scaled(value: dict[str, Any], scale: float) -> dict[str, Any]:
+    """Return a plan of `scale` times the size: nodes, load, registry and downstream services.
 
-    Callers stay as many: each may have a connection to each node, so both at once would grow with the square.
+    The number of callers stays: each may have a connection to each node, so scaling both would make the
+    number of connections grow with the square.
     """
     result = {name: dict(part) if isinstance(part, dict) else part for name, part in value.items()}
-    result["zones"] = [{**zone, "nodes": round(zone["nodes"] * load_factor)} for zone in value["zones"]]
+    result["zones"] = [{**zone, "nodes": round(zone["nodes"] * scale)} for zone in value["zones"]]
     for name, keys in (("run", ("rate",)), ("list", ("capacity",)), ("below", ("slots", "most", "capacity"))):
         for key in keys:
             if key in result.get(name, {}):
-                result[name][key] = round(result[name][key] * load_factor)
+                result[name][key] = round(result[name][key] * scale)
     return result
 
 
 def parse(value: Any) -> Plan:
-    """Check a plan."""
+    """Check a plan and return it; raise `ConfigError` for the first fault."""
     table = CheckedTable(value)
     table.reject_unknown_keys("run", "zones", "classes", "nodes", "list", "below", "callers", "faults")
     zones = tuple(_read_dataclass(Zone, entry) for entry in table.tables("zones"))
@@ -304,7 +314,7 @@
 
 
 def check_resources(plan: Plan) -> None:
-    """Refuse more real nodes than the descriptors and the memory of this machine allow."""
+    """Raise `ConfigError` if the descriptors or the memory of this machine don't suffice for the nodes."""
     count = len(plan.node_names())
     if len(plan.zones) > 250:
         raise ConfigError("zones", "more than there are loopback addresses for")
@@ -319,7 +329,10 @@
 
 
 def read(paths: Sequence[Path], scale: float = 1.0) -> Plan:
-    """Read a plan from files: a later one adds to the tables of those before, and replaces all else."""
+    """Read a plan from files and scale it.
+
+    A later file adds keys to the tables of earlier files; all other values, such as arrays, it replaces.
+    """
     merged: dict[str, Any] = {}
     for path in paths:
         try:
--- a/reelusher/lab/fleet/processes.py
+++ b/reelusher/lab/fleet/processes.py
@@ -1,4 +1,4 @@
-"""The nodes as processes, started by the command that operators use; each is ended by its id."""
+"""The node processes of a run, started with the deployed command; each is ended by its process id."""
 
 import contextlib
 import json
@@ -21,18 +21,18 @@
 
 
 def deploy_command(command: str) -> list[str]:
-    """Return a command of the deploy file as the platform starts it, with this interpreter."""
+    """Return a command of the deploy file as the platform starts it, but with this interpreter."""
     text = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())[command]
     return ["/bin/sh", "-c", text.replace(".venv/bin/python", sys.executable)]
 
 
 def node_seed(plan: Plan, name: str) -> int:
-    """Return the seed that a node is told."""
+    """Return the random seed of a node."""
     return random.Random(f"{plan.run.seed} {name}").getrandbits(48)
 
 
 def node_settings(plan: Plan, cold_start: bool) -> dict[str, Any]:
-    """Return what the platform would tell each node of this plan, `fresh` where its machine is cold."""
+    """Return the settings that the platform gives each node; `cold_start`: its machine is cold."""
     count = len(plan.node_names())
     own = {
         "cores": plan.nodes.cores,
@@ -81,22 +81,22 @@
 
 
 def core_wait_s(pid: int) -> dict[str, float]:
-    """Return for how many seconds each thread that a process has now was ready and had no core."""
+    """Return the total seconds for which each thread of a process was ready to run but had no core."""
     waits: dict[str, float] = {}
     for path in Path(f"/proc/{pid}/task").glob("*/schedstat"):
-        with contextlib.suppress(OSError):  # a thread that has just ended
+        with contextlib.suppress(OSError):  # a thread has just ended
             waits[path.parent.name] = int(path.read_text().split()[1]) / 1e9
     return waits
 
 
 class Processes:
-    """All nodes of a run. Leaving the block ends every process that it started."""
+    """The node processes of a run. Leaving the context kills all processes that it started."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan, self.folder, self.command = plan, folder, deploy_command("run")
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.configs: dict[str, dict[str, Any]] = {}
-        self.operator_files: dict[str, Path] = {}  # files of those that are members of a fleet
+        self.operator_files: dict[str, Path] = {}  # of nodes that are members of a fleet
 
     def __enter__(self) -> "Processes":
         return self
@@ -104,14 +104,14 @@
     def __exit__(self, *fault: object) -> None:
         for process in self.running.values():
             with contextlib.suppress(OSError):
-                process.kill()  # also where it is stopped
+                process.kill()  # works for stopped processes too
         for process in self.running.values():
             process.wait()
 
     def configure(
         self, name: str, listen: Address, downstream: Address, registry: Address, runtime: Address
     ) -> None:
-        """Write a node's configuration."""
+        """Set a node's configuration."""
         host_port = "{}:{}".format
         self.configs[name] = {
             "name": name,
@@ -127,7 +127,7 @@
     def configure_fleet(
         self, name: str, listen: Address, advertise: Address, seeds: list[Address], zone: str, admin: Address
     ) -> None:
-        """Write a node's operator's file: it is a member of the fleet."""
+        """Write the operator file of a node that is a member of the fleet."""
         host_port = "{}:{}".format
         secret = self.folder / "secret"
         secret.write_text(f"the secret of run {self.plan.run.seed:032d}")
@@ -148,7 +148,7 @@
         )
 
     def start(self, name: str, cold_start: bool) -> None:
-        """Start a node; its log goes on in the same file."""
+        """Start a node, which appends to its log file."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps({**self.configs[name], "settings": node_settings(self.plan, cold_start)}))
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -171,21 +171,21 @@
             )
 
     def send_signal(self, name: str, signal_number: signal.Signals) -> None:
-        """Send a signal to a node that runs."""
+        """Send a signal to a node if it is running."""
         if self.is_alive(name):
             self.running[name].send_signal(signal_number)
 
     def is_alive(self, name: str) -> bool:
-        """Tell whether a node's process is there."""
+        """Return whether a node's process is running."""
         process = self.running.get(name)
         return process is not None and process.poll() is None
 
     def kill(self, name: str) -> None:
-        """End a node at once."""
+        """Kill a node's process and wait for its end."""
         process = self.running[name]
         process.kill()
         process.wait()
 
     def log(self, name: str) -> str:
-        """Return what a node has logged."""
+        """Return the text of a node's log."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -1,9 +1,11 @@
-"""Links between any two parties, as relays on loopback that can be broken by the timetable.
+"""Fault proxies on loopback: each link between two endpoints of a run goes through one.
 
-What a fault means on TCP, which never loses a byte in the middle of a stream: a `cut` link swallows what
-crosses it, and a connection that lost something is reset when the cut heals, as by a peer that gave up;
-`silent` holds what crosses until it heals; `loss` holds a piece for a retransmission time. Datagrams are
-lost, doubled and overtaken for good. A party's datagrams are known by the loopback address they come from.
+An endpoint is a node, the callers of a zone, the service registry, a downstream service or a runtime.
+
+TCP never loses a byte in the middle of a stream, so faults act on connections as follows: `cut` drops all
+data, and when it heals, connections that lost data are reset, as by a peer that gave up; `silent` withholds
+data until it heals; `loss` delays a chunk by a retransmission timeout. Datagrams are lost, duplicated and
+reordered for good. The sender of a datagram is identified by its loopback address.
 """
 
 import asyncio
@@ -18,10 +20,12 @@
 from reelusher.config.checked_table import Address
 from reelusher.lab.fleet.plan import Fault
 
-RETRANSMIT_S = 0.2  # the least time-out of TCP on Linux
-MAX_BUFFER_BYTES = 4 << 20  # a relay that holds more for one that does not read ends the connection
-ORDER_STEP_S = 1e-6  # between two pieces: an event loop does not keep the order of equal times
-PROXY_HOST = "127.200.0.1"  # relays listen here
+RETRANSMIT_S = 0.2  # the minimum retransmission timeout of TCP on Linux
+MAX_BUFFER_BYTES = 4 << 20  # buffered for a receiver that does not read; beyond it the connection is reset
+ORDER_STEP_S = (
+    1e-6  # between two chunks: an event loop does not keep the order of callbacks that are due at equal times
+)
+PROXY_HOST = "127.200.0.1"  # address that the proxies listen on
 
 
 @dataclass(slots=True)
@@ -29,39 +33,38 @@
     """One direction of a link."""
 
     faults: list[Fault] = field(default_factory=list)
-    passed_bytes: int = 0  # bytes that went through
-    dropped_bytes: int = 0  # bytes that a cut took
-    last_fault_end_s: float = -1.0  # when a fault last stood on it, by the loop's clock
+    passed_bytes: int = 0
+    dropped_bytes: int = 0  # lost to faults
+    last_fault_end_s: float = -1.0  # by the loop's clock
 
     def active_fault(self, kind: str) -> Fault | None:
-        """Return the fault of a kind that stands on it."""
+        """Return an active fault of this kind, if there is one."""
         return next((fault for fault in self.faults if fault.kind == kind), None)
 
 
 class Link:
-    """From one party to another, both directions."""
+    """A link from one endpoint to another, with both directions."""
 
     def __init__(self, source: str, target: str, address: Address) -> None:
         self.source, self.target, self.address = source, target, address
         self.forward, self.backward = Direction(), Direction()
         self.connections: set[ProxiedConnection] = set()
-        self.connection_by_peer: dict[
-            Address, ProxiedConnection
-        ] = {}  # by where the near end comes from, also once over
+        # by the address of the client; also connections that are closed
+        self.connection_by_peer: dict[Address, ProxiedConnection] = {}
 
     def had_fault_since(self, since_s: float) -> bool:
-        """Tell whether a fault has stood on it since a time."""
+        """Return whether a fault was active on either direction at or after a time of the loop's clock."""
         active = bool(self.forward.faults or self.backward.faults)
         return active or max(self.forward.last_fault_end_s, self.backward.last_fault_end_s) >= since_s
 
     def heal(self) -> None:
-        """Go on where no fault stands any longer."""
+        """Continue or reset the connections after a fault has ended."""
         for connection in list(self.connections):
             connection.heal()
 
 
 def reset_connection(transport: asyncio.Transport | None) -> None:
-    """End a connection so that the other side sees a reset, not an end."""
+    """Abort a connection so that the peer sees a reset instead of an end of stream."""
     if transport is not None and not transport.is_closing():
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -69,7 +72,7 @@
 
 
 class ProxiedConnection:
-    """One connection through a link: two ends and what is held between them."""
+    """One connection through a link: the sides of the client and of the server."""
 
     def __init__(self, network: "FaultProxyNetwork", link: Link) -> None:
         self.network, self.link = network, link
@@ -78,8 +81,8 @@
             ConnectionSide(self, link.backward),
         )
         self.client_side.peer, self.server_side.peer = self.server_side, self.client_side
-        self.lost_data = False  # it lost bytes
-        self.delivered_bytes = 0  # bytes from the near end that were written to the target
+        self.lost_data = False  # to a cut
+        self.delivered_bytes = 0  # from the client, written to the server
         link.connections.add(self)
 
     async def open(self) -> None:
@@ -90,13 +93,13 @@
             self.abort()
 
     def abort(self) -> None:
-        """Reset both ends."""
+        """Reset both sides."""
         self.link.connections.discard(self)
         for end in (self.client_side, self.server_side):
             reset_connection(end.transport)
 
     def heal(self) -> None:
-        """End it where it lost something, else send on what was held."""
+        """Reset the connection if it lost data or links are reset, else send what was withheld."""
         if self.link.forward.active_fault("cut") or self.link.backward.active_fault("cut"):
             return
         if self.lost_data or self.link.forward.active_fault("reset"):
@@ -107,15 +110,15 @@
 
 
 class ConnectionSide(asyncio.Protocol):
-    """What comes from one side goes to the other, by the rules of its direction."""
+    """One side of a connection: data received from it passes to the other side as the faults allow."""
 
     def __init__(self, connection: ProxiedConnection, direction: Direction) -> None:
         self.connection, self.direction = connection, direction
         self.peer: ConnectionSide = self
         self.transport: asyncio.Transport | None = None
-        self.pending: list[bytes] = []  # for this end, until it is there
-        self.withheld: list[bytes] = []  # from this end, until its way speaks again
-        self.due_s = 0.0  # pieces keep their order
+        self.pending: list[bytes] = []  # received from the peer side before this side was connected
+        self.withheld: list[bytes] = []  # received from this side while its direction was silent
+        self.due_s = 0.0  # when the last chunk is due, which later chunks must not overtake
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -150,7 +153,7 @@
             self.deliver(data)
 
     def deliver(self, data: bytes) -> None:
-        """Hand a piece to the other end."""
+        """Pass a chunk to the other side."""
         peer_transport = self.peer.transport
         if peer_transport is None:
             self.peer.pending.append(data)
@@ -160,14 +163,14 @@
                 self.connection.abort()
 
     def write(self, peer_transport: asyncio.Transport, data: bytes) -> None:
-        """Write a piece that came from this end."""
+        """Write a chunk received from this side to the other side."""
         peer_transport.write(data)
         self.direction.passed_bytes += len(data)
         if self is self.connection.client_side:
             self.connection.delivered_bytes += len(data)
 
     def release(self) -> None:
-        """Send on what silence held."""
+        """Deliver the withheld data unless the direction is still silent."""
         if not self.direction.active_fault("silent"):
             released, self.withheld = self.withheld, []
             for data in released:
@@ -176,7 +179,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.connection.link.connections.discard(self.connection)
         if self.direction.active_fault("cut") or self.direction.active_fault("silent"):
-            self.connection.lost_data = True  # the other side does not hear of it
+            self.connection.lost_data = True  # the other side does not learn of it
             return
         peer_transport = self.peer.transport
         if peer_transport is not None:
@@ -187,14 +190,16 @@
 
 
 class SharedDatagramProxy(asyncio.DatagramProtocol):
-    """All datagrams to one party; whose they are is told by the address they come from."""
+    """Receives all datagrams to one endpoint; the sender's address identifies their source."""
 
     def __init__(self, network: "FaultProxyNetwork", target: str, address: Address) -> None:
         self.network, self.target, self.address = network, target, address
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.DatagramTransport, transport)  # which that of an event loop is not
+        self.transport = cast(
+            asyncio.DatagramTransport, transport
+        )  # the transports of event loops are no subclass of it
 
     def datagram_received(self, data: bytes, sender: Address) -> None:
         source = self.network.endpoint_of.get(sender[0], "")
@@ -219,14 +224,14 @@
             asyncio.get_running_loop().call_later(delay_s + extra_s, self.send, direction, data)
 
     def send(self, direction: Direction, data: bytes) -> None:
-        """Pass a datagram on."""
+        """Forward a datagram."""
         direction.passed_bytes += len(data)
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(data, self.address)
 
 
 class SharedStreamProxy(asyncio.Protocol):
-    """A connection to one party from whoever its address says; it becomes a pair of the link between them."""
+    """Accepts a connection to one endpoint; the client's address identifies the source, and so the link."""
 
     def __init__(self, network: "FaultProxyNetwork", target: str, address: Address) -> None:
         self.network, self.target, self.address = network, target, address
@@ -239,25 +244,25 @@
 
 
 class FaultProxyNetwork:
-    """All links of a run."""
+    """All links of a run and their fault proxies."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.links: dict[tuple[str, str], Link] = {}
-        self.endpoint_of: dict[str, str] = {}  # by loopback address
+        self.endpoint_of: dict[str, str] = {}  # by its loopback address
         self._active_faults: list[Fault] = []
         self._proxy_addresses: dict[tuple[str, str], Address] = {}
         self._servers: list[asyncio.Server | asyncio.DatagramTransport] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[object, object, None]) -> None:
-        """Run something beside all else; kept so that it is not collected."""
+        """Run a coroutine in the background; the task is kept so that it is not garbage-collected."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def link(self, source: str, target: str, address: Address) -> Link:
-        """Return the link between two parties, with the faults that stand on it by now."""
+        """Return the link between two endpoints; a new one has the faults that are active now."""
         found = self.links.get((source, target))
         if found is None:
             found = self.links[source, target] = Link(source, target, address)
@@ -266,7 +271,7 @@
         return found
 
     async def open_link_proxy(self, source: str, target: str, address: Address) -> Address:
-        """Return where `source` is to connect to reach `target` at `place`."""
+        """Return the address to which `source` connects to reach `target`, which listens on `address`."""
         proxy_address = self._proxy_addresses.get((source, target))
         if proxy_address is None:
             link = self.link(source, target, address)
@@ -278,7 +283,10 @@
         return proxy_address
 
     async def open_shared_proxy(self, target: str, address: Address, streams: bool = False) -> Address:
-        """Return where datagrams to `target` at `place` are to be sent, and connections too for `streams`."""
+        """Return the address to which all sources send datagrams for `target`, which listens on `address`.
+
+        If `streams`, the same address accepts connections too.
+        """
         loop = asyncio.get_running_loop()
         port = 0
         if streams:
@@ -295,7 +303,7 @@
         return proxy_address
 
     def transit_delay_s(self, direction: Direction, datagram: bool = False) -> float:
-        """Return how long a piece is held on its way."""
+        """Return the delay of a chunk or datagram from delays and, for a chunk, retransmissions."""
         delay, loss = direction.active_fault("delay"), direction.active_fault("loss")
         delay_s = delay.ms / 1000 * self.random.uniform(0.9, 1.1) if delay else 0.0
         if loss and not datagram and self.random.random() < loss.part:
@@ -313,7 +321,7 @@
         return forward or backward
 
     def begin(self, fault: Fault) -> None:
-        """Let a fault stand, on the links there are and those to come."""
+        """Start a fault on existing and future links."""
         self._active_faults.append(fault)
         for link in self.links.values():
             if self._apply(link, fault) and fault.kind == "reset":
@@ -321,7 +329,7 @@
                     connection.abort()
 
     def end(self, fault: Fault) -> None:
-        """Let a fault end."""
+        """End a fault, and continue or reset the connections that it affected."""
         self._active_faults.remove(fault)
         now = asyncio.get_running_loop().time()
         for link in self.links.values():
@@ -334,7 +342,7 @@
                 link.heal()
 
     def close(self) -> None:
-        """Close all relays and what goes through them."""
+        """Close all proxies and reset the connections through them."""
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -1,4 +1,4 @@
-"""Plays a plan with real nodes: starts them, asks them, breaks things by the timetable, keeps the books."""
+"""Plays a plan with real nodes: starts them, sends load, injects faults on schedule, and records history."""
 
 import asyncio
 import contextlib
@@ -28,27 +28,26 @@
     RuntimeHost,
 )
 
-LAG_CHECK_INTERVAL_S = 0.01
-CORE_WAIT_INTERVAL_S = 0.1  # between looks at how long a node waited for a core, or more:
-MAX_CORE_WAIT_READS_PER_S = (
-    240.0  # at all nodes together, each some twelve small files; more would starve the rig
-)
-STARVE_PERIOD_S = 0.02  # a starved node is stopped and continued within each such span
-STAND_IN_HOST = "127.200.0.2"  # where the stand-ins listen, behind the relays
+LAG_CHECK_INTERVAL_S = 0.01  # between measurements of the rig's own scheduling lag
+CORE_WAIT_INTERVAL_S = 0.1  # minimum time between two readings of how long a node waited for a core
+# of all nodes together; each reads about twelve small files, so a higher rate would starve the rig
+MAX_CORE_WAIT_READS_PER_S = 240.0
+STARVE_PERIOD_S = 0.02  # in each such period a starved node is stopped for a fraction
+STAND_IN_HOST = "127.200.0.2"  # address that the stand-ins listen on, behind the fault proxies
 PORT_RANGE, MAX_PORT_ATTEMPTS = (10_000, 32_000), 100
-LOG_FAULT_MARKERS = ("Traceback", " ERROR ")  # words in a node's log that spoil a run
+LOG_FAULT_MARKERS = ("Traceback", " ERROR ")  # texts in a node's log that count as a violation
 
 
 def address_of(zone: int, number: int, port: int) -> Address:
-    """Return the loopback address of a zone's node."""
+    """Return the loopback address of a node by its zone and its number within it."""
     return f"127.{1 + number // 250}.{zone + 1}.{number % 250 + 1}", port
 
 
 def free_port(hosts: list[str]) -> int:
-    """Return a port that is free on all of these addresses, for connections and datagrams.
+    """Return a port that is free for connections and datagrams on all of these addresses.
 
-    It lies below those that the kernel gives to whoever asks for any: one of them, free when it was looked
-    for, is now and then taken by a connection before its node has come to listen there.
+    It lies below the ephemeral ports, since the kernel may assign one of those to an outgoing connection
+    after it was found free and before the node listens on it.
     """
     for _ in range(MAX_PORT_ATTEMPTS):
         port = random.SystemRandom().randrange(*PORT_RANGE)
@@ -61,7 +60,7 @@
 
 
 class Rig(Scenario):
-    """One run."""
+    """A run of a plan with real node processes."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.loop = asyncio.get_running_loop()
@@ -70,18 +69,18 @@
         self.membership_observer = MembershipObserver(self.loop.time)
         self.runtime_hosts = {name: RuntimeHost(runtime) for name, runtime in self.runtimes.items()}
         self.node_addresses: dict[str, Address] = {}
-        self.cpu_fractions: dict[str, float] = {}  # the part of the time that a node runs for
+        self.cpu_fractions: dict[str, float] = {}  # fraction of the time for which a starved node runs
         self.servers: list[asyncio.Server] = []
         self.loop.set_exception_handler(self._on_loop_exception)
 
     def _on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Spoil the run for a fault in a stand-in: its figures would be wrong."""
+        """Record an unexpected exception in a stand-in as a violation, since it would distort the figures."""
         self.history.violations.append(
             f"the rig failed: {context.get('exception') or context.get('message')!r}"
         )
 
     async def play(self) -> RunHistory:
-        """Play the plan and return the books."""
+        """Play the plan and return its history."""
         plan, history = self.plan, self.history
         await self._set_up_proxies()
         try:
@@ -106,7 +105,7 @@
             while self.loop.time() < deadline_s and not history.is_settled():
                 await asyncio.sleep(SNAPSHOT_INTERVAL_S)
             history.check_unanswered(self.loop.time())
-            self.membership_observer.stop(history.load_start_s)  # from here on nodes leave
+            self.membership_observer.stop(history.load_start_s)  # nodes leave from here on
             await asyncio.gather(
                 *(self._stop_node(name) for name in self.node_addresses if self.processes.is_alive(name))
             )
@@ -122,13 +121,13 @@
         return history
 
     def _measure_lag(self, due_s: float) -> None:
-        """Note by how much this process is late: it sees what others do so much later."""
+        """Record how late this process is: it sees the actions of others that much later."""
         now = self.loop.time()
         self.history.record_lag(now, now - due_s)
         self.loop.call_at(now + LAG_CHECK_INTERVAL_S, self._measure_lag, now + LAG_CHECK_INTERVAL_S)
 
     def _measure_core_wait(self, name: str, previous_s: dict[str, float], since: float) -> None:
-        """Note for how long the thread of a node that waited longest had no core since the last look."""
+        """Record how long the thread of a node that waited most had no core since the last reading."""
         now, alive = self.loop.time(), self.processes.is_alive(name)
         waits = core_wait_s(self.processes.running[name].pid) if alive else {}
         if now > since:
@@ -151,7 +150,7 @@
         return address
 
     async def _set_up_proxies(self) -> None:
-        """Set up relays and configurations."""
+        """Start the stand-ins and fault proxies, and write the configuration of each node."""
         plan, names = self.plan, iter(self.plan.node_names())
         port = free_port(
             [
@@ -182,7 +181,7 @@
             await self._set_up_fleet()
 
     async def _set_up_fleet(self) -> None:
-        """Make all nodes members of one fleet, whose datagrams and states go through relays too."""
+        """Configure all nodes as members of one fleet, whose datagrams and connections go through proxies."""
         hosts = [address[0] for address in self.node_addresses.values()]
         fleet_port = admin_port = free_port(hosts)
         while admin_port == fleet_port:
@@ -194,7 +193,7 @@
         by_zone: dict[str, list[str]] = {}
         for name in self.node_addresses:
             by_zone.setdefault(self.zone_of[name], []).append(name)
-        # the first of each zone, then the second of each
+        # the first node of each zone, then the second of each
         order = [name for row in itertools.zip_longest(*by_zone.values()) for name in row if name]
         seeds = [proxy_addresses[name] for name in order[: self.plan.nodes.seeds]]
         for name, address in self.node_addresses.items():
@@ -211,31 +210,31 @@
     # Faults
 
     def set_link_fault(self, fault: Fault, active: bool) -> None:
-        """Break links or mend them."""
+        """Begin or end a fault of links."""
         if active:
             self.network.begin(fault)
         else:
             self.network.end(fault)
 
     def kill_node(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a node's process."""
         self.processes.kill(name)
 
     def on_node_ended(self, name: str) -> None:
-        """Note that a node has ended; its runtime numbers notices from 1 again."""
+        """Record that a node's process has ended, and reset its runtime's notices."""
         super().on_node_ended(name)
         self.runtime_hosts[name].restart()
 
     def start_node(self, name: str) -> None:
-        """Start a process."""
+        """Start a node's process."""
         self.processes.start(name, self.is_cold_start(name))
 
     def set_paused(self, name: str, paused: bool) -> None:
-        """Stop or continue a process."""
+        """Stop or continue a node's process."""
         self.processes.send_signal(name, signal.SIGSTOP if paused else signal.SIGCONT)
 
     def restart(self, name: str) -> None:
-        """Drain a process and start it again."""
+        """Drain a node's process and start it again."""
         self.network.spawn(self._restart(name))
 
     async def _restart(self, name: str) -> None:
@@ -244,7 +243,7 @@
         self.start_again(name)
 
     async def _stop_node(self, name: str) -> None:
-        """Tell a node to leave and see that it does so in time, with status 0."""
+        """Send SIGTERM to a node, and check that it exits in time with status 0."""
         process, deadline_s = self.processes.running[name], self.loop.time() + self.plan.nodes.stop_ms / 1000
         self.processes.send_signal(name, signal.SIGTERM)
         while process.poll() is None and self.loop.time() < deadline_s:
@@ -253,7 +252,7 @@
             self.history.violations.append(f"{name} left with status {process.poll()}")
 
     def starve(self, name: str, fraction: float) -> None:
-        """Let a process run for a part of the time."""
+        """Let a node's process run for only this fraction of the time; 1 ends the limit."""
         is_new = name not in self.cpu_fractions
         self.cpu_fractions[name] = fraction
         if is_new:
@@ -271,7 +270,11 @@
 
 
 def play(plan: Plan, folder: Path | None = None) -> RunHistory:
-    """Play a plan. Logs and configurations of nodes go to `folder`, which is else a passing one."""
+    """Play a plan with real nodes and return its history.
+
+    Logs and configurations of the nodes are kept in `folder`, or in a temporary folder without it. Raises
+    `ConfigError` if this machine lacks the resources.
+    """
     check_resources(plan)
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -280,7 +283,7 @@
         rig = Rig(plan, run_folder)
         task = asyncio.current_task()
         assert task is not None
-        with rig.processes:  # SIGTERM must end its processes as Ctrl-C does, else hundreds go on without it
+        with rig.processes:  # SIGTERM must end its processes as Ctrl-C does, else hundreds would outlive it
             asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
             last_s = plan.run.wait_s + plan.run.seconds + plan.longest_deadline_s() + 60
             return await asyncio.wait_for(rig.play(), last_s)
--- a/reelusher/lab/fleet/services.py
+++ b/reelusher/lab/fleet/services.py
@@ -1,7 +1,7 @@
-"""The stand-ins for what is not the program, without sockets: they live on any `Timeline`.
+"""Stand-ins for everything outside the program, without sockets; they run on any `Scheduler`.
 
-The live rig puts wires before them and has them on the event loop; the model has them on a virtual clock.
-All of them report what happens to the account, which is kept apart from the program.
+The live rig puts connections in front of them and runs them on its event loop; the model runs them on a
+virtual clock. All of them record what happens in the history, independently of the program under test.
 """
 
 import random
@@ -13,46 +13,50 @@
 from reelusher.lab.fleet.account import RunHistory
 from reelusher.lab.fleet.plan import DownstreamPlan, NodePlan, RegistryPlan, RequestClass
 
-GAUGE_WINDOW_S = 0.5  # the span over which busy cores are a mean
+GAUGE_WINDOW_S = 0.5  # over which the gauge of busy cores is averaged
 Callback = Callable[..., None]
 
 
 class TimerHandle(Protocol):
-    """Something that is to be done later."""
+    """A callback that is scheduled for later."""
 
     def cancel(self) -> None:
-        """Don't do it."""
+        """Cancel the callback."""
 
 
 class Scheduler(Protocol):
-    """A clock with an order of things to do; an event loop is one."""
+    """A clock with timers; an event loop is one."""
 
     def time(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds."""
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> TimerHandle:
-        """Do something so many seconds from now."""
+        """Call `callback` after `delay` seconds."""
 
 
 class ServiceRegistry:
-    """Knows which nodes reported of late. Past its capacity of reports it answers late, then never."""
+    """The service registry: lists the nodes that reported recently.
+
+    Above its capacity it answers reports late; while a second's worth is queued it ignores further ones.
+    """
 
     def __init__(self, scheduler: Scheduler, plan: RegistryPlan, history: RunHistory) -> None:
         self.scheduler, self.plan, self.history = scheduler, plan, history
         self.unavailable, self.extra_delay_s = False, 0.0
-        self._queue_end_s = 0.0  # when it is done with what it has
+        self._queue_end_s = 0.0  # when the queued reports are processed
         self._last_report_s: dict[str, float] = {}
-        self._outage_change_s = 0.0  # when it last went or came back
-        self._snapshots: list[tuple[float, frozenset[str]]] = []  # what was listed since when
+        self._outage_change_s = 0.0  # when the last outage began or ended
+        # the lists that callers may still see, each with the time from which it held
+        self._snapshots: list[tuple[float, frozenset[str]]] = []
 
     def report(self, name: str, answer: Callback) -> None:
-        """Take a report; `answer` is called once it counts, or never."""
+        """Accept a report; `answer` is called once the node is listed, or never."""
         now = self.scheduler.time()
         self.history.record_report(now, not self.unavailable)
         if self.unavailable:
             return
         self._queue_end_s = max(now, self._queue_end_s) + 1 / self.plan.capacity
-        if self._queue_end_s - now > 1.0:  # a second's worth is queued: it turns away without a word
+        if self._queue_end_s - now > 1.0:  # a second's worth is queued: the report is ignored
             self._queue_end_s -= 1 / self.plan.capacity
             return
         duration_s = self._queue_end_s - now + self.plan.answer_ms / 1000 + self.extra_delay_s
@@ -71,20 +75,20 @@
         return [name for name, last in self._last_report_s.items() if now - last < self.plan.lapse_s]
 
     def set_unavailable(self, unavailable: bool) -> None:
-        """Go away, or come back; no entry lapses meanwhile."""
+        """Begin or end an outage, during which no entry expires."""
         if self.unavailable and not unavailable:
             now = self.scheduler.time()
             self._last_report_s = dict.fromkeys(self._registered_nodes(self._outage_change_s), now)
         self.unavailable, self._outage_change_s = unavailable, self.scheduler.time()
 
     def count(self) -> int:
-        """Return how many are listed at present."""
+        """Return the number of nodes that are listed now."""
         return len(
             self._registered_nodes(self._outage_change_s if self.unavailable else self.scheduler.time())
         )
 
     def take_snapshot(self) -> None:
-        """Note what is listed now: callers see it `notice_s` later. Called ten times a second."""
+        """Store the current list, which callers see after `notice_s`. Called ten times a second."""
         now = self.scheduler.time()
         if not self.unavailable:
             self._snapshots.append((now, frozenset(self._registered_nodes(now))))
@@ -92,37 +96,37 @@
             del self._snapshots[0]
 
     def visible_nodes(self) -> frozenset[str]:
-        """Return the list as callers have it."""
+        """Return the list as callers see it now."""
         if not self._snapshots or self._snapshots[0][0] > self.scheduler.time() - self.plan.notice_s:
             return frozenset()
         return self._snapshots[0][1]
 
 
 def warm_up_speed(now: float, since_s: float, cold_from: float, cold_s: float) -> float:
-    """Return the speed of what has been up since a time, as a part of what it does warm."""
+    """Return the speed of a service that is up since a time, as a fraction of its speed when warm."""
     return cold_from + (1 - cold_from) * min(1.0, (now - since_s) / cold_s)
 
 
 class ExponentialMean:
-    """The mean of what holds for a while each, over an exponential window in seconds."""
+    """The mean of a piecewise constant value with exponentially decaying weights."""
 
-    def __init__(self, over_s: float, now: float) -> None:
-        self.over_s, self.value = over_s, 0.0
-        self._at_s, self._held = now, 0.0
+    def __init__(self, window_s: float, now: float) -> None:
+        self.window_s, self.value = window_s, 0.0
+        self._at_s, self._current = now, 0.0
 
-    def note(self, now: float, held: float) -> float:
-        """Note what holds from now on; return the mean up to now."""
-        weight = exp(-(now - self._at_s) / self.over_s)
-        self.value = self._held * (1 - weight) + self.value * weight
-        self._at_s, self._held = now, held
+    def update(self, now: float, current: float) -> float:
+        """Set the value that holds from now on, and return the mean up to now."""
+        weight = exp(-(now - self._at_s) / self.window_s)
+        self.value = self._current * (1 - weight) + self.value * weight
+        self._at_s, self._current = now, current
         return self.value
 
 
 class DownstreamService:
-    """A service that slows down when crowded, turns calls away, and falls over when it holds too many.
+    """A downstream service: slows down under load, rejects calls above a limit, and crashes when overloaded.
 
-    A call takes what it takes by how crowded the service is as it comes. What it holds is averaged with the
-    exponential window `over_s`.
+    How long a call takes depends on the number of calls in progress when it begins. The service crashes when
+    that number, averaged with time constant `over_s`, exceeds its capacity.
     """
 
     def __init__(self, scheduler: Scheduler, plan: DownstreamPlan, name: str, history: RunHistory) -> None:
@@ -133,14 +137,17 @@
         self._up_since_s = scheduler.time() - (0.0 if plan.starts_cold else plan.cold_s)
 
     def speed(self) -> float:
-        """Return its speed as a part of what it does warm and well."""
+        """Return the speed as a fraction of that of a warm service without faults."""
         return (
             warm_up_speed(self.scheduler.time(), self._up_since_s, self.plan.cold_from, self.plan.cold_s)
             * self.speed_factor
         )
 
     def call(self, reply: Callback) -> int:
-        """Take a call; `reply` hears `yes`, `notnow` or `failed`. Returns its number, 0 where it is over."""
+        """Begin a call and return its number, or 0 if it has failed at once.
+
+        `reply` is called with `yes`, `notnow` or `failed`.
+        """
         self._record_load()
         self.history.record_call(self.scheduler.time())
         if self.down:
@@ -158,7 +165,7 @@
         return number
 
     def cancel(self, number: int) -> None:
-        """Hear that a call is given up."""
+        """Cancel a call whose caller no longer waits."""
         call = self.active_calls.pop(number, None)
         if call:
             call[0].cancel()
@@ -171,13 +178,13 @@
 
     def _record_load(self) -> None:
         now, call_count = self.scheduler.time(), len(self.active_calls)
-        mean = self._mean.note(now, call_count)
+        mean = self._mean.update(now, call_count)
         self.history.record_downstream_calls(now, self.name, call_count)
         if mean > self.plan.capacity and not self.down:
             self.crash()
 
     def crash(self) -> None:
-        """Fall over: all that it holds fails, and it comes back cold."""
+        """Crash: all calls in progress fail, and the service returns cold after `down_s`."""
         self.down, self.crash_count = True, self.crash_count + 1
         self.history.record_event(self.scheduler.time(), f"{self.name} falls over")
         interrupted, self.active_calls = self.active_calls, {}
@@ -194,7 +201,7 @@
 
 @dataclass(slots=True)
 class Job:
-    """A run on a node's cores."""
+    """A run on the cores of a node."""
 
     run_id: str
     request_class: RequestClass
@@ -205,9 +212,9 @@
 
 
 class Runtime:
-    """Does a node's work on its cores; a run of a class that calls stops half way for its call.
+    """The runtime of a node: executes its runs; a run whose class makes a call pauses halfway for it.
 
-    A piece of work takes what it takes by how many share the cores as it begins. Runs can't be stopped.
+    How long work takes depends on how much of it shares the cores when it begins. Runs can't be stopped.
     """
 
     def __init__(
@@ -228,53 +235,53 @@
         )
         self.random = random.Random(f"{seed} {name}")
         self.jobs: dict[str, Job] = {}
-        self.active_work = 0  # pieces of work on the cores
+        self.active_work = 0  # units of work that are on the cores now
         self.speed_factor, self.started_s = 1.0, scheduler.time() - (0.0 if plan.starts_cold else plan.cold_s)
-        self.on_finished: Callback = lambda job: None  # the transport's
+        self.on_finished: Callback = lambda job: None  # set by the transport
         self.on_call_needed: Callback = lambda job, ms: None
         self._mean = ExponentialMean(GAUGE_WINDOW_S, scheduler.time())
 
     def restart(self) -> None:
-        """Start anew, cold and with nothing; a node that dies takes its runs along."""
+        """Drop all runs, as when the node's process ends, and start cold."""
         for job in self.jobs.values():
             if job.timer:
                 job.timer.cancel()
         self.jobs.clear()
         self.active_work, self.started_s = 0, self.scheduler.time()
-        self._note()
+        self._update_busy_mean()
 
     def speed(self) -> float:
-        """Return the speed of its cores as a part of what they do warm and well."""
+        """Return the speed of the cores as a fraction of that of warm cores without faults."""
         return (
             warm_up_speed(self.scheduler.time(), self.started_s, self.plan.cold_from, self.plan.cold_s)
             * self.speed_factor
         )
 
     def gauges(self) -> list[float]:
-        """Return busy cores as a part, what wants a core, memory in use, and open connections."""
-        return [self._note(), float(self.active_work), min(1.0, len(self.jobs) / 100), 0.0]
+        """Return the fraction of busy cores, the work on the cores, the memory in use, and open sockets."""
+        return [self._update_busy_mean(), float(self.active_work), min(1.0, len(self.jobs) / 100), 0.0]
 
-    def _note(self) -> float:
-        return self._mean.note(self.scheduler.time(), min(1.0, self.active_work / self.plan.cores))
+    def _update_busy_mean(self) -> float:
+        return self._mean.update(self.scheduler.time(), min(1.0, self.active_work / self.plan.cores))
 
     def _run_work(self, ms: float, done: Callback, *args: Any) -> TimerHandle:
         self.active_work += 1
-        self._note()
+        self._update_busy_mean()
         duration_s = ms / 1000 * max(1.0, self.active_work / self.plan.cores) / self.speed()
         return self.scheduler.call_later(duration_s, self._on_work_done, done, *args)
 
     def _on_work_done(self, done: Callback, *args: Any) -> None:
         self.active_work = max(0, self.active_work - 1)
-        self._note()
+        self._update_busy_mean()
         done(*args)
 
     def read_request(self) -> None:
-        """Spend what reading a request costs."""
+        """Spend the work of reading one request."""
         if self.plan.read_ms:
             self._run_work(self.plan.read_ms, lambda: None)
 
     def start(self, run_id: str, class_name: str, body: bytes) -> None:
-        """Begin a run, unless it runs already."""
+        """Start a run unless one with this id exists."""
         if run_id in self.jobs:
             return
         job = self.jobs[run_id] = Job(run_id, self.classes[class_name], body, self.scheduler.time())
@@ -291,7 +298,7 @@
             self._finish(job)
 
     def continue_run(self, run_id: str, ms: float, call_skipped: bool) -> None:
-        """Go on after the call, or without it."""
+        """Continue a run that waits for its call, which has been answered or skipped."""
         job = self.jobs.get(run_id)
         if job is not None and job.timer is None:
             job.call_skipped = call_skipped
@@ -303,5 +310,5 @@
 
 
 def result_body(job: Job) -> bytes:
-    """Return what a run makes: its body, and whether its call was left out."""
+    """Return the result of a run: a byte that tells whether its call was skipped, and the request's body."""
     return (b"-" if job.call_skipped else b"+") + job.body
--- a/reelusher/lab/fleet/stage.py
+++ b/reelusher/lab/fleet/stage.py
@@ -1,4 +1,4 @@
-"""What the live rig and the model share: stand-ins, callers, and the timetable of faults."""
+"""The scenario that the live rig and the model share: stand-ins, callers, and the schedule of faults."""
 
 import itertools
 from typing import Any
@@ -8,12 +8,12 @@
 from reelusher.lab.fleet.plan import LINK_FAULTS, Fault, Plan
 from reelusher.lab.fleet.services import DownstreamService, Runtime, Scheduler, ServiceRegistry
 
-SNAPSHOT_INTERVAL_S = 0.1  # between looks at the list
-FINAL_ANSWERS_S = 2.0  # beyond the longest deadline, for the last answers
+SNAPSHOT_INTERVAL_S = 0.1  # between snapshots of the service registry
+FINAL_ANSWERS_S = 2.0  # wait for the last answers beyond the longest deadline
 
 
 class Scenario:
-    """A run on some timeline. Who plays it says what becomes of nodes and links."""
+    """One run of a plan on a scheduler. Subclasses define how nodes and links are controlled."""
 
     def __init__(self, plan: Plan, scheduler: Scheduler) -> None:
         self.plan, self.scheduler, self.history = plan, scheduler, RunHistory(plan)
@@ -30,20 +30,20 @@
         }
         self.zone_of = plan.zone_of()
         self.dead_nodes: set[str] = set()
-        self.restarted_nodes: set[str] = set()  # nodes that have started more than once
-        self.paused_since_s: dict[str, float] = {}  # when nodes that stand still were stopped
+        self.restarted_nodes: set[str] = set()  # that have started more than once
+        self.paused_since_s: dict[str, float] = {}  # of nodes that are paused now
 
     def downstream_of(self, name: str) -> str:
-        """Return the service below that a node calls."""
+        """Return the name of the downstream service that a node calls."""
         return f"below.{self.zone_of[name]}" if self.plan.downstream.per_zone else "below"
 
     def snapshot_registry(self) -> None:
-        """Let the list note what stands on it, again and again."""
+        """Take a snapshot of the service registry, and again every `SNAPSHOT_INTERVAL_S`."""
         self.registry.take_snapshot()
         self.scheduler.call_later(SNAPSHOT_INTERVAL_S, self.snapshot_registry)
 
     def start_nodes(self) -> None:
-        """Start all nodes within the time that the plan gives, and look at the list from now on."""
+        """Start all nodes, spread over the period that the plan states, and begin to take snapshots."""
         self.snapshot_registry()
         for number, name in enumerate(self.runtimes):
             self.scheduler.call_later(
@@ -51,11 +51,11 @@
             )
 
     def all_nodes_visible(self) -> bool:
-        """Tell whether callers see every node on the list."""
+        """Return whether callers see every node in the service registry."""
         return len(self.registry.visible_nodes()) == len(self.runtimes)
 
     def start_load(self, transport: Transport) -> None:
-        """Let callers ask, and the timetable of faults begin."""
+        """Start the callers and the schedule of faults; this is time 0 of the history."""
         self.history.begin_load(self.scheduler.time())
         ids, number = itertools.count(1), itertools.count(1)
         count = sum(zone.callers for zone in self.plan.zones)
@@ -71,26 +71,26 @@
                     transport,
                     self.plan.run.rate / count,
                     ids,
-                ).begin()
+                ).start()
         for fault in self.plan.faults:
             self.scheduler.call_later(fault.at_s, self._begin_fault, fault)
 
-    # Who plays it says how
+    # Control of nodes and links, defined by subclasses
 
     def set_link_fault(self, fault: Fault, active: bool) -> None:
-        """Break links or mend them."""
+        """Begin or end a fault of links."""
         raise NotImplementedError
 
     def kill_node(self, name: str) -> None:
-        """End a node at once."""
+        """Kill a node."""
         raise NotImplementedError
 
     def start_node(self, name: str) -> None:
-        """Start a node that has ended."""
+        """Start a node that is not running."""
         raise NotImplementedError
 
     def set_paused(self, name: str, paused: bool) -> None:
-        """Have a node stand still, or go on."""
+        """Pause or resume a node."""
         raise NotImplementedError
 
     def restart(self, name: str) -> None:
@@ -98,7 +98,7 @@
         raise NotImplementedError
 
     def starve(self, name: str, fraction: float) -> None:
-        """Let a node run for a part of the time from now on; 1: all the time."""
+        """Let a node run for only this fraction of the time from now on; 1 ends the limit."""
         raise NotImplementedError
 
     # Faults
@@ -141,24 +141,24 @@
             self.history.record_pause(name, self.paused_since_s.pop(name), self.scheduler.time())
 
     def on_node_ended(self, name: str) -> None:
-        """Note that a node has ended, and its runs with it."""
+        """Record that a node's process has ended, and its runs with it."""
         self.dead_nodes.add(name)
         self.history.record_process_end(name, self.scheduler.time())
         self.runtimes[name].restart()
 
     def start_again(self, name: str) -> None:
-        """Start a node that has ended; its machine is cold."""
+        """Start a node whose process has ended, on a cold machine."""
         self.runtimes[name].restart()
         self.dead_nodes.discard(name)
         self.restarted_nodes.add(name)
         self.start_node(name)
 
     def is_cold_start(self, name: str) -> bool:
-        """Tell whether a node that starts finds its machine cold."""
+        """Return whether the machine of a node is cold when the node starts."""
         return name in self.restarted_nodes or self.plan.nodes.starts_cold
 
     def _apply_service_fault(self, fault: Fault, endpoint: str, active: bool) -> None:
-        """Break or mend a stand-in."""
+        """Begin or end a fault of a stand-in."""
         service: Any = self.downstreams.get(endpoint) or self.runtimes.get(endpoint.removeprefix("runtime."))
         match fault.kind:
             case "slow" if service is not None:
--- a/reelusher/lab/fleet/virtual.py
+++ b/reelusher/lab/fleet/virtual.py
@@ -1,4 +1,4 @@
-"""A virtual clock with an order of things to do: a `Timeline` on which an hour passes in seconds."""
+"""A virtual clock with timers: a `Scheduler` on which an hour passes in seconds."""
 
 import heapq
 import itertools
@@ -7,7 +7,7 @@
 
 
 class VirtualTimer:
-    """Something that is to be done later."""
+    """A callback that is scheduled for later."""
 
     __slots__ = ("args", "callback")
 
@@ -16,12 +16,12 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Don't do it."""
+        """Cancel the callback."""
         self.callback, self.args = None, ()
 
 
 class VirtualClock:
-    """Does what is due in the order of its time; equal times in the order in which they were set."""
+    """Calls callbacks in the order of their due times, and those due at the same time in the order set."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -29,17 +29,17 @@
         self._order = itertools.count()
 
     def time(self) -> float:
-        """Return the time in seconds."""
+        """Return the current virtual time in seconds."""
         return self.now
 
     def call_later(self, delay: float, callback: Callable[..., Any], *args: Any) -> VirtualTimer:
-        """Do something so many seconds from now."""
+        """Call `callback` after `delay` seconds."""
         timer = VirtualTimer(callback, args)
         heapq.heappush(self._heap, (self.now + max(0.0, delay), next(self._order), timer))
         return timer
 
     def run(self, until_s: float) -> None:
-        """Let time pass."""
+        """Advance the clock to a time, and call all callbacks that are due until then."""
         while self._heap and self._heap[0][0] <= until_s:
             self.now, _, timer = heapq.heappop(self._heap)
             if timer.callback is not None:
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -1,4 +1,4 @@
-"""The stand-ins' ends of the wires: list over HTTP, service below, runtime, and callers' connections."""
+"""Protocol endpoints of the stand-ins: registry, downstream service, runtime, and callers' connections."""
 
 import asyncio
 import itertools
@@ -16,14 +16,14 @@
 from reelusher.lab.fleet.relay import FaultProxyNetwork, Link
 from reelusher.lab.fleet.services import DownstreamService, Job, Runtime, ServiceRegistry, result_body
 
-MAX_OPEN_REQUESTS = 32  # requests on one connection, by the protocol
-MAX_KEPT_NOTICES = 4000
-MAX_CROSSING_S = 0.05  # a request may cross a close for so long; it then never ran
+MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol states
+MAX_KEPT_NOTICES = 4000  # of one runtime, for resending after a reconnect
+MAX_CROSSING_S = 0.05  # a request sent this shortly before a close may have crossed it, and never ran then
 VERDICTS = {"Full": "refused"}
 
 
 class StandInConnection(asyncio.Protocol):
-    """A connection; what is malformed ends it."""
+    """A connection of a stand-in; malformed data aborts it."""
 
     transport: asyncio.Transport
 
@@ -32,7 +32,7 @@
         self.transport = transport
 
     def write(self, data: bytes) -> None:
-        """Write, unless it has ended."""
+        """Write, unless the connection is closing."""
         if not self.transport.is_closing():
             self.transport.write(data)
 
@@ -47,7 +47,7 @@
 
 
 class RegistryConnection(StandInConnection):
-    """One node's connection to the list service."""
+    """A node's connection to the service registry."""
 
     def __init__(self, service: ServiceRegistry) -> None:
         self.service, self.decoder = service, http1.Decoder()
@@ -65,13 +65,13 @@
 
 
 class DownstreamCallDecoder:
-    """Splits what a node sends to a service below into words, call and body."""
+    """Splits what a node sends to a downstream service into verb, run id and body."""
 
     def __init__(self) -> None:
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[tuple[str, str, bytes]]:
-        """Take more bytes and return what is whole by now."""
+        """Accept further bytes and return the messages that are complete."""
         self.buffer += data
         found = []
         while b"\r\n" in self.buffer:
@@ -86,7 +86,7 @@
 
 
 class DownstreamConnection(StandInConnection):
-    """One connection of a node to a service below."""
+    """A node's connection to a downstream service."""
 
     def __init__(self, service: DownstreamService) -> None:
         self.service, self.decoder, self.open_calls = service, DownstreamCallDecoder(), dict[str, int]()
@@ -98,13 +98,13 @@
                 self.start_call(run_id)
 
     def start_call(self, run_id: str) -> None:
-        """Have the service take a call."""
+        """Begin a call at the service."""
         number = self.service.call(partial(self.send_reply, run_id))
         if number:
             self.open_calls[run_id] = number
 
     def send_reply(self, run_id: str, status: str) -> None:
-        """Write a reply."""
+        """Write the reply to a call."""
         self.open_calls.pop(run_id, None)
         self.write(
             f"{run_id} yes 2\r\nok\r\n".encode() if status == "yes" else f"{run_id} {status}\r\n".encode()
@@ -117,7 +117,7 @@
 
 
 class RuntimeHost:
-    """A node's runtime with its notices, which outlive links."""
+    """A node's runtime and its notices, which are kept when the connection is lost."""
 
     def __init__(self, runtime: Runtime) -> None:
         self.runtime, self.connection = runtime, None
@@ -127,13 +127,13 @@
     connection: "RuntimeConnection | None"
 
     def restart(self) -> None:
-        """Number notices from 1, as at each start of the node."""
+        """Number notices from 1 again, as at each start of the node."""
         self.serial = 0
         self.notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_KEPT_NOTICES)
-        self.remaining_work_ms: dict[str, float] = {}  # what is left of runs that wait for their call, ms
+        self.remaining_work_ms: dict[str, float] = {}  # of runs that wait for their call
 
     def notice(self, **fields: Any) -> None:
-        """Say something that counts also over a broken link."""
+        """Send a notice, which is sent again after a reconnect if the node has not received it."""
         self.serial += 1
         line = lines.encode_json_line({**fields, "serial": self.serial})
         self.notices.append((self.serial, line))
@@ -141,7 +141,7 @@
             self.connection.write(line)
 
     def on_finished(self, job: Job) -> None:
-        """Tell the end of a run."""
+        """Send a notice that a run has finished."""
         duration_ms = (self.runtime.scheduler.time() - job.started_s) * 1000
         self.notice(
             msg="end",
@@ -152,13 +152,13 @@
         )
 
     def on_call_needed(self, job: Job, ms: float) -> None:
-        """Tell that a run waits for its call."""
+        """Send a notice that a run waits for its call."""
         self.remaining_work_ms[job.run_id] = ms
         self.notice(msg="wants", call=job.run_id, blob=lines.encode_body(job.body))
 
 
 class RuntimeConnection(StandInConnection):
-    """A link of a node to its runtime."""
+    """A node's connection to its runtime."""
 
     def __init__(self, host: RuntimeHost) -> None:
         self.host, self.decoder = host, lines.JsonLineDecoder()
@@ -215,15 +215,15 @@
         self.open_attempts: dict[int, Attempt] = {}
         self.answered: dict[int, Attempt] = {}
         self.closing_announced = False
-        self.written_bytes = 0  # bytes
-        self.end_offsets: dict[int, int] = {}  # of open tries: the bytes written with them
+        self.written_bytes = 0
+        self.end_offsets: dict[int, int] = {}  # of open attempts, within the bytes written
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.address = transport.get_extra_info("sockname")
 
     def send_request(self, attempt: Attempt) -> None:
-        """Write a try."""
+        """Write an attempt."""
         message_id, request = next(self.message_ids), attempt.request
         fields = {
             "txn": attempt.run_id,
@@ -249,7 +249,7 @@
                 continue
             _, message_id, error, result = message
             attempt = self.open_attempts.pop(message_id, None)
-            if attempt is None:  # a second answer, or one to nothing that was asked
+            if attempt is None:  # a second answer, or an answer to no attempt
                 if message_id in self.answered:
                     self.caller.on_answer(self.answered[message_id], "again", {}, b"")
                 else:
@@ -273,7 +273,7 @@
         for message_id, attempt in open_attempts.items():
             age_s = now - history.load_start_s - attempt.sent_s
             fault_in_path = not self.alive(self.node) or self.link.had_fault_since(now - age_s)
-            # what the relay could not hand on never came to the node
+            # a request that the proxy did not deliver in full was never read by the node
             unread = proxied is None or proxied.delivered_bytes < self.end_offsets[message_id]
             may_have_crossed = age_s <= MAX_CROSSING_S + history.total_lag_since(attempt.sent_s)
             self.caller.on_no_answer(
@@ -284,7 +284,7 @@
 
 
 class CallerConnections:
-    """The connections of all callers to all nodes; a `callers.Way`."""
+    """The connections of all callers to all nodes; a `callers.Transport`."""
 
     def __init__(
         self,
@@ -302,7 +302,7 @@
         self.connections: dict[tuple[int, str], CallerConnection] = {}
 
     def send(self, caller: Caller, attempt: Attempt) -> None:
-        """Send a try on the caller's connection to the node, or on a new one."""
+        """Send an attempt on the caller's connection to the node, or on a new one."""
         connection = self.connections.get((caller.number, attempt.node))
         if (
             connection is not None
