--- a/reelusher/lab/__init__.py
+++ b/reelusher/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The project's laboratory: load over AJP, stand-in workers, and reports. Not needed by a node."""
+"""The laboratory: load over AJP, stand-in workers, and reports. Not needed by a node."""
--- a/reelusher/lab/__main__.py
+++ b/reelusher/lab/__main__.py
@@ -1,4 +1,4 @@
-"""Plays a load plan and reports: python -m reelusher.lab PLAN.toml [--json FILE]."""
+"""Plays a load plan and prints a report: python -m reelusher.lab PLAN.toml [--json FILE]."""
 
 import argparse
 import asyncio
@@ -29,7 +29,7 @@
 
 
 def report(plan: Plan, tallies: dict[str, Tally], runs: int) -> dict[str, Any]:
-    """Return what a run came to: counts, parts of 1, and latencies of what was served, in milliseconds."""
+    """Return the report of a run: counts, fractions of 1, and latencies of served requests in ms."""
     rows = []
     for caller in plan.callers:
         tally = tallies[caller.name]
@@ -63,7 +63,7 @@
 
 
 def table(figures: dict[str, Any]) -> str:
-    """Return a report as a table."""
+    """Return a report as a text table."""
     rows = [COLUMNS, *([str(row[name]) for name in COLUMNS] for row in figures["callers"])]
     widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     lines = ["  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)) for row in rows]
@@ -72,7 +72,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play a plan; 0, or 2 where the plan is faulty."""
+    """Play a plan; return 0, or 2 if the plan is invalid."""
     parser = argparse.ArgumentParser(prog="reelusher.lab", description="Load over AJP, on loopback only.")
     parser.add_argument("plan", type=Path, help="a TOML file, see docs/lab.md")
     parser.add_argument("--json", type=Path, help="write the report there too")
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load over AJP13: requests come at random times of their own, whatever became of those before.
+"""Open-loop load over AJP13: requests are due at random times, independently of earlier answers.
 
-Latency counts from when a request was to come, not from when a connection was free for it, so a slow node
-can't hide what it does to those that wait (coordinated omission).
+Latency counts from when a request was due, not from when a connection was free for it, so that a slow node
+can't hide the delay of waiting requests (coordinated omission).
 """
 
 import asyncio
@@ -18,27 +18,27 @@
 from reelusher.codecs.errors import MalformedError
 from reelusher.lab.plan import Caller, Plan, Worker
 
-MAX_LATENCY_US = 120_000_000  # a latency above that is counted as that
-FINAL_ANSWERS_S = 15.0  # after the last request, for answers
+MAX_LATENCY_US = 120_000_000  # longer latencies are recorded as this
+FINAL_ANSWERS_S = 15.0  # wait for answers after the last request
 
 
 @dataclass(slots=True)
 class Tally:
-    """What became of one caller's requests. Latencies are microseconds."""
+    """The results of one caller's requests; latencies are in microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
 
 
 class LoadConnection:
-    """One connection to the node."""
+    """A connection to the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.packets = ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES)
 
     async def exchange(self, data: bytes) -> tuple[int, bool]:
-        """Send a request; return the status of its answer, and whether the connection may be used again."""
+        """Send a request; return the status of its answer, and whether the connection can be reused."""
         self.writer.write(data)
         status = 0
         while received := await self.reader.read(1 << 16):
@@ -52,7 +52,7 @@
 
 
 class LoadGenerator:
-    """One caller."""
+    """Sends the load of one caller."""
 
     def __init__(self, plan: Plan, caller: Caller, number: int) -> None:
         self.plan, self.caller = plan, caller
@@ -64,7 +64,7 @@
         self.began_s = 0.0
 
     async def play(self) -> None:
-        """Ask until the end of the run, and wait for what is out then."""
+        """Send requests until the end of the run, then wait for the outstanding ones."""
         self.began_s = time.monotonic()
         due_s, end = self.caller.begins_s, min(self.plan.seconds, self.caller.ends_s)
         tasks = set[asyncio.Task[None]]()
@@ -81,30 +81,30 @@
             connection.writer.close()
 
     async def send_request(self, due_s: float) -> None:
-        """Make one request, and again after a refusal as often as this caller does."""
+        """Send one request, and retry it after rejections with the caller's retry probability."""
         key_number = next(self.key_numbers)
         if self.caller.repeats and self.random.random() < self.caller.repeats:
             key_number = self.random.randint(1, key_number)
-        data, counted = self.encode_request(key_number), due_s >= self.plan.warm_up_s
-        self.count("asked", counted)
+        data, is_counted = self.encode_request(key_number), due_s >= self.plan.warm_up_s
+        self.count("asked", is_counted)
         while True:
             status = await self.attempt(data)
-            self.count("tries", counted)
+            self.count("tries", is_counted)
             if status != 503 or self.random.random() >= self.caller.retries:
                 break
             await asyncio.sleep(self.caller.retry_ms / 1000)
         latency_us = int((time.monotonic() - self.began_s - due_s) * 1e6)
-        self.count({200: "served", 503: "refused", 0: "lost"}.get(status, "failed"), counted)
-        if status == 200 and counted:
+        self.count({200: "served", 503: "refused", 0: "lost"}.get(status, "failed"), is_counted)
+        if status == 200 and is_counted:
             self.tally.latency.record_value(min(max(latency_us, 1), MAX_LATENCY_US))
             self.count("in_time", latency_us <= self.caller.aim_ms * 1000)
 
-    def count(self, name: str, counted: bool) -> None:
-        """Count, unless it belongs to the warm-up."""
-        self.tally.counts[name] += counted
+    def count(self, name: str, is_counted: bool) -> None:
+        """Increment a count, unless the request is part of the warm-up."""
+        self.tally.counts[name] += is_counted
 
     async def attempt(self, data: bytes) -> int:
-        """Make one try; 0 where no answer came."""
+        """Send one attempt and return its status, or 0 if there was no answer."""
         async with self.connection_slots:
             try:
                 connection = (
@@ -122,7 +122,7 @@
             return status
 
     def encode_request(self, key_number: int) -> bytes:
-        """Write a request."""
+        """Encode a request as AJP packets."""
         caller = self.caller
         forward = ajp13.ForwardedRequest(caller.method, caller.path, server_name=caller.host)
         if caller.keyed:
@@ -134,7 +134,7 @@
 
 
 class StandIn:
-    """A worker that has so many slots, and holds a request in one for so long."""
+    """A stand-in worker with `slots` concurrent requests, each of which takes `service_ms`."""
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
@@ -142,10 +142,10 @@
         self.completed_runs = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one connection's requests until it closes."""
+        """Answer the requests of one connection until it closes."""
         packets = ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES)
         missing_body_bytes = 0
-        # a run that is over cancels what still waits here, and asyncio would print each of those
+        # the end of a run cancels handlers that still wait here, and asyncio would log each cancellation
         with contextlib.suppress(OSError, MalformedError, asyncio.CancelledError):
             while received := await reader.read(1 << 16):
                 for payload in packets.feed(received):
@@ -161,7 +161,7 @@
         writer.close()
 
     async def run(self, writer: asyncio.StreamWriter) -> None:
-        """Hold a slot, then answer."""
+        """Hold a slot for the service time, then answer."""
         async with self.slots:
             await asyncio.sleep(self.worker.service_ms / 1000)
         self.completed_runs += 1
@@ -174,15 +174,15 @@
 
 
 async def play(plan: Plan) -> tuple[dict[str, Tally], int]:
-    """Play a plan; return what became of each caller's requests, and the runs that workers did."""
+    """Play a plan; return the tally of each caller by name, and the number of runs by the workers."""
     stand_ins = [StandIn(worker) for worker in plan.workers]
     servers = [await asyncio.start_server(stand_in.serve, *stand_in.worker.listen) for stand_in in stand_ins]
-    clients = [LoadGenerator(plan, caller, number) for number, caller in enumerate(plan.callers)]
+    generators = [LoadGenerator(plan, caller, number) for number, caller in enumerate(plan.callers)]
     try:
-        await asyncio.gather(*(client.play() for client in clients))
+        await asyncio.gather(*(generator.play() for generator in generators))
     finally:
         for server in servers:
             server.close()
-    return {client.caller.name: client.tally for client in clients}, sum(
+    return {generator.caller.name: generator.tally for generator in generators}, sum(
         stand_in.completed_runs for stand_in in stand_ins
     )
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -1,4 +1,4 @@
-"""What a load run does, read from TOML; every fault is a `ConfigError` that names the key."""
+"""The plan of a load run, read from TOML; every error is a `ConfigError` that names the key."""
 
 import tomllib
 from dataclasses import dataclass
@@ -11,29 +11,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Caller:
-    """One tenant's web server: what it asks for, how often, over which connections."""
+    """The web server of one tenant: what it requests, how often, and over which connections."""
 
     name: str
-    host: str  # virtual host that requests name
-    rate: float  # requests each second, at random times, whatever comes back
+    host: str  # virtual host of the requests
+    rate: float  # requests per second, at random times independent of answers
     method: str
     path: str
     body_bytes: int
-    keyed: bool  # each request has a key of its own
-    repeats: float  # part of keyed requests that repeat an earlier one
-    connections: int  # open at once at most
-    keeps: bool  # connections stay open between requests
-    retries: float  # part of refusals that come again
+    keyed: bool  # each request has an idempotency key
+    repeats: float  # fraction of keyed requests that repeat an earlier one
+    connections: int  # maximum number of concurrent connections
+    keeps: bool  # connections are kept open between requests
+    retries: float  # probability that a rejected attempt is retried
     retry_ms: float
-    aim_ms: float  # answers within it count as in time
-    weight: float  # what a fair share is measured by
+    aim_ms: float  # answers within this time count as in time
+    weight: float  # weight by which its fair share is measured
     begins_s: float
     ends_s: float
 
 
 @dataclass(slots=True, frozen=True)
 class Worker:
-    """A stand-in for a container: so many requests at once, each for so long."""
+    """A stand-in worker: `slots` concurrent requests, each of which takes `service_ms`."""
 
     listen: Address
     slots: int
@@ -42,11 +42,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """One run."""
+    """The plan of one load run."""
 
-    target: Address  # the node's AJP front
+    target: Address  # the node's AJP front end
     seconds: float
-    warm_up_s: float  # requests that come before are not counted
+    warm_up_s: float  # requests that are due earlier are not counted
     seed: int
     callers: tuple[Caller, ...]
     workers: tuple[Worker, ...]
@@ -99,7 +99,7 @@
 
 
 def parse(value: Any) -> Plan:
-    """Check a plan."""
+    """Check a plan and return it; raise `ConfigError` for the first fault."""
     table = CheckedTable(value)
     table.reject_unknown_keys("run", "callers", "workers")
     run = table.table("run")
@@ -129,7 +129,7 @@
 
 
 def read(path: Path) -> Plan:
-    """Read a plan from a file."""
+    """Read a plan from a file and check it."""
     try:
         return parse(tomllib.loads(path.read_text()))
     except (OSError, ValueError) as error:
