--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -214,7 +214,7 @@
         self.decoder, self.message_ids = msgpack.Decoder(), itertools.count(1)
         self.open_attempts: dict[int, Attempt] = {}
         self.answered: dict[int, Attempt] = {}
-        self.closing_announced = False
+        self.last_call_received = False
         self.written_bytes = 0
         self.end_offsets: dict[int, int] = {}  # of open attempts, within the bytes written
 
@@ -243,8 +243,8 @@
 
     def handle_data(self, data: bytes) -> None:
         for message in self.decoder.feed(data):
-            if message[0] == 2:
-                self.closing_announced = True
+            if message[0] == 2:  # the last-call notice: send no more requests on this connection
+                self.last_call_received = True
                 self.on_unusable(self)
                 continue
             _, message_id, error, result = message
@@ -262,7 +262,7 @@
                 self.caller.on_answer(attempt, VERDICTS.get(error[0], "failed"), error[1], b"")
             else:
                 self.caller.on_answer(attempt, "served", result[1], result[0])
-        if self.closing_announced and not self.open_attempts:
+        if self.last_call_received and not self.open_attempts:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -1,7 +1,8 @@
-"""The ramp holds for the fleet: what all processes send together to a cold server stays within its budget.
+"""What all processes of a fleet send to a cold server stays within its budget while capacity ramps up.
 
-N is what the settings allow it then. Beyond that 2 sqrt(N) + 2 are put down to chance, in the mean of any
-window of the settings' length: `fall_us` for a node, `calls_over_us` for a service below.
+The budget N is what the settings allow at the time. The mean over any window of the settings' length may
+exceed it by 2 sqrt(N) + 2, which allows for random variation. The length is `fall_us` for a node and
+`calls_over_us` for a downstream service.
 """
 
 from collections.abc import Callable, Sequence
@@ -40,18 +41,18 @@
 
 
 def allowed_attempts(uptime_s: float) -> float:
-    """Return what the settings allow on a node's cores so long after its start."""
+    """Return the attempts that the settings allow on the cores of a node that has been up for this time."""
     speed = min(1.0, COLD_FROM + (1 - COLD_FROM) * uptime_s / COLD_S)
     return CORES * (1 + (MAX_CROWD_FACTOR - 1) * speed)
 
 
-def test_windows_are_means_over_every_stretch_of_their_length() -> None:
+def test_window_means_average_the_value_over_each_window() -> None:
     spans = [(0.0, 0), (1.0, 10), (2.0, 0), (4.0, 0)]
     means = dict(window_means(spans, 1.0, 0.5))
     assert means == {0.0: 0.0, 0.5: 5.0, 1.0: 10.0, 1.5: 5.0, 2.0: 0.0, 2.5: 0.0, 3.0: 0.0}
 
 
-def test_what_a_node_held_in_slots_without_a_core_is_taken_off_by_their_part() -> None:
+def test_discounted_lowers_the_value_by_the_fraction_of_each_slot() -> None:
     spans = [(0.0, 4), (2.0, 8), (4.0, 0)]
     assert discounted(spans, []) == [(0.0, 4), (2.0, 8), (4.0, 0)]
     discounted_spans = discounted(spans, [(1.0, 3.0, 0.25), (2.5, 2.75, 1.0), (3.9, 9.0, 0.5)])
@@ -61,32 +62,32 @@
     )
 
 
-def test_a_node_that_the_machine_gave_no_core_is_noted_with_the_part_of_that_time() -> None:
+def test_wait_for_a_core_is_recorded_as_a_fraction_of_the_time() -> None:
     history = RunHistory(parse(PLAN))
     history.record_core_wait("n1", 10.0, 10.1, 0.025)
     history.record_core_wait("n1", 10.1, 10.2, 0.0)
-    history.record_core_wait("n1", 10.2, 10.3, 7.0)  # of a thread that was there for longer than the look
+    history.record_core_wait("n1", 10.2, 10.3, 7.0)  # of a thread that is older than the interval
     history.begin_load(10.0)
     assert history.core_waits["n1"] == [pytest.approx((0.0, 0.1, 0.25)), pytest.approx((0.2, 0.3, 1.0))]
 
 
 def over_budget(
-    history: RunHistory, held: Callable[[str], Sequence[tuple[float, float]]]
+    history: RunHistory, attempts_of: Callable[[str], Sequence[tuple[float, float]]]
 ) -> list[tuple[str, float, float]]:
-    """Return windows in which a node held more than its settings allow: when, and how much."""
-    began_s = dict.fromkeys(history.plan.node_names(), history.nodes_start_s) | history.process_end_s
-    found = []
+    """Return the windows in which a node's open attempts exceed its budget: node, start, and mean."""
+    started_s = dict.fromkeys(history.plan.node_names(), history.nodes_start_s) | history.process_end_s
+    excesses = []
     for node in history.plan.node_names():
-        for at_s, mean in window_means(held(node), WINDOW_S):
-            uptime_s = at_s + WINDOW_S - began_s[node] if at_s >= began_s[node] else inf
+        for at_s, mean in window_means(attempts_of(node), WINDOW_S):
+            uptime_s = at_s + WINDOW_S - started_s[node] if at_s >= started_s[node] else inf
             if mean > with_random_variation(allowed_attempts(uptime_s)):
-                found.append((node, at_s, mean))
-    return found
+                excesses.append((node, at_s, mean))
+    return excesses
 
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
-def test_24_cold_nodes_stay_within_what_they_take_by_a_clock_of_their_own(seed: int) -> None:
-    """The same with the machine left out: the real decisions, every one of their windows."""
+def test_24_cold_nodes_on_a_virtual_clock_stay_within_their_budgets(seed: int) -> None:
+    """The real decisions without the influence of the machine, so that every window counts."""
     history = model.play(parse({**PLAN, "run": {**PLAN["run"], "seed": seed}}))
     assert history.violations == []
     assert history.figures()["falls"] == 0
@@ -94,27 +95,28 @@
     assert over_budget(history, history.open_attempts) == []
 
 
-def test_24_cold_processes_stay_within_what_a_cold_service_and_each_of_them_takes(tmp_path: Path) -> None:
-    """Half of them are killed in the middle, and come back cold with a fresh share.
+def test_24_cold_processes_stay_within_the_budgets_of_the_service_and_of_each_node(tmp_path: Path) -> None:
+    """Half of the nodes are killed during the load, and return cold with a fresh share of the calls.
 
-    Twelve interpreters that start at once on a few cores leave nodes none for a second: what they held
-    meanwhile tells of the machine. It was counted once, and this failed on an idle one in two plays of three.
+    Twelve interpreters that start at once on a few cores leave some nodes without a core for a second, and
+    what these hold meanwhile says nothing about the nodes. When it was counted, this test failed on an idle
+    machine in two of three runs.
     """
     plan = parse(PLAN)
     history = play(plan, tmp_path)
     assert history.violations == []
-    max_total = max(
+    max_mean = max(
         mean for _, mean in window_means(history.downstream_calls["below"], plan.downstream.over_s)
     )
-    assert 1 < max_total <= with_random_variation(plan.downstream.capacity)
+    assert 1 < max_mean <= with_random_variation(plan.downstream.capacity)
     assert history.figures()["falls"] == 0
     assert over_budget(history, history.open_attempts_with_core) == []
 
 
 @pytest.mark.parametrize("callers", [1, 3, 30, 100])
-def test_all_callers_of_a_cold_node_are_told_of_no_more_than_it_takes(callers: int) -> None:
-    """Each was told of all the room that was left for those before it: 48, then 24, then 16 at one time."""
-    cores, ttl_us, now = 6, 1_000_000, 0
+def test_capacity_advertised_to_all_callers_of_a_cold_node_stays_within_its_budget(callers: int) -> None:
+    """Capacity was once divided by the callers seen so far: 48, 24 and 16 were advertised at one time."""
+    cores, ttl_us, now_us = 6, 1_000_000, 0
     node = started_controller(
         SAFE,
         cores=cores,
@@ -123,21 +125,22 @@
         hint_ttl_us=ttl_us,
         caller_count=callers,
     )
-    advertised: dict[int, tuple[int, float]] = {}  # what each was told last, and when
+    # by caller: when capacity was last advertised to it, and how much
+    advertised: dict[int, tuple[int, float]] = {}
     value, max_total = None, 0.0
     for action in of(node.actions, AdvertiseCapacity):
         value = action.value
-    for step in range(200):  # 2 s in which one caller more is heard at a time, again and again
-        now += 10_000
+    for step in range(200):  # for 2 s, one caller after the other sends a request, round robin
+        now_us += 10_000
         events: list[Event] = [Request(step + 1, 0, step % callers, 0, 0, 1.0, 1000)]
         if step % 10 == 9:
             events.append(Tick(0, Gauges(0.2, 1.0)))
-        for action in of(node.handle(now, events), AdvertiseCapacity):
+        for action in of(node.handle(now_us, events), AdvertiseCapacity):
             value = action.value
-        assert value is not None  # who is told nothing sends what it likes
-        advertised[step % callers] = now, value
-        total = sum(value_ for when, value_ in advertised.values() if when > now - ttl_us)
-        speed = 0.3 + 0.7 * now / node.settings.warm_up_us
+        assert value is not None  # a caller without a hint is not limited
+        advertised[step % callers] = now_us, value
+        total = sum(capacity for at_us, capacity in advertised.values() if at_us > now_us - ttl_us)
+        speed = 0.3 + 0.7 * now_us / node.settings.warm_up_us
         assert total <= cores * (1 + 5 * speed) + 1e-6, (step, total)
         max_total = max(max_total, total)
-    assert callers == 100 or max_total > cores  # and there is room for work
+    assert callers == 100 or max_total > cores  # the hints leave enough work for all cores
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -1,4 +1,4 @@
-"""The rig of many nodes: each fault has a known outcome, and the books catch what is planted."""
+"""The rig of many nodes: each fault has its stated effect, and the checker finds violations."""
 
 import asyncio
 import json
@@ -66,21 +66,21 @@
         ({"faults": [{"kind": "cut", "of": "nodes", "to": "10.0.0.1:80", "at_s": 1}]}, "faults[0].to"),
     ],
 )
-def test_a_fault_in_a_plan_is_named_before_anything_starts(change: dict[str, Any], key: str) -> None:
+def test_invalid_plan_raises_an_error_that_names_the_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse({**PLAN, **change})
     assert caught.value.key == key
 
 
-def test_more_nodes_than_this_machine_holds_are_refused_before_any_starts(tmp_path: Path) -> None:
-    many = [{"name": f"z{number}", "nodes": 1000} for number in range(40)]
+def test_too_many_nodes_for_the_machine_are_rejected_before_any_starts(tmp_path: Path) -> None:
+    zones = [{"name": f"z{number}", "nodes": 1000} for number in range(40)]
     with pytest.raises(ConfigError, match="zones: 40000 nodes need") as caught:
-        play(parse({**PLAN, "zones": many}), tmp_path)
+        play(parse({**PLAN, "zones": zones}), tmp_path)
     assert caught.value.key == "zones"
     assert not list(tmp_path.iterdir())
 
 
-# The books
+# The history and its checker
 
 
 def make_history(keyed: bool = True) -> tuple[RunHistory, ClientRequest]:
@@ -89,17 +89,17 @@
     return history, ClientRequest(request_class, "k1" if keyed else "", b"body", 0.0)
 
 
-def test_the_books_take_no_offence_at_an_answer_in_time_and_a_run_of_a_key_on_each_of_two_nodes() -> None:
+def test_checker_accepts_answers_in_time_and_runs_of_a_key_on_two_nodes() -> None:
     history, request = make_history()
-    for call, node in (("t1", "n1"), ("t2", "n2")):
-        attempt = history.record_attempt(0.0, call, node, request)
-        history.record_run(0.1, node, call)
+    for run_id, node in (("t1", "n1"), ("t2", "n2")):
+        attempt = history.record_attempt(0.0, run_id, node, request)
+        history.record_run(0.1, node, run_id)
         history.record_answer(0.2, attempt, "served", b"+body")
     history.check_unanswered(100.0)
     assert history.violations == []
 
 
-def test_the_books_catch_a_second_answer() -> None:
+def test_checker_finds_a_second_answer() -> None:
     history, request = make_history()
     attempt = history.record_attempt(0.0, "t1", "n1", request)
     history.record_answer(0.1, attempt, "refused", b"")
@@ -107,7 +107,7 @@
     assert history.violations == ["n1 answered t1 twice: refused, served"]
 
 
-def test_the_books_catch_a_lost_answer_unless_a_fault_stood_between() -> None:
+def test_checker_finds_missing_answers_unless_a_fault_excuses_them() -> None:
     history, request = make_history()
     history.record_attempt(0.0, "t1", "n1", request)
     history.record_no_answer(1.0, history.record_attempt(0.0, "t2", "n1", request), excused=False)
@@ -120,10 +120,10 @@
     ]
 
 
-def test_the_books_catch_a_late_answer_but_not_for_the_time_that_a_node_stood_still() -> None:
+def test_checker_finds_late_answers_but_excuses_the_time_of_a_pause() -> None:
     history, request = make_history()
     first, second = (
-        history.record_attempt(0.0, call, node, request) for call, node in (("t1", "n1"), ("t2", "n2"))
+        history.record_attempt(0.0, run_id, node, request) for run_id, node in (("t1", "n1"), ("t2", "n2"))
     )
     history.record_pause("n2", 1.0, 3.0)
     for attempt in (first, second):
@@ -131,7 +131,7 @@
     assert history.violations == ["n1 answered t1 1.370 s too late"]
 
 
-def test_the_books_know_how_late_the_rig_was_at_worst_and_in_all() -> None:
+def test_history_returns_the_maximum_and_total_lag_of_the_rig() -> None:
     history = RunHistory(make_plan())
     for at_s, lag_s in ((1.0, 0.4), (2.0, 0.002), (3.0, 0.2), (4.0, 0.1)):
         history.record_lag(at_s, lag_s)
@@ -141,11 +141,11 @@
     assert history.total_lag_since(5.0) == 0
 
 
-def test_the_books_catch_a_key_that_runs_twice_in_one_life_of_a_node() -> None:
+def test_checker_finds_a_key_that_runs_twice_in_one_process() -> None:
     history, request = make_history()
-    for call in ("t1", "t2"):
-        history.record_attempt(0.0, call, "n1", request)
-        history.record_run(0.1, "n1", call)
+    for run_id in ("t1", "t2"):
+        history.record_attempt(0.0, run_id, "n1", request)
+        history.record_run(0.1, "n1", run_id)
     assert history.violations == ["n1 ran key k1 twice: t1 and t2"]
     history.record_process_end("n1", 1.0)
     history.record_attempt(2.0, "t3", "n1", request)
@@ -153,7 +153,7 @@
     assert len(history.violations) == 1
 
 
-def test_the_books_catch_a_result_that_no_run_made_and_a_run_that_nobody_asked_for() -> None:
+def test_checker_finds_a_result_of_no_run_and_a_run_of_no_attempt() -> None:
     history, request = make_history(keyed=False)
     history.record_answer(0.1, history.record_attempt(0.0, "t1", "n1", request), "served", b"+other")
     history.record_run(0.2, "n1", "t9")
@@ -166,7 +166,7 @@
 # The stand-ins
 
 
-def test_the_list_answers_late_past_its_capacity_and_then_not_at_all() -> None:
+def test_registry_answers_late_above_its_capacity_and_then_ignores_reports() -> None:
     clock = VirtualClock()
     service = ServiceRegistry(clock, RegistryPlan(10, 0.0, 3.0, 1.0), RunHistory(make_plan()))
     replied_s: dict[str, float] = {}
@@ -182,7 +182,7 @@
     assert replied_s["n9"] == pytest.approx(1.0)
 
 
-def test_an_entry_of_the_list_lapses_but_not_in_an_outage_and_callers_see_it_late() -> None:
+def test_registry_entries_expire_except_in_an_outage_and_callers_see_them_late() -> None:
     clock = VirtualClock()
     service = ServiceRegistry(clock, RegistryPlan(1000, 0.0, 3.0, 1.0), RunHistory(make_plan()))
 
@@ -208,7 +208,7 @@
     assert service.count() == 0
 
 
-def test_a_service_below_slows_down_turns_away_falls_over_and_returns_cold() -> None:
+def test_downstream_service_slows_down_rejects_crashes_and_returns_cold() -> None:
     clock, history = VirtualClock(), RunHistory(make_plan())
     service = DownstreamService(
         clock, DownstreamPlan(2, 100.0, 8, 4.0, 1.0, 2.0, 0.5, 10.0, False, False), "below", history
@@ -226,7 +226,7 @@
     assert replies[1:] == [(1.0, "notnow")]
     clock.run(2.0)
     assert replies[-1] == (1.4, "yes"), "eight on two slots take four times as long"
-    for step in range(30):  # held full, it falls over
+    for step in range(30):  # the mean load rises to its limit, and the service crashes
         while len(service.active_calls) < 8 and not service.down:
             call()
         if service.down:
@@ -252,13 +252,13 @@
         writer.write(data)
 
 
-def run_over_link(work: Callable[[FaultProxyNetwork, Address], Awaitable[None]]) -> None:
+def check_link(check: Callable[[FaultProxyNetwork, Address], Awaitable[None]]) -> None:
     async def run() -> None:
         network = FaultProxyNetwork(1)
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         try:
             address = await network.open_link_proxy("x", "y", server.sockets[0].getsockname())
-            await asyncio.wait_for(work(network, address), 20)
+            await asyncio.wait_for(check(network, address), 20)
         finally:
             network.close()
             server.close()
@@ -266,17 +266,17 @@
     asyncio.run(run())
 
 
-async def echoed(address: Address, text: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection and have a first word come back over it."""
+async def open_and_echo(address: Address, text: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a connection and check that a first message is echoed."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(text)
     assert await reader.readexactly(len(text)) == text
     return reader, writer
 
 
-def test_a_cut_link_loses_what_crosses_it_and_ends_its_connections_when_it_heals() -> None:
-    async def work(network: FaultProxyNetwork, address: Address) -> None:
-        reader, writer = await echoed(address, b"before")
+def test_cut_link_drops_data_and_resets_its_connections_when_it_heals() -> None:
+    async def check(network: FaultProxyNetwork, address: Address) -> None:
+        reader, writer = await open_and_echo(address, b"before")
         fault = Fault("cut", 0, 0, *LINK_ENDS, one_way=True)
         network.begin(fault)
         writer.write(b"lost!")
@@ -287,74 +287,74 @@
         network.end(fault)
         with pytest.raises(ConnectionResetError):
             await reader.read(10)
-        await echoed(address, b"after")
+        await open_and_echo(address, b"after")
 
-    run_over_link(work)
+    check_link(check)
 
 
-def test_a_silent_link_accepts_holds_and_speaks_again_in_order() -> None:
-    async def work(network: FaultProxyNetwork, address: Address) -> None:
+def test_silent_link_accepts_connections_and_delivers_withheld_data_in_order() -> None:
+    async def check(network: FaultProxyNetwork, address: Address) -> None:
         fault = Fault("silent", 0, 0, *LINK_ENDS)
         network.begin(fault)
         reader, writer = await asyncio.open_connection(*address)
-        for status in (b"one", b"two"):
-            writer.write(status)
+        for word in (b"one", b"two"):
+            writer.write(word)
         with pytest.raises(asyncio.TimeoutError):
             await asyncio.wait_for(reader.read(10), 0.3)
         network.end(fault)
         writer.write(b"three")
         assert await reader.readexactly(11) == b"onetwothree"
 
-    run_over_link(work)
+    check_link(check)
 
 
-def test_a_reset_link_ends_what_is_there_and_what_comes() -> None:
-    async def work(network: FaultProxyNetwork, address: Address) -> None:
-        reader, _ = await echoed(address, b"before")
+def test_reset_link_resets_existing_and_new_connections() -> None:
+    async def check(network: FaultProxyNetwork, address: Address) -> None:
+        reader, _ = await open_and_echo(address, b"before")
         fault = Fault("reset", 0, 0, *LINK_ENDS)
         network.begin(fault)
         with pytest.raises(ConnectionResetError):
             await reader.read(10)
-        with pytest.raises(OSError):  # noqa: PT011  # refused or reset, as the system happens to say
-            await echoed(address, b"during")
+        with pytest.raises(OSError):  # noqa: PT011  # refused or reset, depending on the system
+            await open_and_echo(address, b"during")
         network.end(fault)
-        await echoed(address, b"after")
+        await open_and_echo(address, b"after")
 
-    run_over_link(work)
+    check_link(check)
 
 
-def test_a_slow_link_delays_and_a_lossy_one_retransmits_but_neither_loses_or_reorders() -> None:
-    async def work(network: FaultProxyNetwork, address: Address) -> None:
+def test_delays_and_retransmissions_slow_a_link_but_lose_and_reorder_nothing() -> None:
+    async def check(network: FaultProxyNetwork, address: Address) -> None:
         for fault, min_s in (
             (Fault("delay", 0, 0, *LINK_ENDS, ms=100), 0.18),
             (Fault("loss", 0, 0, *LINK_ENDS, part=1.0), 0.38),
         ):
-            reader, writer = await echoed(address, b"before")
+            reader, writer = await open_and_echo(address, b"before")
             network.begin(fault)
-            began = time.monotonic()
+            started_s = time.monotonic()
             for number in range(5):
                 writer.write(b"%d" % number)
                 await asyncio.sleep(0.001)
             assert await reader.readexactly(5) == b"01234"
-            assert time.monotonic() - began >= min_s
+            assert time.monotonic() - started_s >= min_s
             network.end(fault)
 
-    run_over_link(work)
+    check_link(check)
 
 
-def test_connections_from_one_port_to_two_parties_are_told_apart() -> None:
-    """A kernel gives a port again where the other end differs: what reached one says nothing of another."""
+def test_connections_from_one_port_to_two_endpoints_are_distinguished() -> None:
+    """The kernel may reuse a local port for another remote address, so connections are counted by link."""
 
-    async def work(network: FaultProxyNetwork, address: Address) -> None:
-        other = await network.open_link_proxy("x", "z", network.links["x", "y"].address)
+    async def check(network: FaultProxyNetwork, address: Address) -> None:
+        other_address = await network.open_link_proxy("x", "z", network.links["x", "y"].address)
         socks = [socket.socket() for _ in range(2)]
         try:
-            for sock, proxy_address in zip(socks, (address, other), strict=True):
+            for sock, proxy_address in zip(socks, (address, other_address), strict=True):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 sock.bind(("127.0.0.1", socks[0].getsockname()[1]))
                 sock.connect(proxy_address)
             socks[0].sendall(b"only here")
-            links, sender = [network.links["x", party] for party in ("y", "z")], socks[0].getsockname()
+            links, sender = [network.links["x", name] for name in ("y", "z")], socks[0].getsockname()
             while links[0].forward.passed_bytes < 9 or any(
                 sender not in link.connection_by_peer for link in links
             ):
@@ -364,7 +364,7 @@
             for sock in socks:
                 sock.close()
 
-    run_over_link(work)
+    check_link(check)
 
 
 class Datagrams(asyncio.DatagramProtocol):
@@ -386,7 +386,7 @@
         (Fault("cut", 0, 0, LINK_ENDS[1], LINK_ENDS[0], one_way=True), 200, 200, True),
     ],
 )
-def test_datagrams_are_lost_doubled_and_overtaken_by_whose_they_are(
+def test_datagrams_are_lost_duplicated_and_reordered_by_their_source(
     fault: Fault | None, min_received: int, max_received: int, in_order: bool
 ) -> None:
     async def run() -> None:
@@ -426,7 +426,7 @@
 ]
 
 
-def test_the_model_breaks_no_rule_and_plays_the_same_twice() -> None:
+def test_model_run_has_no_violations_and_is_reproducible() -> None:
     first, second = (model.play(make_plan(*FAULTS, seconds=4)) for _ in range(2))
     assert first.violations == [], first.figures()
     assert first.figures()["served_worth"] > 0.8, first.figures()
@@ -435,7 +435,7 @@
     assert model.play(make_plan(*FAULTS, seconds=4, seed=2)).series() != first.series()
 
 
-def test_a_lost_call_below_is_given_up_in_the_model_and_the_request_has_its_answer() -> None:
+def test_model_gives_up_lost_downstream_calls_and_answers_the_requests() -> None:
     cut = {"kind": "cut", "of": "nodes", "to": "below", "at_s": 0, "for_s": 9}
     history = model.play(make_plan(cut, seconds=3))
     assert history.violations == []
@@ -444,14 +444,14 @@
     assert any(request.call_skipped for request in history.requests), "it went on without the call"
 
 
-def test_the_model_refuses_a_fault_that_it_does_not_know() -> None:
+def test_model_rejects_a_fault_that_it_does_not_support() -> None:
     with pytest.raises(ConfigError) as caught:
         model.play(make_plan({"kind": "starve", "of": "nodes", "at_s": 0, "part": 0.5}))
     assert caught.value.key == "faults[0].kind"
 
 
 @pytest.mark.parametrize("fault", ["cold", "list-away", "zone-lost", "below-slow", "retries"])
-def test_the_plans_that_come_with_the_rig_can_be_read_at_any_size(fault: str) -> None:
+def test_plans_of_the_rig_can_be_read_at_any_scale(fault: str) -> None:
     folder = ROOT / "reelusher" / "lab" / "fleet" / "plans"
     files = [folder / "base.toml", folder / f"{fault}.toml"]
     plan = read(files, 10)
@@ -461,7 +461,7 @@
     assert len(read(files).node_names()) == 6
 
 
-def test_a_run_leaves_figures_and_a_picture_and_a_faulty_plan_status_2(
+def test_command_writes_figures_and_a_picture_and_returns_2_for_an_invalid_plan(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path, output_path, picture_path = tmp_path / "plan.toml", tmp_path / "made.json", tmp_path / "drawn.png"
@@ -485,7 +485,7 @@
 # With real nodes
 
 
-def test_nodes_that_are_killed_stopped_cut_off_restarted_and_starved_break_no_rule(tmp_path: Path) -> None:
+def test_real_nodes_under_faults_of_processes_and_links_cause_no_violation(tmp_path: Path) -> None:
     starve = {"kind": "starve", "of": "node:n4", "at_s": 0.5, "for_s": 2, "part": 0.3}
     plan = make_plan(*FAULTS, starve, seconds=4)
     history = play(plan, tmp_path)
@@ -499,7 +499,7 @@
     assert (tmp_path / "n1.log").read_text().count("listens on") == 2
 
 
-def test_an_outage_of_the_list_loses_no_entry_and_the_books_see_who_reports(tmp_path: Path) -> None:
+def test_outage_of_the_registry_loses_no_node_and_unread_reports_are_counted(tmp_path: Path) -> None:
     plan = make_plan({"kind": "outage", "of": "list", "at_s": 0.5, "for_s": 4}, seconds=5)
     history = play(plan, tmp_path)
     figures = history.figures()
@@ -509,10 +509,8 @@
     assert figures["served_worth"] > 0.9, figures
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_every_process_ends_by_its_id_when_the_rig_is_interrupted(
-    number: signal.Signals, tmp_path: Path
-) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_interrupted_rig_ends_all_its_processes(signal_number: signal.Signals, tmp_path: Path) -> None:
     path = tmp_path / "plan.toml"
     path.write_text('[run]\nseconds = 60\n[[zones]]\nname = "a"\nnodes = 2\n[[classes]]\nname = "s"\n')
     rig = subprocess.Popen(
@@ -520,18 +518,18 @@
         cwd=ROOT,
         stderr=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
-        # as at a terminal: a suite that a shell runs in the background ignores SIGINT
+        # as at a terminal: a shell starts background jobs with SIGINT ignored
         preexec_fn=partial(signal.signal, signal.SIGINT, signal.SIG_DFL),
     )
     logs = [tmp_path / "n1.log", tmp_path / "n2.log"]
-    until = time.monotonic() + 60
-    while time.monotonic() < until:
+    deadline_s = time.monotonic() + 60
+    while time.monotonic() < deadline_s:
         if all(log.exists() and "listens on" in log.read_text() for log in logs):
             break
         time.sleep(0.05)
     children = Path(f"/proc/{rig.pid}/task/{rig.pid}/children").read_text().split()
     assert len(children) == 2
-    rig.send_signal(number)
+    rig.send_signal(signal_number)
     rig.wait(30)
     for child in children:
         with pytest.raises(ProcessLookupError):
@@ -575,28 +573,27 @@
     membership = history.membership
     assert membership is not None
     assert all(live == A | B | C for live in membership.latest_before(0.4).values())
-    for name, live in membership.latest_before(9.4).items():  # each side goes by what it has
+    for name, live in membership.latest_before(9.4).items():  # each side sees only its own members
         assert live == (A if name in A else B | C), name
-    assert all(
-        live == A | B | C for live in membership.latest_before(12.9).values()
-    )  # and they are one again
+    # the sides have merged again
+    assert all(live == A | B | C for live in membership.latest_before(12.9).values())
     for name, live in membership.latest_before(19.9).items():
         if name in A | B - {"n5"}:
             assert live == A | B - {"n5"}, name
     last = membership.latest_before(plan.run.seconds)
     assert all(live == A | B | C for live in last.values())
     assert len(last) == 12
-    for name in C:  # those that came back learnt from three that were warm
+    for name in C:  # the nodes that return start warm with data from three members
         log = (tmp_path / f"{name}.log").read_text()
         assert re.search(r"warm start: 3 of \d+ members reported, [1-9]", log), log
-    # one that stood still blames nobody for it
+    # the paused node considers no other node dead after it resumes
     assert all(live >= A | B for at_s, name, live in membership.observations if name == "n5" and at_s > 20)
 
 
 def test_a_fleet_joins_while_datagrams_are_lost_and_doubled_and_the_list_is_away(tmp_path: Path) -> None:
     datagram_faults = [
-        {"kind": request_class, "of": "nodes", "to": "nodes", "at_s": 0, "for_s": 7, "part": 0.2}
-        for request_class in ("loss", "duplicate")
+        {"kind": kind, "of": "nodes", "to": "nodes", "at_s": 0, "for_s": 7, "part": 0.2}
+        for kind in ("loss", "duplicate")
     ]
     plan = make_fleet_plan(8, *datagram_faults, {"kind": "outage", "of": "list", "at_s": 0, "for_s": 4})
     history = play(replace(plan, run=replace(plan.run, wait_s=0.0)), tmp_path)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: plans, and a run against a stand-in worker of its own."""
+"""The laboratory: plans, and a load run against a stand-in worker."""
 
 import asyncio
 from typing import Any
@@ -26,19 +26,19 @@
         ),
     ],
 )
-def test_a_fault_in_a_plan_is_named(plan: dict[str, Any], key: str) -> None:
+def test_invalid_plan_raises_an_error_that_names_the_key(plan: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(plan)
     assert caught.value.key == key
 
 
-def test_a_plan_that_is_not_there_ends_with_status_2(capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_plan_ends_with_status_2(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["/nowhere.toml"]) == 2
     assert "/nowhere.toml" in capsys.readouterr().err
 
 
-def test_a_run_counts_what_came_of_each_request_and_waits_in_the_latency() -> None:
-    """One slot of 40 ms, asked 50 times a second: the line grows, and so must the latencies."""
+def test_run_counts_the_outcome_of_each_request_and_latency_includes_waiting() -> None:
+    """One slot of 40 ms gets 50 requests per second: the queue grows, and latencies must grow with it."""
 
     async def run() -> dict[str, Any]:
         stand_in = StandIn(Worker(("127.0.0.1", 0), 1, 40.0))
