--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -32,8 +32,8 @@
     if not spans:
         return []
     starts, integrals, total = [spans[0][0]], [0.0], 0.0
-    for (since, held), (until, _) in itertools.pairwise(spans):
-        total += held * (until - since)
+    for (since, value), (until, _) in itertools.pairwise(spans):
+        total += value * (until - since)
         starts.append(until)
         integrals.append(total)
 
@@ -56,17 +56,17 @@
     Fractions of slots that overlap are applied one after the other. `spans` holds each value with the time
     from which it holds, and so does the result.
     """
-    steps: list[tuple[float, int, float]] = [(since, 0, held) for since, held in spans]
+    steps: list[tuple[float, int, float]] = [(since, 0, value) for since, value in spans]
     for since, until, fraction in slots:
         steps += [(since, 1, 1.0 - fraction), (until, -1, 1.0 - fraction)]
     result: list[tuple[float, float]] = []
-    held, active = 0.0, Counter[float]()  # how many active slots keep each fraction
-    for at_s, change, value in sorted(steps):
+    value, active = 0.0, Counter[float]()  # how many active slots keep each fraction
+    for at_s, change, operand in sorted(steps):  # operand: a new value, or a fraction that a slot keeps
         if change:
-            active[value] += change
+            active[operand] += change
         else:
-            held = value
-        remaining = held * prod(fraction for fraction, number in active.items() for _ in range(number))
+            value = operand
+        remaining = value * prod(fraction for fraction, number in active.items() for _ in range(number))
         if spans and spans[0][0] <= at_s <= spans[-1][0]:
             result.append((at_s, remaining))
     return result
@@ -113,7 +113,7 @@
         self.load_start_s = 0.0  # on the scheduler's clock
         self.requests: list[ClientRequest] = []
         self.attempts: dict[str, Attempt] = {}
-        self.reports: list[float] = []
+        self.report_times_s: list[float] = []
         self.listings: list[tuple[float, str]] = []
         self.calls: list[float] = []
         self.downstream_calls: dict[str, list[tuple[float, int]]] = defaultdict(list)
@@ -136,11 +136,11 @@
         """Set time 0 to now; what was recorded before gets negative times."""
         shift, self.load_start_s = now - self.load_start_s, now
         self.nodes_start_s -= shift
-        self.reports = [at - shift for at in self.reports]
-        self.listings = [(at - shift, name) for at, name in self.listings]
-        self.calls = [at - shift for at in self.calls]
-        self.rig_lags = [(at - shift, lag_s) for at, lag_s in self.rig_lags]
-        self.events = [(at - shift, text) for at, text in self.events]
+        self.report_times_s = [at_s - shift for at_s in self.report_times_s]
+        self.listings = [(at_s - shift, name) for at_s, name in self.listings]
+        self.calls = [at_s - shift for at_s in self.calls]
+        self.rig_lags = [(at_s - shift, lag_s) for at_s, lag_s in self.rig_lags]
+        self.events = [(at_s - shift, text) for at_s, text in self.events]
         self.core_waits = defaultdict(
             list,
             {
@@ -151,7 +151,7 @@
         self.downstream_calls = defaultdict(
             list,
             {
-                name: [(at - shift, held) for at, held in spans]
+                name: [(at_s - shift, call_count) for at_s, call_count in spans]
                 for name, spans in self.downstream_calls.items()
             },
         )
@@ -181,7 +181,7 @@
 
     def record_report(self, now: float, was_read: bool) -> None:
         """Record a report to the service registry, and whether the registry read it."""
-        self.reports.append(now - self.load_start_s)
+        self.report_times_s.append(now - self.load_start_s)
         self.counts["reports_read" if was_read else "reports_unread"] += 1
 
     def record_call(self, now: float) -> None:
@@ -313,7 +313,9 @@
         return discounted(self.open_attempts(node), [*self.core_waits[node], *rig_stalls])
 
     def _count_per_slot(self, times: list[float], slot_s: float) -> list[int]:
-        counts: Counter[int] = Counter(int(at / slot_s) for at in times if 0 <= at < self.plan.run.seconds)
+        counts: Counter[int] = Counter(
+            int(at_s / slot_s) for at_s in times if 0 <= at_s < self.plan.run.seconds
+        )
         return [counts[number] for number in range(max(1, int(self.plan.run.seconds / slot_s)))]
 
     def series(self) -> dict[str, list[float]]:
@@ -336,13 +338,13 @@
             for verdict in attempt.verdicts[:1]:
                 if verdict in ("refused", "failed") and 0 <= second < count:
                     series[verdict][second] += 1
-        series["reports"] = [float(number) for number in self._count_per_slot(self.reports, 1.0)]
+        series["reports"] = [float(number) for number in self._count_per_slot(self.report_times_s, 1.0)]
         series["calls"] = [float(number) for number in self._count_per_slot(self.calls, 1.0)]
         for name, spans in self.downstream_calls.items():
             maxima = [0.0] * count
-            for at_s, held in spans:
+            for at_s, call_count in spans:
                 if 0 <= at_s < count:
-                    maxima[int(at_s)] = max(maxima[int(at_s)], held)
+                    maxima[int(at_s)] = max(maxima[int(at_s)], call_count)
             series[f"held {name}"] = maxima
         return series
 
@@ -365,8 +367,11 @@
     def figures(self) -> dict[str, Any]:
         """Return the figures of the run: counts, seconds, and fractions of 1."""
         asked_worth = sum(request.request_class.worth for request in self.requests)
-        slots, count = self._count_per_slot(self.reports, REPORT_SLOT_S), len(self.plan.node_names())
-        mean = sum(slots) / len(slots)
+        report_counts, count = (
+            self._count_per_slot(self.report_times_s, REPORT_SLOT_S),
+            len(self.plan.node_names()),
+        )
+        mean = sum(report_counts) / len(report_counts)
         faults = [fault for fault in self.plan.faults if fault.at_s > 2]
         faults_end_s = max((fault.at_s + fault.for_s for fault in faults), default=None)
         return {
@@ -378,14 +383,15 @@
             else None,
             "tries_per_request": round(len(self.attempts) / max(1, len(self.requests)), 3),
             "calls_per_request": round(
-                len([at for at in self.calls if at >= 0]) / max(1, len(self.requests)), 3
+                len([at_s for at_s in self.calls if at_s >= 0]) / max(1, len(self.requests)), 3
             ),
             "most_held": {
-                name: max(held for _, held in spans) for name, spans in self.downstream_calls.items()
+                name: max(call_count for _, call_count in spans)
+                for name, spans in self.downstream_calls.items()
             },
             "falls": sum("falls over" in text for _, text in self.events),
-            "reports_per_node_s": round(sum(slots) / self.plan.run.seconds / count, 3),
-            "reports_most_in_100ms": max(slots),
+            "reports_per_node_s": round(sum(report_counts) / self.plan.run.seconds / count, 3),
+            "reports_most_in_100ms": max(report_counts),
             "reports_mean_in_100ms": round(mean, 2),
             "all_listed_s": self.all_listed_s(count),
             "recovered_s": None if faults_end_s is None else self.recovered_s(faults_end_s, faults[0].at_s),
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -63,12 +63,12 @@
 
     def run_until(self, condition: Callable[[], bool], max_s: float) -> float:
         """Advance the clock until a condition holds; return the seconds taken, infinity beyond `max_s`."""
-        began = self.clock.now
+        started_s = self.clock.now
         while not condition():
-            if self.clock.now - began > max_s:
+            if self.clock.now - started_s > max_s:
                 return NEVER
             self.run(0.05)
-        return self.clock.now - began
+        return self.clock.now - started_s
 
     def kill(self, address: str) -> None:
         """End a member without notice to the others."""
@@ -99,14 +99,14 @@
     def _wake(self, address: str) -> None:
         if address not in self.alive or address in self.stalled:
             return
-        at = max(self.clock.now, self.swims[address].next_tick_s())
-        if self.clock.now < self._due.get(address, NEVER) <= at:
+        tick_s = max(self.clock.now, self.swims[address].next_tick_s())
+        if self.clock.now < self._due.get(address, NEVER) <= tick_s:
             return  # an earlier tick is scheduled
-        self._due[address] = at
-        self.clock.call_later(at - self.clock.now, self._tick, address, at)
+        self._due[address] = tick_s
+        self.clock.call_later(tick_s - self.clock.now, self._tick, address, tick_s)
 
-    def _tick(self, address: str, at: float) -> None:
-        if self._due.get(address) == at and address in self.alive and address not in self.stalled:
+    def _tick(self, address: str, tick_s: float) -> None:
+        if self._due.get(address) == tick_s and address in self.alive and address not in self.stalled:
             self._due.pop(address)
             self._deliver(address, self.swims[address].tick(self.clock.now))
             self._wake(address)
@@ -154,9 +154,9 @@
     """Return the seconds until 99 % of the members consider a dead member dead."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(5)
-    victim = list(fleet.swims)[seed % size]
-    fleet.kill(victim)
-    return fleet.run_until(lambda: fleet.count_seeing_dead(victim) >= 0.99 * (size - 1), 30)
+    dead_address = list(fleet.swims)[seed % size]
+    fleet.kill(dead_address)
+    return fleet.run_until(lambda: fleet.count_seeing_dead(dead_address) >= 0.99 * (size - 1), 30)
 
 
 def time_to_heal(size: int, seed: int, cut_s: float = 15.0) -> float:
@@ -173,13 +173,13 @@
     """Return the datagrams and bytes that each member sends per second at rest, and its share of a core."""
     fleet = SimulatedFleet(size, 9)
     fleet.run(5)
-    sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
+    sent, sent_bytes, started_s = fleet.sent, fleet.sent_bytes, process_time()
     fleet.run(seconds)
     member_seconds = seconds * size
     return (
         (fleet.sent - sent) / member_seconds,
         (fleet.sent_bytes - sent_bytes) / member_seconds,
-        (process_time() - began) / member_seconds,
+        (process_time() - started_s) / member_seconds,
     )
 
 
--- a/reelusher/lab/fleet/model.py
+++ b/reelusher/lab/fleet/model.py
@@ -95,13 +95,13 @@
         self._wake(0.0)
 
     def _wake(self, wait_s: float) -> None:
-        at = self.scheduler.time() + wait_s
-        if at < self._next_turn_s and self.alive and not self.paused:
-            self._next_turn_s = at
-            self.scheduler.call_later(wait_s, self._turn, at)
+        turn_s = self.scheduler.time() + wait_s
+        if turn_s < self._next_turn_s and self.alive and not self.paused:
+            self._next_turn_s = turn_s
+            self.scheduler.call_later(wait_s, self._turn, turn_s)
 
-    def _turn(self, at: float) -> None:
-        if at != self._next_turn_s or not self.alive or self.paused:
+    def _turn(self, turn_s: float) -> None:
+        if turn_s != self._next_turn_s or not self.alive or self.paused:
             return  # another turn was scheduled in its place
         batch = list(self.inbox)
         self.inbox.clear()
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -198,14 +198,14 @@
         self.nodes = plan.node_names()
         self.endpoints = {*self.zone_of, *plan.downstream_names(), "list"}
 
-    def resolve(self, text: str, key: str, rest_of: frozenset[str] = frozenset()) -> frozenset[str]:
-        """Return the selected endpoints; `others` selects all that are not in `rest_of`."""
-        word, _, name = text.partition(":")
+    def resolve(self, text: str, key: str, excluded: frozenset[str] = frozenset()) -> frozenset[str]:
+        """Return the selected endpoints; `others` selects all that are not in `excluded`."""
+        selector_type, _, name = text.partition(":")
         nodes, zones = self.nodes, set(self.zone_of.values())
-        if name and word in ("zone", "nodes", "runtimes", "callers") and name not in zones:
+        if name and selector_type in ("zone", "nodes", "runtimes", "callers") and name not in zones:
             raise ConfigError(key, f"there is no zone {name!r}")
         matching = [node for node in nodes if not name or self.zone_of[node] == name]
-        match word:
+        match selector_type:
             case "nodes":
                 return frozenset(matching)
             case "runtimes":
@@ -219,9 +219,9 @@
                     return frozenset(self.random.sample(nodes, max(1, round(float(name) * len(nodes)))))
                 except ValueError:
                     raise ConfigError(key, f"a part from 0 to 1 is wanted, not {name!r}") from None
-            case "others" if rest_of:
-                return frozenset(self.endpoints - rest_of)
-        endpoint_name = name if word in ("node", "party") else text
+            case "others" if excluded:
+                return frozenset(self.endpoints - excluded)
+        endpoint_name = name if selector_type in ("node", "party") else text
         if endpoint_name in self.endpoints or endpoint_name.removeprefix("runtime.") in nodes:
             return frozenset([endpoint_name])
         raise ConfigError(key, f"there is no party {text!r}")
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -22,9 +22,8 @@
 
 RETRANSMIT_S = 0.2  # the minimum retransmission timeout of TCP on Linux
 MAX_BUFFER_BYTES = 4 << 20  # buffered for a receiver that does not read; beyond it the connection is reset
-ORDER_STEP_S = (
-    1e-6  # between two chunks: an event loop does not keep the order of callbacks that are due at equal times
-)
+# between two chunks: an event loop does not keep the order of callbacks that are due at equal times
+ORDER_STEP_S = 1e-6
 PROXY_HOST = "127.200.0.1"  # address that the proxies listen on
 
 
@@ -263,12 +262,12 @@
 
     def link(self, source: str, target: str, address: Address) -> Link:
         """Return the link between two endpoints; a new one has the faults that are active now."""
-        found = self.links.get((source, target))
-        if found is None:
-            found = self.links[source, target] = Link(source, target, address)
+        link = self.links.get((source, target))
+        if link is None:
+            link = self.links[source, target] = Link(source, target, address)
             for fault in self._active_faults:
-                self._apply(found, fault)
-        return found
+                self._apply(link, fault)
+        return link
 
     async def open_link_proxy(self, source: str, target: str, address: Address) -> Address:
         """Return the address to which `source` connects to reach `target`, which listens on `address`."""
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -260,11 +260,11 @@
 
     async def _starve(self, name: str) -> None:
         while (fraction := self.cpu_fractions[name]) < 1 and self.processes.is_alive(name):
-            stopped = self.loop.time()
+            stopped_s = self.loop.time()
             self.processes.send_signal(name, signal.SIGSTOP)
             await asyncio.sleep(STARVE_PERIOD_S * (1 - fraction))
             self.processes.send_signal(name, signal.SIGCONT)
-            self.history.record_pause(name, stopped, self.loop.time())
+            self.history.record_pause(name, stopped_s, self.loop.time())
             await asyncio.sleep(STARVE_PERIOD_S * fraction)
         del self.cpu_fractions[name]
 
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -73,16 +73,16 @@
     def feed(self, data: bytes) -> list[tuple[str, str, bytes]]:
         """Accept further bytes and return the messages that are complete."""
         self.buffer += data
-        found = []
+        messages = []
         while b"\r\n" in self.buffer:
             head, rest = self.buffer.split(b"\r\n", 1)
             words = head.decode().split(" ")
             size = int(words[3]) if words[0] == "ask" else -2
             if len(rest) < size + 2:
                 break
-            found.append((words[0], words[1], rest[: max(size, 0)]))
+            messages.append((words[0], words[1], rest[: max(size, 0)]))
             self.buffer = rest[size + 2 :]
-        return found
+        return messages
 
 
 class DownstreamConnection(StandInConnection):
@@ -202,14 +202,14 @@
         node: str,
         link: Link,
         on_unusable: Callable[["CallerConnection"], None],
-        alive: Callable[[str], bool],
+        is_alive: Callable[[str], bool],
     ) -> None:
-        self.caller, self.node, self.link, self.on_unusable, self.alive = (
+        self.caller, self.node, self.link, self.on_unusable, self.is_alive = (
             caller,
             node,
             link,
             on_unusable,
-            alive,
+            is_alive,
         )
         self.decoder, self.message_ids = msgpack.Decoder(), itertools.count(1)
         self.open_attempts: dict[int, Attempt] = {}
@@ -272,7 +272,7 @@
         history, proxied = self.caller.history, self.link.connection_by_peer.pop(self.address, None)
         for message_id, attempt in open_attempts.items():
             age_s = now - history.load_start_s - attempt.sent_s
-            fault_in_path = not self.alive(self.node) or self.link.had_fault_since(now - age_s)
+            fault_in_path = not self.is_alive(self.node) or self.link.had_fault_since(now - age_s)
             # a request that the proxy did not deliver in full was never read by the node
             unread = proxied is None or proxied.delivered_bytes < self.end_offsets[message_id]
             may_have_crossed = age_s <= MAX_CROSSING_S + history.total_lag_since(attempt.sent_s)
@@ -290,13 +290,13 @@
         self,
         network: FaultProxyNetwork,
         node_addresses: dict[str, Address],
-        alive: Callable[[str], bool],
+        is_alive: Callable[[str], bool],
         read_request: Callable[[str], None],
     ) -> None:
-        self.network, self.node_addresses, self.alive, self.read_request = (
+        self.network, self.node_addresses, self.is_alive, self.read_request = (
             network,
             node_addresses,
-            alive,
+            is_alive,
             read_request,
         )
         self.connections: dict[tuple[int, str], CallerConnection] = {}
@@ -320,7 +320,7 @@
         link = self.network.links[caller.endpoint, node]
         try:
             _, connection = await loop.create_connection(
-                lambda: CallerConnection(caller, node, link, self._remove, self.alive), *address
+                lambda: CallerConnection(caller, node, link, self._remove, self.is_alive), *address
             )
         except OSError:
             caller.on_no_answer(attempt, True, may_have_run=False)
