--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -18,7 +18,7 @@
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale
 from reelusher.lab.fleet.processes import core_wait_s
-from reelusher.lab.load import StandIn
+from reelusher.lab.load import LoadConnection, StandIn
 from reelusher.lab.plan import Worker
 
 SERVICE_MS = 2.0  # time in which the stand-in worker serves a request
--- a/reelusher/lab/fleet/members.py
+++ b/reelusher/lab/fleet/members.py
@@ -1,9 +1,9 @@
-"""Many members on a virtual clock and a network with loss, partitions and duplicates: `Swim` without sockets.
+"""Simulates many members with `Swim` on a virtual clock, over a network that loses and duplicates datagrams.
 
     python -m reelusher.lab.fleet.members 50 200 1000
 
-tells for each size how long a death takes to be known, what each member sends, and how long two halves that
-were cut apart take to know each other again.
+prints for each size how long the detection of a death takes, what each member sends, and how long the two
+halves of a fleet take to agree again after a network split.
 """
 
 import sys
@@ -19,21 +19,21 @@
 from reelusher.fleet.membership.swim import StepResult, Swim
 from reelusher.lab.fleet.virtual import VirtualClock
 
-WAY_S = 0.0005, 0.002  # from one member to another
+LATENCY_S = 0.0005, 0.002  # minimum and maximum, from one member to another
 NEVER = float("inf")
 
 
 class SimulatedFleet:
-    """A fleet that has joined, and what stands between its members."""
+    """Members of one fleet and the simulated network between them."""
 
     def __init__(self, count: int, seed: int = 1, joined: bool = True) -> None:
         self.clock, self.random = VirtualClock(), Random(seed)
-        self.loss = self.duplication = 0.0  # parts of the datagrams
-        self.latency_s = WAY_S
+        self.loss = self.duplication = 0.0  # fractions of the datagrams
+        self.latency_s = LATENCY_S
         self.cut: Callable[[str, str], bool] = lambda source, target: False
         self.swims: dict[str, Swim] = {}
         self.alive: set[str] = set()
-        self.still: set[str] = set()
+        self.stalled: set[str] = set()
         self.sent = self.deaths = 0
         self.sent_bytes = 0
         self._due: dict[str, float] = {}
@@ -49,7 +49,7 @@
                 swim.gossip.broadcasts.clear()
 
     def add(self, number: int, incarnation: int = 1) -> str:
-        """Start a member that knows no other."""
+        """Start a member that knows no others."""
         address = f"127.1.{number // 250}.{number % 250 + 1}:7000"
         own = Update(address, f"n{number}", f"z{number % 3}", "r", incarnation, MemberState.ALIVE)
         self.swims[address] = Swim(own, Random(f"{number} {self.random.random()}"), self.clock.now)
@@ -58,31 +58,31 @@
         return address
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.clock.run(self.clock.now + seconds)
 
-    def run_until(self, holds: Callable[[], bool], most_s: float) -> float:
-        """Let time pass until something holds; return how long that took, infinity past the most."""
-        began = self.clock.now
-        while not holds():
-            if self.clock.now - began > most_s:
+    def run_until(self, condition: Callable[[], bool], max_s: float) -> float:
+        """Advance the clock until a condition holds; return the seconds taken, infinity beyond `max_s`."""
+        started_s = self.clock.now
+        while not condition():
+            if self.clock.now - started_s > max_s:
                 return NEVER
             self.run(0.05)
-        return self.clock.now - began
+        return self.clock.now - started_s
 
     def kill(self, address: str) -> None:
-        """Stop a member without notice."""
+        """End a member without notice to the others."""
         self.alive.discard(address)
 
-    def set_stalled(self, address: str, still: bool) -> None:
-        """Have a member stand still, or go on."""
-        (self.still.add if still else self.still.discard)(address)
-        if not still:
+    def set_stalled(self, address: str, stalled: bool) -> None:
+        """Stall a member, as if its process were stopped, or let it continue."""
+        (self.stalled.add if stalled else self.stalled.discard)(address)
+        if not stalled:
             self._due.pop(address, None)
             self._wake(address)
 
     def count_seeing_dead(self, address: str) -> int:
-        """Return how many live members hold a member for dead."""
+        """Return how many live members consider a member dead."""
         return sum(
             address in swim.table.members and not swim.table.members[address].is_live
             for other, swim in self.swims.items()
@@ -90,23 +90,23 @@
         )
 
     def agreed(self) -> bool:
-        """Return whether each live member knows exactly the live ones."""
+        """Return whether each live member considers exactly the live members live."""
         live = [(address, self.swims[address].table) for address in self.alive]
         return all(1 + table.live_count() == len(live) for _, table in live) and all(
             {address, *table.live()} == self.alive for address, table in live
         )
 
     def _wake(self, address: str) -> None:
-        if address not in self.alive or address in self.still:
+        if address not in self.alive or address in self.stalled:
             return
-        at = max(self.clock.now, self.swims[address].next_tick_s())
-        if self.clock.now < self._due.get(address, NEVER) <= at:
-            return  # an earlier look is set
-        self._due[address] = at
-        self.clock.call_later(at - self.clock.now, self._tick, address, at)
-
-    def _tick(self, address: str, at: float) -> None:
-        if self._due.get(address) == at and address in self.alive and address not in self.still:
+        tick_s = max(self.clock.now, self.swims[address].next_tick_s())
+        if self.clock.now < self._due.get(address, NEVER) <= tick_s:
+            return  # an earlier tick is scheduled
+        self._due[address] = tick_s
+        self.clock.call_later(tick_s - self.clock.now, self._tick, address, tick_s)
+
+    def _tick(self, address: str, tick_s: float) -> None:
+        if self._due.get(address) == tick_s and address in self.alive and address not in self.stalled:
             self._due.pop(address)
             self._deliver(address, self.swims[address].tick(self.clock.now))
             self._wake(address)
@@ -125,42 +125,42 @@
         if swim.sync_with:
             other = swim.sync_with.pop()
             swim.sync_with.clear()
-            if other in self.alive and other not in self.still and not self.cut(address, other):
+            if other in self.alive and other not in self.stalled and not self.cut(address, other):
                 self.exchange(address, other)
 
-    def exchange(self, one: str, other: str) -> None:
-        """Have two members compare their states and exchange where they differ, as over TCP."""
-        asker, asked = self.swims[one], self.swims[other]
-        digests = asked.compare_digest(asker.digest())
-        buckets = asker.differing_buckets(digests) if digests else []
-        states = asker.in_buckets(buckets), asked.in_buckets(buckets)
-        self._deliver(one, asker.merge(states[1], self.clock.now))
-        self._deliver(other, asked.merge(states[0], self.clock.now))
-        self._wake(one)
-        self._wake(other)
+    def exchange(self, requester_address: str, responder_address: str) -> None:
+        """Let two members compare their states and exchange the differing parts, as over TCP."""
+        requester, responder = self.swims[requester_address], self.swims[responder_address]
+        digests = responder.compare_digest(requester.digest())
+        buckets = requester.differing_buckets(digests) if digests else []
+        states = requester.in_buckets(buckets), responder.in_buckets(buckets)
+        self._deliver(requester_address, requester.merge(states[1], self.clock.now))
+        self._deliver(responder_address, responder.merge(states[0], self.clock.now))
+        self._wake(requester_address)
+        self._wake(responder_address)
 
     def _receive(self, address: str, message: Datagram) -> None:
-        if address in self.alive and address not in self.still:
+        if address in self.alive and address not in self.stalled:
             self._deliver(address, self.swims[address].receive(message, self.clock.now))
             self._wake(address)
 
 
-def split_off(half: set[str]) -> Callable[[str, str], bool]:
-    """Return a cut between these and all others."""
-    return lambda source, target: (source in half) != (target in half)
+def split_off(group: set[str]) -> Callable[[str, str], bool]:
+    """Return a predicate that is true for messages between a group and all other members."""
+    return lambda source, target: (source in group) != (target in group)
 
 
 def time_to_detect_death(size: int, seed: int) -> float:
-    """Return the seconds until 99 % know of a death."""
+    """Return the seconds until 99 % of the members consider a dead member dead."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(5)
-    victim = list(fleet.swims)[seed % size]
-    fleet.kill(victim)
-    return fleet.run_until(lambda: fleet.count_seeing_dead(victim) >= 0.99 * (size - 1), 30)
+    dead_address = list(fleet.swims)[seed % size]
+    fleet.kill(dead_address)
+    return fleet.run_until(lambda: fleet.count_seeing_dead(dead_address) >= 0.99 * (size - 1), 30)
 
 
 def time_to_heal(size: int, seed: int, cut_s: float = 15.0) -> float:
-    """Return the seconds until two halves that were cut apart agree on who lives."""
+    """Return the seconds until two halves agree on the live members after a network split of `cut_s`."""
     fleet = SimulatedFleet(size, seed)
     fleet.run(3)
     fleet.cut = split_off(set(list(fleet.swims)[: size // 2]))
@@ -170,33 +170,34 @@
 
 
 def cost_at_rest(size: int, seconds: float = 10.0) -> tuple[float, float, float]:
-    """Return the datagrams and bytes that each sends in a second at rest, and the part of a core it takes."""
+    """Return the datagrams and bytes that each member sends per second at rest, and its share of a core."""
     fleet = SimulatedFleet(size, 9)
     fleet.run(5)
-    sent, sent_bytes, began = fleet.sent, fleet.sent_bytes, process_time()
+    sent, sent_bytes, started_s = fleet.sent, fleet.sent_bytes, process_time()
     fleet.run(seconds)
-    each = seconds * size
+    member_seconds = seconds * size
     return (
-        (fleet.sent - sent) / each,
-        (fleet.sent_bytes - sent_bytes) / each,
-        (process_time() - began) / each,
+        (fleet.sent - sent) / member_seconds,
+        (fleet.sent_bytes - sent_bytes) / member_seconds,
+        (process_time() - started_s) / member_seconds,
     )
 
 
 def main(sizes: list[int]) -> None:
-    """Measure fleets of these sizes."""
+    """Measure fleets of these sizes and print the results."""
     for size in sizes:
-        known, (sent, sent_bytes, cpu) = (
+        detection_s, (sent, sent_bytes, cpu) = (
             [time_to_detect_death(size, seed) for seed in range(5)],
             cost_at_rest(size),
         )
-        healed = time_to_heal(size, 5)
+        heal_s = time_to_heal(size, 5)
         print(
-            f"{size} members: a death known to 99 % after {median(known):.2f} s (most {max(known):.2f}), "
+            f"{size} members: a death known to 99 % after {median(detection_s):.2f} s "
+            f"(most {max(detection_s):.2f}), "
             f"{sent:.1f} datagrams and {sent_bytes:.0f} bytes a second each, {cpu:.2%} of a core each, "
-            f"two halves agree {healed:.1f} s after a cut, {healed / PROBE_PERIOD_S:.0f} rounds"
+            f"two halves agree {heal_s:.1f} s after a cut, {heal_s / PROBE_PERIOD_S:.0f} rounds"
         )
 
 
 if __name__ == "__main__":
-    main([int(word) for word in sys.argv[1:]] or [50, 200])
+    main([int(argument) for argument in sys.argv[1:]] or [50, 200])
