--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -725,7 +725,9 @@
         def connects() -> bool:
             assert made.poll() is None, (tmp_path / "log").read_text()
             with contextlib.suppress(ConnectionRefusedError):
-                web.dial("ajp", ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES), web.note)
+                web.connect_to_node(
+                    "ajp", ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES), web.describe
+                )
                 return True
             return False
 
--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -72,9 +72,9 @@
     read: dict[str, bytearray] = {}
     original = parties.Party.read
 
-    def recorded(self: parties.Party, decoder: Any, note: Any, sock: Any) -> None:
+    def recorded(self: parties.Party, decoder: Any, describe: Any, sock: Any) -> None:
         data = read.setdefault(type(self).__name__, bytearray())
-        original(self, Recorder(decoder, data), note, sock)
+        original(self, Recorder(decoder, data), describe, sock)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(parties.Party, "read", recorded)
@@ -92,7 +92,7 @@
     stand_in = parties.Runtime({})
     link = RuntimeLink(stand_in.address, lambda message: None, Counters(), Random(1))
     data = bytearray()
-    stand_in.codec = lambda: (Recorder(JsonLineDecoder(), data), stand_in.note)  # type: ignore[method-assign]
+    stand_in.codec = lambda: (Recorder(JsonLineDecoder(), data), stand_in.describe)  # type: ignore[method-assign]
     link.connect()
     assert wait_until(lambda: link.up)
     request = IncomingRequest("00000000000000aa", 0, b"body \x01", 0, lambda answer: None)
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -59,7 +59,7 @@
         if label:
             self.names[label] = got[1]
 
-    def read(self, decoder: Any, note: Callable[[Any], str | None], sock: socket.socket | None) -> None:
+    def read(self, decoder: Any, describe: Callable[[Any], str | None], sock: socket.socket | None) -> None:
         """Read a connection to its end in a thread."""
         assert sock is not None
 
@@ -67,7 +67,7 @@
             try:
                 while data := sock.recv(1 << 16):
                     for item in decoder.feed(data):
-                        text = note(item)
+                        text = describe(item)
                         if text is not None:
                             self.inbox.put(text)
             except OSError:
@@ -77,8 +77,8 @@
         self.reader = threading.Thread(target=work, daemon=True)
         self.reader.start()
 
-    def dial(
-        self, place: str, decoder: Any, note: Callable[[Any], str | None], source: str = ""
+    def connect_to_node(
+        self, place: str, decoder: Any, describe: Callable[[Any], str | None], source: str = ""
     ) -> socket.socket:
         """Connect to the node, once, from an address of this machine."""
         if self.sock is None:
@@ -86,7 +86,7 @@
                 self.world["places"][place], EXPECT_TIMEOUT_S, (source, 0) if source else None
             )
             self.sock.settimeout(None)
-            self.read(decoder, note, self.sock)
+            self.read(decoder, describe, self.sock)
         return self.sock
 
     def close(self, words: Words) -> None:
@@ -145,7 +145,7 @@
 
     def send(self, words: Words) -> None:
         plain, given = options(words)
-        sock = self.dial("platform", msgpack.Decoder(), self.note)
+        sock = self.connect_to_node("platform", msgpack.Decoder(), self.describe)
         if plain[0] == "raw":
             sock.sendall(bytes.fromhex("".join(plain[1:])))
             return
@@ -162,7 +162,7 @@
         sock.sendall(msgpack.pack([0, int(plain[0]), plain[1], params]))
 
     @staticmethod
-    def note(message: Any) -> str:
+    def describe(message: Any) -> str:
         if message[0] == 2:
             return str(message[1])
         _, number, error, result = message
@@ -185,9 +185,9 @@
         self.last = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return lines.JsonLineDecoder(), self.note
+        return lines.JsonLineDecoder(), self.describe
 
-    def note(self, message: Any) -> str | None:
+    def describe(self, message: Any) -> str | None:
         word = message["msg"]
         if word == "sync":
             if self.ready:
@@ -252,9 +252,9 @@
         super().__init__(world)
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return http1.Decoder(), self.note
+        return http1.Decoder(), self.describe
 
-    def note(self, message: Any) -> str:
+    def describe(self, message: Any) -> str:
         self.write(http1.response(self.answer, headers=self.headers))
         return f"{message.start[0]} {message.start[1]} {json.loads(message.body)['status']}"
 
@@ -271,10 +271,10 @@
 
     def send(self, words: Words) -> None:
         plain, given = options(words)
-        sock = self.dial(
+        sock = self.connect_to_node(
             "ajp",
             ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES),
-            self.note,
+            self.describe,
             given.pop("source", ""),
         )
         if plain[0] in ("cping", "shutdown"):
@@ -307,7 +307,7 @@
         if pieces:
             sock.sendall(ajp13.write_body(pieces[0]))
 
-    def note(self, payload: bytes) -> str | None:
+    def describe(self, payload: bytes) -> str | None:
         match ajp13.read_reply(payload):
             case ajp13.ResponseHead() as head:
                 self.head, self.body = head, b""
@@ -336,9 +336,9 @@
     body = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
-        return ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES), self.note
+        return ajp13.PacketDecoder(ajp13.TO_CONTAINER, ajp13.MAX_PACKET_BYTES), self.describe
 
-    def note(self, payload: bytes) -> str | None:
+    def describe(self, payload: bytes) -> str | None:
         if payload[:1] == bytes([ajp13.CPING]) and len(payload) == 1:
             self.write(ajp13.write_reply(ajp13.Pong()))
             return None
@@ -378,12 +378,12 @@
                 token = value
             else:
                 headers[{"match": "If-Match", "key": "Idempotency-Key"}[name]] = value
-        sock = self.dial("admin", http1.Decoder(), self.note)
+        sock = self.connect_to_node("admin", http1.Decoder(), self.describe)
         body = "".join(words[2:]).encode()
         sock.sendall(http1.request(words[0], words[1], body, {"Authorization": f"Bearer {token}", **headers}))
 
     @staticmethod
-    def note(message: Any) -> str:
+    def describe(message: Any) -> str:
         value = json.loads(message.body) if message.body else {}
         field = value.get("field", message.headers.get("etag", "-"))
         return f"{message.start[1]} {field} {json.dumps(value, separators=(',', ':'))}"
@@ -394,7 +394,7 @@
 
     def send(self, words: Words) -> None:
         self.sock = None  # one call a connection
-        sock = self.dial("operator", http1.Decoder(), self.note)
+        sock = self.connect_to_node("operator", http1.Decoder(), self.describe)
         sock.sendall(bytes.fromhex(words[1]) if words[0] == "raw" else http1.request(words[0], words[1]))
 
     def expect(self, words: Words) -> None:
@@ -411,7 +411,7 @@
         super().expect(["closed"])
 
     @staticmethod
-    def note(message: Any) -> str:
+    def describe(message: Any) -> str:
         """Tell the status, then what is not 0: `succeeded.day-view=3 outstanding=1`."""
         told = json.loads(message.body)
         flat = {
