--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -1,4 +1,4 @@
-"""What the node sends to runtime, vault, catalog, workers and callers, byte for byte."""
+"""The bytes that the node sends to runtime, vault, catalog, workers and callers, byte for byte."""
 
 import re
 from collections.abc import Iterator
@@ -49,46 +49,46 @@
 catalog expect PUT * passing
 """
 VARYING = (
-    (re.compile(r'\{"msg":"gauges","cookie":"t\d+"\}\n'), ""),  # asked for by the clock
-    (re.compile(r"(?<=ask )([0-9a-f]{16}) \d+"), r"\1 TIME"),  # milliseconds left
+    (re.compile(r'\{"msg":"gauges","cookie":"t\d+"\}\n'), ""),  # sent by a timer, so their number varies
+    (re.compile(r"(?<=ask )([0-9a-f]{16}) \d+"), r"\1 TIME"),  # milliseconds until the deadline
     (re.compile(r"(?<=Host: 127\.0\.0\.1:)\d+"), "PORT"),
 )
 
 
 class Recorder:
-    """A decoder that keeps what it is fed."""
+    """A decoder that also stores the bytes that it is fed."""
 
     def __init__(self, decoder: Any, data: bytearray) -> None:
         self.decoder, self.data = decoder, data
 
     def feed(self, data: bytes) -> Iterator[Any]:
         self.data += data
-        made: Iterator[Any] = self.decoder.feed(data)
-        return made
+        messages: Iterator[Any] = self.decoder.feed(data)
+        return messages
 
 
-def played() -> dict[str, str]:
-    """Play the scenario; return what each kind of stand-in read, as text of one character a byte."""
+def play_scenario() -> dict[str, str]:
+    """Play the scenario; return the bytes that each class of stand-ins read, decoded as Latin-1."""
     read: dict[str, bytearray] = {}
-    original = parties.Party.read
+    original = parties.StandIn.start_reader
 
-    def recorded(self: parties.Party, decoder: Any, describe: Any, sock: Any) -> None:
+    def start_recorded_reader(self: parties.StandIn, decoder: Any, describe: Any, sock: Any) -> None:
         data = read.setdefault(type(self).__name__, bytearray())
         original(self, Recorder(decoder, data), describe, sock)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(parties.Party, "read", recorded)
+        patch.setattr(parties.StandIn, "start_reader", start_recorded_reader)
         scenario.play(SCENARIO)
     texts = {name: data.decode("latin-1") for name, data in read.items() if data}
-    for pattern, instead in VARYING:
-        texts = {name: pattern.sub(instead, text) for name, text in texts.items()}
-    # the catalog may be reported to again before the end
+    for pattern, replacement in VARYING:
+        texts = {name: pattern.sub(replacement, text) for name, text in texts.items()}
+    # The node may have sent the catalog a second report before the end: only the first one is compared.
     texts["CatalogParty"] = texts["CatalogParty"][: texts["CatalogParty"].index("}") + 1]
     return texts
 
 
-def commands() -> str:
-    """Return what the runtime reads of one command of each kind, and of a second link's greeting."""
+def send_commands() -> str:
+    """Return what the runtime reads when a link opens and one command of each kind is sent."""
     stand_in = parties.Runtime({})
     link = RuntimeLink(stand_in.address, lambda message: None, Counters(), Random(1))
     data = bytearray()
@@ -109,17 +109,17 @@
 
 
 def observed() -> dict[str, Any]:
-    """Return all that is sent."""
-    return {"scenario": played(), "commands": commands()}
+    """Return all recorded bytes, as they are sent now."""
+    return {"scenario": play_scenario(), "commands": send_commands()}
 
 
 def test_a_recorded_exchange_is_the_same_byte_for_byte() -> None:
     recorded = load(GOLDEN)["scenario"]
-    made = played()
-    assert made.keys() == recorded.keys()
-    for name, text in made.items():
+    sent = play_scenario()
+    assert sent.keys() == recorded.keys()
+    for name, text in sent.items():
         assert text == recorded[name], name
 
 
 def test_commands_to_the_runtime_are_the_recorded_ones() -> None:
-    assert commands() == load(GOLDEN)["commands"]
+    assert send_commands() == load(GOLDEN)["commands"]
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,6 +1,8 @@
-"""Stand-ins that scenarios speak through: callers, runtime, vault, catalog, web servers, AJP workers.
+"""The stand-ins of a scenario: callers, runtime, vault, catalog, web servers, AJP workers, operators.
 
-Each has `send`, `expect` and `close`. What a stand-in reads goes to a queue of what there is to expect.
+The vault is the downstream service, the catalog is the service registry. Each stand-in has the methods
+`send`, `expect` and `close`, which carry out the steps of a scenario. It decodes what the node sends,
+describes each message by one line of text, and puts the line into its inbox, from which `expect` takes it.
 """
 
 import base64
@@ -16,94 +18,117 @@
 from reelusher.codecs import ajp13, http1, lines, msgpack
 from reelusher.lab.fleet.wires import Asks
 
-EXPECT_TIMEOUT_S = 10.0  # for what is expected; generous, so that a busy machine gives the same verdict
-QUIET_S = 0.3  # for what is expected not to come
+EXPECT_TIMEOUT_S = 10.0  # generous, so that the verdict is the same on a busy machine
+QUIET_S = 0.3  # how long `expect nothing` waits for a message that must not be sent
 Words = list[str]
 
 
-def options(words: Words) -> tuple[Words, dict[str, str]]:
-    """Split words into plain ones and KEY=VALUE."""
+def split_options(words: Words) -> tuple[Words, dict[str, str]]:
+    """Return the words without `=`, and the KEY=VALUE words as a dictionary."""
     plain = [word for word in words if "=" not in word]
     return plain, dict(word.split("=", 1) for word in words if "=" in word)
 
 
-def sized(text: str) -> bytes:
-    """Read a body: text, or N*CHAR."""
+def expand_body(text: str) -> bytes:
+    """Return the bytes of a body that is given as its text, or as N*TEXT for N repetitions."""
     count, star, char = text.partition("*")
     return (char * int(count)).encode() if star and count.isdigit() else text.encode()
 
 
-class Party:
-    """What all stand-ins share."""
+class StandIn:
+    """A peer of the node.
 
-    def __init__(self, world: dict[str, Any]) -> None:
-        self.world = world
-        self.names: dict[str, str] = world.setdefault("names", {})
+    The environment is a dictionary that all stand-ins of a scenario share. It holds them by their names in
+    the scenario language, and `places` (the addresses of the node by interface), `names` (the values that
+    `as X` has named), `count` (numbers for run ids) and `stats` (the gauges that the runtime reports instead
+    of the default ones).
+    """
+
+    def __init__(self, environment: dict[str, Any]) -> None:
+        self.environment = environment
+        self.named_values: dict[str, str] = environment.setdefault("names", {})
         self.inbox: queue.Queue[str] = queue.Queue()
         self.sock: socket.socket | None = None
         self.reader: threading.Thread | None = None
 
     def expect(self, words: Words) -> None:
-        """Take the next thing that came and compare it, word by word; `*` stands for any word."""
+        """Compare the next line of the inbox with the words; `*` stands for any word.
+
+        The line may have more words than are expected. `nothing` expects that the inbox stays empty.
+        """
         if words == ["nothing"]:
             time.sleep(QUIET_S)
-            assert self.inbox.empty(), f"came: {self.inbox.get()}"
+            assert self.inbox.empty(), f"unexpected: {self.inbox.get()}"
             return
         label = words[-1] if len(words) > 2 and words[-2] == "as" else ""
-        wanted = words[:-2] if label else words
-        got = self.inbox.get(timeout=EXPECT_TIMEOUT_S).split(" ")
-        for place, word in enumerate(wanted):
-            word = self.names.get(word[1:], word) if word.startswith("$") else word
-            fits = place < len(got) and word in ("*", got[place])
-            assert fits, f"{' '.join(wanted)!r} is not {' '.join(got)!r}"
+        expected = words[:-2] if label else words
+        received = self.inbox.get(timeout=EXPECT_TIMEOUT_S).split(" ")
+        for position, word in enumerate(expected):
+            word = self.named_values.get(word[1:], word) if word.startswith("$") else word
+            matches = position < len(received) and word in ("*", received[position])
+            assert matches, f"expected {' '.join(expected)!r}, received {' '.join(received)!r}"
         if label:
-            self.names[label] = got[1]
+            self.named_values[label] = received[1]
 
-    def read(self, decoder: Any, describe: Callable[[Any], str | None], sock: socket.socket | None) -> None:
-        """Read a connection to its end in a thread."""
+    def start_reader(
+        self, decoder: Any, describe: Callable[[Any], str | None], sock: socket.socket | None
+    ) -> None:
+        """Start a thread that reads a connection to its end and fills the inbox.
+
+        `describe` returns the line for a message, or None if there is nothing to expect. The end of the
+        connection is the line `closed`.
+        """
         assert sock is not None
 
-        def work() -> None:
+        def read_to_end() -> None:
             try:
                 while data := sock.recv(1 << 16):
-                    for item in decoder.feed(data):
-                        text = describe(item)
-                        if text is not None:
-                            self.inbox.put(text)
+                    for message in decoder.feed(data):
+                        line = describe(message)
+                        if line is not None:
+                            self.inbox.put(line)
             except OSError:
                 pass
             self.inbox.put("closed")
 
-        self.reader = threading.Thread(target=work, daemon=True)
+        self.reader = threading.Thread(target=read_to_end, daemon=True)
         self.reader.start()
 
     def connect_to_node(
-        self, place: str, decoder: Any, describe: Callable[[Any], str | None], source: str = ""
+        self, interface: str, decoder: Any, describe: Callable[[Any], str | None], source: str = ""
     ) -> socket.socket:
-        """Connect to the node, once, from an address of this machine."""
+        """Connect to an interface of the node, unless that is done, and return the socket.
+
+        `source` is the local address to connect from.
+        """
         if self.sock is None:
             self.sock = socket.create_connection(
-                self.world["places"][place], EXPECT_TIMEOUT_S, (source, 0) if source else None
+                self.environment["places"][interface], EXPECT_TIMEOUT_S, (source, 0) if source else None
             )
             self.sock.settimeout(None)
-            self.read(decoder, describe, self.sock)
+            self.start_reader(decoder, describe, self.sock)
         return self.sock
 
     def close(self, words: Words) -> None:
         """End the connection."""
-        sock, self.sock = self.sock, None  # first: the node may be back with the next one at once
+        # Taken away first: the node may open the next connection at once.
+        sock, self.sock = self.sock, None
         if sock is not None:
-            with contextlib.suppress(OSError):  # the node may have closed it before
+            with contextlib.suppress(OSError):  # the node may have closed the connection already
                 sock.shutdown(socket.SHUT_RDWR)
 
 
-class Server(Party):
-    """A stand-in that the node connects to; its newest connection is the one in use."""
+class Server(StandIn):
+    """A stand-in that the node connects to; it writes to the newest connection.
 
-    one_at_a_time = False
+    With `one_connection_at_a_time` it reads a connection only after the end of the previous one is in the
+    inbox, so that their lines do not mix.
+    """
 
-    def __init__(self, world: dict[str, Any]) -> None:
-        super().__init__(world)
+    one_connection_at_a_time = False
+
+    def __init__(self, environment: dict[str, Any]) -> None:
+        super().__init__(environment)
         self.open = True
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
@@ -115,18 +140,17 @@
                 sock, _ = self.listener.accept()
             except OSError:
                 return
-            if self.one_at_a_time and self.reader is not None:
-                self.reader.join(
-                    EXPECT_TIMEOUT_S
-                )  # the old link's end is told before the new one's beginning
+            if self.one_connection_at_a_time and self.reader is not None:
+                self.reader.join(EXPECT_TIMEOUT_S)
             self.sock = sock
-            self.read(*self.codec(), sock)  # not `self.sock`, which a `close` takes away
+            self.start_reader(*self.codec(), sock)  # not `self.sock`, which `close` may have reset to None
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
+        """Return a new decoder for one connection, and the function that describes its messages."""
         raise NotImplementedError
 
     def close(self, words: Words) -> None:
-        """End the connection; `close listener` ends listening too."""
+        """End the connection; `close listener` also closes the listening socket."""
         if words == ["listener"]:
             with contextlib.suppress(OSError):
                 self.listener.shutdown(socket.SHUT_RDWR)
@@ -134,30 +158,31 @@
         super().close(words)
 
     def write(self, data: bytes) -> None:
+        """Write to the newest connection. Raises `ConnectionError` if there is none."""
         sock = self.sock
         if sock is None:
-            raise ConnectionError("closed meanwhile")
+            raise ConnectionError("no connection is open")
         sock.sendall(data)
 
 
-class Caller(Party):
-    """A caller of the platform: `send 1 slot-search key=K body=B`, `send raw HEX`, `send health 1`."""
+class Caller(StandIn):
+    """A caller of the platform: `send 1 slot-search key=K body=B`, `send 1 health`, `send raw HEX`."""
 
     def send(self, words: Words) -> None:
-        plain, given = options(words)
+        plain, options = split_options(words)
         sock = self.connect_to_node("platform", msgpack.Decoder(), self.describe)
         if plain[0] == "raw":
             sock.sendall(bytes.fromhex("".join(plain[1:])))
             return
         fields = {
-            "txn": given.pop("txn", f"{next(self.world['count']):016x}"),
+            "txn": options.pop("txn", f"{next(self.environment['count']):016x}"),
             "lb": "1",
             "ram": "10",
-            "door": str(time.time_ns() // 1_000_000 - int(given.pop("age", 0))),
+            "door": str(time.time_ns() // 1_000_000 - int(options.pop("age", 0))),
             "cpu": "5",
         }
-        body = sized(given.pop("body", "body"))
-        fields |= {"unique" if name == "key" else name: value for name, value in given.items()}
+        body = expand_body(options.pop("body", "body"))
+        fields |= {"unique" if name == "key" else name: value for name, value in options.items()}
         params = [fields] if plain[1] == "health" else [fields, body]
         sock.sendall(msgpack.pack([0, int(plain[0]), plain[1], params]))
 
@@ -174,108 +199,112 @@
 
 
 class Runtime(Server):
-    """The runtime: answers `sync` and gauges by itself, `send end $X ok BODY`, `send wants $X BODY`."""
+    """The runtime: `send end $X ok BODY`, `send wants $X BODY`. It answers `sync` and gauge requests."""
 
-    one_at_a_time = True
-    ends_runs_at_once = False  # every run ends as it begins
+    one_connection_at_a_time = True
+    ends_runs_at_once = False  # whether each run ends with the result `r` as soon as it starts
 
-    def __init__(self, world: dict[str, Any]) -> None:
-        super().__init__(world)
+    def __init__(self, environment: dict[str, Any]) -> None:
+        super().__init__(environment)
         self.serial, self.ready, self.gauges = 0, True, True
-        self.last = b""
+        self.last_notice = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
         return lines.JsonLineDecoder(), self.describe
 
     def describe(self, message: Any) -> str | None:
-        word = message["msg"]
-        if word == "sync":
+        kind = message["msg"]
+        if kind == "sync":
             if self.ready:
                 self.write(lines.encode_json_line({"msg": "ready", "how": "warm", "duration": 5}))
             return f"sync {message['serial']}"
-        if word == "start" and self.ends_runs_at_once:
+        if kind == "start" and self.ends_runs_at_once:
             self.send(["end", message["call"], "ok", "r"])
-        if word == "gauges":
+        if kind == "gauges":
             if self.gauges or message["cookie"].startswith("sync"):
-                stats = self.world.get("stats", [0.2, 1, 0.1, 3])
+                stats = self.environment.get("stats", [0.2, 1, 0.1, 3])
                 self.write(
                     lines.encode_json_line({"msg": "load", "cookie": message["cookie"], "stats": stats})
                 )
             return None
         body = base64.b64decode(message.get("blob", "")).decode()
-        return " ".join(str(x) for x in (word, message["call"], message.get("service", ""), body) if x)
+        return " ".join(str(x) for x in (kind, message["call"], message.get("service", ""), body) if x)
 
     def send(self, words: Words) -> None:
-        word, *rest = words
-        if word in ("ready", "gauges"):
-            setattr(self, word, rest == ["on"])
-        elif word == "number":  # of the last notice so far, where another link had it
-            self.serial = int(rest[0])
-        elif word == "raw":
-            self.write(" ".join(rest).encode() + b"\n")
-        elif word == "again":  # what was sent before, as after a `sync` that asks for it
-            self.write(self.last)
+        kind, *arguments = words
+        if kind in ("ready", "gauges"):
+            setattr(self, kind, arguments == ["on"])
+        elif kind == "number":  # serial of the last notice, if that went over the link of another stand-in
+            self.serial = int(arguments[0])
+        elif kind == "raw":
+            self.write(" ".join(arguments).encode() + b"\n")
+        elif kind == "again":  # the last notice, as after a `sync` with an older serial
+            self.write(self.last_notice)
         else:
-            call, *more = (self.names.get(part[1:], part) if part.startswith("$") else part for part in rest)
+            call, *more = (
+                self.named_values.get(part[1:], part) if part.startswith("$") else part for part in arguments
+            )
             self.serial += 1
-            blob = lines.encode_body(sized(more[-1])) if more else ""
-            message = {"msg": word, "serial": self.serial, "call": call, "blob": blob}
-            if word == "end":
+            blob = lines.encode_body(expand_body(more[-1])) if more else ""
+            message = {"msg": kind, "serial": self.serial, "call": call, "blob": blob}
+            if kind == "end":
                 message |= {"how": more[0], "duration": 12.5}
-            if word == "nack":
-                message = {"msg": word, "how": more[0], "call": call}
-            self.last = lines.encode_json_line(message)
-            self.write(self.last)
+            if kind == "nack":
+                message = {"msg": kind, "how": more[0], "call": call}
+            self.last_notice = lines.encode_json_line(message)
+            self.write(self.last_notice)
 
 
 class VaultParty(Server):
-    """The vault: `expect ask ID BODY`, `send $X yes BODY`, `send $X notnow`."""
+    """The vault, the downstream service: `expect ask ID BODY`, `send $X yes BODY`, `send $X notnow`."""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
         return Asks(), lambda ask: f"{ask[0]} {ask[1]} {ask[2].decode()}".strip()
 
     def send(self, words: Words) -> None:
-        call = self.names.get(words[0][1:], words[0])
-        body = sized(words[2]) if len(words) > 2 else None
-        tail = b"" if body is None else f" {len(body)}\r\n".encode() + body
-        self.write(f"{call} {words[1]}".encode() + tail + b"\r\n")
+        call = self.named_values.get(words[0][1:], words[0])
+        body = expand_body(words[2]) if len(words) > 2 else None
+        body_part = b"" if body is None else f" {len(body)}\r\n".encode() + body
+        self.write(f"{call} {words[1]}".encode() + body_part + b"\r\n")
 
 
 class CatalogParty(Server):
-    """The catalog: answers 204, or what `send answer 503 retry-after=2` says."""
+    """The catalog, the service registry: answers 204, or as set by `send answer 503 retry-after=2`."""
 
-    one_at_a_time = True  # the node is back at once after a 500, and another thread would read that
-    answer = 204
+    one_connection_at_a_time = (
+        True  # after a 500 the node reconnects at once, before `closed` is in the inbox
+    )
+    answer_status = 204
 
-    def __init__(self, world: dict[str, Any]) -> None:
+    def __init__(self, environment: dict[str, Any]) -> None:
         self.headers: dict[str, str] = {}
-        super().__init__(world)
+        super().__init__(environment)
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
         return http1.Decoder(), self.describe
 
     def describe(self, message: Any) -> str:
-        self.write(http1.response(self.answer, headers=self.headers))
+        self.write(http1.response(self.answer_status, headers=self.headers))
         return f"{message.start[0]} {message.start[1]} {json.loads(message.body)['status']}"
 
     def send(self, words: Words) -> None:
-        plain, self.headers = options(words)
-        self.answer = int(plain[1])
+        plain, self.headers = split_options(words)
+        self.answer_status = int(plain[1])
 
 
-class Web(Party):
-    """A web server of Apache's kind: `send POST /visits key=K body=B`, `send cping`, `send hex BYTES`."""
+class Web(StandIn):
+    """A web server that speaks AJP: `send POST /visits key=K body=B`, `send cping`, `send hex BYTES`."""
 
     head: ajp13.ResponseHead | None = None
     body = b""
 
     def send(self, words: Words) -> None:
-        plain, given = options(words)
+        plain, options = split_options(words)
         sock = self.connect_to_node(
             "ajp",
             ajp13.PacketDecoder(ajp13.TO_SERVER, ajp13.MAX_PACKET_BYTES),
             self.describe,
-            given.pop("source", ""),
+            options.pop("source", ""),
         )
         if plain[0] in ("cping", "shutdown"):
             code = ajp13.CPING if plain[0] == "cping" else ajp13.SHUTDOWN
@@ -285,27 +314,28 @@
             sock.sendall(bytes.fromhex(plain[1]))
             return
         if plain[0] == "chunk":
-            sock.sendall(ajp13.write_body(sized(given["body"]) if "body" in given else b""))
+            sock.sendall(ajp13.write_body(expand_body(options["body"]) if "body" in options else b""))
             return
-        body = sized(given.pop("body", ""))
-        forward = ajp13.ForwardedRequest(plain[0], plain[1], server_name=given.pop("host", "localhost"))
-        if "key" in given:
-            forward.headers.append(("x-request-key", given["key"]))
-        if "cookie" in given:
-            forward.headers.append(("cookie", given["cookie"].replace(":", "=")))
+        body = expand_body(options.pop("body", ""))
+        request = ajp13.ForwardedRequest(plain[0], plain[1], server_name=options.pop("host", "localhost"))
+        if "key" in options:
+            request.headers.append(("x-request-key", options["key"]))
+        if "cookie" in options:
+            request.headers.append(("cookie", options["cookie"].replace(":", "=")))
         if "chunked" in plain:
-            forward.headers.append(("transfer-encoding", "chunked"))
+            request.headers.append(("transfer-encoding", "chunked"))
         elif body:
-            forward.headers.append(("content-length", given.get("length", str(len(body)))))
-        if "secret" in given:
-            forward.attributes["secret"] = given["secret"]
-        if "attribute" in given:
-            forward.named_attributes.append((given["attribute"], "x"))
-        pieces = [body[at : at + 8186] for at in range(0, len(body), 8186)]
-        self.pieces = pieces[1:]  # before the request goes out: what asks for them is read by another thread
-        sock.sendall(ajp13.write_forward(forward))
-        if pieces:
-            sock.sendall(ajp13.write_body(pieces[0]))
+            request.headers.append(("content-length", options.get("length", str(len(body)))))
+        if "secret" in options:
+            request.attributes["secret"] = options["secret"]
+        if "attribute" in options:
+            request.named_attributes.append((options["attribute"], "x"))
+        chunks = [body[offset : offset + 8186] for offset in range(0, len(body), 8186)]
+        # Set before the request is sent: the reader thread sends these chunks as the node asks for them.
+        self.remaining_chunks = chunks[1:]
+        sock.sendall(ajp13.write_forward(request))
+        if chunks:
+            sock.sendall(ajp13.write_body(chunks[0]))
 
     def describe(self, payload: bytes) -> str | None:
         match ajp13.read_reply(payload):
@@ -315,15 +345,17 @@
                 self.body += data
             case ajp13.ResponseEnd(reuse):
                 assert self.head is not None
-                wait = next((v for k, v in self.head.headers if k.lower() == "retry-after"), "-")
+                retry_after = next(
+                    (value for name, value in self.head.headers if name.lower() == "retry-after"), "-"
+                )
                 text = self.body.decode().strip()
                 text = text if len(text) < 40 else f"{len(text)}*{text[0]}"
-                return f"{self.head.status} {text or '-'} reuse={int(reuse)} retry={wait}"
+                return f"{self.head.status} {text or '-'} reuse={int(reuse)} retry={retry_after}"
             case ajp13.BodyRequest():
-                if not self.pieces:
+                if not self.remaining_chunks:
                     return "wants body"
                 assert self.sock is not None
-                self.sock.sendall(ajp13.write_body(self.pieces.pop(0)))
+                self.sock.sendall(ajp13.write_body(self.remaining_chunks.pop(0)))
             case ajp13.Pong():
                 return "cpong"
         return None
@@ -332,7 +364,7 @@
 class Container(Server):
     """An AJP worker: answers CPing, `expect POST /visits BODY`, `send 200 BODY`."""
 
-    forward: ajp13.ForwardedRequest | None = None
+    request: ajp13.ForwardedRequest | None = None
     body = b""
 
     def codec(self) -> tuple[Any, Callable[[Any], str | None]]:
@@ -342,33 +374,33 @@
         if payload[:1] == bytes([ajp13.CPING]) and len(payload) == 1:
             self.write(ajp13.write_reply(ajp13.Pong()))
             return None
-        if self.forward is None:
-            self.forward, self.body = ajp13.read_forward(payload), b""
+        if self.request is None:
+            self.request, self.body = ajp13.read_forward(payload), b""
         else:
             self.body += ajp13.read_body(payload)
-        size = self.forward.body_size() or 0
+        size = self.request.body_size() or 0
         if len(self.body) < size:
             if self.body:
                 self.write(ajp13.write_reply(ajp13.BodyRequest(8186)))
             return None
-        forward, self.forward = self.forward, None
+        request, self.request = self.request, None
         text = self.body.decode()
         text = text if len(text) < 40 else f"{len(text)}*{text[0]}"
-        return f"{forward.method} {forward.uri} {text}".strip()
+        return f"{request.method} {request.uri} {text}".strip()
 
     def send(self, words: Words) -> None:
-        plain, given = options(words)
-        body = sized(plain[1]) if len(plain) > 1 else b""
+        plain, options = split_options(words)
+        body = expand_body(plain[1]) if len(plain) > 1 else b""
         headers = (("Content-Type", "text/plain"), ("Content-Length", str(len(body))))
         self.write(
             ajp13.write_response(
-                ajp13.ResponseHead(int(plain[0]), "OK", headers), body, given.get("reuse", "1") == "1"
+                ajp13.ResponseHead(int(plain[0]), "OK", headers), body, options.get("reuse", "1") == "1"
             )
         )
 
 
-class Operator(Party):
-    """Someone at the administration API: `send GET /v1/status`, `send PUT /v1/x {json} token=other`."""
+class AdminClient(StandIn):
+    """A client of the administration API: `send GET /v1/status`, `send PUT /v1/x {json} token=other`."""
 
     def send(self, words: Words) -> None:
         token, headers = "a-token-for-tests", {}
@@ -389,16 +421,16 @@
         return f"{message.start[1]} {field} {json.dumps(value, separators=(',', ':'))}"
 
 
-class Desk(Party):
-    """An operator at the second address: `send GET /stats`; `send raw HEX`, which is all that comes then."""
+class OperationsClient(StandIn):
+    """A client of the second address, for operators: `send GET /stats`, or `send raw HEX` for HEX alone."""
 
     def send(self, words: Words) -> None:
-        self.sock = None  # one call a connection
+        self.sock = None  # one request per connection
         sock = self.connect_to_node("operator", http1.Decoder(), self.describe)
         sock.sendall(bytes.fromhex(words[1]) if words[0] == "raw" else http1.request(words[0], words[1]))
 
     def expect(self, words: Words) -> None:
-        """Take an answer; `ready` asks for one until it is yes, as the platform does."""
+        """Compare the answer, and expect `closed` after it; `ready` polls the health check until 200."""
         until = time.monotonic() + EXPECT_TIMEOUT_S
         while words == ["ready"] and time.monotonic() < until:
             self.send(["GET", "/healthcheck"])
@@ -412,12 +444,12 @@
 
     @staticmethod
     def describe(message: Any) -> str:
-        """Tell the status, then what is not 0: `succeeded.day-view=3 outstanding=1`."""
-        told = json.loads(message.body)
-        flat = {
-            f"{name}.{part}": count
-            for name, counts in told.items()
+        """Return status and values that are not 0, for example `200 succeeded.day-view=3 outstanding=1`."""
+        answer = json.loads(message.body)
+        values = {
+            f"{name}.{class_name}": count
+            for name, counts in answer.items()
             if isinstance(counts, dict)
-            for part, count in counts.items()
-        } | {name: value for name, value in told.items() if not isinstance(value, dict)}
-        return " ".join([message.start[1], *(f"{name}={value}" for name, value in flat.items() if value)])
+            for class_name, count in counts.items()
+        } | {name: value for name, value in answer.items() if not isinstance(value, dict)}
+        return " ".join([message.start[1], *(f"{name}={value}" for name, value in values.items() if value)])
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,9 +1,20 @@
-"""The scenario language: one step a line, `PARTY send|expect|close ...` or `wait SECONDS`; # begins a remark.
+"""The scenario language, and the node and stand-ins that a scenario is played with.
 
-Parties: c1, c2 … callers; runtime, vault, catalog, and runtime2, vault2, catalog2 after `node send reload
-2`; a1, a2 … web servers; w1, w2 … AJP workers; admin; desk, an operator at the second address; node
-(`node send term`, `node expect left`, `node expect count NAME N`). `as X` at the end of an expectation names
-the second word of what came; `$X` stands for it.
+Each line is one step, `PARTY send|expect|close ARGUMENTS` or `wait SECONDS`; # starts a comment. Lines
+`with KEY=VALUE` change the configuration of the node before it starts.
+
+The parties are
+- c1, c2 and so on: callers,
+- runtime, vault (the downstream service) and catalog (the service registry), and runtime2, vault2 and
+  catalog2, which the node uses after `node send reload 2`,
+- a1, a2 and so on: web servers; w1 and w2: AJP workers,
+- admin: a client of the administration API,
+- desk, d1, d2 and so on: operators at the second address,
+- node: the node itself (`node send term`, `node expect left`, `node expect count NAME N`),
+- node2: a second process of the node after `node send start`.
+
+`as X` at the end of an expectation names the second word of the received line; `$X` stands for that word in
+later steps.
 """
 
 import contextlib
@@ -73,88 +84,101 @@
 ]
 
 
-class NodeParty:
-    """The node itself, or node2: a second process of it in an upgrade, which `send start` makes."""
+class NodeUnderTest:
+    """The party `node`, or `node2`, a second process of it in an upgrade, created by `node send start`."""
 
-    def __init__(self, node: Node, world: dict[str, Any]) -> None:
-        self.node, self.world = node, world
-        self.left: list[bool] = []
-        self.thread = threading.Thread(target=lambda: self.left.append(node.drain()), daemon=True)
+    def __init__(self, node: Node, environment: dict[str, Any]) -> None:
+        self.node, self.environment = node, environment
+        self.drain_results: list[bool] = []
+        self.thread = threading.Thread(target=lambda: self.drain_results.append(node.drain()), daemon=True)
 
     def send(self, words: list[str]) -> None:
-        if words[0] == "start":  # a second one, with runtime2 and a second address of its own
-            told = platform_config(
-                self.world,
-                runtime="{}:{}".format(*self.world["runtime2"].address),
-                listen="{}:{}".format(*self.world["places"]["platform"]),
+        if words[0] == "start":  # node2, with runtime2 and its own address for operators
+            config = platform_config(
+                self.environment,
+                runtime="{}:{}".format(*self.environment["runtime2"].address),
+                listen="{}:{}".format(*self.environment["places"]["platform"]),
             )
-            second = self.world["node2"] = NodeParty(
-                Node(merge(parse_platform(told, {"TMPDIR": self.world["folder"]}), None)), self.world
+            second = self.environment["node2"] = NodeUnderTest(
+                Node(merge(parse_platform(config, {"TMPDIR": self.environment["folder"]}), None)),
+                self.environment,
             )
             second.node.start()
             assert second.node.parts.operations is not None
-            self.world["places"]["operator"] = second.node.parts.operations.address
-        elif words[0] == "idle":  # as the module would say
+            self.environment["places"]["operator"] = second.node.parts.operations.address
+        elif words[0] == "idle":  # the idle timeout that the policy would set
             self.node.parts.core.notices.idle_timeout_us = int(words[1])
-        elif words[0] == "reload":  # 2: at the second addresses; KEY=VALUE: with something else changed
+        elif (
+            words[0] == "reload"
+        ):  # 2: the addresses of runtime2, vault2 and catalog2; KEY=VALUE: other changes
             changes = dict(word.split("=") for word in words[1:] if "=" in word)
-            settings, lacks = retuned(changes), changes.pop("lacks", "")
-            new = platform_config(self.world, "2" if words[1] == "2" else "", settings=settings, **changes)
-            new.pop(lacks, None)
-            self.node.reload(lambda: merge(parse_platform(new, {}), self.node.config.operator))
-        elif words[0] == "block":  # the owner or the front's poller, for so many seconds
-            front, seconds = self.node.parts.frontends["platform"], float(words[2])
-            assert isinstance(front, RpcFrontend)
-            work = partial(time.sleep, seconds)
+            settings, removed_key = changed_settings(changes), changes.pop("lacks", "")
+            new_config = platform_config(
+                self.environment, "2" if words[1] == "2" else "", settings=settings, **changes
+            )
+            new_config.pop(removed_key, None)
+            self.node.reload(lambda: merge(parse_platform(new_config, {}), self.node.config.operator))
+        elif words[0] == "block":  # block the event loop (`owner`) or the poller for a number of seconds
+            frontend, seconds = self.node.parts.frontends["platform"], float(words[2])
+            assert isinstance(frontend, RpcFrontend)
+            block = partial(time.sleep, seconds)
             if words[1] == "owner":
-                self.node.parts.core.post(EventLoopTask(work))
+                self.node.parts.core.post(EventLoopTask(block))
             else:
-                front._poller.call(work)
+                frontend._poller.call(block)
         else:
             self.thread.start()
 
     def expect(self, words: list[str]) -> None:
-        if words[0] == "left":  # `left late`: not all was answered by the owner
+        if words[0] == "left":  # `left late`: the event loop did not answer all requests in time
             self.thread.join(parties.EXPECT_TIMEOUT_S)
-            assert self.left == [words[1:] != ["late"]]
+            assert self.drain_results == [words[1:] != ["late"]]
             return
         if words == ["asked"]:
             assert self.node.drain_requested.wait(parties.EXPECT_TIMEOUT_S)
             return
-        _, name, wanted = words
-        until = time.monotonic() + parties.EXPECT_TIMEOUT_S
-        while (got := self.node.parts.counters.snapshot().get(name, 0)) != int(wanted):
-            assert time.monotonic() < until, f"{name} is {got}, not {wanted}"
+        _, name, expected = words
+        deadline_s = time.monotonic() + parties.EXPECT_TIMEOUT_S
+        while (count := self.node.parts.counters.snapshot().get(name, 0)) != int(expected):
+            assert time.monotonic() < deadline_s, f"counter {name} is {count}, expected {expected}"
             time.sleep(0.02)
 
 
-def retuned(changes: dict[str, str]) -> dict[str, Any]:
-    """Return other settings, by what it takes from the changes: `add=`, `drop=`, `deadline=CLASS:US`."""
-    made = copy.deepcopy(SETTINGS)
-    drop, added, (name, _, deadline) = (
+def changed_settings(changes: dict[str, str]) -> dict[str, Any]:
+    """Return a copy of SETTINGS with the classes changed as `add=`, `drop=` and `deadline=CLASS:US` say.
+
+    These three keys are removed from `changes`.
+    """
+    settings = copy.deepcopy(SETTINGS)
+    dropped, added, (name, _, deadline) = (
         changes.pop("drop", ""),
         changes.pop("add", ""),
         changes.pop("deadline", "").partition(":"),
     )
-    made["categories"] = [kind for kind in made["categories"] if kind["name"] != drop]
+    settings["categories"] = [
+        request_class for request_class in settings["categories"] if request_class["name"] != dropped
+    ]
     if added:
-        made["categories"].append({**made["categories"][0], "name": added})
-    for kind in made["categories"]:
-        if kind["name"] == name:
-            kind["deadline_us"] = int(deadline) if deadline.lstrip("-").isdigit() else deadline
-    return made
+        settings["categories"].append({**settings["categories"][0], "name": added})
+    for request_class in settings["categories"]:
+        if request_class["name"] == name:
+            request_class["deadline_us"] = int(deadline) if deadline.lstrip("-").isdigit() else deadline
+    return settings
 
 
-def platform_config(world: dict[str, Any], which: str = "", **changes: Any) -> dict[str, Any]:
-    """Return the platform's configuration for a node among the stand-ins."""
-    places = {name: "{}:{}".format(*world[name + which].address) for name in SERVERS}
+def platform_config(environment: dict[str, Any], suffix: str = "", **changes: Any) -> dict[str, Any]:
+    """Return the platform's configuration of a node that uses the stand-ins, for `2` the second ones.
+
+    `changes` replace keys of the configuration.
+    """
+    addresses = {name: "{}:{}".format(*environment[name + suffix].address) for name in SERVERS}
     return {
         "name": "n3",
         "listen": "127.0.0.1:0",
-        "runtime": places["runtime"],
+        "runtime": addresses["runtime"],
         "seed": "8c1f",
-        "directory": places["catalog"],
-        "vault": places["vault"],
+        "directory": addresses["catalog"],
+        "vault": addresses["vault"],
         "operator": "127.0.0.1:0",
         "stop_ms": 4000,
         "limits": {"sockets": 1024},
@@ -163,9 +187,11 @@
     }
 
 
-def operator_config(world: dict[str, Any]) -> dict[str, Any]:
-    """Return an operator's file: a clinic on two workers, and AJP for the platform's own tenant."""
-    workers = [{"name": name, "port": world[name].address[1], "recover_ms": 200} for name in ("w1", "w2")]
+def operator_config(environment: dict[str, Any]) -> dict[str, Any]:
+    """Return the table of an operator's file: AJP, the administration API, two workers and four tenants."""
+    workers = [
+        {"name": name, "port": environment[name].address[1], "recover_ms": 200} for name in ("w1", "w2")
+    ]
     return {
         "ajp": {"listen": "127.0.0.1:0", "max_body_kb": 64, "max_response_kb": 64},
         "admin": {
@@ -200,16 +226,20 @@
 
 
 def play(text: str) -> None:
-    """Play a scenario against a node of its own. Lines that begin with `with` come first and change it."""
+    """Play a scenario on a node of its own. Raises `AssertionError` that names the step that failed."""
     steps = [line.split("#")[0].split() for line in text.strip().splitlines() if line.split("#")[0].strip()]
     changes = dict(word.split("=", 1) for step in steps if step[0] == "with" for word in step[1:])
-    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as world:
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as environment:
         for step in steps:
             if step[0] == "wait":
                 time.sleep(float(step[1]))
             elif step[0] != "with":
-                kind = {"c": parties.Caller, "a": parties.Web, "d": parties.Desk}.get(step[0][0])
-                party = world.get(step[0]) or world.setdefault(step[0], kind(world) if kind else None)
+                stand_in_class = {"c": parties.Caller, "a": parties.Web, "d": parties.OperationsClient}.get(
+                    step[0][0]
+                )
+                party = environment.get(step[0]) or environment.setdefault(
+                    step[0], stand_in_class(environment) if stand_in_class else None
+                )
                 try:
                     getattr(party, step[1])(step[2:])
                 except Exception as error:
@@ -218,46 +248,53 @@
 
 @contextlib.contextmanager
 def scenario_environment(folder: str, changes: dict[str, str]) -> Iterator[dict[str, Any]]:
-    """Have a node of its own among stand-ins, and take all of them down again."""
-    world: dict[str, Any] = {"count": itertools.count(1), "folder": folder}
-    for which in ("", "2"):
-        world |= {
-            "runtime" + which: parties.Runtime(world),
-            "vault" + which: parties.VaultParty(world),
-            "catalog" + which: parties.CatalogParty(world),
+    """Start a node among stand-ins, yield their environment (see `parties.StandIn`), and close all of them.
+
+    Of `changes`, `busy` makes the runtime report the gauges of a busy machine, `stop_ms` and `sockets` go
+    into the platform's configuration, and all others into the settings of the AJP front end.
+    """
+    environment: dict[str, Any] = {"count": itertools.count(1), "folder": folder}
+    for suffix in ("", "2"):
+        environment |= {
+            "runtime" + suffix: parties.Runtime(environment),
+            "vault" + suffix: parties.VaultParty(environment),
+            "catalog" + suffix: parties.CatalogParty(environment),
         }
-    world |= {
-        "w1": parties.Container(world),
-        "w2": parties.Container(world),
-        "admin": parties.Operator(world),
-        "desk": parties.Desk(world),
+    environment |= {
+        "w1": parties.Container(environment),
+        "w2": parties.Container(environment),
+        "admin": parties.AdminClient(environment),
+        "desk": parties.OperationsClient(environment),
     }
     if changes.pop("busy", ""):
-        world["stats"] = [1.0, 40, 0.5, 3]
-    told = parse_platform(
+        environment["stats"] = [1.0, 40, 0.5, 3]
+    platform = parse_platform(
         platform_config(
-            world,
+            environment,
             stop_ms=int(changes.pop("stop_ms", 4000)),
             limits={"sockets": int(changes.pop("sockets", 1024))},
         ),
         {"TMPDIR": folder},
     )
-    own = operator_config(world)
-    own["ajp"] |= {key: int(value) if value.isdigit() else value for key, value in changes.items()}
-    node = Node(merge(told, parse_operator(own, tuple(told.class_names), has_runtime=True)))
-    world["places"] = {name: front.address for name, front in node.parts.frontends.items()}
+    operator = operator_config(environment)
+    operator["ajp"] |= {key: int(value) if value.isdigit() else value for key, value in changes.items()}
+    node = Node(merge(platform, parse_operator(operator, tuple(platform.class_names), has_runtime=True)))
+    environment["places"] = {name: frontend.address for name, frontend in node.parts.frontends.items()}
     assert node.parts.admin is not None
     assert node.parts.operations is not None
-    world["places"]["operator"] = node.parts.operations.address
-    world["places"]["admin"], world["node"] = node.parts.admin.address, NodeParty(node, world)
+    environment["places"]["operator"] = node.parts.operations.address
+    environment["places"]["admin"], environment["node"] = (
+        node.parts.admin.address,
+        NodeUnderTest(node, environment),
+    )
     node.start()
-    world["runtime"].expect(["sync", "0"])
+    environment["runtime"].expect(["sync", "0"])
     try:
-        yield world
+        yield environment
     finally:
-        for party in world.values():
-            if isinstance(party, NodeParty):
+        for party in environment.values():
+            if isinstance(party, NodeUnderTest):
                 party.node.close()
-        for party in world.values():
+        for party in environment.values():
             if isinstance(party, parties.Server):
                 party.close(["listener"])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 import pytest
 from core_harness import Backend
 from helpers import MUST_CALL, SAFE, small_node_settings, wait_until
-from scenario import platform_config, retuned, scenario_environment
+from scenario import changed_settings, platform_config, scenario_environment
 
 from reelusher.backends.runtime import RuntimeLink
 from reelusher.backends.unacknowledged_commands import UnacknowledgedCommands
@@ -471,7 +471,7 @@
     )
     node.parts.core.post(EventLoopTask(lambda: hold.wait(parties.EXPECT_TIMEOUT_S), Future()))
     try:
-        assert not node.reload(lambda: reloads.read(settings=retuned({"add": "extra"})))
+        assert not node.reload(lambda: reloads.read(settings=changed_settings({"add": "extra"})))
     finally:
         hold.set()
     monkeypatch.setattr(node.parts.core, "run_on_loop", run_on_loop)
@@ -513,8 +513,10 @@
 
 def test_class_dropped_just_before_another_reload_is_still_accepted(world: dict[str, Any]) -> None:
     reloads, peer = Reloads(world), Peer(world["node"].node)
-    assert reloads.node.reload(lambda: reloads.read(settings=retuned({"drop": "day-view"})))
-    assert reloads.node.reload(lambda: reloads.read(settings=retuned({"drop": "day-view", "add": "extra"})))
+    assert reloads.node.reload(lambda: reloads.read(settings=changed_settings({"drop": "day-view"})))
+    assert reloads.node.reload(
+        lambda: reloads.read(settings=changed_settings({"drop": "day-view", "add": "extra"}))
+    )
     peer.send(1, method="day-view")
     world["runtime"].expect(["start", "*", "day-view"])
 
