--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""For all tests: log lines are formatted, but do not outlive pytest's capture of standard error."""
+"""Set-up of all tests: log lines are formatted, but not written to standard error, which pytest replaces."""
 
 from loguru import logger
 
@@ -8,4 +8,4 @@
 
 logger.remove()
 logger.add(lambda line: None, level="DEBUG")
-downstream_client.MAX_IDLE_S = 5.0  # a test's steps lie further apart than the calls of a node
+downstream_client.MAX_IDLE_S = 5.0  # the steps of a test are further apart than the calls of a node
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and small steps that the tests share."""
+"""Settings, request classes and small functions that the tests share."""
 
 import time
 from collections import Counter
@@ -28,17 +28,17 @@
 )
 
 
-def wait_until(holds: Callable[[], object], most_s: float = 20.0) -> bool:
-    """Wait until something holds; tell whether it came to that."""
-    until = time.monotonic() + most_s
-    while not holds() and time.monotonic() < until:
+def wait_until(condition: Callable[[], object], timeout_s: float = 20.0) -> bool:
+    """Wait until a condition holds or the time is over; return whether it holds."""
+    deadline_s = time.monotonic() + timeout_s
+    while not condition() and time.monotonic() < deadline_s:
         time.sleep(0.01)
-    return bool(holds())
+    return bool(condition())
 
 
 def small_node_settings(*classes: RequestClass, **changes: Any) -> Settings:
-    """Return those of a small worker, with changes."""
-    given: dict[str, Any] = {
+    """Return the settings of a node with two cores and 100 MB; `changes` replace its fields."""
+    fields: dict[str, Any] = {
         "classes": classes or (SAFE,),
         "cores": 2,
         "memory_kb": 100_000.0,
@@ -52,35 +52,35 @@
         "tick_us": 5_000,
         "key_entry_kb": 50.0,
     }
-    return Settings(**{**given, **changes})
+    return Settings(**{**fields, **changes})
 
 
 def started_controller(
     *classes: RequestClass, scheduler: TenantScheduler | None = None, **changes: Any
 ) -> Controller:
-    """Return one that has just started at time 0."""
+    """Return a controller that has processed its start at time 0."""
     controller = Controller(small_node_settings(*classes, **changes), 1, scheduler)
     controller.handle(0, [])
     return controller
 
 
 def select_actions(actions: Sequence[Action], *types: type) -> list[Any]:
-    """Pick the actions of some types."""
+    """Return the actions that are of one of these types."""
     return [action for action in actions if isinstance(action, types)]
 
 
 def ids(actions: Sequence[Action], *types: type) -> list[int]:
-    """Pick the request ids of the actions of some types."""
+    """Return the request ids of the actions that are of one of these types."""
     return [action.id for action in select_actions(actions, *types)]
 
 
 def tick(
     controller: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
 ) -> list[Action]:
-    """Let one period pass."""
+    """Process one tick with gauges: the busy share of the CPU and the number of runnable threads."""
     return controller.handle(now_us, [Tick(0, Gauges(busy, runnable))])
 
 
 def max_count(times: list[float], span_s: float = 0.1) -> int:
-    """Return the largest number of times within one span."""
+    """Return the largest number of times that fall into one of consecutive spans."""
     return max(Counter(int(time / span_s) for time in times).values())
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a fault which could not be fixed yet. They are run and passed over.
+"""A pytest plugin for KNOWN-RED.txt, the list of tests that fail for a fault that is not fixed yet.
 
-One entry a line: `tests/test_x.py::test_name | command and seed | what was seen | issue N`; a line that
-begins with # is a comment. The list is kept short: its entries are fixed first.
+The listed tests are run, and reported without failing the suite. Each line is one entry,
+`tests/test_x.py::test_name | command and seed | what was seen | issue N`; a line that begins with # is a
+comment. The list is kept short: the faults of its entries are fixed before others.
 """
 
 import re
@@ -18,11 +19,11 @@
 
 
 class KnownRedError(Exception):
-    """The list is malformed; the text names the line."""
+    """Raised if the list is malformed; the message names the line."""
 
 
 class KnownRed(NamedTuple):
-    """A test that is known to fail."""
+    """One entry of the list."""
 
     test: str
     command: str
@@ -31,7 +32,10 @@
 
 
 def read(path: Path, root: Path) -> list[KnownRed]:
-    """Return the entries of a list; none where the file does not exist. Raises `KnownRedError`."""
+    """Return the entries of a list, none if the file does not exist. Raises `KnownRedError`.
+
+    The tests are looked for in the files below `root`.
+    """
     if not path.exists():
         return []
     entries: list[KnownRed] = []
@@ -50,6 +54,7 @@
 
 
 def _has_test(file: Path, function: str) -> bool:
+    """Return whether a file defines a test function."""
     return file.is_file() and re.search(rf"^def {function}\(", file.read_text(), re.M) is not None
 
 
@@ -73,6 +78,7 @@
 
 
 def _entry_of(config: pytest.Config, test: str) -> KnownRed | None:
+    """Return the entry of a test, or of the function of a parametrized test."""
     entries = config.stash[ENTRIES]
     return entries.get(test) or entries.get(test.partition("[")[0])
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The import rules of docs/architecture.md, held against the code."""
+"""The imports between packages are compared with the import rules of docs/architecture.md."""
 
 import ast
 import re
@@ -9,12 +9,12 @@
 PACKAGE = ROOT / "reelusher"
 PAGE = ROOT / "docs" / "architecture.md"
 ROW = re.compile(r"^\| `([a-z_.]+)` \| [^|]+ \| ([^|]*) \|$", re.M)
-ENTRY_POINTS = {"__main__"}  # of the node: it sets up signals before anything else is imported
+ENTRY_POINTS = {"__main__"}  # has no rule: it sets up signals before anything else is imported
 IO_MODULES = {"socket", "threading", "time", "os", "selectors", "subprocess", "loguru", "queue"}
 
 
 def package_of(module: str) -> str:
-    """Return the row of the page that a module belongs to; "" for the packages that only hold others."""
+    """Return the package whose rule applies to a module, or "" for a package that only holds others."""
     parts = module.split(".")[1:]
     if not parts or parts == ["fleet"]:
         return ""
@@ -22,12 +22,13 @@
 
 
 def module_of(path: Path) -> str:
+    """Return the dotted name of the module in a file."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def imported(path: Path) -> Iterator[str]:
-    """Yield the modules that a file imports, inside functions too."""
+    """Yield the names that a file imports, also inside functions."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             yield from (f"{node.module}.{name.name}" for name in node.names)
@@ -35,47 +36,49 @@
             yield from (name.name for name in node.names)
 
 
-def actual() -> dict[str, set[str]]:
-    """Return which packages each package imports."""
-    found: dict[str, set[str]] = {}
+def actual_imports() -> dict[str, set[str]]:
+    """Return the packages that each package imports."""
+    imports: dict[str, set[str]] = {}
     for path in PACKAGE.rglob("*.py"):
-        own = package_of(module_of(path))
-        if not own or own in ENTRY_POINTS:
+        package = package_of(module_of(path))
+        if not package or package in ENTRY_POINTS:
             continue
-        others = found.setdefault(own, set())
-        others |= {package_of(name) for name in imported(path) if name.startswith("reelusher.")} - {own}
-    return found
+        imported_packages = imports.setdefault(package, set())
+        imported_packages |= {
+            package_of(name) for name in imported(path) if name.startswith("reelusher.")
+        } - {package}
+    return imports
 
 
-def allowed() -> dict[str, set[str]]:
-    """Return what the page allows each package to import."""
+def allowed_imports() -> dict[str, set[str]]:
+    """Return the packages that each package may import, according to the page."""
     rows = {
         name: text for name, text in ROW.findall(PAGE.read_text()) if "." not in name or name[:5] == "fleet"
     }
-    made = {}
+    rules = {}
     for name, text in rows.items():
-        names = set(re.findall(r"`([a-z_.]+)`", text))
-        made[name] = set(rows) - names - {name} if text.startswith("all but") else names
-    return made
+        named = set(re.findall(r"`([a-z_.]+)`", text))
+        rules[name] = set(rows) - named - {name} if text.startswith("all but") else named
+    return rules
 
 
 def test_each_package_imports_only_what_the_page_allows() -> None:
-    rules, found = allowed(), actual()
+    rules, found = allowed_imports(), actual_imports()
     assert rules.keys() == found.keys()
-    broken = {name: sorted(found[name] - rules[name]) for name in found if found[name] - rules[name]}
-    assert broken == {}
+    violations = {name: sorted(found[name] - rules[name]) for name in found if found[name] - rules[name]}
+    assert violations == {}
 
 
-def test_the_rules_point_down_only() -> None:
-    """The packages have an order in which each imports only those before it."""
-    rest = allowed()
-    while rest:
-        lowest = [name for name, others in rest.items() if not others & rest.keys()]
-        assert lowest, f"these import each other: {sorted(rest)}"
-        for name in lowest:
-            del rest[name]
+def test_rules_allow_no_import_cycles() -> None:
+    """The packages can be ordered so that each may import only packages before it."""
+    remaining = allowed_imports()
+    while remaining:
+        independent = [name for name, others in remaining.items() if not others & remaining.keys()]
+        assert independent, f"import cycle among: {sorted(remaining)}"
+        for name in independent:
+            del remaining[name]
 
 
-def test_decisions_use_no_clock_thread_or_socket() -> None:
+def test_policy_uses_no_clock_thread_or_socket() -> None:
     for path in (PACKAGE / "policy").glob("*.py"):
         assert not {name.split(".")[0] for name in imported(path)} & IO_MODULES, path.name
