--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -217,7 +217,7 @@
         (mark,) = test.pytestmark
         for path, value, _ in mark.args[1]:
             try:
-                parse(samples.changed(table, path, value))
+                parse(samples.with_change(table, path, value))
             except ConfigError as error:
                 made[f"{test.__name__}: {path} = {value!r}"] = str(error)
     return made
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Sockets, configuration, the importer and the program itself."""
+"""Send buffer, listener, configuration, importer, the program as it is deployed, and the back-end clients."""
 
 import errno
 import json
@@ -44,83 +44,83 @@
 PLATFORM = {"name": "n1", "listen": "127.0.0.1:0", "runtime": "127.0.0.1:1", "settings": scenario.SETTINGS}
 
 
-def test_a_slow_reader_neither_blocks_the_sender_nor_holds_more_than_its_backlog() -> None:
+def test_slow_reader_neither_blocks_the_sender_nor_exceeds_its_backlog() -> None:
     near, far = socket.socketpair()
-    send_buffer, began = SendBuffer(near, limit=1 << 20), time.monotonic()
+    send_buffer, started_s = SendBuffer(near, limit=1 << 20), time.monotonic()
     sent = 0
     while send_buffer.send(b"x" * 65_536):
         sent += 65_536
-    assert time.monotonic() - began < 5
+    assert time.monotonic() - started_s < 5
     assert sent < 8 << 20
     assert send_buffer.closed
     send_buffer.release()
     far.close()
 
 
-def test_what_waits_in_an_outbox_arrives_whole_and_in_order() -> None:
+def test_buffered_data_is_sent_completely_and_in_order() -> None:
     near, far = socket.socketpair()
     send_buffer = SendBuffer(near, limit=8 << 20)
     data = bytes(range(256)) * 4096
-    for at in range(0, len(data), 10_000):
-        assert send_buffer.send(data[at : at + 10_000])
-    got = bytearray()
-    while len(got) < len(data):
-        got += far.recv(1 << 16)
-    until = time.monotonic() + 10
-    while send_buffer.backlog and time.monotonic() < until:  # the writer counts what it sent later
+    for offset in range(0, len(data), 10_000):
+        assert send_buffer.send(data[offset : offset + 10_000])
+    received = bytearray()
+    while len(received) < len(data):
+        received += far.recv(1 << 16)
+    deadline_s = time.monotonic() + 10
+    while send_buffer.backlog and time.monotonic() < deadline_s:  # the writer updates it after it has sent
         time.sleep(0.01)
-    assert got == data
+    assert received == data
     assert not send_buffer.backlog
     send_buffer.release()
     far.close()
 
 
-def test_accepting_goes_on_after_the_descriptors_ran_out() -> None:
+def test_listener_accepts_again_after_it_ran_out_of_descriptors() -> None:
     counters, served = Counters(), list[socket.socket]()
     listener = Listener("x", ("127.0.0.1", 0), counters, lambda sock, peer: served.append(sock))
 
-    class Short:
-        """A listening socket that fails twice."""
+    class FailingSocket:
+        """A listening socket whose first two calls of `accept` fail for lack of descriptors."""
 
         def __init__(self, sock: socket.socket) -> None:
-            self.sock, self.left = sock, 2
+            self.sock, self.failures_left = sock, 2
 
         def accept(self) -> Any:
-            if self.left:
-                self.left -= 1
+            if self.failures_left:
+                self.failures_left -= 1
                 raise OSError(errno.EMFILE, "too many open files")
             return self.sock.accept()
 
         def __getattr__(self, name: str) -> Any:
             return getattr(self.sock, name)
 
-    listener.sock = Short(listener.sock)  # type: ignore[assignment]
+    listener.sock = FailingSocket(listener.sock)  # type: ignore[assignment]
     listener.start()
     with socket.create_connection(listener.address):
-        until = time.monotonic() + 10
-        while not served and time.monotonic() < until:
+        deadline_s = time.monotonic() + 10
+        while not served and time.monotonic() < deadline_s:
             time.sleep(0.01)
     assert served
     assert counters.snapshot()["x.accept_failed"] == 2
     listener.stop()
 
 
-def changed(table: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
-    """Return a copy with one key changed, or removed where the value is None."""
-    made: dict[str, Any] = json.loads(json.dumps(table))
-    *above, last = path.split(".")
-    at: Any = made
-    for key in above:
-        at = at[int(key)] if key.isdigit() else at.setdefault(key, {})
+def with_change(table: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+    """Return a copy of a table with the value at a dotted path replaced, or removed if the value is None."""
+    result: dict[str, Any] = json.loads(json.dumps(table))
+    *parents, last = path.split(".")
+    table_at_path: Any = result
+    for key in parents:
+        table_at_path = table_at_path[int(key)] if key.isdigit() else table_at_path.setdefault(key, {})
     if value is None:
-        del at[last]
+        del table_at_path[last]
     else:
-        at[last] = value
-    return made
+        table_at_path[last] = value
+    return result
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "error_key"),
     [
         ("name", None, "name"),
         ("name", 3, "name"),
@@ -140,9 +140,9 @@
         ("settings.family_info.cores", -1, "settings"),
     ],
 )
-def test_a_fault_in_the_platforms_configuration_is_named(path: str, value: Any, named: str) -> None:
-    with pytest.raises(ConfigError, match=named.replace("settings: missing", "missing")):
-        parse_platform(changed(PLATFORM, path, value), {})
+def test_a_fault_in_the_platforms_configuration_is_named(path: str, value: Any, error_key: str) -> None:
+    with pytest.raises(ConfigError, match=error_key.replace("settings: missing", "missing")):
+        parse_platform(with_change(PLATFORM, path, value), {})
 
 
 OPERATOR: dict[str, Any] = {
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "error_key"),
     [
         ("ajp.listen", "0.0.0.0:8009", "ajp.secret"),
         ("ajp.listen", 3, "ajp.listen"),
@@ -187,19 +187,19 @@
         ("node.seed", "g", "node.seed"),
     ],
 )
-def test_a_fault_in_the_operators_file_is_named(path: str, value: Any, named: str) -> None:
+def test_a_fault_in_the_operators_file_is_named(path: str, value: Any, error_key: str) -> None:
     parse_operator(OPERATOR)
-    with pytest.raises(ConfigError, match=f"^{named}|{named}: "):
-        parse_operator(changed(OPERATOR, path, value))
+    with pytest.raises(ConfigError, match=f"^{error_key}|{error_key}: "):
+        parse_operator(with_change(OPERATOR, path, value))
 
 
-REPLICATED = changed(
+REPLICATED = with_change(
     {**OPERATOR, "replication": {"copy": "tenants.db", "control": ["c1", "c2"]}}, "tenants", None
 )
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "error_key"),
     [
         ("replication.copy", None, "replication.copy"),
         ("replication.control", None, "replication.control"),
@@ -217,37 +217,41 @@
         ("admin.state_file", "state.json", "admin.state_file"),
     ],
 )
-def test_a_fault_in_the_replication_of_an_operators_file_is_named(path: str, value: Any, named: str) -> None:
-    made = parse_operator(REPLICATED).replication
-    assert made is not None
-    assert (made.store, made.control) == ("tenants.db", ("c1", "c2"))
-    with pytest.raises(ConfigError, match=f"^{named}: "):
-        parse_operator(changed(REPLICATED, path, value))
+def test_a_fault_in_the_replication_of_an_operators_file_is_named(
+    path: str, value: Any, error_key: str
+) -> None:
+    replication = parse_operator(REPLICATED).replication
+    assert replication is not None
+    assert (replication.store, replication.control) == ("tenants.db", ("c1", "c2"))
+    with pytest.raises(ConfigError, match=f"^{error_key}: "):
+        parse_operator(with_change(REPLICATED, path, value))
 
 
-def test_with_replication_keys_can_not_be_durable_so_far() -> None:
+def test_replication_and_durable_keys_exclude_each_other() -> None:
     with pytest.raises(ConfigError, match=r"^admin.durable_keys: "):
-        parse_operator(changed(changed(REPLICATED, "admin.state_dir", "state"), "admin.durable_keys", True))
-
-
-@pytest.mark.parametrize(("control", "fits"), [(["n1"], True), (["own"], False), (["n1", "own"], False)])
-def test_without_a_fleet_only_the_node_itself_can_write_the_table(control: list[str], fits: bool) -> None:
-    """The platform's name for the node goes before the operator's."""
-    table = changed(changed(REPLICATED, "fleet", None), "replication.control", control)
-    own = parse_operator(changed(table, "node.name", "own"), ("book",))
-    if fits:
-        assert merge(parse_platform(PLATFORM, {}), own).operator is own
+        parse_operator(
+            with_change(with_change(REPLICATED, "admin.state_dir", "state"), "admin.durable_keys", True)
+        )
+
+
+@pytest.mark.parametrize(("control", "is_valid"), [(["n1"], True), (["own"], False), (["n1", "own"], False)])
+def test_without_a_fleet_only_the_node_itself_can_write_the_table(control: list[str], is_valid: bool) -> None:
+    """The node's name in the platform's configuration takes precedence over that in the operator's file."""
+    table = with_change(with_change(REPLICATED, "fleet", None), "replication.control", control)
+    operator_file = parse_operator(with_change(table, "node.name", "own"), ("book",))
+    if is_valid:
+        assert merge(parse_platform(PLATFORM, {}), operator_file).operator is operator_file
     else:
         with pytest.raises(ConfigError, match=r"^replication.control: "):
-            merge(parse_platform(PLATFORM, {}), own)
+            merge(parse_platform(PLATFORM, {}), operator_file)
 
 
-def test_the_example_of_an_operators_file_is_valid() -> None:
-    made = parse_operator(tomllib.loads((ROOT / "deploy" / "operator.toml").read_text()))
-    assert made.ajp
-    assert made.admin
-    assert made.tenants
-    assert made.settings
+def test_example_of_an_operators_file_is_valid() -> None:
+    operator_file = parse_operator(tomllib.loads((ROOT / "deploy" / "operator.toml").read_text()))
+    assert operator_file.ajp
+    assert operator_file.admin
+    assert operator_file.tenants
+    assert operator_file.settings
 
 
 WORKERS = """\
@@ -275,7 +279,7 @@
 worker.status.type=status
 worker.lost.host=1.2.3.4
 """
-JK_LEFT = [
+JK_OMISSIONS = [
     "w:7: worker n1: socket_timeout has no counterpart",
     "w:7: worker n2: socket_timeout has no counterpart",
     "w:18: balancer lb: method=N has no counterpart",
@@ -285,20 +289,20 @@
 ]
 
 
-def test_worker_files_are_imported_and_the_rest_is_reported_by_line() -> None:
-    made = Imported()
-    jk.read(WORKERS, "w", made)
-    assert made.workers == {
+def test_worker_files_are_imported_and_omissions_are_reported_by_line() -> None:
+    imported = Imported()
+    jk.read(WORKERS, "w", imported)
+    assert imported.workers == {
         "n1": {"name": "n1", "host": "10.0.0.9", "port": 8101, "factor": 3},
         "n2": {"name": "n2", "host": "10.0.0.9", "port": 8102, "activation": "disabled"},
         "alone": {"name": "alone", "host": "127.0.0.1", "reply_timeout_ms": 2000},
     }
-    assert made.balancers == {"lb": {"name": "lb", "members": ["n1", "n2"], "sticky": False}}
-    assert sorted(map(str, made.omissions)) == sorted(JK_LEFT)
-    httpd.read("JkMount /a/* lb\n", "h", made)
-    made.omissions.clear()
-    made.add_unmounted_omissions()
-    assert list(map(str, made.omissions)) == [
+    assert imported.balancers == {"lb": {"name": "lb", "members": ["n1", "n2"], "sticky": False}}
+    assert sorted(map(str, imported.omissions)) == sorted(JK_OMISSIONS)
+    httpd.read("JkMount /a/* lb\n", "h", imported)
+    imported.omissions.clear()
+    imported.add_unmounted_omissions()
+    assert list(map(str, imported.omissions)) == [
         "w:3: alone: no JkMount or ProxyPass leads to it, so no tenant names it"
     ]
 
@@ -320,7 +324,7 @@
 JkMount /jk/* nobody
 ServerName ignored
 """
-HTTPD_LEFT = [
+HTTPD_OMISSIONS = [
     "h:3: ajp://127.0.0.1:8202/app: the path /app is dropped, paths are forwarded unchanged",
     "h:3: status=+H: the flag H has no counterpart",
     "h:4: http://127.0.0.1:80: only ajp:// has a counterpart",
@@ -333,12 +337,12 @@
 ]
 
 
-def test_apaches_balancers_are_imported_and_the_rest_is_reported_by_line(
+def test_httpd_balancers_are_imported_and_omissions_are_reported_by_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    made = Imported()
-    httpd.read(HTTPD, "h", made)
-    assert made.balancers == {
+    imported = Imported()
+    httpd.read(HTTPD, "h", imported)
+    assert imported.balancers == {
         "clinics": {
             "name": "clinics",
             "sticky": True,
@@ -346,7 +350,7 @@
             "members": ["127.0.0.1-8201", "127.0.0.1-8202"],
         }
     }
-    assert made.workers["127.0.0.1-8201"] == {
+    assert imported.workers["127.0.0.1-8201"] == {
         "name": "127.0.0.1-8201",
         "host": "127.0.0.1",
         "port": 8201,
@@ -354,14 +358,14 @@
         "route": "a",
         "cping_timeout_ms": 500,
     }
-    assert {name: made.tenants[name]["prefix"] for name in made.tenants} == {
+    assert {name: imported.tenants[name]["prefix"] for name in imported.tenants} == {
         "clinics": "/clinics",
         "old": "/old",
         "jk": "/jk",
     }
-    assert list(map(str, made.omissions)) == HTTPD_LEFT
-    own = parse_operator(tomllib.loads(made.to_toml()))
-    assert [balancer.method for balancer in own.balancers] == ["busyness"]
+    assert list(map(str, imported.omissions)) == HTTPD_OMISSIONS
+    operator_file = parse_operator(tomllib.loads(imported.to_toml()))
+    assert [balancer.method for balancer in operator_file.balancers] == ["busyness"]
     path = tmp_path / "httpd.conf"
     path.write_text(HTTPD)
     assert run_importer(["--httpd", str(path)]) == 0
@@ -372,31 +376,31 @@
 
 
 def deploy_file_command(command: str) -> list[str]:
-    """Return a command of the deploy file as the platform starts it, with the interpreter of the tests."""
+    """Return a command of the deploy file as an argument list, with the interpreter of the tests."""
     text = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())[command]
     before, python, _ = text.partition(".venv/bin/python")
-    # by exec, so that signals reach the program and not a shell
+    # It must use exec, so that signals reach the program and not a shell.
     assert python
     assert before in ("exec ", "trap '' HUP; MALLOC_ARENA_MAX=1 exec ")
     return processes.deployed(command)
 
 
-def test_run_starts_answers_health_and_leaves_with_status_0(tmp_path: Path) -> None:
-    """The command of the deploy file, in a release build, with no runtime there yet."""
+def test_deployed_node_starts_answers_health_and_exits_with_status_0(tmp_path: Path) -> None:
+    """Run the command of the deploy file, with optimization, while its runtime is not reachable."""
     with socket.create_server(("127.0.0.1", 0)) as free:
-        place = free.getsockname()
+        listen_address = free.getsockname()
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**PLATFORM, "listen": f"127.0.0.1:{place[1]}", "stop_ms": 1000}))
+    path.write_text(json.dumps({**PLATFORM, "listen": f"127.0.0.1:{listen_address[1]}", "stop_ms": 1000}))
     command = deploy_file_command("run")
     assert " -O " in command[-1]
     process = subprocess.Popen(
         command, cwd=ROOT, env={**os.environ, "PROXY_CONFIG": str(path)}, stderr=subprocess.PIPE
     )
     try:
-        until = time.monotonic() + 30
-        while time.monotonic() < until:
+        deadline_s = time.monotonic() + 30
+        while time.monotonic() < deadline_s:
             try:
-                caller = socket.create_connection(place, 5)
+                caller = socket.create_connection(listen_address, 5)
                 break
             except OSError:
                 time.sleep(0.05)
@@ -404,14 +408,14 @@
         answer = caller.recv(100)
         assert answer[:5] == bytes.fromhex("940101c092")
         assert answer[5] == 0xC3
-        # SIGHUP ended the program where nothing handled it; a file half written must not either
+        # A program that does not handle SIGHUP is ended by it; an incomplete file must not end it either.
         path.write_text('{"name":')
         process.send_signal(signal.SIGHUP)
         assert process.stderr is not None
         while b"reload: rejected, the current configuration stays in use" not in (
             line := process.stderr.readline()
         ):
-            assert line, "it has ended"
+            assert line, "the process has ended"
         process.send_signal(signal.SIGTERM)
         caller.close()
         assert process.wait(30) == 0
@@ -420,22 +424,24 @@
 
 
 @pytest.mark.parametrize(
-    ("environ", "named"),
+    ("environment", "error_key"),
     [
         ({}, "PROXY_CONFIG"),
         ({"PROXY_CONFIG": "/nowhere"}, "PROXY_CONFIG"),
         ({"REELUSHER_OPERATOR": "/nowhere"}, "REELUSHER_OPERATOR"),
     ],
 )
-def test_a_node_that_is_told_nothing_says_what_is_missing(environ: dict[str, str], named: str) -> None:
-    with pytest.raises(ConfigError, match=named):
-        load(environ)
+def test_unset_or_unreadable_configuration_is_reported_by_its_variable(
+    environment: dict[str, str], error_key: str
+) -> None:
+    with pytest.raises(ConfigError, match=error_key):
+        load(environment)
 
 
-def test_a_fault_in_the_configuration_ends_the_program_with_the_key_and_a_status(tmp_path: Path) -> None:
+def test_invalid_configuration_ends_the_program_with_its_key_and_status_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(changed(PLATFORM, "runtime", None)))
-    done = subprocess.run(
+    path.write_text(json.dumps(with_change(PLATFORM, "runtime", None)))
+    process = subprocess.run(
         deploy_file_command("run"),
         cwd=ROOT,
         env={**os.environ, "PROXY_CONFIG": str(path)},
@@ -444,12 +450,12 @@
         timeout=60,
         check=False,
     )
-    assert done.returncode == 2
-    assert "runtime: missing" in done.stderr
+    assert process.returncode == 2
+    assert "runtime: missing" in process.stderr
 
 
-def test_a_start_survives_every_sighup_from_the_first_instruction_of_the_interpreter(tmp_path: Path) -> None:
-    """The interpreter takes a while to come to the first line: a reload of all nodes may meet one there."""
+def test_start_survives_sighup_from_the_first_instruction_of_the_interpreter(tmp_path: Path) -> None:
+    """A reload of all nodes may reach a process whose interpreter has not come to the first line yet."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**PLATFORM, "listen": "127.0.0.1:0", "stop_ms": 1000}))
     process = subprocess.Popen(
@@ -461,39 +467,39 @@
     assert process.stderr is not None
     os.set_blocking(process.stderr.fileno(), False)
     try:
-        command, told = Path(f"/proc/{process.pid}/cmdline"), b""
-        # until then the shell has no trap; while `exec` replaces the process this reads empty
-        while command.read_bytes().split(b"\0")[0] != sys.executable.encode():
+        command_line, log = Path(f"/proc/{process.pid}/cmdline"), b""
+        # Until then the shell has set no trap; while `exec` replaces the process, the file reads as empty.
+        while command_line.read_bytes().split(b"\0")[0] != sys.executable.encode():
             assert process.poll() is None
-        until = time.monotonic() + 60
-        while b"listens on" not in told and process.poll() is None and time.monotonic() < until:
+        deadline_s = time.monotonic() + 60
+        while b"listens on" not in log and process.poll() is None and time.monotonic() < deadline_s:
             process.send_signal(signal.SIGHUP)
-            told += process.stderr.read() or b""
+            log += process.stderr.read() or b""
             time.sleep(0.001)
         process.send_signal(signal.SIGTERM)
-        assert b"listens on" in told
+        assert b"listens on" in log
         assert process.wait(30) == 0
     finally:
         process.kill()
 
 
-def test_sim_answers_an_empty_batch() -> None:
+def test_simulator_adapter_answers_an_empty_batch() -> None:
     batch = bytes.fromhex("01000000 5a5c800000000000 04000000 00000000")
-    done = subprocess.run(
+    process = subprocess.run(
         deploy_file_command("sim"), cwd=ROOT, input=batch, capture_output=True, timeout=60, check=True
     )
-    assert done.stdout == bytes.fromhex("01000000 00000000 00000000")
+    assert process.stdout == bytes.fromhex("01000000 00000000 00000000")
 
 
-def test_what_lies_unread_when_an_idle_connection_is_closed_is_still_answered() -> None:
-    """On a busy core the reader runs late: a close that did not wait for it lost what had come in."""
+def test_unread_request_of_an_idle_connection_that_is_closed_is_answered() -> None:
+    """On a busy core the poller reads late: a close without a last read lost received requests."""
     front = RpcFrontend(Core(small_node_settings(), [], 1, Backend()), ("127.0.0.1", 0), "t", 8, 1 << 20)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         far = socket.create_connection(listener.getsockname(), 10)
         near, _ = listener.accept()
     connection = front._connections[near] = Connection(near, ByteBudget(1 << 20))
     far.sendall(msgpack.pack([0, 1, "health", [{}]]))
-    front._close_idle(connection)  # before the poller has had its turn
+    front._close_idle(connection)  # before the poller has read the request
     assert list(msgpack.Decoder().feed(far.recv(100))) == [[1, 1, None, [True, {}]]]
     assert far.recv(100) == b""
     assert front.open_connections() == 0
@@ -501,79 +507,79 @@
     front.close()
 
 
-def test_young_commands_go_out_again_after_a_break_though_gauges_have_answered() -> None:
-    """A break loses the last 50 ms of commands; gauges answered within them proved nothing about these."""
-    now = 0.0
-    sent = UnacknowledgedCommands(lambda: now)
-    sent.add("a", b"start a")
-    sent.add("b", b"start b")
-    now = 0.1
-    sent.add("a", b"give a")
-    sent.add("c", b"start c")
-    sent.mark("t1")
-    sent.add("d", b"start d")
-    sent.acknowledge_gauges("t1")
-    assert sent.lines_to_resend() == [b"give a", b"start c", b"start d"]
-    sent.acknowledge_run("c")  # its run has told something, so its start was carried out
-    now = 0.2
-    sent.mark("t2")
-    sent.acknowledge_gauges("t2")
-    assert sent.lines_to_resend() == []
-    assert len(sent) == 0
-
-
-def test_an_idle_connection_to_the_vault_is_not_used_again() -> None:
-    """The vault forgets idle ones, and a call that is reset there would prove nothing and be failed."""
-    came: queue.SimpleQueue[Message] = queue.SimpleQueue()
+def test_commands_of_the_last_50_ms_are_resent_although_gauges_were_acknowledged() -> None:
+    """A broken link loses the commands of the last 50 ms, even if gauges were answered within that time."""
+    now_s = 0.0
+    commands = UnacknowledgedCommands(lambda: now_s)
+    commands.add("a", b"start a")
+    commands.add("b", b"start b")
+    now_s = 0.1
+    commands.add("a", b"give a")
+    commands.add("c", b"start c")
+    commands.mark("t1")
+    commands.add("d", b"start d")
+    commands.acknowledge_gauges("t1")
+    assert commands.lines_to_resend() == [b"give a", b"start c", b"start d"]
+    commands.acknowledge_run("c")  # a notice of its run shows that its start was carried out
+    now_s = 0.2
+    commands.mark("t2")
+    commands.acknowledge_gauges("t2")
+    assert commands.lines_to_resend() == []
+    assert len(commands) == 0
+
+
+def test_idle_connection_to_the_downstream_service_is_not_reused() -> None:
+    """The service drops idle connections; a call that is reset there may have run, and has to be failed."""
+    messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.DownstreamClient(listener.getsockname(), came.put, Counters(), Clock())
-        lines_open = []
+        client = downstream_client.DownstreamClient(listener.getsockname(), messages.put, Counters(), Clock())
+        connections = []
         for number, call in enumerate(("aa", "bb", "cc")):
-            made.call(call, number, Clock().now() + 60_000_000, b"q")
-            if call != "bb":  # the second goes out on the first one's connection
-                lines_open.append(listener.accept()[0])
-            assert lines_open[-1].recv(100).startswith(f"ask {call} ".encode())
-            lines_open[-1].sendall(f"{call} notnow\r\n".encode())
-            assert came.get(timeout=10) == CallFinished(call, number, Outcome.REJECTED)
+            client.call(call, number, Clock().now() + 60_000_000, b"q")
+            if call != "bb":  # the second call uses the connection of the first
+                connections.append(listener.accept()[0])
+            assert connections[-1].recv(100).startswith(f"ask {call} ".encode())
+            connections[-1].sendall(f"{call} notnow\r\n".encode())
+            assert messages.get(timeout=10) == CallFinished(call, number, Outcome.REJECTED)
             if call == "bb":
-                made._idle[-1].last_used_s -= downstream_client.MAX_IDLE_S
-        made.close()
+                client._idle[-1].last_used_s -= downstream_client.MAX_IDLE_S
+        client.close()
 
 
-def test_a_call_refused_at_an_old_address_goes_out_at_the_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A refused connection proves that nothing ran; a reload had come while it was being opened."""
-    came: queue.SimpleQueue[Message] = queue.SimpleQueue()
+def test_call_refused_at_the_old_address_is_sent_to_the_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A refused connection shows that nothing ran; a reload changed the address while it was being opened."""
+    messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.DownstreamClient(("127.0.0.1", 1), came.put, Counters(), Clock())
+        client = downstream_client.DownstreamClient(("127.0.0.1", 1), messages.put, Counters(), Clock())
 
         def refused(address: Address, timeout: float) -> socket.socket:
             monkeypatch.undo()
-            made.move(listener.getsockname())
+            client.move(listener.getsockname())
             raise ConnectionRefusedError
 
         monkeypatch.setattr(downstream_client, "connect", refused)
-        made.call("aa", 1, Clock().now() + 60_000_000, b"q")
+        client.call("aa", 1, Clock().now() + 60_000_000, b"q")
         sock = listener.accept()[0]
         assert sock.recv(100).startswith(b"ask aa ")
         sock.sendall(b"aa yes 1\r\nr\r\n")
-        assert came.get(timeout=10) == CallFinished("aa", 1, Outcome.OK, b"r")
-        made.close()
+        assert messages.get(timeout=10) == CallFinished("aa", 1, Outcome.OK, b"r")
+        client.close()
 
 
-def test_a_call_given_up_goes_out_anew_on_another_connection() -> None:
-    """A late reply to the first could be taken for the second one's: both carry one id."""
-    came: queue.SimpleQueue[Message] = queue.SimpleQueue()
+def test_call_repeated_after_a_cancel_uses_another_connection() -> None:
+    """Both calls have one id, so a late reply to the first could be taken for the reply to the second."""
+    messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        made = downstream_client.DownstreamClient(listener.getsockname(), came.put, Counters(), Clock())
-        made.call("aa", 1, Clock().now() + 60_000_000, b"q")
+        client = downstream_client.DownstreamClient(listener.getsockname(), messages.put, Counters(), Clock())
+        client.call("aa", 1, Clock().now() + 60_000_000, b"q")
         first = listener.accept()[0]
         assert first.recv(100).startswith(b"ask aa ")
-        made.cancel("aa", 1)
+        client.cancel("aa", 1)
         assert first.recv(100) == b"unask aa\r\n"
-        made.call("aa", 2, Clock().now() + 60_000_000, b"q")
+        client.call("aa", 2, Clock().now() + 60_000_000, b"q")
         second = listener.accept()[0]
         assert second.recv(100).startswith(b"ask aa ")
         first.sendall(b"aa yes 4\r\nlate\r\n")
         second.sendall(b"aa yes 3\r\nnew\r\n")
-        assert came.get(timeout=10) == CallFinished("aa", 2, Outcome.OK, b"new")
-        made.close()
+        assert messages.get(timeout=10) == CallFinished("aa", 2, Outcome.OK, b"new")
+        client.close()
