--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,7 @@
-"""Races of two events on real connections, each forced into its bad order; see docs/crossings.md."""
+"""Races of two events on real connections, each forced into the order that caused a fault.
+
+See docs/crossings.md.
+"""
 
 import contextlib
 import socket
@@ -39,14 +42,14 @@
 from reelusher.net.sockets import Address
 from reelusher.node import Node
 
-GARBAGE = b"\xc1" * 40_000  # more than one poll of a socket reads
+GARBAGE = b"\xc1" * 40_000  # more than the node reads from a socket at once
 
 
 class Peer:
     """A caller whose messages, answers and end of connection are under the control of the test."""
 
     def __init__(self, node: Node, receive_bytes: int = 0, health_checks: int = 0) -> None:
-        """Connect and send that many health checks."""
+        """Connect and send `health_checks` health requests; `receive_bytes` limits the receive buffer."""
         self.sock = socket.socket()
         if receive_bytes:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_bytes)
@@ -57,132 +60,139 @@
         self.send(*range(1, health_checks + 1), method="health")
 
     def send(self, *numbers: int, method: str = "slot-search") -> None:
-        """Send the requests of these numbers in one piece."""
+        """Send requests with these message ids in one write."""
         self.sock.sendall(b"".join(request_bytes(number, method) for number in numbers))
 
     def read(self) -> bool:
-        """Read what was received; return False at the end. A reset is an error."""
+        """Read once; return False at the end of the connection. Raises `ConnectionError` at a reset."""
         data = self.sock.recv(1 << 16)
         self.received.extend(self.decoder.feed(data))
         return bool(data)
 
     def until_end(self) -> list[Any]:
-        """Read to the end of the connection; return all messages."""
+        """Read to the end of the connection; return all messages that were not taken by `answer`."""
         while self.read():
             pass
         return list(self.received)
 
     def answer(self) -> Any:
-        """Return the next answer."""
+        """Return the next message."""
         while not self.received:
             assert self.read(), "closed without an answer"
         return self.received.popleft()
 
 
-def request_bytes(number: int, method: str = "slot-search", **more: str) -> bytes:
+def request_bytes(number: int, method: str = "slot-search", **changes: str) -> bytes:
+    """Return an encoded request; `changes` add or replace fields."""
     fields = {
         "txn": f"{number:016x}",
         "door": str(time.time_ns() // 1_000_000),
         "lb": "1",
         "ram": "10",
         "cpu": "5",
-        **more,
+        **changes,
     }
     return msgpack.pack([0, number, method, [fields] if method == "health" else [fields, b"body"]])
 
 
 @pytest.fixture
-def world(request: pytest.FixtureRequest) -> Iterator[dict[str, Any]]:
+def environment(request: pytest.FixtureRequest) -> Iterator[dict[str, Any]]:
+    """Yield the environment of a running node; a parameter holds changes of its configuration."""
     changes = dict(getattr(request, "param", {}))
-    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as made:
-        yield made
+    with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, changes) as running:
+        yield running
 
 
-def front_of(world: dict[str, Any]) -> RpcFrontend:
-    front = world["node"].node.parts.frontends["platform"]
-    assert isinstance(front, RpcFrontend)
-    return front
+def caller_frontend(environment: dict[str, Any]) -> RpcFrontend:
+    """Return the front end for callers."""
+    frontend = environment["node"].node.parts.frontends["platform"]
+    assert isinstance(frontend, RpcFrontend)
+    return frontend
 
 
-def on_poller(front: RpcFrontend, work: Callable[[], object]) -> None:
-    """Run a function on the poller's thread of a front end, and wait for it."""
+def on_poller(frontend: RpcFrontend, work: Callable[[], object]) -> None:
+    """Run a function on the poller's thread of a front end, and wait for its end."""
     done = threading.Event()
 
     def step() -> None:
         work()
         done.set()
 
-    front._poller.call(step)
+    frontend._poller.call(step)
     assert done.wait(parties.EXPECT_TIMEOUT_S)
 
 
-def only_connection(front: RpcFrontend) -> Connection:
-    assert wait_until(lambda: front.open_connections() == 1)
-    return front.connections()[0]
+def only_connection(frontend: RpcFrontend) -> Connection:
+    """Wait until a front end has one connection, and return it."""
+    assert wait_until(lambda: frontend.open_connections() == 1)
+    return frontend.connections()[0]
 
 
 def test_request_between_the_last_check_and_the_close_causes_no_reset(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    front, peer = front_of(world), Peer(world["node"].node)
+    frontend, peer = caller_frontend(environment), Peer(environment["node"].node)
     peer.send(1, method="health")
-    connection = only_connection(front)
+    connection = only_connection(frontend)
     assert wait_until(lambda: connection.messages_read)
-    shut, release = connection.send_buffer.shutdown_write, connection.send_buffer.release
+    shutdown_write, release = connection.send_buffer.shutdown_write, connection.send_buffer.release
     crossed: list[bool] = []
 
-    def crossing(step: Callable[[], Any]) -> Any:
+    def send_before(step: Callable[[], Any]) -> Any:
         if not crossed:
             crossed.append(True)
-            peer.send(2)  # now: the node has seen nothing and closes
+            peer.send(2)  # the node has decided to close, and has not seen this request
             assert wait_until(lambda: unread_bytes(connection.sock) > 0)
         return step()
 
-    monkeypatch.setattr(connection.send_buffer, "shutdown_write", lambda: crossing(shut))
-    monkeypatch.setattr(connection.send_buffer, "release", lambda: crossing(release))
-    on_poller(front, lambda: front._close_idle(connection))
+    monkeypatch.setattr(connection.send_buffer, "shutdown_write", lambda: send_before(shutdown_write))
+    monkeypatch.setattr(connection.send_buffer, "release", lambda: send_before(release))
+    on_poller(frontend, lambda: frontend._close_idle(connection))
     assert [message[1] for message in peer.until_end()] == [1]
-    assert peer.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # a reset would be reported here
-    world["runtime"].expect(
-        ["nothing"]
-    )  # a request that crossed the close is not run: its caller sends it again
+    assert peer.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0  # it would hold a reset
+    # A request that crossed the close is not run: its caller sends it again.
+    environment["runtime"].expect(["nothing"])
     peer.sock.close()
-    assert wait_until(lambda: not front._half_closed)
+    assert wait_until(lambda: not frontend._half_closed)
 
 
-def test_sent_answers_survive_malformed_bytes_behind_their_requests(world: dict[str, Any]) -> None:
-    peer, count = Peer(world["node"].node, receive_bytes=4096), 4000
+def test_sent_answers_survive_malformed_bytes_behind_their_requests(environment: dict[str, Any]) -> None:
+    peer, count = Peer(environment["node"].node, receive_bytes=4096), 4000
     for first in range(1, count + 1, 500):
         peer.send(*range(first, first + 500), method="health")
     peer.sock.sendall(GARBAGE)
-    assert wait_until(lambda: world["node"].node.parts.counters.snapshot().get("platform.malformed"))
+    assert wait_until(lambda: environment["node"].node.parts.counters.snapshot().get("platform.malformed"))
     assert len(peer.until_end()) == count
 
 
-@pytest.mark.parametrize("world", [{"sockets": "32"}], indirect=True)
-def test_connection_beyond_the_limit_is_rejected_before_it_is_closed(world: dict[str, Any]) -> None:
-    front = front_of(world)
-    busy = [Peer(world["node"].node) for _ in range(front.max_connections)]
+@pytest.mark.parametrize("environment", [{"sockets": "32"}], indirect=True)
+def test_connection_beyond_the_limit_is_rejected_before_it_is_closed(environment: dict[str, Any]) -> None:
+    frontend = caller_frontend(environment)
+    busy = [Peer(environment["node"].node) for _ in range(frontend.max_connections)]
     for number, peer in enumerate(busy, 1):
-        peer.send(number)  # unanswered, so none of them is closed for others
-    assert wait_until(lambda: front.open_connections() == front.max_connections)
-    later = [Peer(world["node"].node) for _ in range(3 * rpc_frontend.MAX_SPARE)]
+        peer.send(number)  # has no answer yet, so its connection is not closed to make room
+    assert wait_until(lambda: frontend.open_connections() == frontend.max_connections)
+    later = [Peer(environment["node"].node) for _ in range(3 * rpc_frontend.MAX_SPARE)]
     for number, peer in enumerate(later, 101):
         peer.send(number)
     for number, peer in enumerate(later, 101):
         (answer,) = peer.until_end()
         assert (answer[1], answer[2][0]) == (number, "Full")
-    assert world["node"].node.parts.counters.snapshot()["requests.read"] == len(busy)
+    assert environment["node"].node.parts.counters.snapshot()["requests.read"] == len(busy)
 
 
 @pytest.mark.parametrize("state", ["rejected", "incomplete"])
 def test_unread_request_is_answered_when_the_time_of_its_connection_is_over(
-    world: dict[str, Any], state: str
+    environment: dict[str, Any], state: str
 ) -> None:
-    """On a busy core the sweep came before the read."""
-    front, peer, data = front_of(world), Peer(world["node"].node), request_bytes(1, "health")
+    """On a busy core the check of the time limits may run before the read; it closed the connection."""
+    frontend, peer, data = (
+        caller_frontend(environment),
+        Peer(environment["node"].node),
+        request_bytes(1, "health"),
+    )
     peer.sock.sendall(data[:20])
-    connection = only_connection(front)
+    connection = only_connection(frontend)
     assert wait_until(lambda: connection.partial_since_s)
 
     def check_late() -> None:
@@ -191,28 +201,28 @@
         connection.partial_since_s = time.monotonic() - rpc_frontend.MAX_FRAME_S - 1
         peer.sock.sendall(data[20:])
         assert wait_until(lambda: unread_bytes(connection.sock) > 0)
-        front._check(connection, time.monotonic(), IdleLimits(100.0, 100.0, 100.0))
+        frontend._check(connection, time.monotonic(), IdleLimits(100.0, 100.0, 100.0))
 
-    on_poller(front, check_late)
+    on_poller(frontend, check_late)
     assert peer.answer()[1] == 1
 
 
-def test_close_waits_for_the_writer_of_an_empty_send_buffer(world: dict[str, Any]) -> None:
+def test_close_waits_for_the_writer_of_an_empty_send_buffer(environment: dict[str, Any]) -> None:
     """The buffer is empty, but its writer has not ended yet, so the connection can't be half-closed."""
-    front, peer = front_of(world), Peer(world["node"].node, health_checks=1)
-    connection = only_connection(front)
+    frontend, peer = caller_frontend(environment), Peer(environment["node"].node, health_checks=1)
+    connection = only_connection(frontend)
     assert peer.answer()[1] == 1
     connection.send_buffer._has_writer = True
-    on_poller(front, lambda: front._close_idle(connection))
-    assert front.open_connections() == 1
+    on_poller(frontend, lambda: frontend._close_idle(connection))
+    assert frontend.open_connections() == 1
     connection.send_buffer._has_writer = False
-    on_poller(front, lambda: front._close_idle(connection))
+    on_poller(frontend, lambda: frontend._close_idle(connection))
     assert peer.until_end() == []
-    assert front.open_connections() == 0
+    assert frontend.open_connections() == 0
 
 
-def test_requests_behind_too_many_bad_ones_are_rejected_and_not_run(world: dict[str, Any]) -> None:
-    peer = Peer(world["node"].node)
+def test_requests_behind_too_many_bad_ones_are_rejected_and_not_run(environment: dict[str, Any]) -> None:
+    peer = Peer(environment["node"].node)
     peer.sock.sendall(
         b"".join(
             request_bytes(number, "no-such-class") for number in range(1, rpc_frontend.MAX_BAD_REQUESTS + 1)
@@ -222,50 +232,50 @@
     )
     errors = {message[1]: message[2][0] for message in peer.until_end()}
     assert (errors[90], errors[91], len(errors)) == ("Full", "Full", rpc_frontend.MAX_BAD_REQUESTS + 2)
-    world["runtime"].expect(["nothing"])
+    environment["runtime"].expect(["nothing"])
 
 
 def test_incomplete_request_is_closed_without_a_reset_of_the_answer_before_it(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rpc_frontend, "MAX_FRAME_S", 0.2)
-    front, peer = front_of(world), Peer(world["node"].node)
-    end = front._end
+    frontend, peer = caller_frontend(environment), Peer(environment["node"].node)
+    end_connection = frontend._end
 
-    def cross(connection: Connection, *args: Any, **more: Any) -> None:
-        peer.sock.sendall(request_bytes(2)[40:] + GARBAGE)  # now: the node has given it up
+    def send_before_end(connection: Connection, *args: Any, **kwargs: Any) -> None:
+        peer.sock.sendall(request_bytes(2)[40:] + GARBAGE)  # the node has given the request up
         assert wait_until(lambda: unread_bytes(connection.sock) > 0)
-        end(connection, *args, **more)
+        end_connection(connection, *args, **kwargs)
 
-    monkeypatch.setattr(front, "_end", cross)
+    monkeypatch.setattr(frontend, "_end", send_before_end)
     peer.sock.sendall(request_bytes(1, "health") + request_bytes(2)[:40])
     assert [message[1] for message in peer.until_end()] == [1]
-    world["runtime"].expect(["nothing"])
+    environment["runtime"].expect(["nothing"])
 
 
 def test_request_that_crosses_the_close_of_an_idle_ajp_connection_meets_no_reset(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    front = world["node"].node.parts.frontends["ajp"]
-    web = socket.socket()
-    web.settimeout(parties.EXPECT_TIMEOUT_S)
+    frontend = environment["node"].node.parts.frontends["ajp"]
+    web_server = socket.socket()
+    web_server.settimeout(parties.EXPECT_TIMEOUT_S)
 
-    def cross(sock: socket.socket) -> bool:
-        web.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
+    def send_and_report_idle(sock: socket.socket) -> bool:
+        web_server.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
         assert wait_until(lambda: unread_bytes(sock) > 0)
         return False
 
-    monkeypatch.setattr(front, "_wait_for_request", cross)
-    web.connect(front.address)
-    assert web.recv(100) == b""
+    monkeypatch.setattr(frontend, "_wait_for_request", send_and_report_idle)
+    web_server.connect(frontend.address)
+    assert web_server.recv(100) == b""
 
 
-@pytest.mark.parametrize("world", [{"sockets": "32"}], indirect=True)
+@pytest.mark.parametrize("environment", [{"sockets": "32"}], indirect=True)
 def test_callers_that_read_no_answers_do_not_keep_their_connections(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(rpc_frontend, "MAX_FRAME_S", 0.2)
-    front, accept = front_of(world), Listener.accept
+    frontend, accept = caller_frontend(environment), Listener.accept
 
     def accept_with_small_buffer(listener: Listener) -> tuple[socket.socket, Address] | None:
         accepted = accept(listener)
@@ -274,27 +284,31 @@
         return accepted
 
     monkeypatch.setattr(Listener, "accept", accept_with_small_buffer)
-    silent = [Peer(world["node"].node, receive_bytes=2048) for _ in range(front.max_connections)]
-    big = request_bytes(1, "health") * 500
-    for peer in silent:  # until the node has answers that nobody reads
+    silent_peers = [
+        Peer(environment["node"].node, receive_bytes=2048) for _ in range(frontend.max_connections)
+    ]
+    requests = request_bytes(1, "health") * 500
+    for peer in silent_peers:  # until the node holds answers that it can't send
         peer.sock.settimeout(0.05)
         with pytest.raises(TimeoutError):
             while True:
-                peer.sock.sendall(big)
-                if front.open_connections() and all(one.send_buffer.backlog for one in front.connections()):
+                peer.sock.sendall(requests)
+                if frontend.open_connections() and all(
+                    connection.send_buffer.backlog for connection in frontend.connections()
+                ):
                     raise TimeoutError
-    later = [Peer(world["node"].node, health_checks=1) for _ in range(rpc_frontend.MAX_SPARE + 4)]
+    later = [Peer(environment["node"].node, health_checks=1) for _ in range(rpc_frontend.MAX_SPARE + 4)]
     assert [peer.answer()[1] for peer in later] == [1] * len(later)
 
 
-def test_flood_on_a_closing_connection_delays_no_other(world: dict[str, Any]) -> None:
-    front, peer = front_of(world), Peer(world["node"].node)
+def test_flood_on_a_closing_connection_delays_no_other(environment: dict[str, Any]) -> None:
+    frontend, peer = caller_frontend(environment), Peer(environment["node"].node)
     peer.send(1, method="health")
-    connection, over = only_connection(front), threading.Event()
+    connection, stop = only_connection(frontend), threading.Event()
 
     def flood() -> None:
         with contextlib.suppress(OSError):
-            while not over.is_set():
+            while not stop.is_set():
                 peer.sock.sendall(request_bytes(1, "health") * 200)
 
     def read_answers() -> None:
@@ -306,141 +320,141 @@
     for worker in workers:
         worker.start()
     try:
-        on_poller(front, lambda: front._close_idle(connection))
-        other = Peer(world["node"].node)
+        on_poller(frontend, lambda: frontend._close_idle(connection))
+        other = Peer(environment["node"].node)
         other.send(2, method="health")
         assert other.answer()[1] == 2
     finally:
-        over.set()
+        stop.set()
         peer.sock.shutdown(socket.SHUT_RDWR)
         for worker in workers:
             worker.join()
 
 
-@pytest.mark.parametrize("world", [{"max_connections": "1"}], indirect=True)
+@pytest.mark.parametrize("environment", [{"max_connections": "1"}], indirect=True)
 def test_ajp_connections_beyond_the_limit_are_read_a_few_at_a_time(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    front, hold = world["node"].node.parts.frontends["ajp"], threading.Event()
+    frontend, hold = environment["node"].node.parts.frontends["ajp"], threading.Event()
     closing: list[socket.socket] = []
 
-    def part(sock: socket.socket) -> None:
+    def hold_closing(sock: socket.socket) -> None:
         closing.append(sock)
         hold.wait(parties.EXPECT_TIMEOUT_S)
 
-    monkeypatch.setattr(ajp_frontend, "shut_and_discard", part)
-    webs = [socket.create_connection(front.address, parties.EXPECT_TIMEOUT_S) for _ in range(30)]
-    counters = world["node"].node.parts.counters
+    monkeypatch.setattr(ajp_frontend, "shut_and_discard", hold_closing)
+    web_servers = [socket.create_connection(frontend.address, parties.EXPECT_TIMEOUT_S) for _ in range(30)]
+    counters = environment["node"].node.parts.counters
     try:
         assert wait_until(lambda: counters.snapshot().get("ajp.too_many_connections") == 29)
         assert len(closing) <= ajp_frontend.MAX_REJECTED_CONNECTIONS
     finally:
         hold.set()
-        for web in webs:
-            web.close()
+        for web_server in web_servers:
+            web_server.close()
 
 
 @pytest.mark.parametrize("step_s", [-3600, 3600])
 def test_keyed_request_runs_once_although_the_clock_is_stepped_before_its_retry(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch, step_s: int
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch, step_s: int
 ) -> None:
-    runtime, peer = world["runtime"], Peer(world["node"].node)
+    runtime, peer = environment["runtime"], Peer(environment["node"].node)
     runtime.ends_runs_at_once = True
     peer.sock.sendall(request_bytes(1, "book-visit", unique="k"))
     assert peer.answer()[2] is None
     runtime.expect(["start", "*", "book-visit"])
     monkeypatch.setattr(time, "time_ns", lambda read=time.time_ns: read() + step_s * 1_000_000_000)
-    node = world["node"].node
+    node = environment["node"].node
     monkeypatch.setattr(node.parts.core.clock, "_unix_ns", time.time_ns)
     peer.sock.sendall(request_bytes(2, "book-visit", unique="k") + request_bytes(3))
     received = {message[1]: message[2] for message in (peer.answer(), peer.answer())}
-    assert received == {2: None, 3: None}  # both served: the retry from the stored result
+    assert received == {2: None, 3: None}  # both are served, the retry from the stored result
     runtime.expect(["start", "*", "slot-search"])
     runtime.expect(["nothing"])
 
 
 def move_twice(runtime: RuntimeLink, first: Address, second: Address) -> None:
-    """Move to one address, and to another as soon as the link of the first move is ready."""
+    """Move to one address, and to another while the link to the first one is being opened."""
     proceed, ready = threading.Event(), threading.Event()
-    opened = runtime._open
+    open_link = runtime._open
 
-    def open_late() -> socket.socket | None:
+    def open_when_allowed() -> socket.socket | None:
         ready.set()
         assert proceed.wait(parties.EXPECT_TIMEOUT_S)
-        return opened()
+        return open_link()
 
-    runtime._open = open_late  # type: ignore[method-assign]
+    runtime._open = open_when_allowed  # type: ignore[method-assign]
     runtime.move(first)
-    assert ready.wait(parties.EXPECT_TIMEOUT_S)  # the old link is down, the new one is about to be used
+    assert ready.wait(parties.EXPECT_TIMEOUT_S)  # the old link is closed, and the new one not yet open
     runtime.move(second)
     proceed.set()
 
 
-def test_move_back_that_crosses_a_move_wins(world: dict[str, Any]) -> None:
-    runtime = world["node"].node.parts.runtime
-    move_twice(runtime, world["runtime2"].address, world["runtime"].address)
-    assert wait_until(lambda: runtime.up and runtime._linked_address == world["runtime"].address)
-    world["runtime"].ends_runs_at_once, peer = True, Peer(world["node"].node)
+def test_move_back_that_crosses_a_move_wins(environment: dict[str, Any]) -> None:
+    runtime = environment["node"].node.parts.runtime
+    move_twice(runtime, environment["runtime2"].address, environment["runtime"].address)
+    assert wait_until(lambda: runtime.up and runtime._linked_address == environment["runtime"].address)
+    environment["runtime"].ends_runs_at_once, peer = True, Peer(environment["node"].node)
     peer.send(1)
     assert peer.answer()[3][0] == b"r"
 
 
-def test_link_that_is_opened_while_the_node_closes_is_closed(world: dict[str, Any]) -> None:
-    runtime, opened = world["node"].node.parts.runtime, threading.Event()
-    open_one = runtime._open
+def test_link_that_is_opened_while_the_node_closes_is_closed(environment: dict[str, Any]) -> None:
+    runtime, opened = environment["node"].node.parts.runtime, threading.Event()
+    open_link = runtime._open
 
-    def crossing() -> socket.socket | None:
-        sock: socket.socket | None = open_one()
+    def open_then_close() -> socket.socket | None:
+        sock: socket.socket | None = open_link()
         opened.set()
-        runtime.close()  # now: the link is open, and not registered yet
+        runtime.close()  # the link is open, but the node has not stored it yet
         return sock
 
-    runtime._open = crossing
-    world["runtime"].close([])
+    runtime._open = open_then_close
+    environment["runtime"].close([])
     assert opened.wait(parties.EXPECT_TIMEOUT_S)
-    world["runtime"].expect(["closed"])
-    world["runtime"].expect(["closed"])
+    environment["runtime"].expect(["closed"])
+    environment["runtime"].expect(["closed"])
 
 
-def test_commands_buffered_for_an_unreachable_runtime_are_bounded(world: dict[str, Any]) -> None:
-    node, peer = world["node"].node, Peer(world["node"].node)
-    world["runtime"].close(["listener"])
+def test_commands_buffered_for_an_unreachable_runtime_are_bounded(environment: dict[str, Any]) -> None:
+    node, peer = environment["node"].node, Peer(environment["node"].node)
+    environment["runtime"].close(["listener"])
     assert wait_until(lambda: not node.parts.runtime.up)
     for first in range(1, 200, 20):
         peer.send(*range(first, first + 20), method="day-view")
-        for _ in range(18):  # two may wait for their deadline
+        for _ in range(18):  # up to two stay queued until their deadline
             peer.answer()
-    most = node.config.settings.max_runnable_per_core * node.config.settings.cores
-    assert len(node.parts.runtime._sent) <= 3 * most
+    max_runnable = node.config.settings.max_runnable_per_core * node.config.settings.cores
+    assert len(node.parts.runtime._sent) <= 3 * max_runnable
 
 
 def test_runtime_that_answers_no_gauges_fills_no_memory() -> None:
-    sent = UnacknowledgedCommands()
+    commands = UnacknowledgedCommands()
     for number in range(1000):
-        sent.mark(f"t{number}")
-    assert len(sent._marks) <= 64
+        commands.mark(f"t{number}")
+    assert len(commands._marks) <= 64
 
 
-def test_corrupted_notice_is_requested_again(world: dict[str, Any]) -> None:
-    """It once counted as received: its run never ended for the node, and occupied its cores."""
-    runtime, peer = world["runtime"], Peer(world["node"].node)
+def test_corrupted_notice_is_requested_again(environment: dict[str, Any]) -> None:
+    """It was acknowledged as received, so its run never ended for the node and occupied a core."""
+    runtime, peer = environment["runtime"], Peer(environment["node"].node)
     peer.send(1)
     runtime.expect(["start", "*", "as", "X"])
-    call = world["names"]["X"]
-    runtime.send(["raw", f'{{"msg":"end","serial":1,"call":"{call}","how":"ok","duration":3,"blob":"?"}}'])
+    run_id = environment["names"]["X"]
+    runtime.send(["raw", f'{{"msg":"end","serial":1,"call":"{run_id}","how":"ok","duration":3,"blob":"?"}}'])
     runtime.expect(["closed"])
-    runtime.expect(["sync", "0"])  # and not 1
-    runtime.send(["end", call, "ok", "r"])
+    runtime.expect(["sync", "0"])  # not 1: the notice is not acknowledged
+    runtime.send(["end", run_id, "ok", "r"])
     assert peer.answer()[3][0] == b"r"
 
 
-def test_notice_that_stays_malformed_ends_its_run_and_not_the_link(world: dict[str, Any]) -> None:
-    runtime, peer = world["runtime"], Peer(world["node"].node)
+def test_notice_that_stays_malformed_ends_its_run_and_not_the_link(environment: dict[str, Any]) -> None:
+    runtime, peer = environment["runtime"], Peer(environment["node"].node)
     peer.send(1)
     runtime.expect(["start", "*", "as", "X"])
-    call = world["names"]["X"]
+    run_id = environment["names"]["X"]
     for _ in range(2):
-        runtime.send(["raw", f'{{"msg":"end","serial":1,"call":"{call}","how":"odd","duration":3}}'])
+        runtime.send(["raw", f'{{"msg":"end","serial":1,"call":"{run_id}","how":"odd","duration":3}}'])
         if _ == 0:
             runtime.expect(["closed"])
             runtime.expect(["sync", "0"])
@@ -450,20 +464,20 @@
 
 
 class Reloads:
-    """Reads one configuration file after the other for a node."""
+    """Reads changed configurations for reloads of a node."""
 
-    def __init__(self, world: dict[str, Any]) -> None:
-        self.world, self.node = world, world["node"].node
+    def __init__(self, environment: dict[str, Any]) -> None:
+        self.environment, self.node = environment, environment["node"].node
 
     def read(self, **changes: Any) -> Config:
-        config = platform_config(self.world, **changes)
+        config = platform_config(self.environment, **changes)
         return merge(parse_platform(config, {}), self.node.config.operator)
 
 
 def test_reload_for_which_the_event_loop_has_no_time_changes_nothing_later(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    reloads, hold = Reloads(world), threading.Event()
+    reloads, hold = Reloads(environment), threading.Event()
     node = reloads.node
     run_on_loop = node.parts.core.run_on_loop
     monkeypatch.setattr(
@@ -475,16 +489,15 @@
     finally:
         hold.set()
     monkeypatch.setattr(node.parts.core, "run_on_loop", run_on_loop)
-    assert (
-        node.parts.core.run_on_loop(lambda: "extra" in node.parts.core.class_names) is False
-    )  # behind the cancelled task
+    # This task runs after the cancelled one.
+    assert node.parts.core.run_on_loop(lambda: "extra" in node.parts.core.class_names) is False
     assert node.parts.core.stats.snapshot()["sighup_rejected"] == 1
 
 
 def test_reload_that_fails_half_way_is_counted(
-    world: dict[str, Any], monkeypatch: pytest.MonkeyPatch
+    environment: dict[str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    reloads = Reloads(world)
+    reloads = Reloads(environment)
 
     def failing_move(address: Address) -> None:
         raise RuntimeError("can't start new thread")
@@ -494,8 +507,8 @@
     assert reloads.node.parts.core.stats.snapshot()["sighup_rejected"] == 1
 
 
-def test_reloads_behind_an_unreadable_file_use_two_threads(world: dict[str, Any]) -> None:
-    reloads, hold = Reloads(world), threading.Event()
+def test_reloads_behind_an_unreadable_file_use_two_threads(environment: dict[str, Any]) -> None:
+    reloads, hold = Reloads(environment), threading.Event()
 
     def slow() -> Config:
         hold.wait(parties.EXPECT_TIMEOUT_S)
@@ -511,18 +524,18 @@
     assert reloads.node.parts.core.stats.snapshot()["sighup_applied"] == 2
 
 
-def test_class_dropped_just_before_another_reload_is_still_accepted(world: dict[str, Any]) -> None:
-    reloads, peer = Reloads(world), Peer(world["node"].node)
+def test_class_dropped_just_before_another_reload_is_still_accepted(environment: dict[str, Any]) -> None:
+    reloads, peer = Reloads(environment), Peer(environment["node"].node)
     assert reloads.node.reload(lambda: reloads.read(settings=changed_settings({"drop": "day-view"})))
     assert reloads.node.reload(
         lambda: reloads.read(settings=changed_settings({"drop": "day-view", "add": "extra"}))
     )
     peer.send(1, method="day-view")
-    world["runtime"].expect(["start", "*", "day-view"])
+    environment["runtime"].expect(["start", "*", "day-view"])
 
 
 def test_partly_sent_message_counts_as_sent() -> None:
-    """The downstream client repeats a call on False, which may have run."""
+    """The downstream client sends a call again after False, although it may have run."""
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     send_buffer = SendBuffer(near, limit=1000)
@@ -557,12 +570,12 @@
     listener.start()
     start = threads.start_thread
 
-    def no_thread(name: str, work: Callable[[], object]) -> threading.Thread:
+    def fail_to_start(name: str, work: Callable[[], object]) -> threading.Thread:
         failed.append(name)
         raise RuntimeError("can't start new thread")
 
-    monkeypatch.setattr(listener_module, "start_thread", no_thread)
-    for number in range(3):  # each would keep its slot for good
+    monkeypatch.setattr(listener_module, "start_thread", fail_to_start)
+    for number in range(3):  # each would occupy its slot forever
         with socket.create_connection(listener.address, parties.EXPECT_TIMEOUT_S) as sock:
             assert sock.recv(1) == b""
             assert len(failed) == number + 1
