--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -1,6 +1,6 @@
-"""Write golden data from the program as it is: `PYTHONPATH=.:tests .venv/bin/python -m golden.record`.
+"""Record all golden data anew: `PYTHONPATH=.:tests .venv/bin/python -m golden.record`.
 
-Only for a change of an external form that is meant: the tests hold the program to what is recorded.
+To be run only after an intended change of an external format, since the tests compare the program with it.
 """
 
 import json
@@ -21,26 +21,28 @@
 
 
 def main() -> None:
-    """Record everything."""
-    save(test_decisions.GOLDEN, {name: test_decisions.observed(name) for name in test_decisions.RUNS})
-    save(test_messages.GOLDEN, test_messages.observed())
-    save(test_messages.AGREEMENTS, test_messages.agreements())
+    """Record all golden files."""
+    save(test_decisions.GOLDEN, {name: test_decisions.simulate(name) for name in test_decisions.RUNS})
+    save(test_messages.GOLDEN, test_messages.sealed_messages())
+    save(test_messages.AGREEMENTS, test_messages.agreed_values())
     stored = path_of(test_stored_data.FOLDER)
     shutil.rmtree(stored, ignore_errors=True)
     test_stored_data.record(stored)
-    save(test_stored_data.GOLDEN, test_stored_data.written_by(stored))
-    save(test_exchanges.GOLDEN, test_exchanges.observed())
+    save(test_stored_data.GOLDEN, test_stored_data.stored_contents(stored))
+    save(test_exchanges.GOLDEN, test_exchanges.sent_bytes())
     save(test_interfaces.OPENAPI, openapi.document())
-    save(test_interfaces.ANSWERS, test_interfaces.answers())
+    save(test_interfaces.ANSWERS, test_interfaces.all_answers())
     save(test_interfaces.COUNTERS, test_interfaces.counter_names())
     save(test_interfaces.ERRORS, test_interfaces.configuration_errors())
     save(test_interfaces.REASONS, test_interfaces.reason_phrases())
     save(test_interfaces.IMPORTED, test_interfaces.imported())
     (stored / "state.json").write_text(json.dumps(OLD_STATE_FILE))
     with tempfile.TemporaryDirectory() as folder:
-        old = Path(folder) / "state.json"
-        old.write_text(json.dumps(OLD_STATE_FILE))
-        save(test_stored_data.FROM_OLD_FILE, test_stored_data.taken_over(Path(folder) / "new", old))
+        old_file = Path(folder) / "state.json"
+        old_file.write_text(json.dumps(OLD_STATE_FILE))
+        save(
+            test_stored_data.FROM_OLD_FILE, test_stored_data.migrate_old_file(Path(folder) / "new", old_file)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/golden/recordings.py
+++ b/tests/golden/recordings.py
@@ -1,4 +1,4 @@
-"""Where golden data lies, and how it is written and compared."""
+"""Reading, writing and comparing of golden files."""
 
 import json
 from pathlib import Path
@@ -18,24 +18,27 @@
 
 
 def as_json(value: Any) -> Any:
-    """Return a value as it looks after a trip through JSON, so that it compares with a recorded one."""
+    """Return a value after encoding to JSON and back, so that it compares equal to a recorded one."""
     return json.loads(json.dumps(value, sort_keys=True))
 
 
 def save(name: str, value: Any) -> None:
-    """Write a golden JSON file, one readable line a leaf."""
+    """Write a golden JSON file, indented and with sorted keys, for readable differences."""
     FOLDER.mkdir(exist_ok=True)
     path_of(name).write_text(json.dumps(value, indent=1, sort_keys=True, ensure_ascii=False) + "\n")
 
 
 def key_tree(value: Any) -> Any:
-    """Return the keys of a JSON value with the types of its leaves; the entries of a list are merged."""
+    """Return the keys of a JSON value with the types of its leaves.
+
+    The objects of a list are merged into one, which has the keys of all of them.
+    """
     if isinstance(value, dict):
-        return {key: key_tree(part) for key, part in value.items()}
+        return {key: key_tree(element) for key, element in value.items()}
     if isinstance(value, list):
         merged: dict[str, Any] = {}
-        for part in value:
-            tree = key_tree(part)
+        for element in value:
+            tree = key_tree(element)
             if not isinstance(tree, dict):
                 return [tree]
             merged |= tree
--- a/tests/golden/simulated_worker.py
+++ b/tests/golden/simulated_worker.py
@@ -1,7 +1,8 @@
-"""A closed-loop worker that speaks the simulator's wire; its record layouts are its own.
+"""A simulated worker that speaks the protocol of the simulator's adapter, with record layouts of its own.
 
-It draws arrivals, ends of runs and of calls from a seed and obeys the actions of the adapter, so that equal
-replies lead to equal further input: the digest over all replies stands for every decision of a run.
+It draws arrivals, and the ends of runs and calls, from a seeded generator, and carries out the actions in the
+replies of the adapter. Equal replies therefore lead to equal input, so a digest of all replies shows whether
+every decision of a simulation is the same.
 """
 
 import hashlib
@@ -20,7 +21,7 @@
 RUN_OUTCOMES = [OK] * 40 + [ERROR, CUT_OFF, CANCELLED, TIMEOUT, MOOT]
 CALL_OUTCOMES = [OK] * 20 + [ERROR, REJECTED, REJECTED, TIMEOUT, UNREACHABLE, CUT_OFF]
 TICK_US = 5_000
-CALLERS = 12, 3_000  # at most sites; where few callers come back to their connections
+CALLERS = 12, 3_000  # number of callers at most sites, and at bias-drop, where few of them send twice
 
 CATEGORIES = [
     {"name": "search", "effect": "pure", "deadline_us": 4_000_000, "objective_us": 900_000, "worth": 1.0},
@@ -92,7 +93,7 @@
 
 
 def settings_of(site: str) -> bytes:
-    """Return the settings of a site as the wire carries them."""
+    """Return the settings of a site as the JSON text of a create record."""
     return json.dumps(
         {
             "categories": CATEGORIES,
@@ -108,7 +109,7 @@
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """A request as the worker knows it."""
+    """A request, as the worker sees it."""
 
     category: int
     subject: int
@@ -119,13 +120,13 @@
 
 @dataclass
 class SimulatedWorker:
-    """One instance: turns actions into later events."""
+    """One worker: turns actions into events at later times."""
 
     number: int
     seed: int
     site: str
     requests: dict[int, SimulatedRequest] = field(default_factory=dict)
-    kept: dict[int, int] = field(default_factory=dict)  # subject of a kept request: its id
+    remembered: dict[int, int] = field(default_factory=dict)  # ids of remembered requests by subject
     events: list[tuple[int, int, bytes]] = field(default_factory=list)
     joined: dict[int, list[int]] = field(default_factory=dict)
     actions: Counter[int] = field(default_factory=Counter)
@@ -138,9 +139,9 @@
     def schedule(self, at_us: int, record: bytes) -> None:
         heapq.heappush(self.events, (at_us, next(self.order), record))
 
-    def arrivals(self, now_us: int, until_us: int) -> None:
-        """Draw the arrivals of a tick: overload in the middle third, little in the last."""
-        third = 3 * now_us // until_us
+    def arrivals(self, now_us: int, duration_us: int) -> None:
+        """Draw the arrivals of a tick: overload in the middle third of the duration, low load in the last."""
+        third = 3 * now_us // duration_us
         rate = (0.045, 0.16, 0.03)[min(third, 2)]
         for _ in range(4):
             if self.random.random() < rate:
@@ -151,106 +152,113 @@
             )
 
     def arrive(self, now_us: int) -> None:
-        chance = self.random
-        category, request = chance.choices(range(4), (5, 4, 3, 1))[0], next(self.ids)
-        subject = chance.randrange(1, 400)
-        original = self.kept.get(subject, 0) if category == 2 and chance.random() < 0.5 else 0
-        self.requests[request] = SimulatedRequest(category, subject)
-        waited = int(chance.expovariate(1 / 3_000)) if chance.random() < 0.97 else chance.randrange(900_000)
+        rng = self.random
+        category, request_id = rng.choices(range(4), (5, 4, 3, 1))[0], next(self.ids)
+        subject = rng.randrange(1, 400)
+        original = self.remembered.get(subject, 0) if category == 2 and rng.random() < 0.5 else 0
+        self.requests[request_id] = SimulatedRequest(category, subject)
+        waited_us = int(rng.expovariate(1 / 3_000)) if rng.random() < 0.97 else rng.randrange(900_000)
         self.schedule(
             now_us,
             struct.pack(
                 "<BIQBHQIIffBHIQ",
                 5,
                 self.number,
-                request,
+                request_id,
                 category,
-                chance.randrange(2),
+                rng.randrange(2),
                 subject,
-                0 if chance.random() < 0.7 else chance.randrange(200_000, 2_000_000),
-                chance.randrange(5_000, 80_000),
-                chance.uniform(8, 60),
-                chance.random(),
-                (chance.random() < 0.8) + 2 * (chance.random() < 0.2),
-                chance.randrange(CALLERS[self.site == "bias-drop"]),
-                waited,
+                0 if rng.random() < 0.7 else rng.randrange(200_000, 2_000_000),
+                rng.randrange(5_000, 80_000),
+                rng.uniform(8, 60),
+                rng.random(),
+                (rng.random() < 0.8) + 2 * (rng.random() < 0.2),
+                rng.randrange(CALLERS[self.site == "bias-drop"]),
+                waited_us,
                 original,
             ),
         )
 
-    def act(self, now_us: int, record: bytes) -> None:
-        """Obey one action."""
-        code, _, request = struct.unpack_from("<BIQ", record)
+    def apply_action(self, now_us: int, record: bytes) -> None:
+        """Carry out one action: schedule the events that follow from it."""
+        code, _, request_id = struct.unpack_from("<BIQ", record)
         self.actions[code] += 1
         if code == 10:
             _, _, in_us, label = struct.unpack_from("<BIIQ", record)
-            self.schedule(now_us + in_us, self.due(label))
+            self.schedule(now_us + in_us, self.tick_record(label))
             return
-        known = self.requests.get(request)
-        react = REACTIONS.get(code)
-        if known is not None and react is not None:
-            react(self, now_us, request, known, record)
+        simulated = self.requests.get(request_id)
+        reaction = REACTIONS.get(code)
+        if simulated is not None and reaction is not None:
+            reaction(self, now_us, request_id, simulated, record)
 
-    def due(self, label: int) -> bytes:
-        running = sum(one.state == "running" for one in self.requests.values())
+    def tick_record(self, label: int) -> bytes:
+        running = sum(simulated.state == "running" for simulated in self.requests.values())
         self.busy = 0.6 * self.busy + 0.4 * min(1.0, running / 2) * self.random.uniform(0.85, 1.0)
         gauges = (self.busy, float(running), min(1.0, len(self.requests) / 60), self.random.uniform(1, 60))
         return struct.pack("<BIQB4f", 9, self.number, label, 4, *gauges)
 
-    def run(self, now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        if known.state == "paused":
-            known.state = "running"
-            self.schedule(now_us + known.work_us, self.done(request, OK, known.work_us))
+    def run(self, now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        if simulated.state == "paused":
+            simulated.state = "running"
+            self.schedule(
+                now_us + simulated.work_us, self.run_ended_record(request_id, OK, simulated.work_us)
+            )
             return
-        known.state, known.calls_left = "running", int(known.category != 1)
-        known.work_us = self.random.randrange(4_000, 90_000)
-        self.proceed(now_us, request, known)
-
-    def proceed(self, now_us: int, request: int, known: SimulatedRequest) -> None:
-        known.state = "running"
-        if known.calls_left:
-            self.schedule(now_us + known.work_us // 2, struct.pack("<BIQ", 7, self.number, request))
+        simulated.state, simulated.calls_left = "running", int(simulated.category != 1)
+        simulated.work_us = self.random.randrange(4_000, 90_000)
+        self.proceed(now_us, request_id, simulated)
+
+    def proceed(self, now_us: int, request_id: int, simulated: SimulatedRequest) -> None:
+        simulated.state = "running"
+        if simulated.calls_left:
+            self.schedule(now_us + simulated.work_us // 2, struct.pack("<BIQ", 7, self.number, request_id))
         else:
             outcome = self.random.choice(RUN_OUTCOMES)
-            self.schedule(now_us + known.work_us, self.done(request, outcome, known.work_us))
+            self.schedule(
+                now_us + simulated.work_us, self.run_ended_record(request_id, outcome, simulated.work_us)
+            )
 
-    def done(self, request: int, outcome: int, took_us: int) -> bytes:
-        return struct.pack("<BIQHI", 1, self.number, request, outcome, took_us)
+    def run_ended_record(self, request_id: int, outcome: int, took_us: int) -> bytes:
+        return struct.pack("<BIQHI", 1, self.number, request_id, outcome, took_us)
 
-    def call(self, now_us: int, request: int, known: SimulatedRequest, record: bytes) -> None:
+    def call(self, now_us: int, request_id: int, simulated: SimulatedRequest, record: bytes) -> None:
         until_us = struct.unpack_from("<Q", record, 13)[0]
         took_us, outcome = int(self.random.expovariate(1 / 60_000)), self.random.choice(CALL_OUTCOMES)
         if now_us + took_us > until_us:
             took_us, outcome = until_us - now_us, TIMEOUT
-        self.schedule(now_us + took_us, struct.pack("<BIQIH", 6, self.number, request, took_us, outcome))
+        self.schedule(now_us + took_us, struct.pack("<BIQIH", 6, self.number, request_id, took_us, outcome))
         if outcome == OK:
-            known.calls_left = 0
-            self.schedule(now_us + took_us + known.work_us, self.done(request, OK, known.work_us + took_us))
+            simulated.calls_left = 0
+            self.schedule(
+                now_us + took_us + simulated.work_us,
+                self.run_ended_record(request_id, OK, simulated.work_us + took_us),
+            )
 
-    def skip(self, now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        known.calls_left = 0
-        self.proceed(now_us, request, known)
+    def skip(self, now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        simulated.calls_left = 0
+        self.proceed(now_us, request_id, simulated)
 
-    def pause(self, _now_us: int, _request: int, known: SimulatedRequest, _record: bytes) -> None:
-        known.state = "paused"
+    def pause(self, _now_us: int, _request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        simulated.state = "paused"
 
-    def answered(self, now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        if known.state == "held":
-            self.requests.pop(request)
-        elif known.calls_left:
-            self.schedule(now_us + 20_000, self.done(request, CANCELLED, 20_000))
-            known.calls_left = 0
+    def answered(self, now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        if simulated.state == "held":
+            self.requests.pop(request_id)
+        elif simulated.calls_left:
+            self.schedule(now_us + 20_000, self.run_ended_record(request_id, CANCELLED, 20_000))
+            simulated.calls_left = 0
 
-    def keep(self, _now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        self.kept[known.subject] = request
+    def remember(self, _now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        self.remembered[simulated.subject] = request_id
 
-    def forget(self, _now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        self.kept.pop(known.subject, None)
+    def forget(self, _now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        self.remembered.pop(simulated.subject, None)
 
-    def join(self, now_us: int, request: int, known: SimulatedRequest, _record: bytes) -> None:
-        known.state = "joined"
+    def join(self, now_us: int, request_id: int, simulated: SimulatedRequest, _record: bytes) -> None:
+        simulated.state = "joined"
         outcome = self.random.choice((OK, OK, ERROR))
-        self.schedule(now_us + self.random.randrange(300_000), self.done(request, outcome, 0))
+        self.schedule(now_us + self.random.randrange(300_000), self.run_ended_record(request_id, outcome, 0))
 
 
 REACTIONS: dict[int, Callable[..., None]] = {
@@ -261,53 +269,53 @@
     6: SimulatedWorker.forget,
     9: SimulatedWorker.answered,
     12: SimulatedWorker.pause,
-    13: SimulatedWorker.keep,
+    13: SimulatedWorker.remember,
     14: SimulatedWorker.join,
 }
 
 
 class Simulation:
-    """Several instances in one process of the adapter, on one clock."""
+    """Several workers that share one process of the adapter and one virtual clock."""
 
     def __init__(
-        self, exchange: Callable[[bytes], tuple[bytes, bytes]], sites: list[str], seed: int, span_us: int
+        self, exchange: Callable[[bytes], tuple[bytes, bytes]], sites: list[str], seed: int, duration_us: int
     ) -> None:
-        """`exchange` sends one frame and returns header and body of the reply."""
-        self.exchange, self.span_us, self.now_us, self.batches = exchange, span_us, 1_000_000, 0
+        """Create a worker for each site; `exchange` sends a frame and returns a header and a body."""
+        self.exchange, self.duration_us, self.now_us, self.batches = exchange, duration_us, 1_000_000, 0
         self.workers = {
             number: SimulatedWorker(number, seed * 100 + number, site) for number, site in enumerate(sites, 1)
         }
         self.digest = hashlib.sha256()
 
     def batch(self, records: list[bytes], tail: bytes = b"") -> None:
-        """Exchange one batch and obey the reply."""
+        """Send one batch of records, `tail` after them, and carry out the actions of the reply."""
         self.batches += 1
         body = b"".join(record.ljust(EVENT_SIZE, b"\0") for record in records) + tail
-        head, reply = self.exchange(
+        header, reply = self.exchange(
             struct.pack("<IQII", self.batches, self.now_us, len(body) + 4, len(records)) + body
         )
-        self.digest.update(head + reply)
-        count = struct.unpack_from("<I", head, 4)[0]
-        for at in range(0, count * ACTION_SIZE, ACTION_SIZE):
-            record = reply[at : at + ACTION_SIZE]
+        self.digest.update(header + reply)
+        count = struct.unpack_from("<I", header, 4)[0]
+        for start in range(0, count * ACTION_SIZE, ACTION_SIZE):
+            record = reply[start : start + ACTION_SIZE]
             number = struct.unpack_from("<I", record, 1)[0]
             if record[0] == 11:
                 raise RuntimeError(reply[count * ACTION_SIZE :].decode())
-            self.workers[number].act(self.now_us, record)
+            self.workers[number].apply_action(self.now_us, record)
 
-    def play(self) -> None:
-        """Create the instances, play the whole span, and drain all of them at its end."""
+    def run(self) -> None:
+        """Create the workers, simulate the whole duration, and drain all workers after nine tenths of it."""
         for worker in self.workers.values():
             text = settings_of(worker.site)
             self.batch([struct.pack("<BIQII", 4, worker.number, worker.seed, 0, len(text))], text)
         start_us = self.now_us
-        while self.now_us < start_us + self.span_us:
+        while self.now_us < start_us + self.duration_us:
             self.now_us += TICK_US
             elapsed_us = self.now_us - start_us
             records = []
             for worker in self.workers.values():
-                worker.arrivals(elapsed_us, self.span_us)
-                if elapsed_us == self.span_us * 9 // 10 // TICK_US * TICK_US:
+                worker.arrivals(elapsed_us, self.duration_us)
+                if elapsed_us == self.duration_us * 9 // 10 // TICK_US * TICK_US:
                     records.append(struct.pack("<BII", 3, worker.number, 1_500_000))
                 while worker.events and worker.events[0][0] <= self.now_us:
                     record = heapq.heappop(worker.events)[2]
@@ -318,7 +326,7 @@
                 self.batch(records)
 
     def result(self) -> dict[str, Any]:
-        """Return the digest over all replies and how often each action was asked for."""
+        """Return the digest of all replies, and the numbers of batches and of actions by their codes."""
         total: Counter[int] = Counter()
         for worker in self.workers.values():
             total.update(worker.actions)
--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,4 +1,4 @@
-"""Every decision of the adapter for recorded seeds: the same bytes, whatever the modules are called."""
+"""The decisions of the simulator's adapter for recorded seeds, compared byte for byte."""
 
 import os
 import struct
@@ -13,19 +13,22 @@
 from golden.simulated_worker import SITES, Simulation
 
 ROOT = Path(__file__).parent.parent.parent
-SPAN_US = 18_000_000
+DURATION_US = 18_000_000
 RUNS = {**{site: ([site], 1) for site in SITES}, "mixed": ([*SITES], 2)}
 GOLDEN = "decisions.json"
 
 
 def sim_command() -> list[str]:
-    """Return the command that the deploy file starts the adapter with."""
+    """Return the command in the deploy file that starts the adapter."""
     deployed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     return ["sh", "-c", deployed["sim"]]
 
 
-def observed(name: str, record_to: Path | None = None) -> dict[str, Any]:
-    """Play a run against a process of the adapter; `record_to` keeps the input, to time the adapter with."""
+def simulate(name: str, record_to: Path | None = None) -> dict[str, Any]:
+    """Simulate one of RUNS with a process of the adapter, and return the result.
+
+    The input is written to `record_to`, if given, to measure the speed of the adapter with it.
+    """
     sites, seed = RUNS[name]
     process = subprocess.Popen(
         sim_command(),
@@ -43,12 +46,12 @@
         stdin.flush()
         if record_to is not None:
             sent.extend(frame)
-        head = stdout.read(12)
-        return head, stdout.read(struct.unpack("<III", head)[2])
+        header = stdout.read(12)
+        return header, stdout.read(struct.unpack("<III", header)[2])
 
     with process, stdin:
-        simulation = Simulation(exchange, sites, seed, SPAN_US)
-        simulation.play()
+        simulation = Simulation(exchange, sites, seed, DURATION_US)
+        simulation.run()
         stdin.close()
         assert process.wait(10) == 0
     if record_to is not None:
@@ -58,7 +61,7 @@
 
 @pytest.mark.parametrize("name", RUNS)
 def test_decisions_are_the_recorded_ones(name: str) -> None:
-    assert observed(name) == load(GOLDEN)[name]
+    assert simulate(name) == load(GOLDEN)[name]
 
 
 def test_the_recorded_runs_contain_every_action() -> None:
--- a/tests/golden/test_exchanges.py
+++ b/tests/golden/test_exchanges.py
@@ -108,7 +108,7 @@
     return data.decode("latin-1")
 
 
-def observed() -> dict[str, Any]:
+def sent_bytes() -> dict[str, Any]:
     """Return all recorded bytes, as they are sent now."""
     return {"scenario": play_scenario(), "commands": send_commands()}
 
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -1,4 +1,4 @@
-"""What people and scripts read: JSON answers, counters, configuration errors, imported files."""
+"""JSON answers, counter names, configuration errors and imported files, compared with recorded ones."""
 
 import ast
 import http.client
@@ -72,38 +72,42 @@
 )
 
 
-def answer(place: Address, method: str, path: str, value: Any, token: str = scenario.TOKEN) -> Any:
-    """Return status, names of headers and key tree of an answer; an error's text as a whole."""
-    line = http.client.HTTPConnection(*place, timeout=15)
-    line.request(
+def request_answer(address: Address, method: str, path: str, value: Any, token: str = scenario.TOKEN) -> Any:
+    """Send a request; return status, header names and key tree of the answer, or the body of an error."""
+    connection = http.client.HTTPConnection(*address, timeout=15)
+    connection.request(
         method, path, None if value is None else json.dumps(value), {"Authorization": f"Bearer {token}"}
     )
-    got = line.getresponse()
-    body = got.read()
-    line.close()
-    shown = json.loads(body) if body else None
-    tree = shown if isinstance(shown, dict) and "error" in shown else key_tree(shown)
-    return [got.status, sorted(name.lower() for name, _ in got.getheaders()), tree]
+    response = connection.getresponse()
+    body = response.read()
+    connection.close()
+    decoded = json.loads(body) if body else None
+    tree = decoded if isinstance(decoded, dict) and "error" in decoded else key_tree(decoded)
+    return [response.status, sorted(name.lower() for name, _ in response.getheaders()), tree]
 
 
 def platform_answers() -> dict[str, Any]:
-    """Return the answers of a node of the platform with an operator's file of its own."""
-    with tempfile.TemporaryDirectory() as folder, scenario.scenario_environment(folder, {}) as world:
-        party = world["node"]
-        assert wait_until(lambda: party.node.parts.runtime.up)
-        places = world["places"]
-        made = {
-            f"second address: {method} {path}": answer(places["operator"], method, path, None)
+    """Return the answers of a node that has a platform's configuration and an operator's file."""
+    with tempfile.TemporaryDirectory() as folder, scenario.scenario_environment(folder, {}) as environment:
+        node_under_test = environment["node"]
+        assert wait_until(lambda: node_under_test.node.parts.runtime.up)
+        places = environment["places"]
+        answers_by_call = {
+            f"second address: {method} {path}": request_answer(places["operator"], method, path, None)
             for method, path in OPERATOR_ANSWERS
         }
         for number, (method, path, value) in enumerate(CALLS):
-            made[f"{number}: {method} {path}"] = answer(places["admin"], method, path, value)
-        made["without a token"] = answer(places["admin"], "GET", "/v1/status", None, "none")
-        return made
+            answers_by_call[f"{number}: {method} {path}"] = request_answer(
+                places["admin"], method, path, value
+            )
+        answers_by_call["without a token"] = request_answer(
+            places["admin"], "GET", "/v1/status", None, "none"
+        )
+        return answers_by_call
 
 
 def replicated_answers() -> dict[str, Any]:
-    """Return the answers of a node with a replicated table, in a fleet of one."""
+    """Return the answers of a node with a replicated table of tenants, in a fleet of one member."""
     with tempfile.TemporaryDirectory() as folder:
         secret = Path(folder) / "secret"
         secret.write_text("a secret of sixteen or more")
@@ -129,10 +133,12 @@
         node.start()
         try:
             assert node.parts.admin is not None
-            place = node.parts.admin.address
-            assert wait_until(lambda: answer(place, "POST", "/v1/tenants?dry_run=true", TENANT)[0] == 200)
+            address = node.parts.admin.address
+            assert wait_until(
+                lambda: request_answer(address, "POST", "/v1/tenants?dry_run=true", TENANT)[0] == 200
+            )
             return {
-                f"{number}: {method} {path}": answer(place, method, path, value)
+                f"{number}: {method} {path}": request_answer(address, method, path, value)
                 for number, (method, path, value) in enumerate(
                     (
                         ("POST", "/v1/tenants", TENANT),
@@ -156,34 +162,37 @@
             node.close()
 
 
-def answers() -> Any:
-    """Return all answers."""
+def all_answers() -> Any:
+    """Return the answers of both nodes."""
     return as_json({"platform": platform_answers(), "replicated": replicated_answers()})
 
 
 def counter_names() -> list[str]:
-    """Return the constant names, and parts of names, by which the program counts: scripts ask for them."""
-    found = set()
+    """Return the string constants in counter names of the program, each with the method that it is passed to.
+
+    The names must not change, since scripts read the counters by name.
+    """
+    names = set()
     for path in (ROOT / "reelusher").rglob("*.py"):
         if "lab" in path.parts:
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             if not (isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args):
                 continue
-            place = {"add": 0, "warn": 0, "add_for": 1, "must": 1}.get(node.func.attr)
-            if place is None or place >= len(node.args):
+            position = {"add": 0, "warn": 0, "add_for": 1, "must": 1}.get(node.func.attr)
+            if position is None or position >= len(node.args):
                 continue
-            found |= {
-                (node.func.attr, part.value)
-                for part in ast.walk(node.args[place])
-                if isinstance(part, ast.Constant) and isinstance(part.value, str)
+            names |= {
+                (node.func.attr, constant.value)
+                for constant in ast.walk(node.args[position])
+                if isinstance(constant, ast.Constant) and isinstance(constant.value, str)
             }
-    return sorted(f"{how}: {name}" for how, name in found)
+    return sorted(f"{method}: {name}" for method, name in names)
 
 
 def reason_phrases() -> list[list[Any]]:
-    """Return the reason phrases of the tables by which the program answers HTTP and AJP requests."""
-    found = []
+    """Return the reason phrases in the program's tables of status codes for HTTP and AJP."""
+    phrases = []
     for path in (ROOT / "reelusher").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Dict) or "lab" in path.parts or "admin" in path.parts:
@@ -194,13 +203,13 @@
                 if isinstance(key, ast.Constant) and isinstance(value, ast.Constant)
             ]
             if pairs and all(isinstance(key, int) and 100 <= key < 600 for key, _ in pairs):
-                found += [pair for pair in pairs if isinstance(pair[1], str)]
-    return sorted(found)
+                phrases += [pair for pair in pairs if isinstance(pair[1], str)]
+    return sorted(phrases)
 
 
 def configuration_errors() -> dict[str, str]:
-    """Return the error of each faulty configuration that the tests of the parts have."""
-    made = {}
+    """Return the error of each invalid configuration in the parameters of test_parts."""
+    errors = {}
     for test, table, parse in (
         (
             samples.test_a_fault_in_the_platforms_configuration_is_named,
@@ -219,13 +228,13 @@
             try:
                 parse(samples.with_change(table, path, value))
             except ConfigError as error:
-                made[f"{test.__name__}: {path} = {value!r}"] = str(error)
-    return made
+                errors[f"{test.__name__}: {path} = {value!r}"] = str(error)
+    return errors
 
 
 def imported() -> dict[str, Any]:
-    """Return what the importer makes of the sample files."""
-    made = {}
+    """Return status and output of the importer for the sample files of test_parts."""
+    outcomes = {}
     with tempfile.TemporaryDirectory() as folder:
         for option, text in (("--workers", samples.WORKERS), ("--httpd", samples.HTTPD)):
             path = Path(folder) / "file"
@@ -233,12 +242,12 @@
             out, err = io.StringIO(), io.StringIO()
             with redirect_stdout(out), redirect_stderr(err):
                 status = run_importer([option, str(path), "--strict"])
-            made[option] = {
+            outcomes[option] = {
                 "status": status,
                 "out": out.getvalue().splitlines(),
                 "err": err.getvalue().replace(str(path), "FILE").splitlines(),
             }
-    return made
+    return outcomes
 
 
 def test_answers_have_the_recorded_reason_phrases() -> None:
@@ -251,10 +260,10 @@
 
 def test_answers_have_the_recorded_keys() -> None:
     recorded = load(ANSWERS)
-    for which, made in answers().items():
-        assert made.keys() == recorded[which].keys()
-        for call, got in made.items():
-            assert got == recorded[which][call], f"{which}: {call}"
+    for section, current in all_answers().items():
+        assert current.keys() == recorded[section].keys()
+        for call, response in current.items():
+            assert response == recorded[section][call], f"{section}: {call}"
 
 
 def test_counters_have_the_recorded_names() -> None:
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -1,4 +1,4 @@
-"""The bytes that nodes of one fleet exchange: nodes of two builds are one fleet."""
+"""The messages between members of a fleet, byte for byte: members of two builds may be in one fleet."""
 
 from random import Random
 from typing import Any
@@ -81,7 +81,7 @@
         term=25,
     ),
 ]
-PIECE = LogSegment(
+SEGMENT = LogSegment(
     partition="c1",
     term=17,
     bases=((9, 3), (17, 40)),
@@ -93,7 +93,7 @@
     covered=40,
     goal=44,
 )
-FACTS = [
+OBSERVATIONS = [
     Observation(subject="run:search", value=0.75, observed_s=1.7e9),
     Observation(subject="away:w1", value=1.0, observed_s=1.8e9),
 ]
@@ -126,7 +126,7 @@
         membership.BucketsRequest(sender=OWN, buckets=[0, 255], updates=UPDATES),
     ),
     "facts request": (ObservationsRequest, ObservationsRequest(sender=OWN)),
-    "facts reply": (ObservationsReply, ObservationsReply(warm=True, observations=FACTS)),
+    "facts reply": (ObservationsReply, ObservationsReply(warm=True, observations=OBSERVATIONS)),
     "entries request": (
         replication.EntriesRequest,
         replication.EntriesRequest(
@@ -135,7 +135,7 @@
     ),
     "entries reply": (
         replication.EntriesReply,
-        replication.EntriesReply(segments=[PIECE], alternatives=[OTHER]),
+        replication.EntriesReply(segments=[SEGMENT], alternatives=[OTHER]),
     ),
     "change request": (
         replication.ChangeRequest,
@@ -155,20 +155,20 @@
 }
 
 
-def sealed(name: str) -> bytes:
-    """Return the bytes of a message from a member that has sent nothing before."""
+def sealed_bytes(name: str) -> bytes:
+    """Return the bytes of a message that is the first one of its sender."""
     return MessageAuthenticator(SECRET, "fleet-1", OWN, PROCESS_START).seal(MESSAGES[name][1])
 
 
-def observed() -> dict[str, str]:
-    """Return the bytes of one message of each kind."""
-    return {name: sealed(name).hex() for name in MESSAGES}
+def sealed_messages() -> dict[str, str]:
+    """Return the bytes of one message of each kind, as hexadecimal digits."""
+    return {name: sealed_bytes(name).hex() for name in MESSAGES}
 
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_a_message_is_encoded_and_decoded_byte_for_byte(name: str) -> None:
     recorded = bytes.fromhex(load(GOLDEN)[name])
-    assert sealed(name) == recorded
+    assert sealed_bytes(name) == recorded
     kind, message = MESSAGES[name]
     assert MessageAuthenticator(SECRET, "fleet-1", OTHER, 1).open(recorded, kind, 1 << 19) == (OWN, message)
 
@@ -180,40 +180,42 @@
         for kind in vars(module).values()
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct) and kind.__module__ == module.__name__
     }
-    parts = {
+    embedded = {
         Update,
         Observation,
         LogEntry,
         LogSegment,
         *(kind for kind in kinds if kind.__name__ == "Enveloped"),
     }
-    assert kinds - parts == {kind for kind, _ in MESSAGES.values()}
+    assert kinds - embedded == {kind for kind, _ in MESSAGES.values()}
 
 
-def test_requests_are_told_apart_by_their_recorded_tags() -> None:
+def test_requests_are_distinguished_by_their_recorded_tags() -> None:
     kinds = [kind for kind, message in MESSAGES.values() if kind.__struct_config__.tag]
-    every: Any = membership.StateRequest
+    any_request: Any = membership.StateRequest
     for kind in kinds:
-        every = every | kind
+        any_request = any_request | kind
     for name, (kind, message) in MESSAGES.items():
         if kind in kinds:
             recorded = bytes.fromhex(load(GOLDEN)[name])
-            assert MessageAuthenticator(SECRET, "fleet-1", OTHER, 1).open(recorded, every, 1 << 19) == (
+            assert MessageAuthenticator(SECRET, "fleet-1", OTHER, 1).open(recorded, any_request, 1 << 19) == (
                 OWN,
                 message,
             )
 
 
-def agreements() -> dict[str, Any]:
-    """Return values by which members agree without a message: buckets, digests, owners of names, donors."""
+def agreed_values() -> dict[str, Any]:
+    """Return values that each member computes on its own and all must agree on, such as digests."""
     table = MemberTable(Random(1))
     for update in UPDATES:
         table.apply(update, 0.0)
-    vector = {member: Position(first_term(member, CONTROL), 10 + at) for at, member in enumerate(CONTROL)}
+    vector = {
+        member: Position(first_term(member, CONTROL), 10 + index) for index, member in enumerate(CONTROL)
+    }
     return {
         "buckets": [bucket_of(update.address) for update in UPDATES],
         "marks": [digest_of(update) for update in UPDATES],
-        "digests": [[at, digest] for at, digest in enumerate(table.digests) if digest],
+        "digests": [[index, digest] for index, digest in enumerate(table.digests) if digest],
         "owners": "".join(partition_of(f"tenant-{number}", CONTROL)[1] for number in range(60)),
         "control digest": control_digest(CONTROL),
         "vector": pack(vector, CONTROL),
@@ -223,4 +225,4 @@
 
 
 def test_members_agree_on_the_recorded_hashes() -> None:
-    assert as_json(agreements()) == load(AGREEMENTS)
+    assert as_json(agreed_values()) == load(AGREEMENTS)
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -1,7 +1,7 @@
-"""Stored data of the recorded build: what it wrote is read, and what is written now is the same.
+"""Stored data of the recorded build can be read, and the program still writes the same.
 
-`record(folder)` writes one of each kind of stored data with a clock of its own. The recorded copies are
-opened, read, changed, and compared with what the program writes when it makes the same changes.
+`record(folder)` writes one store of each kind with a virtual clock. The recorded stores are opened, read and
+changed, and their contents are compared with those that the program writes now.
 """
 
 import json
@@ -55,7 +55,7 @@
 
 
 class Clock:
-    """Milliseconds that go on by one with each look."""
+    """A virtual clock that advances by one millisecond at each call."""
 
     def __init__(self) -> None:
         self.now_ms = START_MS
@@ -65,49 +65,49 @@
         return self.now_ms
 
 
-# Writing, each kind in a folder of its own
+# Writing: each kind of store has its own folder
 
 
 def write_tenants(folder: Path) -> None:
-    """Write a snapshot and a journal after it."""
-    disk = LockedDirectory(folder)
-    made = TenantStore(disk, Clock())
-    made.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic"), idempotency_key="key-1")
-    made.change(ChangeKind.PUT, "ward", "token 2", tenant("ward", prefix="/ward"))
-    made.change(ChangeKind.SET_STATE, "ward", "operator", state="suspended")
-    assert made.journal is not None
-    assert made.journal.compact()
-    made.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic", prefix="/new"))
-    made.change(ChangeKind.PUT, "gone", "operator", tenant("gone"))
-    made.change(ChangeKind.REMOVE, "gone", "operator")
-    disk.close()
+    """Write a snapshot of tenants, and a journal with later changes."""
+    directory = LockedDirectory(folder)
+    store = TenantStore(directory, Clock())
+    store.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic"), idempotency_key="key-1")
+    store.change(ChangeKind.PUT, "ward", "token 2", tenant("ward", prefix="/ward"))
+    store.change(ChangeKind.SET_STATE, "ward", "operator", state="suspended")
+    assert store.journal is not None
+    assert store.journal.compact()
+    store.change(ChangeKind.PUT, "clinic", "operator", tenant("clinic", prefix="/new"))
+    store.change(ChangeKind.PUT, "gone", "operator", tenant("gone"))
+    store.change(ChangeKind.REMOVE, "gone", "operator")
+    directory.close()
 
 
 def write_keys(folder: Path) -> None:
-    """Write a key log with keys that are live, over, and taken back."""
-    disk = LockedDirectory(folder)
-    log = KeyLog(disk, lambda: START_US)
+    """Write a key log with keys that are live, expired and forgotten."""
+    directory = LockedDirectory(folder)
+    log = KeyLog(directory, lambda: START_US)
     done: list[bool] = []
     log.start()
     for number, key in enumerate((RUNNING, ENDED, FAILED)):
         log.persist(key, START_US + (number + 1) * WINDOW_US, bytes([number] * 8), done.append)
-        assert wait_until(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # one frame each
+        assert wait_until(lambda number=number: len(done) == number + 1)  # type: ignore[misc]  # so each key has its own frame
     log.forget(FAILED)
     log.persist(IdempotencyKey("x", 0, "last"), START_US + WINDOW_US, b"last", done.append)
     assert wait_until(lambda: len(done) == 4)
     assert all(done)
     log.close()
-    disk.close()
+    directory.close()
 
 
-def write_claims(folder: Path) -> None:
-    """Write claims of keys whose runs go on, ended well, and failed."""
+def write_key_locks(folder: Path) -> None:
+    """Write the lock files of keys whose runs are running, succeeded and failed."""
     folder.mkdir()
-    claims = KeyLockFiles(folder, "node 3", lambda: START_US)
+    key_locks = KeyLockFiles(folder, "node 3", lambda: START_US)
     done: list[bool] = []
-    claims.start()
+    key_locks.start()
     for key in (RUNNING, ENDED, FAILED):
-        claims.acquire(
+        key_locks.acquire(
             KeyLockRequest(
                 key,
                 START_US,
@@ -118,19 +118,22 @@
                 lambda result: None,
             )
         )
-    claims.complete(ENDED, Result(b"body \xff", 201, (("content-type", "text/plain"),)))
-    claims.complete(FAILED, None)
-    claims.release(IdempotencyKey("never", 0, "there"))
-    kept = folder / "node_3.keys"
-    assert wait_until(lambda: sorted(state for state, _ in claims_in(kept)) == ["failed", "ok", "runs"])
-    claims.close()
+    key_locks.complete(ENDED, Result(b"body \xff", 201, (("content-type", "text/plain"),)))
+    key_locks.complete(FAILED, None)
+    key_locks.release(IdempotencyKey("never", 0, "there"))
+    lock_folder = folder / "node_3.keys"
+    assert wait_until(
+        lambda: sorted(state for state, _ in key_locks_in(lock_folder)) == ["failed", "ok", "runs"]
+    )
+    key_locks.close()
 
 
-def claims_in(folder: Path) -> list[tuple[str, dict[str, Any]]]:
-    found = [
+def key_locks_in(folder: Path) -> list[tuple[str, dict[str, Any]]]:
+    """Return state and contents of each lock file."""
+    contents = [
         json.loads(path.read_text()) for path in folder.iterdir() if path.name != "lock" and not path.suffix
     ]
-    return [(claim["state"], claim) for claim in found]
+    return [(key_lock["state"], key_lock) for key_lock in contents]
 
 
 def replica_entries() -> list[LogEntry]:
@@ -162,12 +165,12 @@
 
 
 def write_replica(folder: Path) -> None:
-    """Write a replica with rows, a tombstone, a row that can't be served, one kept aside, and a trail."""
+    """Write a replica with rows, a tombstone, an unreadable row, a divergent row and an audit trail."""
     folder.mkdir()
-    copy = open_replica(folder / "tenants.db")
-    first = PartitionState(first_term("c1", CONTROL), index=4, covered=4, goal=4)
-    copy.apply("c1", replica_entries(), first, durable=True)
-    other = PartitionState(
+    replica = open_replica(folder / "tenants.db")
+    first_state = PartitionState(first_term("c1", CONTROL), index=4, covered=4, goal=4)
+    replica.apply("c1", replica_entries(), first_state, durable=True)
+    other_state = PartitionState(
         first_term("c2", CONTROL),
         index=9,
         bases=((9, 2),),
@@ -180,55 +183,61 @@
     divergent = LogEntry(
         11, "divergent", START_MS, "c2", "active", msgspec.json.encode(tenant("divergent")), "", 9
     )
-    copy.apply("c2", [divergent], replace(other, index=11))
-    copy.set_aside_divergent("c2", 9, other)
-    copy.close()
+    replica.apply("c2", [divergent], replace(other_state, index=11))
+    replica.set_aside_divergent("c2", 9, other_state)
+    replica.close()
 
 
-WRITERS = {"tenants": write_tenants, "keys": write_keys, "claims": write_claims, "replica": write_replica}
+WRITERS = {"tenants": write_tenants, "keys": write_keys, "claims": write_key_locks, "replica": write_replica}
 
 
 # Reading
 
 
 def frames(folder: Path) -> dict[str, Any]:
-    """Return the payloads of all journals and snapshots of a folder."""
-    found = {}
+    """Return the frames, number and payload, of all journals and snapshots in a folder."""
+    frames_by_file = {}
     for path in sorted(folder.iterdir()):
         data = path.read_bytes()
         assert data.startswith(MAGIC)
-        found[path.name] = [[frame.number, frame.payload.decode()] for frame in scan_frames(data).frames]
-    return found
+        frames_by_file[path.name] = [
+            [frame.number, frame.payload.decode()] for frame in scan_frames(data).frames
+        ]
+    return frames_by_file
 
 
 def tables(path: Path) -> Any:
-    """Return schema and rows of a replica's file."""
-    with closing(sqlite3.connect(path)) as conn:
-        schema = conn.execute(
+    """Return schema, identifying pragmas and rows of a replica's file."""
+    with closing(sqlite3.connect(path)) as connection:
+        schema = connection.execute(
             "SELECT name, sql FROM sqlite_master WHERE sql NOT NULL ORDER BY name"
         ).fetchall()
-        names = [
+        table_names = [
             name
-            for (name,) in conn.execute("SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY name")
+            for (name,) in connection.execute(
+                "SELECT name FROM sqlite_master WHERE type = 'table' ORDER BY name"
+            )
+        ]
+        pragmas = [
+            connection.execute(f"PRAGMA {name}").fetchone()[0] for name in ("application_id", "user_version")
         ]
-        marks = [conn.execute(f"PRAGMA {name}").fetchone()[0] for name in ("application_id", "user_version")]
         return as_json(
             {
                 "schema": schema,
-                "marks": marks,
+                "marks": pragmas,
                 "rows": {
                     name: [
                         [value.decode() if isinstance(value, bytes) else value for value in row]
-                        for row in conn.execute(f"SELECT * FROM {name} ORDER BY 1, 2")
+                        for row in connection.execute(f"SELECT * FROM {name} ORDER BY 1, 2")
                     ]
-                    for name in names
+                    for name in table_names
                 },
             }
         )
 
 
-def written_by(folder: Path) -> Any:
-    """Return what each kind of stored data consists of, beside a folder that `record` filled."""
+def stored_contents(folder: Path) -> Any:
+    """Return the contents of each store in a folder that was written by `record`."""
     return as_json(
         {
             "tenants": frames(folder / "tenants"),
@@ -242,7 +251,7 @@
 
 
 def record(folder: Path) -> None:
-    """Write one of each kind of stored data."""
+    """Write one store of each kind."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, writer in WRITERS.items():
         writer(folder / name)
@@ -250,23 +259,24 @@
 
 @pytest.fixture
 def recorded(tmp_path: Path) -> Iterator[Path]:
-    """Return a copy of the recorded folders, which a test may change."""
+    """Return a copy of the recorded stores, which a test may change."""
     shutil.copytree(path_of(FOLDER), tmp_path / "recorded")
     return tmp_path / "recorded"  # type: ignore[return-value]
 
 
-def test_what_is_written_now_is_what_was_recorded(tmp_path: Path) -> None:
+def test_stores_are_written_as_recorded(tmp_path: Path) -> None:
     record(tmp_path / "now")
-    assert written_by(tmp_path / "now") == load(GOLDEN)
+    assert stored_contents(tmp_path / "now") == load(GOLDEN)
 
 
 def test_recorded_tenants_are_read_and_changed(recorded: Path) -> None:
-    disk = LockedDirectory(recorded / "tenants")
-    kept = TenantStore(disk, Clock())
+    directory = LockedDirectory(recorded / "tenants")
+    store = TenantStore(directory, Clock())
     assert {
-        name: (one.state, one.version, one.tenant["prefix"]) for name, one in kept.state.tenants.items()
+        name: (entry.state, entry.version, entry.tenant["prefix"])
+        for name, entry in store.state.tenants.items()
     } == {"clinic": ("active", "4", "/new"), "ward": ("suspended", "3", "/ward")}
-    assert [(one.number, one.kind, one.name, one.actor) for one in kept.audit(0, 100)] == [
+    assert [(entry.number, entry.kind, entry.name, entry.actor) for entry in store.audit(0, 100)] == [
         (1, "put", "clinic", "operator"),
         (2, "put", "ward", "token 2"),
         (3, "state", "ward", "operator"),
@@ -274,19 +284,19 @@
         (5, "put", "gone", "operator"),
         (6, "remove", "gone", "operator"),
     ]
-    assert kept.created_by("key-1") == "clinic"
-    assert not kept.is_new
-    kept.change(ChangeKind.SET_STATE, "ward", "operator", state="active")
-    disk.close()
+    assert store.created_by("key-1") == "clinic"
+    assert not store.is_new
+    store.change(ChangeKind.SET_STATE, "ward", "operator", state="active")
+    directory.close()
     assert frames(recorded / "tenants")["journal-3"][-1] == [
         7,
         f'{{"op":"state","name":"ward","who":"operator","at_ms":{START_MS + 1}}}',
     ]
 
 
-def taken_over(folder: Path, old: Path) -> Any:
-    """Take an old state file over; return the snapshot that is written of it, without its times."""
-    tenant_store.open_store(folder, old, (), ("day-view",), frozenset({"w"}))
+def migrate_old_file(folder: Path, old_file: Path) -> Any:
+    """Import an old state file into a new store; return the snapshot that is written, without its times."""
+    tenant_store.open_store(folder, old_file, (), ("day-view",), frozenset({"w"}))
     snapshot = json.loads(frames(folder)["snapshot-2"][0][1])
     for entry in snapshot["audit"]:
         assert entry.pop("at_ms") > START_MS
@@ -294,56 +304,62 @@
     return snapshot
 
 
-def test_the_old_state_file_is_taken_over(recorded: Path) -> None:
-    old = recorded / "state.json"
-    assert taken_over(recorded / "new", old) == load(FROM_OLD_FILE)
-    assert not old.exists()
-    assert old.with_name("state.json.migrated").exists()
+def test_old_state_file_is_migrated(recorded: Path) -> None:
+    old_file = recorded / "state.json"
+    assert migrate_old_file(recorded / "new", old_file) == load(FROM_OLD_FILE)
+    assert not old_file.exists()
+    assert old_file.with_name("state.json.migrated").exists()
 
 
 def test_recorded_keys_are_live_until_their_windows_are_over(recorded: Path) -> None:
-    disk = LockedDirectory(recorded / "keys")
-    log = KeyLog(disk, lambda: START_US)
-    assert {(line.idempotency_key, line.expires_us, line.body_digest) for line in log.unexpired()} == {
+    directory = LockedDirectory(recorded / "keys")
+    log = KeyLog(directory, lambda: START_US)
+    assert {(entry.idempotency_key, entry.expires_us, entry.body_digest) for entry in log.unexpired()} == {
         (RUNNING, START_US + WINDOW_US, "00" * 8),
         (ENDED, START_US + 2 * WINDOW_US, "01" * 8),
         (("x", 0, "last"), START_US + WINDOW_US, b"last".hex()),
     }
-    disk.close()
-    disk = LockedDirectory(recorded / "keys")
-    assert [line.idempotency_key for line in KeyLog(disk, lambda: START_US + WINDOW_US).unexpired()] == [
-        ENDED
-    ]
-    disk.close()
-
-
-def test_recorded_claims_keep_another_process_from_running_their_keys(recorded: Path) -> None:
-    claims = KeyLockFiles(recorded / "claims", "node 3", lambda: START_US + 1)
-    told: dict[str, list[Any]] = {"running": [], "ended": [], "failed": []}
-    claims.start()
+    directory.close()
+    directory = LockedDirectory(recorded / "keys")
+    assert [
+        entry.idempotency_key for entry in KeyLog(directory, lambda: START_US + WINDOW_US).unexpired()
+    ] == [ENDED]
+    directory.close()
+
+
+def test_recorded_key_locks_keep_another_process_from_running_their_keys(recorded: Path) -> None:
+    key_locks = KeyLockFiles(recorded / "claims", "node 3", lambda: START_US + 1)
+    results: dict[str, list[Any]] = {"running": [], "ended": [], "failed": []}
+    key_locks.start()
     for key in (RUNNING, ENDED, FAILED):
-        heard = told[key[2]]
-        claims.acquire(
+        key_results = results[key[2]]
+        key_locks.acquire(
             KeyLockRequest(
-                key, START_US, START_US + WINDOW_US, START_US + 10, "0a0b", heard.append, heard.append
+                key,
+                START_US,
+                START_US + WINDOW_US,
+                START_US + 10,
+                "0a0b",
+                key_results.append,
+                key_results.append,
             )
         )
-    assert wait_until(lambda: told["ended"] and told["failed"])
-    assert told == {
+    assert wait_until(lambda: results["ended"] and results["failed"])
+    assert results == {
         "running": [],
         "failed": [None],
         "ended": [Result(b"body \xff", 201, (("content-type", "text/plain"),))],
     }
-    claims.close()
+    key_locks.close()
 
 
 def test_processes_of_a_node_find_each_other_by_the_recorded_names(tmp_path: Path) -> None:
-    """The file name orders processes by their start, and its first bytes say that one serves."""
+    """The file name orders processes by their start; the contents `ready` say that the process serves."""
     registry = ProcessRegistry(tmp_path, "node 3")
     registry.mark_ready()
-    (made,) = tmp_path.iterdir()
-    stem, start, process, suffix = made.name.split(".")
-    assert (stem, suffix, made.read_bytes()) == ("node_3", "life", b"ready")
+    (process_file,) = tmp_path.iterdir()
+    stem, start, process, suffix = process_file.name.split(".")
+    assert (stem, suffix, process_file.read_bytes()) == ("node_3", "life", b"ready")
     assert len(start) == 20
     assert start.isdigit()
     assert process.isdigit()
@@ -352,40 +368,40 @@
 
 def test_a_recorded_replica_is_read_and_changed(recorded: Path) -> None:
     path = recorded / "replica" / "tenants.db"
-    copy = open_replica(path)
-    states = copy.states()
+    replica = open_replica(path)
+    states = replica.states()
     assert states == {
         "c1": PartitionState(8, index=4, covered=4, goal=4),
         "c2": PartitionState(
             9, index=9, bases=((9, 2),), horizon=1, covered=9, goal=12, generation=3, restored=True
         ),
     }
-    assert [(row.name, row.state, row.index, row.partition, row.unreadable) for row in copy.page()] == [
+    assert [(row.name, row.state, row.index, row.partition, row.unreadable) for row in replica.page()] == [
         ("clinic", "active", 1, "c1", ""),
         ("divergent", "active", 0, "c2", ""),
         ("odd", "active", 4, "c1", "no backend"),
         ("ward", "suspended", 2, "c1", ""),
     ]
-    assert [(one.name, one.who, one.index, one.after_state) for one in copy.audit()] == [
+    assert [(entry.name, entry.who, entry.index, entry.after_state) for entry in replica.audit()] == [
         ("clinic", "operator", 1, "active"),
         ("ward", "c2", 2, "suspended"),
         ("gone", "operator", 3, ""),
         ("odd", "operator", 4, "active"),
         ("divergent", "c2", 11, "active"),
     ]
-    assert [(one["name"], one["revision"]) for one in copy.divergent_rows()] == [("divergent", 11)]
-    assert (copy.key("key-1"), copy.key("key-2"), copy.count(), copy.guaranteed()) == (
+    assert [(entry["name"], entry["revision"]) for entry in replica.divergent_rows()] == [("divergent", 11)]
+    assert (replica.key("key-1"), replica.key("key-2"), replica.count(), replica.guaranteed()) == (
         "clinic",
         "gone",
         4,
         0.75,
     )
-    found = copy.match("ward.example", "/w/x")
+    found = replica.match("ward.example", "/w/x")
     assert found is not None
     assert found.name == "ward"
     changed = LogEntry(5, "ward", START_MS, "operator", "active", b"{}", "", 8)
-    copy.apply("c1", [changed], replace(states["c1"], index=5, covered=5, goal=5), durable=True)
-    copy.close()
+    replica.apply("c1", [changed], replace(states["c1"], index=5, covered=5, goal=5), durable=True)
+    replica.close()
     rows = tables(path)["rows"]
     assert [row[1:5] + row[6:8] for row in rows["rows"] if row[1] == "ward"] == [
         ["ward", 0, 5, 8, "active", "{}"]
