--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,17 +1,17 @@
-"""The node on real sockets among stand-ins, told in the scenario language (see scenario.py)."""
+"""Scenarios of a node among stand-ins on real sockets, in the scenario language of scenario.py."""
 
 import pytest
 import scenario
 
 SCENARIOS = {
     # The platform's protocol
-    "a request is run and its result handed back unchanged": """
+    "a request is run and its result returned unchanged": """
         c1 send 7 slot-search body=hello
         runtime expect start * slot-search hello as X
         runtime send end $X ok the-result
         c1 expect 7 ok the-result
         node expect count answers.served 1""",
-    "answers may come back in any order": """
+    "answers are sent in the order in which runs end": """
         c1 send 1 slot-search body=a
         runtime expect start * slot-search a as A
         c1 send 2 slot-search body=b
@@ -20,27 +20,27 @@
         c1 expect 2 ok rb
         runtime send end $A ok ra
         c1 expect 1 ok ra""",
-    "a run that fails is an error and no refusal": """
+    "a failed run is answered by Error, not by Full": """
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send end $X failed
         c1 expect 1 Error""",
-    "a command not carried out proves that nothing ran": """
+    "a start that the runtime did not carry out is answered by Full": """
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send nack $X start
         c1 expect 1 Full""",
-    "a request past its time is turned away unrun": """
+    "a request past its deadline is rejected and not run": """
         c1 send 1 day-view age=2000
         c1 expect 1 Full
         runtime expect nothing""",
-    "a run that does not end is failed before the due time, without gauges too": """
+    "a run that does not end is failed before its due time, also without gauges": """
         runtime send gauges off
         c1 send 1 day-view
         runtime expect start *
         c1 expect 1 Error
         node expect count answers.by_guard 0""",
-    "overload: what can't be started in time is refused with a time to stay away": """
+    "overload: a request that can't be started in time is rejected with a retry delay": """
         with busy=1
         c1 send 1 slot-search
         runtime expect start * as X
@@ -57,7 +57,7 @@
         runtime expect sync 0
         c1 send 1 health
         c1 expect 1 ok True""",
-    "an idle connection hears lastCall, one with an open request does not": """
+    "an idle connection receives lastCall, one with an open request does not": """
         c1 send 1 slot-search
         c2 send 1 health
         c2 expect 1 ok True
@@ -69,7 +69,7 @@
         c1 expect 1 ok r
         c1 expect lastCall
         c1 expect closed""",
-    "a caller that closes after sending harms nobody": """
+    "a caller that closes after sending does not affect other callers": """
         c1 send 1 slot-search
         runtime expect start * as X
         c1 close
@@ -79,17 +79,17 @@
         runtime send end $Y ok r
         c2 expect 1 ok r""",
     # Bad input
-    "a malformed frame closes that connection only": """
+    "a malformed frame closes only its own connection": """
         c1 send raw c1
         c1 expect closed
         node expect count platform.malformed 1
         c2 send 1 health
         c2 expect 1 ok True""",
-    "an oversized length is refused from its header": """
+    "a body that is too long is refused as soon as its length is read": """
         c1 send raw 94000aa3616263dbffffffff
         c1 expect closed
         node expect count platform.malformed 1""",
-    "an unknown class, a bad field and a long body get an error answer": """
+    "an unknown class, an invalid field and a long body are answered by Bad": """
         c1 send 1 no-such-class
         c1 expect 1 Bad
         c1 send 2 slot-search cpu=much
@@ -105,26 +105,26 @@
         runtime expect start * as X
         runtime send end $X ok 4096*y
         c1 expect 5 ok""",
-    "two requests under one id can't be told apart, so the second fails": """
+    "a second request with a run id that is in use fails": """
         c1 send 1 slot-search txn=aa
         runtime expect start aa
         c1 send 2 slot-search txn=aa
         c1 expect 2 Error
         runtime send end aa ok r
         c1 expect 1 ok r""",
-    "message ids that are no numbers or negative close the connection": """
+    "message ids that are negative or no numbers close the connection": """
         c1 send raw 9400c3a66865616c74689180
         c1 expect closed
         c2 send raw 9400ffa66865616c74689180
         c2 expect closed
         node expect count platform.malformed 2""",
-    "a door far from the clock is an error": """
+    "an arrival time far from the node's clock is an error": """
         c1 send 1 slot-search age=-3600000
         c1 expect 1 Bad why=door
         c1 send 2 book-visit key=K age=3600000
         c1 expect 2 Bad why=door
         runtime expect nothing""",
-    "of a connection that sends nothing but bad requests nothing more is run": """
+    "after too many invalid requests on a connection no request of it is run": """
         c1 send 1 slot-search
         runtime expect start * as X
         """
@@ -141,12 +141,12 @@
         runtime send end $X ok r
         c1 expect 1 ok r
         c1 expect closed""",
-    "callers are numbered without end": """
+    "caller numbers have no upper limit": """
         c1 send 1 slot-search lb=70001
         runtime expect start * as X
         runtime send end $X ok r
         c1 expect 1 ok r""",
-    "more open requests than the protocol allows are turned away at once": "with busy=1"
+    "too many open requests on a connection are errors, and close it": "with busy=1"
     + "".join(
         f"""
         c1 send {number} slot-search"""
@@ -154,7 +154,7 @@
     )
     + """
         node expect count platform.closed_bad 1""",
-    "a connection that says nothing, or half a request, is closed within three seconds": """
+    "a connection that sends nothing, or half a request, is closed within three seconds": """
         c1 send raw 94
         c2 send raw
         wait 2.6
@@ -162,7 +162,7 @@
         c1 expect closed
         c2 expect lastCall
         c2 expect closed""",
-    "half a request closes its connection after what is open there": """
+    "half a request closes its connection after the open requests of it are answered": """
         c1 send 1 slot-search
         runtime expect start * as X
         c1 send raw 94
@@ -171,8 +171,8 @@
         c1 expect 1 ok r
         c1 expect closed
         node expect count platform.closed_partial 1""",
-    "at the limit the connection that is idle for longest makes room, and those in use stay": """
-        with sockets=270             # less what is kept, and half of it for AJP: 40
+    "at the limit the connection that is idle longest is closed for a new one, and those in use stay": """
+        with sockets=270             # 40 for callers, after the reserve and the half for AJP
         c50 send 1 slot-search
         runtime expect start * as X
         """
@@ -192,8 +192,8 @@
         c1 expect closed
         runtime send end $X ok r
         c50 expect 1 ok r""",
-    # Keys
-    "a known key with another body is an error, and served neither what is kept nor run": """
+    # Idempotency keys
+    "a known key with another body is an error: it is neither run nor served the stored result": """
         c1 send 1 book-visit key=K body=mine
         runtime expect start * book-visit mine as X
         c2 send 1 book-visit key=K body=other
@@ -207,7 +207,7 @@
         c3 send 1 book-visit key=K body=mine
         c3 expect 1 ok slot-9
         node expect count requests.key_taken 3""",
-    "a repeat waits for the run and is served its result": """
+    "a retry waits for the run and is served its result": """
         c1 send 1 book-visit key=K body=b
         runtime expect start * book-visit b as X
         c2 send 1 book-visit key=K body=b
@@ -219,7 +219,7 @@
         c3 expect 1 ok slot-9
         runtime expect nothing
         node expect count runs.started 1""",
-    "tries read together run once": """
+    "attempts that are read together are run once": """
         c1 send 1 book-visit key=K
         c1 send 2 book-visit key=K
         c1 send 3 book-visit key=K
@@ -229,7 +229,7 @@
         c1 expect 1 ok r
         c1 expect 2 ok r
         c1 expect 3 ok r""",
-    "a run that failed is not run again for a repeat, nor is the repeat turned away": """
+    "a retry of a failed run fails: it is neither run nor rejected": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send end $X failed
@@ -237,7 +237,7 @@
         c1 send 2 book-visit key=K
         c1 expect 2 Error
         runtime expect nothing""",
-    "a result is kept for repeats though its first caller has gone": """
+    "a result is stored for retries even if the first caller has closed": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         c1 close
@@ -245,15 +245,15 @@
         node expect count runs.ok 1
         c2 send 1 book-visit key=K
         c2 expect 1 ok r""",
-    "a try that never ran leaves its key free": """
+    "an attempt that never ran does not occupy its key": """
         c1 send 1 book-visit key=K age=9000
         c1 expect 1 Full
         c1 send 2 book-visit key=K
         runtime expect start * as X
         runtime send end $X ok r
         c1 expect 2 ok r""",
-    # The runtime's link
-    "after a broken link: sync with the last serial, lost commands again, replays ignored": """
+    # The link to the runtime
+    "after a broken link: sync with the last serial, lost commands are resent, replayed notices ignored": """
         runtime send gauges off
         c1 send 1 slot-search body=a
         runtime expect start * as X
@@ -269,7 +269,7 @@
         runtime expect closed
         runtime expect sync 1
         runtime expect nothing""",
-    "ready may come late: no command goes out before": """
+    "no command is sent before the runtime is ready": """
         runtime send ready off
         runtime close
         runtime expect closed
@@ -280,7 +280,7 @@
         runtime expect start * as X
         runtime send end $X ok r
         c1 expect 1 ok r""",
-    "a runtime that has started anew has lost its runs": """
+    "a runtime that has restarted has lost its runs": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         wait 0.1
@@ -288,13 +288,13 @@
         c1 expect 1 Error
         c1 send 2 book-visit key=K
         c1 expect 2 Error""",
-    "what is no notice closes the link, and it is opened again": """
+    "a malformed notice closes the link, which is opened again": """
         runtime send raw nonsense
         runtime expect closed
         runtime expect sync 0
         node expect count runtime.malformed 1""",
-    # The vault
-    "a call is made and its reply handed over": """
+    # The vault, the downstream service
+    "a call is made and its reply is delivered to the run": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X ask-this
@@ -303,7 +303,7 @@
         runtime expect give $X the-reply
         runtime send end $X ok r
         c1 expect 1 ok r""",
-    "a call that was turned away is made again where it can't be skipped": """
+    "a rejected call is repeated if the class can't skip it": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X q
@@ -312,7 +312,7 @@
         vault expect ask $X q
         vault send $X yes a
         runtime expect give $X a""",
-    "a connection that breaks under a call proves nothing: it is not made again": """
+    "a call whose connection breaks may have run, so it is not repeated": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X q
@@ -321,7 +321,7 @@
         vault expect closed
         c1 expect 1 Error
         vault expect nothing""",
-    "a call that failed is left out where the class allows": """
+    "a failed call is skipped if the class allows it": """
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send wants $X q
@@ -330,14 +330,14 @@
         runtime expect omit $X
         runtime send end $X ok poorer
         c1 expect 1 ok poorer""",
-    "a vault that refuses connections is unreachable: left out where allowed": """
+    "a call to an unreachable vault is skipped if the class allows it": """
         vault close listener
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send wants $X q
         runtime expect omit $X
         node expect count calls.unreachable 1""",
-    "a malformed reply closes the connection, the next call opens another": """
+    "a malformed reply closes its connection, and the next call opens another": """
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send wants $X q
@@ -347,7 +347,7 @@
         runtime expect omit $X
         runtime send wants $X q2
         vault expect ask $X q2""",
-    "a spoilt reply costs its own call, not those that are out beside it": """
+    "a malformed reply fails its own call, not the others in progress": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X q
@@ -355,13 +355,13 @@
         c1 send 2 book-visit key=L
         runtime expect start * as Y
         runtime send wants $Y p
-        vault expect ask $Y p        # on the newest connection, the one that the stand-in writes to
+        vault expect ask $Y p        # on the newest connection, which the stand-in writes to
         vault send $Y yes
         vault expect closed
         c1 expect 2 Error
         c1 expect nothing
         node expect count calls.cut_off 1""",
-    "replies that nobody asked for, or that come twice, are passed over": """
+    "unsolicited and duplicate replies are ignored": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X q
@@ -371,14 +371,14 @@
         vault send $X yes first
         runtime expect give $X first
         runtime send wants $X q2
-        vault expect ask $X q2       # on a new connection: the copy could pass for its reply
+        vault expect ask $X q2       # on a new connection: the duplicate could pass for its reply
         vault send $X yes second
         runtime expect give $X second
         runtime send end $X ok r
         c1 expect 1 ok r
         node expect count vault.stray_reply 2
         node expect count vault.connected 2""",
-    "the end of a run gives its call up": """
+    "the end of a run cancels its call": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         runtime send wants $X q
@@ -386,15 +386,15 @@
         runtime send end $X failed
         vault expect unask $X
         c1 expect 1 Error""",
-    # The second address
-    "a node that operators send callers away from says so and serves whatever still comes": """
+    # The second address, for operators
+    "a node that operators divert callers from reports it, and serves the requests that still arrive": """
         desk send POST /healthcheck/fail
         desk expect 200 away=True
         c1 send 1 health
         c1 expect 1 ok False
         desk send GET /healthcheck
         desk expect 503
-        c2 send 1 slot-search body=b    # whatever still comes is answered as usual
+        c2 send 1 slot-search body=b    # is still served
         runtime expect start * slot-search b as X
         runtime send end $X ok r
         c2 expect 1 ok r
@@ -405,7 +405,7 @@
         c1 expect 2 ok True
         desk send GET /healthcheck
         desk expect 200 ready=True""",
-    "the figures say what became of each request, by class": """
+    "the statistics count the outcomes of requests by class": """
         c1 send 1 slot-search body=a
         runtime expect start * slot-search a as X
         c1 send 2 day-view body=b
@@ -423,7 +423,7 @@
         node send reload 2
         desk send GET /stats
         desk expect 200 * * * sighup_applied=1""",
-    "operators who connect and say nothing hold up no other, and wrong calls are told so": """
+    "silent connections of operators do not block others, and invalid requests get an error status": """
 """
     + "".join(
         f"""
@@ -440,7 +440,7 @@
         desk send raw 0d0a0d0a
         desk expect 400""",
     # Upgrades
-    "an old process hands over, and a key that it runs is not run by the new one": """
+    "an old process hands over, and a key that it runs is not run by the new process": """
         c1 send 1 book-visit key=K body=a
         runtime expect start * book-visit a as X
         node send start
@@ -448,10 +448,10 @@
         desk expect ready
         node send term
         c1 expect lastCall
-        c1 send 2 health    # the node as such stays good
+        c1 send 2 health    # the new process keeps the node healthy
         c1 expect 2 ok True
         c2 send 1 book-visit key=K body=a
-        c3 send 1 book-visit key=K body=b    # another body: whoever sends it is not served what was kept
+        c3 send 1 book-visit key=K body=b    # another body: the stored result is not served
         c3 expect 1 Error
         runtime2 expect nothing
         runtime send end $X ok r
@@ -466,7 +466,7 @@
         c4 expect 2 ok s
         node2 send term
         node2 expect left""",
-    "a key whose run failed in the old process fails in the new one, one that never ran is run there": """
+    "a key whose run failed in the old process fails in the new one, a key that never ran is run there": """
         c1 send 1 book-visit key=K body=a
         runtime expect start * book-visit a as X
         c1 send 2 book-visit key=L body=b
@@ -486,16 +486,16 @@
         runtime2 expect start * book-visit b as Z
         runtime2 send end $Z ok r
         c3 expect 1 ok r""",
-    "without another process a signal is a notice to drain": """
+    "without a second process a signal starts a drain": """
         c1 send 1 health
         c1 expect 1 ok True
         node send term
-        c1 expect lastCall    # after the grace, when the owner has long heard of it
+        c1 expect lastCall    # after the grace period, when the event loop knows of the drain
         c1 send 2 health
         c1 expect 2 ok False
         node expect left""",
-    # The catalog
-    "reports go on through an outage of the catalog": """
+    # The catalog, the service registry
+    "reports to the catalog continue after an outage": """
         catalog expect PUT /catalog/register/n3 passing
         catalog send answer 500
         catalog expect PUT
@@ -503,17 +503,17 @@
         catalog send answer 204
         catalog expect closed
         catalog expect PUT /catalog/register/n3 passing""",
-    "a catalog that says when to come back is left alone until then": """
+    "a catalog that answers with Retry-After gets no report until then": """
         catalog expect PUT
         catalog send answer 503 retry-after=3
         catalog expect PUT
         catalog expect closed
         catalog send answer 204
         wait 1
-        catalog expect nothing    # without the advice it would be asked again after 0.4 s at most
+        catalog expect nothing    # without Retry-After the node would report again after 0.4 s at most
         catalog expect PUT""",
-    # New configurations
-    "after a reload runs and numbers go on over the new link, calls go to the new vault": """
+    # Reloads
+    "after a reload runs and serials continue over the new link, and calls go to the new vault": """
         catalog expect PUT
         c1 send 1 book-visit key=K body=a
         runtime expect start * book-visit a as X
@@ -522,7 +522,7 @@
         node send reload 2
         runtime expect closed
         runtime2 expect sync 1
-        vault send $X yes late       # a call that was out ends on its old connection
+        vault send $X yes late       # a call in progress ends on its old connection
         runtime2 expect give $X late
         c1 send 2 book-visit key=L body=b
         runtime2 expect start * book-visit b as Y
@@ -534,7 +534,7 @@
         c1 expect 1 ok r
         catalog2 expect PUT /catalog/register/n3 passing
         catalog expect closed""",
-    "new settings add a class and drop another, and what is open keeps its own": """
+    "new settings add a class and drop another, and open requests keep their class": """
         c1 send 1 day-view body=a
         runtime expect start * day-view a as X
         c1 send 2 late-view
@@ -545,7 +545,7 @@
         runtime expect start * late-view b as Y
         runtime send end $Y ok r
         c1 expect 3 ok r
-        c1 send 4 day-view body=c    # callers hear of it late
+        c1 send 4 day-view body=c    # a dropped class is still accepted, since callers learn of it late
         runtime expect start * day-view c as Z
         runtime send end $Z ok r
         c1 expect 4 ok r
@@ -553,7 +553,7 @@
         c1 expect 1 ok r
         desk send GET /stats
         desk expect 200 succeeded.day-view=2 succeeded.late-view=1 forwards=3 sighup_applied=1""",
-    "a key is known though its class has another deadline since": """
+    "a key stays known if its class gets another deadline": """
         c1 send 1 book-visit key=K body=a
         runtime expect start * book-visit a as X
         node send reload 1 deadline=book-visit:9000000
@@ -566,7 +566,7 @@
         c1 send 3 book-visit key=K body=a
         c1 expect 3 ok r
         node expect count runs.started 1""",
-    "a file with a wrong deadline, or without a key that was there, is turned down whole": """
+    "a file with an invalid deadline or a missing key is rejected as a whole": """
         node send reload 2 add=late-view deadline=day-view:0
         node send reload 2 add=late-view deadline=day-view:-5
         node send reload 2 add=late-view deadline=day-view:soon
@@ -578,7 +578,7 @@
         runtime expect nothing
         desk send GET /stats
         desk expect 200 sighup_rejected=5""",
-    "a second reload may lead back": """
+    "a second reload may return to the first addresses": """
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send wants $X q
@@ -594,15 +594,15 @@
         runtime send end $X ok r
         c1 expect 1 ok r
         node expect count reload.done 2""",
-    "an invalid configuration leaves the old one in service": """
+    "an invalid configuration leaves the old one in use": """
         node send reload 2 runtime=nowhere
         node expect count reload.refused 1
         c1 send 1 slot-search
         runtime expect start * as X
         runtime send end $X ok r
         c1 expect 1 ok r""",
-    # Leaving
-    "a drain answers what is read, says lastCall and ends": """
+    # Drain
+    "a drain sends lastCall, answers the requests that were read, and ends": """
         c1 send 1 slot-search
         runtime expect start * as X
         node send term
@@ -615,7 +615,7 @@
         runtime send end $Y ok r
         c1 expect 2 ok r
         node expect left""",
-    "a drain runs nothing that comes after the grace": """
+    "a drain runs no request that arrives after the grace period": """
         c1 send 1 slot-search
         runtime expect start * as X
         node send term
@@ -637,14 +637,14 @@
         c1 expect * Error
         c1 expect * Error
         node expect left""",
-    "a drain whose owner is busy for a second": """
+    "a drain while the event loop is blocked for a second": """
         c1 send 1 slot-search
         runtime expect start * as X
         node send block owner 1.0
         c2 send 1 health
         c2 expect 1 ok True
         node send term
-        wait 0.5  # past the grace; the owner does not know of the drain yet
+        wait 0.5  # past the grace period; the event loop does not know of the drain yet
         c2 send 2 slot-search
         runtime send end $X ok r
         c1 expect lastCall
@@ -652,7 +652,7 @@
         c2 expect lastCall
         c2 expect 2 Full
         node expect left""",
-    "a drain whose owner is busy beyond the stop: the front gives the answers that are owed": """
+    "a drain while the event loop is blocked beyond the stop: the front end sends the missing answers": """
         with stop_ms=1500
         c1 send 1 slot-search
         runtime expect start *
@@ -667,7 +667,7 @@
         c2 expect lastCall
         c2 expect 1 Error
         node expect left late""",
-    "a drain with requests unread in buffers: they are refused, and none runs": """
+    "a drain rejects the requests that are still unread in socket buffers, and runs none of them": """
         with stop_ms=2000
         c1 send 1 health
         c1 expect 1 ok True
@@ -689,7 +689,7 @@
         node expect left
         node expect count drain.refused_at_the_door 4
         runtime expect nothing""",
-    "a second order to drain, and a reload, change nothing about the first": """
+    "a second request to drain, and a reload, do not change a drain": """
         c1 send 1 slot-search
         runtime expect start * as X
         node send term
@@ -702,7 +702,7 @@
         runtime2 send end $X ok r
         c1 expect 1 ok r
         node expect left""",
-    "who sends what can't be read still gets an answer to what is open": """
+    "a caller that sends malformed bytes still gets the answers to its open requests": """
         c1 send 1 slot-search
         runtime expect start *
         c2 send 1 slot-search
@@ -713,7 +713,7 @@
         runtime expect stop *
         runtime send end $Y ok r
         c2 expect 1 ok r""",
-    "an id that is open already ends the connection, after an answer to the first": """
+    "a message id that is in use closes the connection after the answer to the first request": """
         c1 send 1 book-visit key=K
         runtime expect start * as X
         c1 send 1 slot-search
@@ -734,12 +734,12 @@
         w2 expect GET /days/2
         w2 send 404 none
         a1 expect 404 none reuse=1""",
-    "a body of many chunks reaches the worker whole": """
+    "a body of many chunks reaches the worker complete": """
         a1 send POST /visits host=clinic key=K body=20000*x
         w1 expect POST /visits 20000*x
         w1 send 200 30000*y
         a1 expect 200 30000*y""",
-    "a body of unknown length is asked for": """
+    "a body of unknown length is requested from the web server": """
         a1 send POST /days host=clinic chunked
         a1 expect wants body
         a1 send chunk body=abc
@@ -757,7 +757,7 @@
         w2 expect GET /days
         w2 send 200 b
         a1 expect 200 b""",
-    "repeat: one run for two tries over AJP": """
+    "retry: two attempts over AJP share one run": """
         a1 send POST /visits host=clinic key=K body=x
         w1 expect POST /visits x
         a2 send POST /visits host=clinic key=K body=x
@@ -766,7 +766,7 @@
         a1 expect 201 slot-9
         a2 expect 201 slot-9
         node expect count runs.started 1""",
-    "repeat: the platform's try runs, the one over AJP joins it": """
+    "retry: an attempt over AJP joins the run of the platform's attempt": """
         c1 send 1 book-visit key=K body=x
         runtime expect start * book-visit x as X
         a1 send POST /visits key=K body=x
@@ -774,7 +774,7 @@
         runtime send end $X ok slot-9
         c1 expect 1 ok slot-9
         a1 expect 200 slot-9""",
-    "repeat: the try over AJP runs, the platform's is served what it made": """
+    "retry: the platform's attempt is served the result of the attempt over AJP": """
         a1 send POST /visits key=K body=x
         runtime expect start * book-visit x as X
         runtime send end $X ok slot-9
@@ -782,7 +782,7 @@
         c1 send 1 book-visit key=K body=x
         c1 expect 1 ok slot-9
         runtime expect nothing""",
-    "one key of two tenants is two requests": """
+    "the same key of two tenants is two requests": """
         a1 send POST /visits host=clinic key=K body=x
         w1 expect POST /visits x
         a2 send POST /visits host=single key=K body=x
@@ -791,7 +791,7 @@
         w1 expect POST /visits x
         w1 send 200 s
         a2 expect 200 s""",
-    "a tenant past its own bound is refused, the others are not": """
+    "a tenant beyond its own limit is rejected, the others are not": """
         a1 send GET /days host=single
         w1 expect GET /days
         a2 send GET /days host=single
@@ -801,7 +801,7 @@
         node expect count tenant.single.refused 1
         w1 send 200 r
         a2 expect 200 r""",
-    "a worker that breaks may have run it: no failover, and repeats fail too": """
+    "a request whose worker breaks may have run: no failover, and retries fail too": """
         a1 send POST /visits host=clinic key=K body=x
         w1 expect POST /visits x
         w1 close
@@ -810,20 +810,20 @@
         a1 send POST /visits host=clinic key=K body=x
         a1 expect 500 Failed
         w2 expect nothing""",
-    "a worker that can't be reached has run nothing: the next one is tried": """
+    "a worker that can't be reached has run nothing: the next worker is used": """
         w1 close listener
         a1 send GET /days host=clinic
         w2 expect GET /days
         w2 send 200 r
         a1 expect 200 r
         node expect count workers.unreachable 1""",
-    "no worker left: refused, and the key stays free": """
+    "without a reachable worker a request is rejected and its key not occupied": """
         w1 close listener
         a1 send POST /visits host=single key=K body=x
         a1 expect 503 Full reuse=1 retry=1
         node expect count workers.none_left 1
         node expect count runs.moot 1""",
-    "an idle worker connection that was closed is opened again": """
+    "a connection to a worker that was closed while idle is opened again": """
         a1 send GET /days host=single
         w1 expect GET /days
         w1 send 200 r
@@ -834,12 +834,12 @@
         w1 expect GET /days
         w1 send 200 s
         a1 expect 200 s""",
-    "a response past the limit fails": """
+    "a response beyond the limit fails": """
         a1 send GET /days host=single
         w1 expect GET /days
         w1 send 200 70000*y
         a1 expect 500 Failed""",
-    "AJP overload: what can't be started in time is refused with Retry-After": """
+    "AJP overload: a request that can't be started in time is rejected with Retry-After": """
         with busy=1
         a1 send GET /x host=clinic
         w1 expect GET /x
@@ -849,7 +849,7 @@
         a3 expect 503 Full reuse=1 retry=1
         w1 send 200 r
         a1 expect 200 r""",
-    "AJP drain: what is read is answered, then the connection ends": """
+    "AJP drain: requests that were read are answered, then their connection is closed": """
         a1 send POST /visits host=clinic key=K body=x
         w1 expect POST /visits x
         a2 send cping
@@ -867,7 +867,7 @@
         node send term
         a1 expect 500 Failed
         node expect left""",
-    "the secret is asked for": """
+    "a request without the AJP secret is refused": """
         with secret=open-sesame
         a1 send GET /days host=clinic
         a1 expect 403
@@ -886,13 +886,13 @@
         a1 send GET /days host=clinic attribute=javax.servlet.include.path_info
         a1 expect 403
         w1 expect nothing""",
-    "what has no tenant, route or key is answered here": """
+    "a request without tenant, route or key is answered by the node itself": """
         a1 send GET /elsewhere host=single
         a1 expect 404
         a1 send POST /visits host=clinic body=x
         a1 expect 400
         w1 expect nothing""",
-    "a long body is refused, told or not": """
+    "a long body is refused, with and without a content length": """
         with max_body_kb=1
         a1 send POST /days host=clinic body=2000*x
         a1 expect 413
@@ -901,7 +901,7 @@
         a2 expect wants body
         a2 send chunk body=2000*x
         a2 expect 413""",
-    "malformed packets close that connection only": """
+    "malformed packets close only their own connection": """
         a1 send hex 4142000109
         a1 expect closed
         a2 send hex 1234ffff
@@ -912,12 +912,12 @@
         a4 send cping
         a4 expect cpong""",
     # Tenants
-    "a tenant removed while its requests are held, running and joined, and added again within the window": """
+    "a tenant is removed while its requests are held, running and joined, and added again in the window": """
         with busy=1
         a1 send POST /visits host=clinic key=K body=x
         w1 expect POST /visits x
         a2 send POST /visits host=clinic key=K body=x
-        a3 send GET /y host=clinic    # not /days: its second is over before the rest on a busy machine
+        a3 send GET /y host=clinic    # not /days, whose deadline of 1 s may pass on a busy machine
         w2 expect GET /y
         a4 send GET /x host=clinic
         node expect count keys.joined 1
@@ -943,7 +943,7 @@
         a6 expect 200 booked
         node expect count runs.started 2
         node expect count answers.refused 1""",
-    "a tenant with nothing in hand is gone at once, one whose last run ends as soon as that does": """
+    "a tenant without requests is removed at once, another one when its last run ends": """
         a1 send GET /days host=clinic
         w1 expect GET /days
         admin send DELETE /v1/tenants/single
@@ -960,7 +960,7 @@
         a1 expect 200 r
         node expect count tenants.removed 2
         node expect count tenants.ended_in_hand 0""",
-    "a suspended tenant is refused while others are served, and what it has in hand goes on": """
+    "a suspended tenant is rejected while others are served, and its running requests continue": """
         a1 send GET /days host=clinic
         w1 expect GET /days
         admin send POST /v1/tenants/clinic/suspend
@@ -981,7 +981,7 @@
         w2 expect GET /days
         w2 send 200 t
         a2 expect 200 t""",
-    "shares are set through the API, and guarantees never add up to more than there is": """
+    "shares are set through the API, and guarantees can't exceed the whole in total": """
         admin send PUT /v1/tenants/single {"backend":"w1","share":{"weight":2,"guarantee":0.7}}
         admin expect 200
         admin send PUT /v1/tenants/clinic {"backend":"both","share":{"guarantee":0.4}}
@@ -990,7 +990,7 @@
         admin expect 400 share.weight
         admin send PUT /v1/tenants/clinic {"backend":"both","share":{"classes":{"none":1}}}
         admin expect 400 share.classes.none""",
-    "a full table makes room by idle connections of the address that has most": """
+    "a full table of connections closes idle ones of the address that has most": """
         with max_connections=3
         a1 send cping
         a1 expect cpong
@@ -1005,7 +1005,7 @@
         a5 expect closed
         w1 send 200 r
         a3 expect 200 r""",
-    "a tenant's bound on connections holds for it alone": """
+    "a tenant's limit of connections holds for it alone": """
         a1 send GET /days host=narrow
         w1 expect GET /days
         w1 send 200 r
@@ -1018,7 +1018,7 @@
         w2 send 200 r
         a3 expect 200 r""",
     # The administration API
-    "a change that rests on an older revision is refused, one on the newest is made": """
+    "a change that is based on an old revision is refused, one on the newest is made": """
         admin send GET /v1/tenants/single
         admin expect 200 "2" *
         admin send PATCH /v1/tenants/single {"max_open":7} match="2"
@@ -1033,7 +1033,7 @@
         admin expect 400 max_open
         admin send PATCH /v1/tenants/single []
         admin expect 400""",
-    "a dry run says what would change and changes nothing": """
+    "a dry run returns the result of a change without making it": """
         admin send DELETE /v1/tenants/single?dry_run=true
         admin expect 200 "2" *
         admin send PATCH /v1/tenants/single?dry_run=true {"max_open":7}
@@ -1046,7 +1046,7 @@
         admin expect 404
         admin send GET /v1/tenants/single
         admin expect 200 "2" *""",
-    "a POST that comes again with its key makes nothing anew, and its key makes nothing else": """
+    "a repeated POST with the same key creates nothing, and its key can't create another tenant": """
         admin send POST /v1/tenants {"name":"new","backend":"w1"} key=k1
         admin expect 201 "5" *
         admin send POST /v1/tenants {"name":"new","backend":"w1"} key=k1
@@ -1055,7 +1055,7 @@
         admin expect 422 Idempotency-Key
         admin send POST /v1/tenants {"name":"new","backend":"w1"} key=k2
         admin expect 409 name""",
-    "a tenant's token looks at its tenant only, another operator's does all and is named in the trail": """
+    "a tenant's token reads only its tenant, an operator's may do all and is named in the audit trail": """
         admin send GET /v1/tenants/clinic token=a-member
         admin expect 200
         admin send GET /v1/tenants/clinic/usage token=a-member
@@ -1074,7 +1074,7 @@
         admin expect 200 - *
         admin send GET /v1/status token=a-third
         admin expect 401""",
-    "lists come in pages, and the trail says who changed what": """
+    "lists are returned in pages, and the audit trail names who changed what": """
         admin send GET /v1/tenants?limit=2
         admin expect 200 - *
         admin send GET /v1/tenants?limit=0
@@ -1085,7 +1085,7 @@
         admin expect 200 - *
         admin send GET /v1/audit?after=x
         admin expect 400 after""",
-    "a token is needed": """
+    "a valid token is required": """
         admin send GET /v1/status token=wrong
         admin expect 401
         admin send GET /v1/status
@@ -1113,7 +1113,7 @@
         admin expect 404
         a1 send GET /new/x
         a1 expect 404""",
-    "a bad tenant is answered with the field": """
+    "an invalid tenant is answered with the name of the field": """
         admin send POST /v1/tenants {"name":"new"}
         admin expect 400 backend
         admin send POST /v1/tenants {"name":"new","backend":"w9"}
@@ -1126,7 +1126,7 @@
         admin expect 404
         admin send POST /v1/tenants nonsense
         admin expect 400""",
-    "workers are listed and taken out": """
+    "workers are listed and taken out of service": """
         admin send PUT /v1/workers/w1 {"activation":"stopped"}
         admin expect 200
         a1 send GET /days host=clinic
@@ -1139,7 +1139,7 @@
         admin expect 404
         admin send GET /v1/workers
         admin expect 200""",
-    "other methods, paths and long bodies": """
+    "unknown methods and paths and long bodies get an error status": """
         admin send PATCH /v1/tenants {}
         admin expect 405
         admin send GET /v1/nothing
@@ -1151,7 +1151,7 @@
     + """
         admin expect 413
         admin expect closed""",
-    "a drain is asked for once": """
+    "a drain can be requested only once": """
         admin send POST /v1/drain
         admin expect 202
         node expect asked
