--- a/tests/parties.py
+++ b/tests/parties.py
@@ -228,7 +228,9 @@
                 )
             return None
         body = base64.b64decode(message.get("blob", "")).decode()
-        return " ".join(str(x) for x in (kind, message["call"], message.get("service", ""), body) if x)
+        return " ".join(
+            str(word) for word in (kind, message["call"], message.get("service", ""), body) if word
+        )
 
     def send(self, words: Words) -> None:
         kind, *arguments = words
@@ -241,16 +243,16 @@
         elif kind == "again":  # the last notice, as after a `sync` with an older serial
             self.write(self.last_notice)
         else:
-            call, *more = (
+            run_id, *more = (
                 self.named_values.get(part[1:], part) if part.startswith("$") else part for part in arguments
             )
             self.serial += 1
             blob = lines.encode_body(expand_body(more[-1])) if more else ""
-            message = {"msg": kind, "serial": self.serial, "call": call, "blob": blob}
+            message = {"msg": kind, "serial": self.serial, "call": run_id, "blob": blob}
             if kind == "end":
                 message |= {"how": more[0], "duration": 12.5}
             if kind == "nack":
-                message = {"msg": kind, "how": more[0], "call": call}
+                message = {"msg": kind, "how": more[0], "call": run_id}
             self.last_notice = lines.encode_json_line(message)
             self.write(self.last_notice)
 
@@ -262,18 +264,17 @@
         return Asks(), lambda ask: f"{ask[0]} {ask[1]} {ask[2].decode()}".strip()
 
     def send(self, words: Words) -> None:
-        call = self.named_values.get(words[0][1:], words[0])
+        run_id = self.named_values.get(words[0][1:], words[0])
         body = expand_body(words[2]) if len(words) > 2 else None
         body_part = b"" if body is None else f" {len(body)}\r\n".encode() + body
-        self.write(f"{call} {words[1]}".encode() + body_part + b"\r\n")
+        self.write(f"{run_id} {words[1]}".encode() + body_part + b"\r\n")
 
 
 class CatalogParty(Server):
     """The catalog, the service registry: answers 204, or as set by `send answer 503 retry-after=2`."""
 
-    one_connection_at_a_time = (
-        True  # after a 500 the node reconnects at once, before `closed` is in the inbox
-    )
+    # After a 500 the node reconnects at once, before `closed` is in the inbox.
+    one_connection_at_a_time = True
     answer_status = 204
 
     def __init__(self, environment: dict[str, Any]) -> None:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -93,6 +93,7 @@
         self.thread = threading.Thread(target=lambda: self.drain_results.append(node.drain()), daemon=True)
 
     def send(self, words: list[str]) -> None:
+        """Carry out `start`, `idle US`, `reload ...`, `block owner|poller SECONDS` or `term`."""
         if words[0] == "start":  # node2, with runtime2 and its own address for operators
             config = platform_config(
                 self.environment,
@@ -108,9 +109,7 @@
             self.environment["places"]["operator"] = second.node.parts.operations.address
         elif words[0] == "idle":  # the idle timeout that the policy would set
             self.node.parts.core.notices.idle_timeout_us = int(words[1])
-        elif (
-            words[0] == "reload"
-        ):  # 2: the addresses of runtime2, vault2 and catalog2; KEY=VALUE: other changes
+        elif words[0] == "reload":  # 2: with runtime2, vault2 and catalog2; KEY=VALUE: with other changes
             changes = dict(word.split("=") for word in words[1:] if "=" in word)
             settings, removed_key = changed_settings(changes), changes.pop("lacks", "")
             new_config = platform_config(
@@ -130,11 +129,12 @@
             self.thread.start()
 
     def expect(self, words: list[str]) -> None:
+        """Wait for `left` (the end of the drain), `asked` or `count NAME N` (the value of a counter)."""
         if words[0] == "left":  # `left late`: the event loop did not answer all requests in time
             self.thread.join(parties.EXPECT_TIMEOUT_S)
             assert self.drain_results == [words[1:] != ["late"]]
             return
-        if words == ["asked"]:
+        if words == ["asked"]:  # a drain was requested
             assert self.node.drain_requested.wait(parties.EXPECT_TIMEOUT_S)
             return
         _, name, expected = words
--- a/tests/starved.py
+++ b/tests/starved.py
@@ -38,7 +38,7 @@
 # again, so it is not lost.
 CROSSING_S = 0.05
 MOST_ON_ONE = 32
-LAST_S = 8.0  # margin of the time limit of one drain
+TIMEOUT_MARGIN_S = 8.0  # margin of the time limit of one drain
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
     arrivals_after_s: float = 3.5  # from SIGTERM to the end of the load: callers learn late of a drain
     stop_ms: int = 4000
     grace_ms: int = 1500
-    work_ms: float = 15.0
+    work_ms: float = 15.0  # processor time of each run
     seed: int = 1
     sighup_before_s: float = -1.0  # from SIGHUP to SIGTERM; negative: no SIGHUP
 
@@ -69,7 +69,9 @@
         return {name: self[name] for name in RULES if self[name]}
 
 
-# Names of the counts that must stay 0.
+# Counts that must stay 0: requests without an answer at the end of their connection, answers after the
+# deadline, second answers, answers to no request or with a wrong body, runs of requests that were sent after
+# the grace period, second runs of a key, and processes that did not exit with status 0 in time.
 RULES = ("lost", "late", "twice", "bad_answer", "run_after_grace", "key_run_twice", "not_left")
 
 
@@ -362,7 +364,7 @@
     other_cores = ALLOWED_CORES - {shared_core()} or ALLOWED_CORES
     os.sched_setaffinity(0, other_cores)
     try:
-        timeout_s = load.load_before_s + load.stop_ms / 1000 + 60 + LAST_S
+        timeout_s = load.load_before_s + load.stop_ms / 1000 + 60 + TIMEOUT_MARGIN_S
         return asyncio.run(asyncio.wait_for(Rig(load).run(), timeout_s))
     finally:
         os.sched_setaffinity(0, ALLOWED_CORES)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -85,7 +85,7 @@
         node expect count platform.malformed 1
         c2 send 1 health
         c2 expect 1 ok True""",
-    "a body that is too long is refused as soon as its length is read": """
+    "an oversized length closes the connection as soon as it is read": """
         c1 send raw 94000aa3616263dbffffffff
         c1 expect closed
         node expect count platform.malformed 1""",
