--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -11,7 +11,9 @@
 from dataclasses import dataclass, field
 from math import inf
 
-WORKERS = 5  # stand-ins that rows name in turn: rows that lie closer than that are told apart by an answer
+WORKER_COUNT = (
+    5  # stand-ins that rows name in turn: rows that lie closer than that are told apart by an answer
+)
 ACTIVE, SUSPENDED = "active", "suspended"
 
 Row = tuple[int, str] | None  # serial number and state; None: there is no such tenant
@@ -20,7 +22,7 @@
 
 def worker_of(serial: int) -> str:
     """Return the worker that the row of a serial number names."""
-    return f"w{serial % WORKERS}"
+    return f"w{serial % WORKER_COUNT}"
 
 
 @dataclass(slots=True)
@@ -32,15 +34,15 @@
     begun_s: float
     acked_s: float | None = None
     revision: Revision | None = None
-    out: bool = False  # a try is under way
-    doubtful: bool = False  # a try had no answer, or one that leaves open what became of it
+    in_flight: bool = False  # a try is under way
+    indeterminate: bool = False  # a try had no answer, or one that leaves open what became of it
     refusals: Counter[int] = field(default_factory=Counter)  # by status
     shown_s: dict[str, float] = field(default_factory=dict)  # by node: when it showed this or a later one
 
     @property
     def possible(self) -> bool:
         """Tell whether a node may know of it."""
-        return self.acked_s is not None or self.out or self.doubtful
+        return self.acked_s is not None or self.in_flight or self.indeterminate
 
 
 @dataclass(slots=True)
@@ -61,7 +63,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.steps = [Step("none", None, 0.0, 0.0)]
-        self.at: dict[str, int] = {}  # by node: the least step that it can be at
+        self.min_step_index: dict[str, int] = {}  # by node: the least step that it can be at
 
     @property
     def last(self) -> Step:
@@ -77,24 +79,26 @@
         return max((step.row[0] for step in self.steps if step.row), default=0)
 
 
-def answers_for(row: Row) -> tuple[int, str]:
+def expected_answer(row: Row) -> tuple[int, str]:
     """Return status and worker of a request's answer under a row."""
     if row is None:
         return 404, ""
     return (200, worker_of(row[0])) if row[1] == ACTIVE else (503, "")
 
 
-class Books:
+class HistoryChecker:
     """All that was asked and seen in a run, and what of it breaks a rule."""
 
     def __init__(self) -> None:
         self.histories: dict[str, History] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
         self.away: dict[str, list[Span]] = {}  # by node
         self.cuts: dict[str, list[Span]] = {}
         self.slowest: list[tuple[float, str]] = []  # changes: how long each took, and which
-        self.spoilt: set[str] = set()  # tenants that have broken a rule which leaves open how they stand
+        self.unverifiable: set[str] = (
+            set()
+        )  # tenants that have broken a rule which leaves open how they stand
 
     def history(self, name: str) -> History:
         """Return the history of a tenant."""
@@ -102,11 +106,11 @@
 
     # Nodes
 
-    def note_away(self, node: str, now: float) -> None:
+    def note_unavailable(self, node: str, now: float) -> None:
         """Note that a node is dead, leaves or stands still from now on."""
         self.away.setdefault(node, []).append(Span(now))
 
-    def note_back(self, node: str, now: float) -> None:
+    def note_available(self, node: str, now: float) -> None:
         """Note that a node is there again."""
         self.away[node][-1].ends_s = now
 
@@ -118,13 +122,13 @@
             else:
                 self.cuts[node][-1].ends_s = now
 
-    def was_away(self, node: str, since_s: float, until_s: float) -> bool:
+    def was_unavailable(self, node: str, since_s: float, until_s: float) -> bool:
         """Tell whether a node was away at any time between two."""
         return any(span.meets(since_s, until_s) for span in self.away.get(node, ()))
 
     def disturbed(self, node: str, since_s: float, until_s: float) -> bool:
         """Tell whether a node was away or cut off at any time between two."""
-        return self.was_away(node, since_s, until_s) or any(
+        return self.was_unavailable(node, since_s, until_s) or any(
             span.meets(since_s, until_s) for span in self.cuts.get(node, ())
         )
 
@@ -143,26 +147,26 @@
     def note_refused(self, name: str, status: int) -> None:
         """Note an answer by which a try of the newest step has changed nothing."""
         step = self.history(name).last
-        step.out = False
+        step.in_flight = False
         step.refusals[status] += 1
         self.counts[f"changes_refused_{status}"] += 1
 
-    def note_doubtful(self, name: str, status: int) -> None:
+    def note_indeterminate(self, name: str, status: int) -> None:
         """Note that a try of the newest step ended with its outcome open; status 0: without an answer."""
         step = self.history(name).last
-        step.out, step.doubtful = False, True
+        step.in_flight, step.indeterminate = False, True
         self.counts[f"changes_doubtful_{status}"] += 1
 
-    def note_made_before(self, name: str, status: int) -> None:
+    def note_already_applied(self, name: str, status: int) -> None:
         """Note that a try finds the newest step made already, as one whose outcome is open may have done."""
         step = self.history(name).last
-        step.out = False
-        if step.doubtful:
+        step.in_flight = False
+        if step.indeterminate:
             self.counts["changes_found_made"] += 1
             return
         told = ", ".join(map(str, step.refusals)) or "nothing"
-        self.spoilt.add(name)
-        self.broken.append(
+        self.unverifiable.add(name)
+        self.violations.append(
             f"{name}: {step.op} was answered {told} and made all the same, or the change "
             f"before it is lost: it is answered {status} now"
         )
@@ -172,21 +176,21 @@
         history = self.history(name)
         step = history.last
         before = max((one.revision for one in history.steps[:-1] if one.revision), default=None)
-        step.out, step.acked_s, step.revision = False, now, revision
+        step.in_flight, step.acked_s, step.revision = False, now, revision
         self.counts["changes_acked"] += 1
         if revision and before and revision <= before:
-            self.broken.append(f"{name}: {step.op} has the revision {revision}, after {before}")
+            self.violations.append(f"{name}: {step.op} has the revision {revision}, after {before}")
 
     # What nodes show
 
     def floor(self, node: str, name: str) -> int:
         """Return the least step that a node can be at; what is asked from now on may show no earlier one."""
-        return self.history(name).at.get(node, 0)
+        return self.history(name).min_step_index.get(node, 0)
 
-    def forget(self, node: str) -> None:
+    def note_copy_lost(self, node: str) -> None:
         """Note that a node has lost its copy and begins anew."""
         for history in self.histories.values():
-            history.at.pop(node, None)
+            history.min_step_index.pop(node, None)
 
     def note_row(self, node: str, name: str, row: Row, floor: int, now: float) -> None:
         """Note the row that a node showed; `floor` is what it was when that was asked for."""
@@ -205,13 +209,13 @@
             )
             return
         if status == 500:
-            excused = self.was_away(node, began_s, now)
+            excused = self.was_unavailable(node, began_s, now)
             self.counts["failed_excused" if excused else "failed"] += 1
             return
         self._note(
             node,
             name,
-            lambda step: answers_for(step.row) == (status, worker),
+            lambda step: expected_answer(step.row) == (status, worker),
             f"answered {status} {worker}".rstrip(),
             floor,
             now,
@@ -228,35 +232,41 @@
             told = ", ".join(
                 f"{step.op} {step.row}{'' if step.possible else ' (refused)'}" for _, step in steps[:4]
             )
-            self.broken.append(f"{node} {what} for {name} at {now:.3f}, which is none of: {told}")
+            self.violations.append(f"{node} {what} for {name} at {now:.3f}, which is none of: {told}")
             return
-        least = history.at.get(node, 0)
+        least = history.min_step_index.get(node, 0)
         if found > least:
             for step in history.steps[least + 1 : found + 1]:
                 step.shown_s.setdefault(node, now)
-            history.at[node] = found
+            history.min_step_index[node] = found
 
     # Requests
 
-    def note_lost(self, node: str, name: str, began_s: float, now: float, why: str) -> None:
+    def note_unanswered(self, node: str, name: str, began_s: float, now: float, why: str) -> None:
         """Note that a request had no answer."""
-        if self.was_away(node, began_s, now):
+        if self.was_unavailable(node, began_s, now):
             self.counts["unanswered_excused"] += 1
         else:
             self.counts["unanswered"] += 1
-            self.broken.append(f"{node} never answered a request for {name}, {now - began_s:.3f} s: {why}")
+            self.violations.append(
+                f"{node} never answered a request for {name}, {now - began_s:.3f} s: {why}"
+            )
 
-    def note_twice(self, node: str, name: str) -> None:
+    def note_extra_answer(self, node: str, name: str) -> None:
         """Note that more came after a request's answer."""
-        self.broken.append(f"{node} sent more after the answer to a request for {name}")
+        self.violations.append(f"{node} sent more after the answer to a request for {name}")
 
     # The end
 
     def expected(self) -> dict[str, Row]:
         """Return the rows that all nodes must show in the end."""
-        return {name: history.last.row for name, history in self.histories.items() if name not in self.spoilt}
+        return {
+            name: history.last.row
+            for name, history in self.histories.items()
+            if name not in self.unverifiable
+        }
 
-    def settles(self, node: str, rows: dict[str, Row], now: float) -> bool:
+    def has_final_rows(self, node: str, rows: dict[str, Row], now: float) -> bool:
         """Tell whether the rows that a node showed are those that all must show in the end."""
         for name, row in self.expected().items():
             if rows.get(name) != row:
@@ -264,28 +274,32 @@
         for history in self.histories.values():
             for step in history.steps:
                 step.shown_s.setdefault(node, now)
-            history.at[node] = len(history.steps) - 1
+            history.min_step_index[node] = len(history.steps) - 1
         return True
 
-    def close(self, shown: dict[str, dict[str, Row]], revisions: dict[str, dict[str, Revision]]) -> None:
+    def check_final_state(
+        self, shown: dict[str, dict[str, Row]], revisions: dict[str, dict[str, Revision]]
+    ) -> None:
         """Hold every acknowledged change against the rows and revisions that nodes show last."""
         for name, history in self.histories.items():
-            if name in self.spoilt:
+            if name in self.unverifiable:
                 continue
             if history.last.acked_s is None:
-                self.broken.append(f"{name}: {history.last.op} never had a definite answer")
+                self.violations.append(f"{name}: {history.last.op} never had a definite answer")
                 continue
             wanted = history.last.revision
             for node, rows in shown.items():
                 if rows.get(name) != history.last.row:
-                    self.broken.append(
+                    self.violations.append(
                         f"{node} shows {rows.get(name)} for {name} in the end, not {history.last.row}"
                     )
                 found = revisions.get(node, {}).get(name)
                 if history.last.row and wanted and (found is None or found < wanted):
-                    self.broken.append(f"{node} has the revision {found} of {name} in the end, not {wanted}")
+                    self.violations.append(
+                        f"{node} has the revision {found} of {name} in the end, not {wanted}"
+                    )
 
-    def in_force(self, nodes: Iterable[str], writer_of: dict[str, str]) -> dict[str, list[float]]:
+    def propagation_times_s(self, nodes: Iterable[str], writer_of: dict[str, str]) -> dict[str, list[float]]:
         """Return how long after its answer each change was shown by all nodes, in seconds.
 
         Nodes that were away or cut off in that time are left out. `calm` are the changes whose writer was
--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -18,8 +18,8 @@
 def idle(size: int) -> Figures:
     """Measure a node with so many connections that have asked once and wait."""
     with tempfile.TemporaryDirectory() as name:
-        file = site.value(10, [("127.0.0.1", 1)], sockets=8192)
-        with site.hosted(file, Path(name)) as made:
+        file = site.operator_file(10, [("127.0.0.1", 1)], sockets=8192)
+        with site.hosted_node(file, Path(name)) as made:
             pid, before = made.process.pid, site.status_of(made.process.pid)
             socks = []
             for _ in range(size):
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -27,13 +27,13 @@
 from reelusher.lab.capacity.books import (
     ACTIVE,
     SUSPENDED,
-    WORKERS,
-    Books,
+    WORKER_COUNT,
     History,
+    HistoryChecker,
     Revision,
     Row,
     Step,
-    answers_for,
+    expected_answer,
     worker_of,
 )
 from reelusher.lab.capacity.hollow import loopback_hosts
@@ -104,7 +104,7 @@
         self.proof, self.folder = proof, folder
         self.loop = asyncio.get_running_loop()
         self.random = random.Random(proof.seed)
-        self.books, self.net = Books(), FaultProxyNetwork(proof.seed)
+        self.books, self.net = HistoryChecker(), FaultProxyNetwork(proof.seed)
         self.names = [f"n{number + 1}" for number in range(proof.nodes)]
         self.tenants = [f"t{number + 1}" for number in range(proof.tenants)]
         self.control = self.names[: min(MOST_CONTROL, max(1, proof.nodes // 3))] if proof.replicated else []
@@ -140,7 +140,7 @@
     def _over(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.books.broken.append(f"the rig failed: {error!r}")
+            self.books.violations.append(f"the rig failed: {error!r}")
 
     async def until(self, holds: Callable[[], bool], most_s: float) -> bool:
         """Wait until something holds; tell whether it came to that."""
@@ -160,7 +160,7 @@
     async def play(self) -> None:
         """Play the proof; the books then tell what broke a rule."""
         self._beat(self.loop.time())
-        workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
+        workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKER_COUNT)]
         servers = [await asyncio.start_server(one.serve, STAND_IN_HOST, 0) for one in workers]
         addresses = {
             one.name.decode(): server.sockets[0].getsockname()
@@ -209,7 +209,7 @@
         if not await self.until(
             lambda: all(len(one.steps) > 2 or one.last.revision for one in histories), SETTLE_S
         ):
-            self.books.broken.append("not all tenants could be made before anything was broken")
+            self.books.violations.append("not all tenants could be made before anything was broken")
         self.figures["all_made_s"] = round(self.loop.time() - began_s, 3)
 
     async def _place(self) -> None:
@@ -240,7 +240,7 @@
         self.nodes.start(name)
         places = self.places[name]
         if not await wait_until_ready(places.admin, places.ajp, lambda: self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not come up within {START_S:.0f} s")
+            self.books.violations.append(f"{name} did not come up within {START_S:.0f} s")
             return
         self.state[name] = "up"
 
@@ -267,7 +267,7 @@
 
         while not all(await asyncio.gather(*map(sees, self.names))):
             if self.loop.time() - began_s > SETTLE_S:
-                self.books.broken.append("the nodes did not find each other")
+                self.books.violations.append("the nodes did not find each other")
                 return
             await asyncio.sleep(0.1)
         self.figures["hollow_joined_s" if hollow else "all_joined_s"] = round(self.loop.time() - began_s, 3)
@@ -340,7 +340,9 @@
         most = self.proof.hollow
         while (told := await self._tell_hollow(rows=wanted))["right"] < most:
             if self.loop.time() > ends_s:
-                self.books.broken.append(f"only {told['right']} of {most} hollow members have all changes")
+                self.books.violations.append(
+                    f"only {told['right']} of {most} hollow members have all changes"
+                )
                 break
             await asyncio.sleep(0.5)
         clock_s, lost_s, processor_s = (
@@ -401,10 +403,10 @@
         books.counts["asked"] += 1
         try:
             status, worker = await self.callers[node].ask(
-                f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_twice(node, name)
+                f"{name}.example", ANSWER_S + self.late_s, lambda: books.note_extra_answer(node, name)
             )
         except (NoAnswerError, NodeUnreachableError) as error:
-            books.note_lost(node, name, began_s, self.loop.time(), str(error))
+            books.note_unanswered(node, name, began_s, self.loop.time(), str(error))
             return None
         books.note_answer(node, name, status, worker, floor, self.loop.time(), began_s)
         return status, worker
@@ -413,7 +415,7 @@
 
     async def _change_on(self, name: str) -> None:
         """Change a tenant again and again."""
-        while self.changing and name not in self.books.spoilt:
+        while self.changing and name not in self.books.unverifiable:
             await self._change(name)
             if self.changing:
                 await asyncio.sleep(self.random.expovariate(self.proof.changes / len(self.tenants)))
@@ -457,15 +459,15 @@
             up = self.up()
             node = self.random.choice(up) if up else ""
             if node:
-                step.out = True
+                step.in_flight = True
                 self._kill_during(name, node)
                 method, path, value, headers = self._call_of(name, step, key)
                 try:
                     told = await self._api(node, method, path, value, headers)
                 except NodeUnreachableError:
-                    step.out = False
+                    step.in_flight = False
                 else:
-                    if await self._answered(name, step, told) or name in books.spoilt:
+                    if await self._answered(name, step, told) or name in books.unverifiable:
                         return
             await asyncio.sleep(self.random.uniform(*REST_S))
 
@@ -473,7 +475,7 @@
         """Take the answer to a change; tell whether it is made."""
         books = self.books
         if told is None or told.status in UNDECIDED:
-            books.note_doubtful(name, told.status if told else 0)
+            books.note_indeterminate(name, told.status if told else 0)
             return False
         if 200 <= told.status < 300:
             tag = told.headers.get("etag")
@@ -482,7 +484,7 @@
             elif tag:
                 self.tags[name] = tag
             else:
-                books.broken.append(f"{name}: {step.op} was answered {told.status} without a revision")
+                books.violations.append(f"{name}: {step.op} was answered {told.status} without a revision")
             books.note_acked(name, revision_of(told.headers), self.loop.time())
             self._kill_after(name)
             return True
@@ -491,38 +493,40 @@
         if told.status == MADE[step.op] and await self._made_before(name, step, told.status):
             return True
         if told.status == 404:
-            books.spoilt.add(name)
-            books.broken.append(f"{name}: {step.op} found no tenant, though its last change was acknowledged")
-        if step.out:
+            books.unverifiable.add(name)
+            books.violations.append(
+                f"{name}: {step.op} found no tenant, though its last change was acknowledged"
+            )
+        if step.in_flight:
             books.note_refused(name, told.status)
         return False
 
     async def _made_before(self, name: str, step: Step, status: int) -> bool:
         """Tell whether the newest step is made already, by a try that had no definite answer."""
-        step.out = step.doubtful  # while it is looked for, only such a try makes it possible
+        step.in_flight = step.indeterminate  # while it is looked for, only such a try makes it possible
         if step.row is None:
             self.tags.pop(name, None)
-            self.books.note_made_before(name, status)
+            self.books.note_already_applied(name, status)
             self.books.note_acked(name, None, self.loop.time())
             return True
-        if status == 412 and not step.doubtful:
-            self.books.note_made_before(name, status)
+        if status == 412 and not step.indeterminate:
+            self.books.note_already_applied(name, status)
             return False
 
         def showing() -> list[str]:
             return [node for node in self.up() if self.rows[node].get(name) == step.row]
 
         if not await self.until(lambda: bool(showing()), 5.0):
-            step.out = True
+            step.in_flight = True
             return False
         with contextlib.suppress(NodeUnreachableError, IndexError):
             told = await self._api(showing()[0], "GET", f"/v1/tenants/{name}")
             if told is not None and told.status == 200 and row_of(told.value) == step.row:
                 self.tags[name] = told.headers["etag"]
-                self.books.note_made_before(name, status)
+                self.books.note_already_applied(name, status)
                 self.books.note_acked(name, revision_of(told.headers), self.loop.time())
                 return True
-        step.out = True
+        step.in_flight = True
         return False
 
     # Faults
@@ -556,22 +560,22 @@
 
     def _away(self, name: str, state: str) -> None:
         self.state[name] = state
-        self.books.note_away(name, self.loop.time())
+        self.books.note_unavailable(name, self.loop.time())
 
     async def _come_back(self, name: str, loses_copy: bool = False) -> None:
         """Start a node again once its process has ended, and note that it is there."""
         if not await self.until(lambda: not self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not end within {START_S:.0f} s")
+            self.books.violations.append(f"{name} did not end within {START_S:.0f} s")
             return
         await asyncio.sleep(self.random.uniform(0.0, 0.5))
         if loses_copy:
             self.broke["copies_lost"] += 1
             self.nodes.lose_copy(name)
-            self.books.forget(name)
+            self.books.note_copy_lost(name)
             self.rows[name] = {}
         self.callers[name].close()
         await self._start(name)
-        self.books.note_back(name, self.loop.time())
+        self.books.note_available(name, self.loop.time())
 
     async def _stop(self, name: str, seconds: float) -> None:
         """Have a process stand still for a time."""
@@ -581,7 +585,7 @@
         await asyncio.sleep(seconds)
         self.nodes.send(name, signal.SIGCONT)
         self.state[name] = "up"
-        self.books.note_back(name, self.loop.time())
+        self.books.note_available(name, self.loop.time())
 
     async def _restart(self, name: str) -> None:
         """Drain a process and start it again."""
@@ -589,10 +593,10 @@
         self._away(name, "leaving")
         self.nodes.send(name, signal.SIGTERM)
         if not await self.until(lambda: not self.nodes.alive(name), START_S):
-            self.books.broken.append(f"{name} did not leave within {START_S:.0f} s")
+            self.books.violations.append(f"{name} did not leave within {START_S:.0f} s")
             return
         if (status := self.nodes.running[name].returncode) != 0:
-            self.books.broken.append(f"{name} left with status {status}")
+            self.books.violations.append(f"{name} left with status {status}")
         await self._come_back(name)
 
     async def _cut_off(self, zone: str, seconds: float) -> None:
@@ -615,10 +619,10 @@
             steady = [
                 node
                 for node in self.names
-                if not self.books.was_away(node, healed_s - seconds, self.loop.time())
+                if not self.books.was_unavailable(node, healed_s - seconds, self.loop.time())
             ]
             return all(
-                history.at.get(node, 0) >= number or history.steps[number].row is None
+                history.min_step_index.get(node, 0) >= number or history.steps[number].row is None
                 for node in steady
                 for history, number in made
             )
@@ -626,7 +630,9 @@
         if await self.until(agreed, SETTLE_S):
             self.healed_s.append(self.loop.time() - healed_s)
         else:
-            self.books.broken.append(f"{SETTLE_S:.0f} s after a cut of zone {zone} the sides do not agree")
+            self.books.violations.append(
+                f"{SETTLE_S:.0f} s after a cut of zone {zone} the sides do not agree"
+            )
         self.books.note_cut(self.names, self.loop.time(), False)
         self.cut = False
 
@@ -635,7 +641,7 @@
         began_s, most = self.loop.time(), max(1, min(self.proof.most_away, len(self.names) // 4))
         for number in range(self.proof.kills):
             if not await self.until(lambda: len(self.names) - len(self.up()) < most, 2 * START_S):
-                self.books.broken.append("too many nodes stay away")
+                self.books.violations.append("too many nodes stay away")
                 return
             if number % EACH_CUT == EACH_CUT // 2 and self.control and not self.cut:
                 zone = ZONES[number // EACH_CUT % len(ZONES)]
@@ -657,7 +663,7 @@
         ends_s = self.loop.time() + HOLLOW_S
         while (await self._tell_hollow())["clock_s"] < until_s:
             if self.loop.time() > ends_s:
-                self.books.broken.append(f"hollow members do not go on: {HOLLOW_S:.0f} s for one kill")
+                self.books.violations.append(f"hollow members do not go on: {HOLLOW_S:.0f} s for one kill")
                 return
             await asyncio.sleep(0.2)
 
@@ -676,7 +682,7 @@
                 try:
                     await asyncio.wait_for(done, START_S)
                 except TimeoutError:
-                    self.books.broken.append(f"no change came in {START_S:.0f} s to kill a writer at")
+                    self.books.violations.append(f"no change came in {START_S:.0f} s to kill a writer at")
                     return
             await asyncio.sleep(0.02)
 
@@ -686,32 +692,32 @@
         """Wait until all are there and show the same, and hold that against the books."""
         books = self.books
         if not await self.until(lambda: len(self.up()) == len(self.names) and not self.cut, 2 * START_S):
-            books.broken.append(f"not all came back: {self.state}")
+            books.violations.append(f"not all came back: {self.state}")
         self.changing = False
         if not await self.until(
             lambda: all(
-                history.last.acked_s is not None or history.name in books.spoilt
+                history.last.acked_s is not None or history.name in books.unverifiable
                 for history in books.histories.values()
             ),
             SETTLE_S,
         ):
-            books.broken.append("not all changes have a definite answer, with all nodes there")
+            books.violations.append("not all changes have a definite answer, with all nodes there")
         began_s = self.loop.time()
         settled: set[str] = set()
 
         def look() -> bool:
             now = self.loop.time()
-            settled.update(node for node in self.up() if books.settles(node, self.rows[node], now))
+            settled.update(node for node in self.up() if books.has_final_rows(node, self.rows[node], now))
             return len(settled) == len(self.names)
 
         if not await self.until(look, SETTLE_S):
-            books.broken.append(f"{sorted(set(self.names) - settled)} show another table in the end")
+            books.violations.append(f"{sorted(set(self.names) - settled)} show another table in the end")
         self.figures["settled_s"] = round(self.loop.time() - began_s, 3)
         self.asking = False
         await asyncio.gather(*map(self._last_requests, self.up()))
         shown = {node: self.rows[node] for node in self.up()}
         revisions = dict(zip(shown, await asyncio.gather(*map(self._revisions, shown)), strict=True))
-        books.close(shown, revisions)
+        books.check_final_state(shown, revisions)
         resident_kb = median(map(self.nodes.resident_kb, self.up()))
         self.figures["resident_mb"] = round(resident_kb / 1024, 1)
         await self._end_hollow()
@@ -721,14 +727,16 @@
         """Make a request of each tenant: it is answered under the last row, also where there is none."""
         for name, row in self.books.expected().items():
             found, ends_s = None, self.loop.time() + SETTLE_S
-            while found != answers_for(row) and self.loop.time() < ends_s:
+            while found != expected_answer(row) and self.loop.time() < ends_s:
                 found = await self._ask(node, name)
                 if found is not None and found[0] != 503:
                     break
-                if found != answers_for(row):
+                if found != expected_answer(row):
                     await asyncio.sleep(0.1)  # it may refuse for a while, under any row
-            if found != answers_for(row):
-                self.books.broken.append(f"{node} answers {found} for {name} in the end, whose row is {row}")
+            if found != expected_answer(row):
+                self.books.violations.append(
+                    f"{node} answers {found} for {name} in the end, whose row is {row}"
+                )
 
     async def _revisions(self, node: str) -> dict[str, Revision]:
         found = {}
@@ -746,15 +754,15 @@
             self._away(name, "leaving")
             self.nodes.send(name, signal.SIGTERM)
         if not await self.until(lambda: not any(map(self.nodes.alive, left)), START_S):
-            self.books.broken.append("not all left in time")
+            self.books.violations.append("not all left in time")
         for name in left:
             if (status := self.nodes.running[name].poll()) != 0:
-                self.books.broken.append(f"{name} left with status {status}")
+                self.books.violations.append(f"{name} left with status {status}")
         for name in self.names:
-            self.books.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
+            self.books.violations += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
 
     def _report(self) -> None:
-        times = self.books.in_force(self.names, self.writer_of)
+        times = self.books.propagation_times_s(self.names, self.writer_of)
         told = {f"in_force_{kind}": percentiles(found) for kind, found in times.items()}
         self.figures |= {
             **self.broke,
@@ -848,11 +856,13 @@
     width = max(map(len, figures))
     for name, value in figures.items():
         print(f"{name.ljust(width)}  {value}")
-    for line in rig.books.broken[:40]:
+    for line in rig.books.violations[:40]:
         print(f"broken: {line}")
     if given.json:
-        given.json.write_text(json.dumps({"figures": figures, "broken": rig.books.broken}, indent=1) + "\n")
-    return 1 if rig.books.broken else 0
+        given.json.write_text(
+            json.dumps({"figures": figures, "broken": rig.books.violations}, indent=1) + "\n"
+        )
+    return 1 if rig.books.violations else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -137,7 +137,7 @@
 
 
 def rounds(
-    made: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
+    made: site.HostedNode, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
 ) -> Figures:
     """Ask the stand-in alone, then through the node, at the same due times."""
     direct = ask(worker, rate, seconds, hosts, seed=1)
@@ -162,8 +162,8 @@
 def at_rate(rate: int) -> Figures:
     """Measure a node with ten tenants at a rate."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        file = site.value(10, [worker.address], connections=64)
-        with site.hosted(file, Path(name)) as made:
+        file = site.operator_file(10, [worker.address], connections=64)
+        with site.hosted_node(file, Path(name)) as made:
             return rounds(
                 made,
                 worker.address,
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -40,7 +40,9 @@
     return made
 
 
-def value(tenants: int, workers: list[Address], sockets: int = 4096, connections: int = 16) -> dict[str, Any]:
+def operator_file(
+    tenants: int, workers: list[Address], sockets: int = 4096, connections: int = 16
+) -> dict[str, Any]:
     """Return an operator's file with so many tenants and these workers; its ports are free ones."""
     return {
         "node": {"name": "hosted-1", "sockets": sockets, "memory_mb": 192},
@@ -61,7 +63,7 @@
 
 def config(tenants: int, workers: int = 1, **changes: Any) -> Config:
     """Return the checked configuration of a node of that size."""
-    return merge(None, parse(value(tenants, [("127.0.0.1", 1)] * workers, **changes)))
+    return merge(None, parse(operator_file(tenants, [("127.0.0.1", 1)] * workers, **changes)))
 
 
 def status_of(pid: int) -> dict[str, int]:
@@ -82,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class Hosted:
+class HostedNode:
     """A node that runs."""
 
     process: subprocess.Popen[bytes]
@@ -128,7 +130,7 @@
 
 
 @contextlib.contextmanager
-def hosted(file: dict[str, Any], folder: Path) -> Iterator[Hosted]:
+def hosted_node(file: dict[str, Any], folder: Path) -> Iterator[HostedNode]:
     """Run a node as operators do, until the block is left; it is told to leave by its id, then ended."""
     path, log = folder / "operator.toml", folder / "node.log"
     path.write_text(tomli_w.dumps(file))
@@ -149,7 +151,7 @@
                 raise RuntimeError(f"the node is not ready: {log.read_text(errors='replace')[-500:]}")
             time.sleep(LOOK_S)
             places = _addresses(log)
-        yield Hosted(process, places["ajp"], places["admin"], time.monotonic() - began)
+        yield HostedNode(process, places["ajp"], places["admin"], time.monotonic() - began)
     finally:
         process.send_signal(signal.SIGTERM)
         try:
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -108,7 +108,7 @@
 
     `cold`: then also requests of so many tenants that hardly one was asked for of late.
     """
-    with site.hosted(file, folder) as made:
+    with site.hosted_node(file, folder) as made:
         pid = made.process.pid
         resident = site.status_of(pid)["resident"]
         took_ms = []
@@ -138,13 +138,13 @@
 def node_of_file(size: int) -> Figures:
     """Measure a node that has its tenants from the operator's file."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        return _node(site.value(size, [worker.address]), size, Path(name), worker.address, cold=False)
+        return _node(site.operator_file(size, [worker.address]), size, Path(name), worker.address, cold=False)
 
 
 def node_of_copy(size: int) -> Figures:
     """Measure a node that has its tenants in a local copy, whose only writer it is itself."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        file, path = site.value(0, [worker.address]), Path(name) / "tenants.db"
+        file, path = site.operator_file(0, [worker.address]), Path(name) / "tenants.db"
         del file["tenants"]
         file["replication"] = {"copy": str(path), "control": [file["node"]["name"]]}
         filled(path, size, "", (file["node"]["name"],))
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -31,7 +31,7 @@
 def pool(size: int) -> Figures:
     """Measure a pool of workers: bytes, a start, gauges (ten times a second), a choice, facts told."""
     began = time.process_time()
-    made = parse(site.value(1, [("127.0.0.1", 1)] * size))
+    made = parse(site.operator_file(1, [("127.0.0.1", 1)] * size))
     checked_s = time.process_time() - began
     gc.collect()
     tracemalloc.start()
@@ -61,7 +61,7 @@
 
 def threads(size: int) -> Figures:
     """Count the threads that a pool of so many workers takes once all are in use, and what is kept open."""
-    made = pool_of(tuple(parse(site.value(1, [("127.0.0.1", 1)] * size)).workers))
+    made = pool_of(tuple(parse(site.operator_file(1, [("127.0.0.1", 1)] * size)).workers))
     before = threading.active_count()
     release, begun = threading.Event(), threading.Semaphore(0)
 
