--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -1,9 +1,9 @@
-"""What became of each change and each request, kept apart from the program and free of I/O.
+"""History of the changes and requests of a live run, and its checker. Free of I/O.
 
-A tenant's rows have a history: one step after another, each asked for until it has a definite answer. Every
-row carries a serial number and names the worker of that number, so that whoever shows a row, or answers a
-request under it, tells which step that was. A node's place in a history only goes on. All times are seconds
-of one clock.
+A tenant has a history of steps, made one after another; each change is requested until it has a definite
+answer. Every row carries a serial number and names the worker of that number. So the row that a node shows,
+or the worker that answers a request, identifies the step that the node has reached. A node may advance in a
+history and never go back. All times are seconds of one clock.
 """
 
 from collections import Counter
@@ -11,49 +11,48 @@
 from dataclasses import dataclass, field
 from math import inf
 
-WORKER_COUNT = (
-    5  # stand-ins that rows name in turn: rows that lie closer than that are told apart by an answer
-)
+# stand-in workers, which rows name in turn: an answer distinguishes rows whose serial numbers differ by less
+WORKER_COUNT = 5
 ACTIVE, SUSPENDED = "active", "suspended"
 
-Row = tuple[int, str] | None  # serial number and state; None: there is no such tenant
+Row = tuple[int, str] | None  # serial number and state; None: the tenant does not exist
 Revision = tuple[int, int]  # epoch and number
 
 
 def worker_of(serial: int) -> str:
-    """Return the worker that the row of a serial number names."""
+    """Return the name of the worker in the row with a serial number."""
     return f"w{serial % WORKER_COUNT}"
 
 
 @dataclass(slots=True)
 class Step:
-    """One change of a tenant, from its first asking to its definite answer."""
+    """One change of a tenant, from its first attempt to its definite answer."""
 
     op: str
     row: Row
     begun_s: float
     acked_s: float | None = None
     revision: Revision | None = None
-    in_flight: bool = False  # a try is under way
-    indeterminate: bool = False  # a try had no answer, or one that leaves open what became of it
-    refusals: Counter[int] = field(default_factory=Counter)  # by status
-    shown_s: dict[str, float] = field(default_factory=dict)  # by node: when it showed this or a later one
+    in_flight: bool = False  # an attempt has no answer yet
+    indeterminate: bool = False  # an attempt may have changed the row: it had no answer or one like 500
+    refusals: Counter[int] = field(default_factory=Counter)  # attempts that changed nothing, by status
+    shown_s: dict[str, float] = field(default_factory=dict)  # by node: when it reached this step or passed it
 
     @property
-    def possible(self) -> bool:
-        """Tell whether a node may know of it."""
+    def may_be_visible(self) -> bool:
+        """Tell whether a node may show this step."""
         return self.acked_s is not None or self.in_flight or self.indeterminate
 
 
 @dataclass(slots=True)
 class Span:
-    """A time in which a node was away or cut off."""
+    """A period in which a node was unavailable or partitioned."""
 
     begins_s: float
     ends_s: float = inf
 
-    def meets(self, since_s: float, until_s: float) -> bool:
-        """Tell whether a part of it lies between two times."""
+    def overlaps(self, since_s: float, until_s: float) -> bool:
+        """Tell whether the period overlaps the time from `since_s` to `until_s`."""
         return self.begins_s <= until_s and self.ends_s >= since_s
 
 
@@ -63,7 +62,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.steps = [Step("none", None, 0.0, 0.0)]
-        self.min_step_index: dict[str, int] = {}  # by node: the least step that it can be at
+        self.min_step_index: dict[str, int] = {}  # by node: lower bound of the step it has reached
 
     @property
     def last(self) -> Step:
@@ -71,34 +70,35 @@
         return self.steps[-1]
 
     def rows(self) -> set[Row]:
-        """Return all rows that there have been, without the absence of one."""
+        """Return all rows that the tenant has had; None, for its absence, is left out."""
         return {step.row for step in self.steps if step.row}
 
     def serial(self) -> int:
-        """Return the newest serial number."""
+        """Return the highest serial number so far, 0 if there was none."""
         return max((step.row[0] for step in self.steps if step.row), default=0)
 
 
 def expected_answer(row: Row) -> tuple[int, str]:
-    """Return status and worker of a request's answer under a row."""
+    """Return the status and worker with which a node that has this row answers a request.
+
+    The worker is empty if the status is not 200.
+    """
     if row is None:
         return 404, ""
     return (200, worker_of(row[0])) if row[1] == ACTIVE else (503, "")
 
 
 class HistoryChecker:
-    """All that was asked and seen in a run, and what of it breaks a rule."""
+    """Records the changes and requests of a run and what nodes showed, and collects rule violations."""
 
     def __init__(self) -> None:
         self.histories: dict[str, History] = {}
         self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.away: dict[str, list[Span]] = {}  # by node
-        self.cuts: dict[str, list[Span]] = {}
-        self.slowest: list[tuple[float, str]] = []  # changes: how long each took, and which
-        self.unverifiable: set[str] = (
-            set()
-        )  # tenants that have broken a rule which leaves open how they stand
+        self.downtimes: dict[str, list[Span]] = {}  # by node
+        self.partitions: dict[str, list[Span]] = {}  # network partitions, by node
+        self.slowest: list[tuple[float, str]] = []  # slowest changes: propagation time and description
+        self.unverifiable: set[str] = set()  # tenants whose row is unknown after a violation
 
     def history(self, name: str) -> History:
         """Return the history of a tenant."""
@@ -107,35 +107,38 @@
     # Nodes
 
     def note_unavailable(self, node: str, now: float) -> None:
-        """Note that a node is dead, leaves or stands still from now on."""
-        self.away.setdefault(node, []).append(Span(now))
+        """Record that a node is dead, leaving or stopped from now on."""
+        self.downtimes.setdefault(node, []).append(Span(now))
 
     def note_available(self, node: str, now: float) -> None:
-        """Note that a node is there again."""
-        self.away[node][-1].ends_s = now
+        """Record that a node is available again."""
+        self.downtimes[node][-1].ends_s = now
 
     def note_cut(self, nodes: Iterable[str], now: float, begins: bool) -> None:
-        """Note that a cut stands between these nodes, or heals; they still answer whoever reaches them."""
+        """Record that a network partition begins between nodes, or heals; callers still reach all of them."""
         for node in nodes:
             if begins:
-                self.cuts.setdefault(node, []).append(Span(now))
+                self.partitions.setdefault(node, []).append(Span(now))
             else:
-                self.cuts[node][-1].ends_s = now
+                self.partitions[node][-1].ends_s = now
 
     def was_unavailable(self, node: str, since_s: float, until_s: float) -> bool:
-        """Tell whether a node was away at any time between two."""
-        return any(span.meets(since_s, until_s) for span in self.away.get(node, ()))
+        """Tell whether a node was unavailable at any time from `since_s` to `until_s`."""
+        return any(span.overlaps(since_s, until_s) for span in self.downtimes.get(node, ()))
 
-    def disturbed(self, node: str, since_s: float, until_s: float) -> bool:
-        """Tell whether a node was away or cut off at any time between two."""
+    def was_unavailable_or_partitioned(self, node: str, since_s: float, until_s: float) -> bool:
+        """Tell whether a node was unavailable or partitioned at any time from `since_s` to `until_s`."""
         return self.was_unavailable(node, since_s, until_s) or any(
-            span.meets(since_s, until_s) for span in self.cuts.get(node, ())
+            span.overlaps(since_s, until_s) for span in self.partitions.get(node, ())
         )
 
     # Changes
 
     def begin(self, name: str, op: str, row: Row, now: float) -> Step:
-        """Begin a tenant's next step; the one before it has its definite answer."""
+        """Begin a tenant's next step.
+
+        Raises ValueError if the step before it has no definite answer, or if the tenant had this row before.
+        """
         history = self.history(name)
         if history.last.acked_s is None:
             raise ValueError(f"{name} has a step without an answer")
@@ -145,74 +148,80 @@
         return history.last
 
     def note_refused(self, name: str, status: int) -> None:
-        """Note an answer by which a try of the newest step has changed nothing."""
+        """Record that an attempt at the newest step was refused and changed nothing."""
         step = self.history(name).last
         step.in_flight = False
         step.refusals[status] += 1
         self.counts[f"changes_refused_{status}"] += 1
 
     def note_indeterminate(self, name: str, status: int) -> None:
-        """Note that a try of the newest step ended with its outcome open; status 0: without an answer."""
+        """Record that an attempt at the newest step may have changed the row; status 0: it had no answer."""
         step = self.history(name).last
         step.in_flight, step.indeterminate = False, True
         self.counts[f"changes_doubtful_{status}"] += 1
 
     def note_already_applied(self, name: str, status: int) -> None:
-        """Note that a try finds the newest step made already, as one whose outcome is open may have done."""
+        """Record that an attempt finds the newest step applied already.
+
+        Only an earlier attempt with an indeterminate outcome may have done that.
+        """
         step = self.history(name).last
         step.in_flight = False
         if step.indeterminate:
             self.counts["changes_found_made"] += 1
             return
-        told = ", ".join(map(str, step.refusals)) or "nothing"
+        statuses = ", ".join(map(str, step.refusals)) or "nothing"
         self.unverifiable.add(name)
         self.violations.append(
-            f"{name}: {step.op} was answered {told} and made all the same, or the change "
+            f"{name}: {step.op} was answered {statuses} and applied all the same, or the change "
             f"before it is lost: it is answered {status} now"
         )
 
     def note_acked(self, name: str, revision: Revision | None, now: float) -> None:
-        """Note that the newest step is made."""
+        """Record that the newest step is acknowledged; its revision must be above all earlier ones."""
         history = self.history(name)
         step = history.last
-        before = max((one.revision for one in history.steps[:-1] if one.revision), default=None)
+        previous = max((earlier.revision for earlier in history.steps[:-1] if earlier.revision), default=None)
         step.in_flight, step.acked_s, step.revision = False, now, revision
         self.counts["changes_acked"] += 1
-        if revision and before and revision <= before:
-            self.violations.append(f"{name}: {step.op} has the revision {revision}, after {before}")
+        if revision and previous and revision <= previous:
+            self.violations.append(f"{name}: {step.op} has the revision {revision}, after {previous}")
 
-    # What nodes show
+    # Rows and answers of nodes
 
     def floor(self, node: str, name: str) -> int:
-        """Return the least step that a node can be at; what is asked from now on may show no earlier one."""
+        """Return the index of the earliest step that a node may still show to a read or request sent now."""
         return self.history(name).min_step_index.get(node, 0)
 
     def note_copy_lost(self, node: str) -> None:
-        """Note that a node has lost its copy and begins anew."""
+        """Record that a node lost its copy and starts with an empty one."""
         for history in self.histories.values():
             history.min_step_index.pop(node, None)
 
     def note_row(self, node: str, name: str, row: Row, floor: int, now: float) -> None:
-        """Note the row that a node showed; `floor` is what it was when that was asked for."""
-        if row is None or row[1] in (ACTIVE, SUSPENDED):  # one on its way out shows neither what was nor is
-            self._note(node, name, lambda step: step.row == row, f"shows {row}", floor, now)
+        """Check the row that a node showed; `floor` is what `floor()` returned when the read was sent."""
+        if row is None or row[1] in (ACTIVE, SUSPENDED):  # while draining, a row matches no step
+            self._check(node, name, lambda step: step.row == row, f"shows {row}", floor, now)
 
     def note_answer(
         self, node: str, name: str, status: int, worker: str, floor: int, now: float, began_s: float
     ) -> None:
-        """Note a request's answer, which must be that of a row; a node may refuse under any."""
+        """Check a request's answer, which must match a row of the tenant; 503 is allowed under any row.
+
+        `floor` is what `floor()` returned when the request was sent, at `began_s`.
+        """
         self.counts[f"answers_{status}"] += 1
         if status == 503:
             steps = self.history(name).steps[floor:]
             self.counts["refused_while_active"] += all(
-                step.row is not None and step.row[1] == ACTIVE for step in steps if step.possible
+                step.row is not None and step.row[1] == ACTIVE for step in steps if step.may_be_visible
             )
             return
         if status == 500:
-            excused = self.was_unavailable(node, began_s, now)
-            self.counts["failed_excused" if excused else "failed"] += 1
+            node_was_down = self.was_unavailable(node, began_s, now)
+            self.counts["failed_excused" if node_was_down else "failed"] += 1
             return
-        self._note(
+        self._check(
             node,
             name,
             lambda step: expected_answer(step.row) == (status, worker),
@@ -221,45 +230,47 @@
             now,
         )
 
-    def _note(
-        self, node: str, name: str, fits: Callable[[Step], bool], what: str, floor: int, now: float
+    def _check(
+        self, node: str, name: str, matches: Callable[[Step], bool], observation: str, floor: int, now: float
     ) -> None:
-        """Note that a node is at one of the steps that fit, at the least of them."""
+        """Advance a node to the earliest visible step that matches; record a violation if none does."""
         history = self.history(name)
         steps = list(enumerate(history.steps))[floor:]
-        found = next((number for number, step in steps if step.possible and fits(step)), None)
+        found = next((number for number, step in steps if step.may_be_visible and matches(step)), None)
         if found is None:
-            told = ", ".join(
-                f"{step.op} {step.row}{'' if step.possible else ' (refused)'}" for _, step in steps[:4]
+            allowed = ", ".join(
+                f"{step.op} {step.row}{'' if step.may_be_visible else ' (refused)'}" for _, step in steps[:4]
+            )
+            self.violations.append(
+                f"{node} {observation} for {name} at {now:.3f}, which is none of: {allowed}"
             )
-            self.violations.append(f"{node} {what} for {name} at {now:.3f}, which is none of: {told}")
             return
-        least = history.min_step_index.get(node, 0)
-        if found > least:
-            for step in history.steps[least + 1 : found + 1]:
+        previous = history.min_step_index.get(node, 0)
+        if found > previous:
+            for step in history.steps[previous + 1 : found + 1]:
                 step.shown_s.setdefault(node, now)
             history.min_step_index[node] = found
 
     # Requests
 
-    def note_unanswered(self, node: str, name: str, began_s: float, now: float, why: str) -> None:
-        """Note that a request had no answer."""
+    def note_unanswered(self, node: str, name: str, began_s: float, now: float, reason: str) -> None:
+        """Record that a request had no answer; that is a violation unless its node was unavailable."""
         if self.was_unavailable(node, began_s, now):
             self.counts["unanswered_excused"] += 1
         else:
             self.counts["unanswered"] += 1
             self.violations.append(
-                f"{node} never answered a request for {name}, {now - began_s:.3f} s: {why}"
+                f"{node} never answered a request for {name}, {now - began_s:.3f} s: {reason}"
             )
 
     def note_extra_answer(self, node: str, name: str) -> None:
-        """Note that more came after a request's answer."""
+        """Record that a node sent more after the answer to a request, which is a violation."""
         self.violations.append(f"{node} sent more after the answer to a request for {name}")
 
-    # The end
+    # Final state
 
     def expected(self) -> dict[str, Row]:
-        """Return the rows that all nodes must show in the end."""
+        """Return the rows that all nodes must show at the end, by tenant."""
         return {
             name: history.last.row
             for name, history in self.histories.items()
@@ -267,7 +278,7 @@
         }
 
     def has_final_rows(self, node: str, rows: dict[str, Row], now: float) -> bool:
-        """Tell whether the rows that a node showed are those that all must show in the end."""
+        """Tell whether a node's rows are the expected final ones; if so, all steps count as shown by it."""
         for name, row in self.expected().items():
             if rows.get(name) != row:
                 return False
@@ -280,7 +291,10 @@
     def check_final_state(
         self, shown: dict[str, dict[str, Row]], revisions: dict[str, dict[str, Revision]]
     ) -> None:
-        """Hold every acknowledged change against the rows and revisions that nodes show last."""
+        """Check that the final rows and revisions of the nodes contain every acknowledged change.
+
+        Both are by node and then by tenant. A tenant without a definite answer is a violation too.
+        """
         for name, history in self.histories.items():
             if name in self.unverifiable:
                 continue
@@ -300,29 +314,31 @@
                     )
 
     def propagation_times_s(self, nodes: Iterable[str], writer_of: dict[str, str]) -> dict[str, list[float]]:
-        """Return how long after its answer each change was shown by all nodes, in seconds.
+        """Return the seconds from each change's answer until all nodes showed it, in two lists.
 
-        Nodes that were away or cut off in that time are left out. `calm` are the changes whose writer was
-        there all along; the delay of the others is mostly that of its return.
+        Nodes that were unavailable or partitioned in that time are left out. `calm` has the changes whose
+        writer was available all along; the delay of those in `writer_away` is mostly that of its return.
         """
         nodes = list(nodes)
-        found: dict[str, list[float]] = {"calm": [], "writer_away": []}
+        times_s: dict[str, list[float]] = {"calm": [], "writer_away": []}
         for name, history in self.histories.items():
             for number, step in enumerate(history.steps):
-                later = history.steps[number + 1].shown_s if number + 1 < len(history.steps) else {}
-                took_s = [
+                next_shown_s = history.steps[number + 1].shown_s if number + 1 < len(history.steps) else {}
+                delays_s = [
                     (max(0.0, at_s - step.acked_s), node)
                     for node in nodes
                     if step.acked_s is not None
                     and (at_s := step.shown_s.get(node)) is not None
-                    and not self.disturbed(node, step.acked_s, at_s)
-                    # a node that shows no row may never have shown the one before: that tells nothing
-                    and (step.row is not None or later.get(node) != at_s)
+                    and not self.was_unavailable_or_partitioned(node, step.acked_s, at_s)
+                    # a deletion that was shown together with the next step was not seen by itself
+                    and (step.row is not None or next_shown_s.get(node) != at_s)
                 ]
-                if number and took_s and step.acked_s is not None:
-                    longest_s, node = max(took_s)
-                    away = self.disturbed(writer_of[name], step.begun_s, step.acked_s + longest_s)
-                    found["writer_away" if away else "calm"].append(longest_s)
+                if number and delays_s and step.acked_s is not None:
+                    longest_s, node = max(delays_s)
+                    writer_away = self.was_unavailable_or_partitioned(
+                        writer_of[name], step.begun_s, step.acked_s + longest_s
+                    )
+                    times_s["writer_away" if writer_away else "calm"].append(longest_s)
                     self.slowest.append(
                         (
                             round(longest_s, 3),
@@ -331,4 +347,4 @@
                         )
                     )
         self.slowest = sorted(self.slowest, reverse=True)[:5]
-        return found
+        return times_s
