--- a/reelusher/lab/capacity/budgets.py
+++ b/reelusher/lab/capacity/budgets.py
@@ -1,28 +1,28 @@
-"""What the operators expect within two years, as data, and what follows from it by arithmetic alone."""
+"""Figures that the operators expect within two years, and those that follow from them by arithmetic."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 DAY_S, HOUR_S = 86_400.0, 3600.0
 
-# What the program is set to, for the arithmetic below
-MOST_CONNECTIONS = 400  # `ajp.max_connections`, unless the operator says more
-IDLE_S = 60.0  # `ajp.idle_ms`
+# Settings and sizes on which the arithmetic below is based
+MAX_CONNECTIONS = 400  # default of `ajp.max_connections`
+IDLE_TIMEOUT_S = 60.0  # `ajp.idle_ms`
 WORKER_CONNECTIONS = 16  # `workers[].connections` of the example
-SOCKETS = 65_536  # `node.sockets` that an operator may well set
-PROBE_S = 30.0  # mean time between a node's tries at a worker that stays away: 20 to 40 s
-CONTAINER_MOST = 8192  # connections that a usual servlet container takes
-ROW_BYTES = 300  # of a tenant as a change carries it: the letter's figure
-IN_MEMORY = 8192  # tenants of a copy that a node has in memory at most
-ENTRY_BYTES = 47  # of a node in the list as JSON
-LINK_BYTES = 125e6  # a second, of a link of 1 Gbit/s
+SOCKETS = 65_536  # a likely value of `node.sockets`
+PROBE_INTERVAL_S = 30.0  # mean time between a node's attempts at a worker that stays away: 20 to 40 s
+CONTAINER_MAX_CONNECTIONS = 8192  # that a servlet container usually accepts
+ROW_BYTES = 300  # of a tenant in a change; the operators' figure
+MAX_TENANTS_IN_MEMORY = 8192  # that a node caches of its copy
+LIST_ENTRY_BYTES = 47  # of a node in the service registry's list, as JSON
+LINK_BYTES_PER_S = 125e6  # of a link of 1 Gbit/s
 
 
 @dataclass(slots=True, frozen=True)
 class Expected:
     """One figure of the operators' table."""
 
-    what: str
+    title: str
     value: float
     unit: str = ""
 
@@ -52,28 +52,28 @@
 
 
 def expected(name: str) -> float:
-    """Return one figure of the operators' table."""
+    """Return the value of one figure of the operators' table."""
     return EXPECTED[name].value
 
 
 @dataclass(slots=True, frozen=True)
 class Derived:
-    """A figure that follows from others; `how` is the same arithmetic in words."""
+    """A figure that follows from others; `formula` shows what `compute` does."""
 
-    what: str
-    how: str
+    title: str
+    formula: str
     unit: str
-    reckon: Callable[[], float]
+    compute: Callable[[], float]
 
     @property
     def value(self) -> float:
-        """Return the figure."""
-        return self.reckon()
+        """Return the computed figure."""
+        return self.compute()
 
 
-def ratio(over: str, under: str) -> float:
-    """Return one expected figure over another."""
-    return expected(over) / expected(under)
+def ratio(numerator: str, denominator: str) -> float:
+    """Return one expected figure divided by another."""
+    return expected(numerator) / expected(denominator)
 
 
 DERIVED = {
@@ -114,7 +114,7 @@
         "seconds in which requests of all tenants in turn fill the places in memory",
         "8,192 / node_requests_per_s",
         "s",
-        lambda: IN_MEMORY / expected("node_requests_per_s"),
+        lambda: MAX_TENANTS_IN_MEMORY / expected("node_requests_per_s"),
     ),
     "callers_per_node": Derived(
         "callers for each node, were each caller one node's",
@@ -153,13 +153,13 @@
         "one, which is idle until it is closed",
         "node_requests_per_s * ajp.idle_ms",
         "",
-        lambda: expected("node_requests_per_s") * IDLE_S,
+        lambda: expected("node_requests_per_s") * IDLE_TIMEOUT_S,
     ),
     "subset_nodes": Derived(
         "nodes that a caller may keep connections to, at ajp.max_connections = 400",
         "400 * nodes / callers",
         "",
-        lambda: MOST_CONNECTIONS / ratio("callers", "nodes"),
+        lambda: MAX_CONNECTIONS / ratio("callers", "nodes"),
     ),
     "worker_idle": Derived(
         "connections kept open at one worker that all nodes use",
@@ -171,7 +171,7 @@
         "tries a second at one worker that stays away",
         "nodes / 30 s",
         "/s",
-        lambda: expected("nodes") / PROBE_S,
+        lambda: expected("nodes") / PROBE_INTERVAL_S,
     ),
     "worker_descriptors": Derived(
         "descriptors that a node keeps from callers for workers, were each route one worker",
@@ -204,7 +204,7 @@
         lambda: (
             expected("callers")
             * expected("nodes")
-            * ENTRY_BYTES
+            * LIST_ENTRY_BYTES
             * derived("list_changes_per_s")
             / expected("control_machines")
             / 1e6
@@ -216,7 +216,7 @@
         "KB/s",
         lambda: (
             expected("callers")
-            * ENTRY_BYTES
+            * LIST_ENTRY_BYTES
             * derived("list_changes_per_s")
             / expected("control_machines")
             / 1e3
@@ -238,5 +238,5 @@
 
 
 def derived(name: str) -> float:
-    """Return a figure that follows from others."""
+    """Return the value of one derived figure."""
     return DERIVED[name].value
--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -1,4 +1,4 @@
-"""The tables of docs/CAPACITY.md, written from what is kept of the plays."""
+"""The tables of docs/CAPACITY.md, written from the kept reports of scale tests and simulations."""
 
 import json
 import re
@@ -9,25 +9,25 @@
 from reelusher.lab.capacity.budgets import DERIVED, EXPECTED
 from reelusher.lab.capacity.fit import Fit
 from reelusher.lab.capacity.harness import FOLDER, fit_of, read_all
-from reelusher.lab.capacity.roles import ROLES, SHOWN, Row, missing
+from reelusher.lab.capacity.roles import ROLES, SHOWN, Row, missing_mechanisms
 
 PAGE = FOLDER.parent / "CAPACITY.md"
-BEFORE = "before"  # the folder of what was measured before the mechanism was built
+BEFORE = "before"  # folder of the reports measured before the mechanism was built
 TABLE = re.compile(r"(<!-- table (\S+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 REFERENCE = re.compile(r"\[\[([\w./-]+?)(?:@([\w.]+)(?:([/-])([\w.]+)|~(least|most))?)?\]\]")
-LEFT_OUT = re.compile(  # of plays' figures; the JSON keeps them all
+OMITTED_FIGURES = re.compile(  # of the table of simulations; the JSON files keep all
     r"(datagrams?_|header_|exchanges?_|virtual_|driver_|process_|wall_|membership_core|replica_core|sealing_core"
     r"|failed_pulls|turned_away|peak_|sent_bytes_a_second_99)"
 )
-Kept = dict[str, dict[str, Any]]
+Reports = dict[str, dict[str, Any]]  # by name
 
 
 class UnknownFigureError(Exception):
-    """A table names a figure that is not kept."""
+    """A table refers to a figure that no report has."""
 
 
-def number(value: float) -> str:
-    """Return a figure with three digits, thousands parted."""
+def format_number(value: float) -> str:
+    """Return a number with three significant digits and commas between thousands."""
     if value == 0:
         return "0"
     if abs(value) >= 1000:
@@ -38,16 +38,16 @@
 
 
 def with_unit(value: float, unit: str) -> str:
-    """Return a figure and its unit."""
-    return f"{number(value)} {unit}".strip()
+    """Return a formatted number with its unit."""
+    return f"{format_number(value)} {unit}".strip()
 
 
-def fit_told(made: dict[str, Any], figure: str) -> str:
-    """Return what a fit says: fixed cost, slope, how well it fits, and where no line does."""
-    found, unit = fit_of(made, figure), made["figures"][figure]["unit"]
+def describe_fit(report: dict[str, Any], figure: str) -> str:
+    """Return the fixed cost, slope and goodness of fit of a figure, and whether a line does not fit."""
+    found, unit = fit_of(report, figure), report["figures"][figure]["unit"]
     if found is None:
         return "too few sizes"
-    quality = f"R² {found.r2:.4f}, worst {found.worst:.1%} at {number(found.worst_at)}"
+    quality = f"R² {found.r2:.4f}, worst {found.worst:.1%} at {format_number(found.worst_at)}"
     if found.shape == "even":
         return f"does not grow: {with_unit(found.fixed, unit)}; worst {found.worst:.1%}"
     if found.shape == "none":
@@ -56,44 +56,52 @@
     return f"{line}{with_unit(found.fixed, unit)} + {with_unit(found.slope, unit)} · {found.shape}; {quality}"
 
 
-def at(made: dict[str, Any], figure: str, size: float) -> tuple[float | None, float]:
-    """Return a figure at a size, and how many times beyond the largest size that was played that is."""
-    kept, sizes = made["figures"][figure], made["sizes"]
+def figure_at(report: dict[str, Any], figure: str, size: float) -> tuple[float | None, float]:
+    """Return a figure at a size, and the ratio of the size to the largest measured one.
+
+    The figure is the measured median, or the value of the fit at another size, None if no shape fits. The
+    ratio is 1 for each measured size.
+    """
+    kept, sizes = report["figures"][figure], report["sizes"]
     if size in sizes:
         return kept["median"][sizes.index(size)], 1.0
-    found: Fit | None = fit_of(made, figure)
+    found: Fit | None = fit_of(report, figure)
     return (found.at(size) if found else None), size / max(sizes)
 
 
-def at_told(made: dict[str, Any], figure: str, size: float) -> str:
-    """Return a figure at a size, saying where it is reckoned from smaller ones."""
-    value, times = at(made, figure, size)
+def describe_figure_at(report: dict[str, Any], figure: str, size: float) -> str:
+    """Return a figure at a size as text, which says if it is extrapolated or interpolated by the fit."""
+    value, ratio = figure_at(report, figure, size)
     if value is None:
         return "not to be told: nothing fits"
-    told = with_unit(value, made["figures"][figure]["unit"])
-    if size in made["sizes"]:
-        return told
-    beyond = f"{number(times)} times beyond what was played" if times > 1 else "within what was played"
-    return f"{told} (reckoned, {beyond})"
+    text = with_unit(value, report["figures"][figure]["unit"])
+    if size in report["sizes"]:
+        return text
+    beyond = f"{format_number(ratio)} times beyond what was played" if ratio > 1 else "within what was played"
+    return f"{text} (reckoned, {beyond})"
 
 
-def against(made: dict[str, Any], figure: str, size: float, sign: str, other: float) -> str:
-    """Return a figure at one size over, or less, that at another; both must have been played."""
-    one, two = (at(made, figure, one) for one in (size, other))
-    if one[0] is None or two[0] is None or not {size, other} <= set(made["sizes"]):
+def compare_sizes(report: dict[str, Any], figure: str, size: float, operator: str, other_size: float) -> str:
+    """Return the ratio (`/`) or difference (`-`) of a figure at two sizes; both must have been measured."""
+    value, other = (figure_at(report, figure, one) for one in (size, other_size))
+    if value[0] is None or other[0] is None or not {size, other_size} <= set(report["sizes"]):
         return "not played at both sizes"
-    unit = made["figures"][figure]["unit"]
-    return f"{number(one[0] / two[0])} times" if sign == "/" else with_unit(one[0] - two[0], unit)
+    unit = report["figures"][figure]["unit"]
+    return (
+        f"{format_number(value[0] / other[0])} times"
+        if operator == "/"
+        else with_unit(value[0] - other[0], unit)
+    )
 
 
-def _constant(found: re.Match[str], kept: Kept) -> str | None:
-    """Return a figure of a play, a derived or an expected one; None where it is one of a test."""
+def _resolve_without_size(found: re.Match[str], reports: Reports) -> str | None:
+    """Return a figure of a simulation, a derived or an expected one; None if it belongs to a scale test."""
     name = found.group(1)
-    play, _, path = name.partition(".")
-    if play in kept and "told" in kept[play]:
-        if path not in kept[play]["told"]:
+    simulation, _, path = name.partition(".")
+    if simulation in reports and "told" in reports[simulation]:
+        if path not in reports[simulation]["told"]:
             raise UnknownFigureError(found.group(0))
-        return _plain(kept[play]["told"][path])
+        return _format_value(reports[simulation]["told"][path])
     test, _, figure = name.rpartition(".")
     if test == "derived" and figure in DERIVED:
         return with_unit(DERIVED[figure].value, DERIVED[figure].unit)
@@ -102,148 +110,159 @@
     return None
 
 
-def resolved(text: str, kept: Kept) -> str:
-    """Put figures in the place of references.
+def resolve_references(text: str, reports: Reports) -> str:
+    """Replace references by figures. Raises `UnknownFigureError`.
 
-    `[[test.figure@size]]`, the same `@size/other` as a ratio, `@size-other` as a difference, `@size~least` or
-    `~most` of its rounds instead of their median, `[[derived.name]]`, `[[expected.name]]`,
-    `[[FOLDER/PLAY.figure]]`; a size may be an expected one's name.
+    A reference is `[[test.figure@size]]`, its median at a size. With `@size/other` it is the ratio and with
+    `@size-other` the difference of two sizes; with `@size~least` or `@size~most` it is the lowest or highest
+    of the rounds. Others are `[[derived.name]]`, `[[expected.name]]` and `[[FOLDER/SIMULATION.figure]]`. A
+    size is a number or the name of an expected figure.
     """
 
-    def sized(size: str) -> float:
+    def parse_size(size: str) -> float:
         return EXPECTED[size].value if size in EXPECTED else float(size)
 
-    def put(found: re.Match[str]) -> str:
+    def replacement(found: re.Match[str]) -> str:
         name, size = found.group(1), found.group(2)
-        if (text := _constant(found, kept)) is not None:
+        if (text := _resolve_without_size(found, reports)) is not None:
             return text
         test, _, figure = name.rpartition(".")
-        if test not in kept:
+        if test not in reports:
             return "not run"
-        if figure not in kept[test]["figures"] or size is None:
+        if figure not in reports[test]["figures"] or size is None:
             raise UnknownFigureError(found.group(0))
         if found.group(5):
-            one, sizes = kept[test]["figures"][figure], kept[test]["sizes"]
-            return with_unit(one[found.group(5)][sizes.index(sized(size))], one["unit"])
+            kept, sizes = reports[test]["figures"][figure], reports[test]["sizes"]
+            return with_unit(kept[found.group(5)][sizes.index(parse_size(size))], kept["unit"])
         if found.group(3):
-            return against(kept[test], figure, sized(size), found.group(3), sized(found.group(4)))
-        return at_told(kept[test], figure, sized(size))
+            return compare_sizes(
+                reports[test], figure, parse_size(size), found.group(3), parse_size(found.group(4))
+            )
+        return describe_figure_at(reports[test], figure, parse_size(size))
 
-    return REFERENCE.sub(put, text)
+    return REFERENCE.sub(replacement, text)
 
 
-def _table(heads: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    lines = [heads, tuple("---" for _ in heads), *rows]
+def _table(headings: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
+    lines = [headings, tuple("---" for _ in headings), *rows]
     return "\n".join("| " + " | ".join(cell.replace("|", "\\|") for cell in row) + " |" for row in lines)
 
 
-def _expected(_kept: Kept) -> str:
-    return _table(("what", "size"), [(one.what, with_unit(one.value, one.unit)) for one in EXPECTED.values()])
+def _expected(_reports: Reports) -> str:
+    return _table(
+        ("what", "size"), [(one.title, with_unit(one.value, one.unit)) for one in EXPECTED.values()]
+    )
 
 
-def _derived(_kept: Kept) -> str:
+def _derived(_reports: Reports) -> str:
     return _table(
         ("what", "arithmetic", "figure"),
-        [(one.what, one.how, with_unit(one.value, one.unit)) for one in DERIVED.values()],
+        [(one.title, one.formula, with_unit(one.value, one.unit)) for one in DERIVED.values()],
     )
 
 
-def _load(made: dict[str, Any]) -> str:
-    loads = [load for at_size in made["load_average"] for load in at_size]
+def _load_range(report: dict[str, Any]) -> str:
+    loads = [load for at_size in report["load_average"] for load in at_size]
     return f"{min(loads):.1f} to {max(loads):.1f}"
 
 
-def _slopes(kept: Kept) -> str:
+def _slopes(reports: Reports) -> str:
     rows = []
-    for made in kept.values():
-        sizes = f"{', '.join(map(number, made['sizes']))} {made['of']}"
-        for place, (figure, one) in enumerate(made["figures"].items()):
-            told = ", ".join(map(number, one["median"])) + f" {one['unit']}".rstrip()
-            beyond = at_told(made, figure, made["target"]) if made["target"] else ""
+    for report in reports.values():
+        sizes = f"{', '.join(map(format_number, report['sizes']))} {report['of']}"
+        for index, (figure, kept) in enumerate(report["figures"].items()):
+            medians = ", ".join(map(format_number, kept["median"])) + f" {kept['unit']}".rstrip()
+            at_target = describe_figure_at(report, figure, report["target"]) if report["target"] else ""
             rows.append(
                 (
-                    f"`{made['name']}`: {sizes}, {made['repeats']} each, load {_load(made)}"
-                    if not place
+                    f"`{report['name']}`: {sizes}, {report['repeats']} each, load {_load_range(report)}"
+                    if not index
                     else "",
                     figure,
-                    told,
-                    fit_told(made, figure),
-                    beyond,
+                    medians,
+                    describe_fit(report, figure),
+                    at_target,
                 )
             )
     return _table(("play", "figure", "medians", "fixed cost and slope", "at the operators' size"), rows)
 
 
-def _commands(kept: Kept) -> str:
+def _commands(reports: Reports) -> str:
     return _table(
         ("command", "measures", "leaves out, and means"),
-        [(f"`{made['command']}`", made["what"], "; ".join(made["notes"])) for made in kept.values()],
+        [
+            (f"`{report['command']}`", report["what"], "; ".join(report["notes"]))
+            for report in reports.values()
+        ],
     )
 
 
-def _flat(figures: dict[str, Any], above: str = "") -> Iterator[tuple[str, Any]]:
+def _flatten(figures: dict[str, Any], prefix: str = "") -> Iterator[tuple[str, Any]]:
     for name, value in figures.items():
         if isinstance(value, dict):
-            yield from _flat(value, f"{above}{name}.")
+            yield from _flatten(value, f"{prefix}{name}.")
         else:
-            yield f"{above}{name}", value
+            yield f"{prefix}{name}", value
 
 
-def plays_of(folder: Path) -> Kept:
-    """Return what is kept of plays of many members or processes, by `FOLDER/NAME`; figures in one level."""
+def read_simulations(folder: Path) -> Reports:
+    """Return the kept reports of simulated fleets and of live runs, by `FOLDER/NAME`.
+
+    The key `told` of a report has its figures without nesting, with dots between the names.
+    """
     found = {}
     for path in sorted(folder.glob("*/*.json")):
         if path.parent.name != BEFORE:
-            made = json.loads(path.read_text())
-            found[f"{path.parent.name}/{path.stem}"] = made | {"told": dict(_flat(made["figures"]))}
+            report = json.loads(path.read_text())
+            found[f"{path.parent.name}/{path.stem}"] = report | {"told": dict(_flatten(report["figures"]))}
     return found
 
 
-def _plain(value: Any) -> str:
-    return number(value) if isinstance(value, (int, float)) else str(value)
+def _format_value(value: Any) -> str:
+    return format_number(value) if isinstance(value, (int, float)) else str(value)
 
 
-def _plays(plays: Kept) -> str:
+def _simulations(simulations: Reports) -> str:
     return _table(
         ("play", "command", "figures"),
         [
             (
                 name,
-                f"`{made['command']}`",
+                f"`{report['command']}`",
                 "; ".join(
-                    f"{one} {_plain(value)}"
-                    for one, value in made["told"].items()
-                    if not LEFT_OUT.match(one.rpartition(".")[2])
+                    f"{figure} {_format_value(value)}"
+                    for figure, value in report["told"].items()
+                    if not OMITTED_FIGURES.match(figure.rpartition(".")[2])
                 ),
             )
-            for name, made in plays.items()
+            for name, report in simulations.items()
         ],
     )
 
 
-def _role(rows: tuple[Row, ...]) -> Callable[[Kept], str]:
-    def write(kept: Kept) -> str:
+def _role_table(rows: tuple[Row, ...]) -> Callable[[Reports], str]:
+    def role_table(reports: Reports) -> str:
         return _table(
             ("what", "at that size", "budget", "mechanism", "stands", "from"),
             [
                 (
-                    resolved(row.what, kept),
-                    resolved(row.figure, kept),
-                    resolved(row.budget, kept),
+                    resolve_references(row.subject, reports),
+                    resolve_references(row.figure, reports),
+                    resolve_references(row.budget, reports),
                     row.mechanism,
-                    row.stands,
+                    row.status,
                     row.source,
                 )
                 for row in rows
             ],
         )
 
-    return write
+    return role_table
 
 
-def _missing(kept: Kept) -> str:
+def _missing(reports: Reports) -> str:
     def slope(test: str, figure: str) -> tuple[float, float]:
-        found = fit_of(kept[test], figure)
+        found = fit_of(reports[test], figure)
         if found is None or found.shape not in ("n", "even"):
             raise UnknownFigureError(f"no line through {test}.{figure}")
         return found.fixed, found.slope
@@ -252,49 +271,61 @@
         ("", "missing", "breaks at", "arithmetic", "what it would be"),
         [
             (
-                str(place),
-                one.what,
-                f"{number(one.breaks())} nodes",
-                resolved(one.arithmetic, kept),
-                one.mechanism,
+                str(rank),
+                missing.name,
+                f"{format_number(missing.limit_nodes())} nodes",
+                resolve_references(missing.arithmetic, reports),
+                missing.mechanism,
             )
-            for place, one in enumerate(missing(slope), 1)
+            for rank, missing in enumerate(missing_mechanisms(slope), 1)
         ],
     )
 
 
 def tables(folder: Path = FOLDER) -> dict[str, str]:
-    """Return all tables of the page, by name."""
-    kept, before, plays = read_all(folder), read_all(folder / BEFORE), plays_of(folder)
-    made: dict[str, str] = {
-        "expected": _expected(kept),
-        "derived": _derived(kept),
-        "slopes": _slopes(kept),
+    """Return all tables of the page, by name. Raises `UnknownFigureError`."""
+    reports, before, simulations = read_all(folder), read_all(folder / BEFORE), read_simulations(folder)
+    texts: dict[str, str] = {
+        "expected": _expected(reports),
+        "derived": _derived(reports),
+        "slopes": _slopes(reports),
         "before": _slopes(before),
-        "commands": _commands(kept),
-        "missing": _missing(kept),
-        "plays": _plays(plays),
+        "commands": _commands(reports),
+        "missing": _missing(reports),
+        "plays": _simulations(simulations),
     }
-    both = {**kept, **plays, **{f"{BEFORE}/{name}": one for name, one in before.items()}}
-    made["shown"] = _table(
+    all_reports = {
+        **reports,
+        **simulations,
+        **{f"{BEFORE}/{name}": report for name, report in before.items()},
+    }
+    texts["shown"] = _table(
         ("wanted", "measured", "bound", "by"),
-        [(resolved(one.what, both), resolved(one.figure, both), one.budget, one.source) for one in SHOWN],
+        [
+            (
+                resolve_references(row.subject, all_reports),
+                resolve_references(row.figure, all_reports),
+                row.budget,
+                row.source,
+            )
+            for row in SHOWN
+        ],
     )
-    return {**made, **{f"role-{name}": _role(rows)(both) for name, rows in ROLES.items()}}
+    return {**texts, **{f"role-{name}": _role_table(rows)(all_reports) for name, rows in ROLES.items()}}
 
 
-def written(text: str, folder: Path = FOLDER) -> str:
-    """Return a page with its tables as they are now. Raises `UnknownFigureError`."""
-    made = tables(folder)
+def update_tables(text: str, folder: Path = FOLDER) -> str:
+    """Return a page with its tables written from the reports in a folder. Raises `UnknownFigureError`."""
+    texts = tables(folder)
 
-    def put(found: re.Match[str]) -> str:
-        if found.group(2) not in made:
+    def replacement(found: re.Match[str]) -> str:
+        if found.group(2) not in texts:
             raise UnknownFigureError(found.group(2))
-        return f"{found.group(1)}{made[found.group(2)]}\n{found.group(3)}"
+        return f"{found.group(1)}{texts[found.group(2)]}\n{found.group(3)}"
 
-    return TABLE.sub(put, text)
+    return TABLE.sub(replacement, text)
 
 
 def rewrite(page: Path = PAGE, folder: Path = FOLDER) -> None:
-    """Write the page's tables anew."""
-    page.write_text(written(page.read_text(), folder))
+    """Update the tables in the file of the page. Raises `UnknownFigureError`."""
+    page.write_text(update_tables(page.read_text(), folder))
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What the page says of each role and of what is missing, with references to figures that are kept."""
+"""Rows of the capacity page: the load on each role and missing mechanisms, with references to figures."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 from reelusher.fleet.membership.member_table import MAX_MEMBERS
 from reelusher.fleet.warm_start.observations import MAX_OBSERVATIONS
 from reelusher.lab.capacity.budgets import (
-    CONTAINER_MOST,
-    LINK_BYTES,
-    MOST_CONNECTIONS,
+    CONTAINER_MAX_CONNECTIONS,
+    LINK_BYTES_PER_S,
+    MAX_CONNECTIONS,
     SOCKETS,
     WORKER_CONNECTIONS,
     derived,
@@ -17,27 +17,27 @@
 )
 
 Slope = Callable[[str, str], tuple[float, float]]  # fixed cost and slope of a figure of a scale test
-WORKS, PART, MISSES = "works", "in part", "missing"
+WORKS, PARTIAL, MISSING = "works", "in part", "missing"
 
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    """One thing that a role has to bear."""
+    """One load on a role, or one result, as a row of a table. Its texts may contain references."""
 
-    what: str
+    subject: str
     figure: str
     budget: str
     mechanism: str
-    stands: str
-    source: str  # the scale test, or `arithmetic`
+    status: str  # `WORKS`, `PARTIAL` or `MISSING`; empty for results
+    source: str  # the scale test or simulation, or `arithmetic`
 
 
 @dataclass(slots=True, frozen=True)
-class SettingsError:
-    """One mechanism that there is not; all else is taken to grow with the fleet, in proportion."""
+class MissingMechanism:
+    """A mechanism that does not exist yet, and the fleet size at which its absence becomes a limit."""
 
-    what: str
-    breaks: Callable[[], float]  # nodes at which it does
+    name: str
+    limit_nodes: Callable[[], float]  # all other figures are assumed to grow in proportion to the nodes
     arithmetic: str
     mechanism: str
 
@@ -65,7 +65,7 @@
         "[[tenants-table.check_s@tenants]], [[tenants-table.start_s@tenants]]",
         "10 s",
         "names told apart by a set; nothing is sorted for it",
-        PART,
+        PARTIAL,
         "`tenants-table`",
     ),
     Row(
@@ -74,7 +74,7 @@
         "for the file; now: [[tenants-memory.table_mb@tenants]], [[tenants-memory.read_mb@tenants]]",
         "[[expected.control_mb]]",
         "all in memory: past some 40,000 tenants a copy on disk is wanted",
-        MISSES,
+        MISSING,
         "`tenants-memory`",
     ),
     Row(
@@ -143,7 +143,7 @@
         "[[callers-idle.core@10000]] of a core",
         "none told",
         "each thread looks five times a second whether the node leaves",
-        PART,
+        PARTIAL,
         "`callers-idle`",
     ),
     Row(
@@ -151,7 +151,7 @@
         "[[callers-left.connections_left@routes]] of 65,536 (never fewer than 16)",
         "more than [[derived.connections_spread]]",
         "`descriptors.max_caller_connections` keeps all that workers may use",
-        MISSES,
+        MISSING,
         "`callers-left`",
     ),
     Row(
@@ -160,7 +160,7 @@
         "[[workers-pool.gauges_us@routes]]; [[workers-pool.seen_ms@routes]]",
         "[[expected.control_mb]], [[expected.control_core]] of a core",
         "all members in memory, gauges add all up",
-        PART,
+        PARTIAL,
         "`workers-pool`",
     ),
     Row(
@@ -251,7 +251,7 @@
         "[[learning.told_kb@41000]]; [[learning.fits@41000]]",
         "512 KB",
         "three donors; the first 512 facts of each count",
-        PART,
+        PARTIAL,
         "`learning`",
     ),
     Row(
@@ -295,7 +295,7 @@
         "[[fleet/region-hour-150.members_agree_after_return_s]]",
         "16",
         "streams of each writer go on",
-        PART,
+        PARTIAL,
         "`fleet/region-hour-150`; 3,600 begun, not ended",
     ),
     Row(
@@ -319,7 +319,7 @@
         "[[state-journal.recover_s@tenants]], [[state-journal.kept_mb@tenants]]",
         "10 s",
         "a snapshot, read whole",
-        PART,
+        PARTIAL,
         "`state-journal`",
     ),
     Row(
@@ -369,7 +369,7 @@
         "[[derived.list_push_mb_per_s]], [[derived.list_delta_kb_per_s]] a machine",
         "125 MB/s, a link",
         "not this program's",
-        MISSES,
+        MISSING,
         "arithmetic",
     ),
     Row(
@@ -377,7 +377,7 @@
         "[[start-all.listed_s@nodes]], [[start-all.most_over_mean@2880]]",
         "none told",
         "first reports spread over 0.25 s",
-        PART,
+        PARTIAL,
         "`start-all`",
     ),
     Row(
@@ -385,7 +385,7 @@
         "[[start-zone.served_worth@2880]] at 2,880 nodes",
         "none told",
         "leaving a failing zone is issue 23",
-        PART,
+        PARTIAL,
         "`start-zone`",
     ),
 )
@@ -395,7 +395,7 @@
         "[[derived.caller_requests_per_s]], [[derived.caller_returns_s]]",
         "`ajp.idle_ms`, 60 s",
         "none: callers choose",
-        MISSES,
+        MISSING,
         "arithmetic",
     ),
     Row(
@@ -403,7 +403,7 @@
         "[[derived.connections_spread]]",
         "400, 10,000 at most",
         "the idle of whoever has most are closed for others",
-        PART,
+        PARTIAL,
         "arithmetic",
     ),
     Row(
@@ -411,7 +411,7 @@
         "[[derived.subset_nodes]]",
         "[[expected.nodes]]",
         "none",
-        MISSES,
+        MISSING,
         "arithmetic",
     ),
     Row(
@@ -419,7 +419,7 @@
         "[[derived.worker_idle]]",
         "8,192, as a usual container takes",
         "each node keeps up to 16, and lets none go",
-        MISSES,
+        MISSING,
         "arithmetic",
     ),
     Row(
@@ -440,7 +440,7 @@
     ),
 )
 _COPY, _FILE = "`tenants-node-copy`", "`tenants-node`"
-SHOWN: tuple[Row, ...] = (  # what the design had to show, beside what plays of the whole fleet show
+SHOWN: tuple[Row, ...] = (  # targets of the design and the measured results
     Row(
         "260,000 tenants in the copy: processor time of a request over that at 100",
         "[[tenants-node-copy.request_us@260000/100]], of tenants in use; of 2,000 that were not of late "
@@ -569,13 +569,13 @@
 ROLES = {"node": NODE, "control": CONTROL, "list": LIST, "around": AROUND}
 
 
-def missing(slope: Slope) -> list[SettingsError]:
-    """Return what there is not, in the order in which it breaks as the fleet grows."""
-    idle_fixed, idle_each = slope("callers-idle", "core")
-    workers = ratio("routes", "nodes")
-    push = derived("list_push_mb_per_s") * 1e6
-    found = [
-        SettingsError(
+def missing_mechanisms(slope: Slope) -> list[MissingMechanism]:
+    """Return the missing mechanisms, by the fleet size at which they are needed, smallest first."""
+    idle_fixed, idle_slope = slope("callers-idle", "core")
+    workers_per_node = ratio("routes", "nodes")
+    list_bytes_per_s = derived("list_push_mb_per_s") * 1e6
+    mechanisms = [
+        MissingMechanism(
             "placing tenants on parts of the fleet",
             lambda: 2,
             "a node knows the keys that it has seen itself: a repeat that comes to another of two runs "
@@ -586,50 +586,50 @@
             "[[tenants-node-copy.request_us@260000]] of processor time",
             "rendezvous over the live members, a few nodes a tenant; it needs the table on all first",
         ),
-        SettingsError(
+        MissingMechanism(
             "callers' subsets",
-            lambda: MOST_CONNECTIONS / ratio("callers", "nodes"),
+            lambda: MAX_CONNECTIONS / ratio("callers", "nodes"),
             "each caller at each node: [[derived.callers_per_node]] connections for each node of the "
             "fleet, against 400",
             "deterministic subsets by zone, told with the list",
         ),
-        SettingsError(
+        MissingMechanism(
             "one poller for idle connections of web servers",
-            lambda: (expected("control_core") / 100 - idle_fixed) / idle_each / ratio("callers", "nodes"),
+            lambda: (expected("control_core") / 100 - idle_fixed) / idle_slope / ratio("callers", "nodes"),
             "each idle connection has a thread that looks five times a second whether the node leaves: "
             "at 400 of them [[callers-idle.core@400]] of a core, against 0.035 for all control",
             "the platform's poller, which reads all its callers in one thread",
         ),
-        SettingsError(
+        MissingMechanism(
             "facts of workers by need",
-            lambda: MAX_OBSERVATIONS / workers,
+            lambda: MAX_OBSERVATIONS / workers_per_node,
             "a fresh node heeds the first 512 facts; an answer past 512 KB is not taken at all",
             "only what is away, and only of workers in use",
         ),
-        SettingsError(
+        MissingMechanism(
             "descriptors of workers in use only",
-            lambda: SOCKETS / WORKER_CONNECTIONS / workers,
+            lambda: SOCKETS / WORKER_CONNECTIONS / workers_per_node,
             "16 for each worker are kept from callers, of 65,536",
             "a bound on connections to all workers together, idle ones let go",
         ),
-        SettingsError(
+        MissingMechanism(
             "subsets at workers",
-            lambda: CONTAINER_MOST / WORKER_CONNECTIONS,
+            lambda: CONTAINER_MAX_CONNECTIONS / WORKER_CONNECTIONS,
             "16 connections of each node, against 8,192 of a container",
             "the same bound, and tenants on parts of the fleet",
         ),
-        SettingsError(
+        MissingMechanism(
             "the list service's own design",
-            lambda: expected("nodes") * (LINK_BYTES / push) ** (1 / 3),
+            lambda: expected("nodes") * (LINK_BYTES_PER_S / list_bytes_per_s) ** (1 / 3),
             "the whole list to each caller at each change grows with the cube of the fleet: "
             "[[derived.list_push_mb_per_s]] a machine at 3,600 nodes, against 125",
             "entries that changed, numbered, as the tenants' table has them; a tree of machines",
         ),
-        SettingsError(
+        MissingMechanism(
             "room for more members",
             lambda: MAX_MEMBERS * expected("nodes") / derived("members_remembered"),
             f"[[derived.members_remembered]] are remembered at 3,600, against {MAX_MEMBERS:,}",
             "shorter memory of those that left; a larger table",
         ),
     ]
-    return sorted(found, key=lambda one: one.breaks())
+    return sorted(mechanisms, key=lambda mechanism: mechanism.limit_nodes())
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -71,7 +71,7 @@
     assert found.line_r2 < 0.98 < found.r2
     assert found.line_worst > 0.1
     kept = {"figures": {"took": {"unit": "s", "median": [1.0] * 5, "fit": found.to_json()}}}
-    assert page.fit_told(kept, "took").startswith("no line")
+    assert page.describe_fit(kept, "took").startswith("no line")
 
 
 @pytest.mark.parametrize("sizes", [(1, 2, 3), (1, 1, 2, 3)])
@@ -99,8 +99,8 @@
     assert [len(loads) for loads in made["load_average"]] == [2, 2, 2, 2]
     assert made["figures"]["took"]["median"] == [3, 5, 9, 17]
     assert made["figures"]["took"]["fit"]["slope"] == 2
-    assert page.at_told(made, "took", 80) == "161 s (reckoned, 10 times beyond what was played)"
-    assert page.at_told(made, "took", 4) == "9 s"
+    assert page.describe_figure_at(made, "took", 80) == "161 s (reckoned, 10 times beyond what was played)"
+    assert page.describe_figure_at(made, "took", 4) == "9 s"
 
 
 def test_other_sizes_are_part_of_the_command() -> None:
@@ -160,7 +160,7 @@
 
 
 def differs(text: str, folder: Path) -> bool:
-    return page.written(text, folder) != text
+    return page.update_tables(text, folder) != text
 
 
 def test_the_page_says_what_is_kept() -> None:
@@ -210,10 +210,10 @@
 )
 def test_a_table_that_there_is_not_is_an_error(text: str) -> None:
     if "no end" in text:
-        assert page.written(text) == text  # it is no table, and the page's own check counts them
+        assert page.update_tables(text) == text  # it is no table, and the page's own check counts them
     else:
         with pytest.raises(page.UnknownFigureError):
-            page.written(text)
+            page.update_tables(text)
 
 
 def test_all_tables_are_on_the_page() -> None:
@@ -223,11 +223,11 @@
 
 def test_a_reference_to_what_is_not_kept_is_told_or_refused() -> None:
     kept = {"fake": play(FAKE)}
-    assert page.resolved("[[nothing.took@4]], [[fake.took@8]]", kept) == "not run, 17 s"
-    assert page.resolved("[[fake.took@4/1]], [[fake.took@8-1]], [[fake.took@80/1]]", kept) == (
+    assert page.resolve_references("[[nothing.took@4]], [[fake.took@8]]", kept) == "not run, 17 s"
+    assert page.resolve_references("[[fake.took@4/1]], [[fake.took@8-1]], [[fake.took@80/1]]", kept) == (
         "3 times, 14 s, not played at both sizes"
     )
     kept["fake"]["figures"]["took"]["least"][1] = 4.5
-    assert page.resolved("[[fake.took@2~least]] to [[fake.took@2~most]]", kept) == "4.5 s to 5 s"
+    assert page.resolve_references("[[fake.took@2~least]] to [[fake.took@2~most]]", kept) == "4.5 s to 5 s"
     with pytest.raises(page.UnknownFigureError):
-        page.resolved("[[fake.nothing@4]]", kept)
+        page.resolve_references("[[fake.nothing@4]]", kept)
