--- a/reelusher/lab/capacity/fit.py
+++ b/reelusher/lab/capacity/fit.py
@@ -1,16 +1,18 @@
-"""Fixed cost and slope of a series by ordinary least squares, and how well that fits. Free of I/O."""
+"""Fixed cost and slope of a series by ordinary least squares, and goodness of fit. Free of I/O."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import asdict, dataclass
 from math import inf, log2
 from typing import Any
 
-LEAST_SIZES = 4  # a line through fewer fits whatever they are
-LEAST_R2 = 0.98  # below it a shape does not fit
-MOST_RESIDUAL = 0.1  # of the largest figure that was measured; past it a shape does not fit
-CLEARLY = 4.0  # times by which another shape's squares must be less than the line's to go before it
-EVEN = 0.15  # of the mean: a series that stays within it, from least to most, does not grow
-LEAST_OFF = 0.01  # of the largest figure: where the line is off by less, no other shape goes before it
+MIN_SIZES = 4  # a line through fewer fits almost any figures
+MIN_R2 = 0.98  # below this a shape does not fit
+MAX_RESIDUAL = 0.1  # fraction of the largest measured figure; above this a shape does not fit
+CLEARLY_BETTER = 4.0  # another shape goes first if its sum of squares is less than the line's by this factor
+EVEN_RANGE = 0.15  # fraction of the mean: a series whose range is within this does not grow
+GOOD_LINE_RESIDUAL = (
+    0.01  # fraction of the largest figure: a line this close is not replaced by a better shape
+)
 
 SHAPES: dict[str, Callable[[float], float]] = {
     "n": lambda size: size,
@@ -21,25 +23,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Fit:
-    """One shape through a series: `fixed + slope * shape(size)`."""
+    """A shape fitted to a series: `fixed + slope * shape(size)`."""
 
-    shape: str  # `n`, `n log n`, `n^2`, `even` (it does not grow), or `none` (nothing of these fits)
+    shape: str  # `n`, `n log n`, `n^2`, `even` (it does not grow), or `none` (none of these fits)
     fixed: float
     slope: float
     r2: float
-    worst: float  # the largest residual as a part of the largest figure
-    worst_at: float  # the size that has it
-    line_r2: float  # of the straight line, whichever shape was taken
+    worst: float  # the largest residual as a fraction of the largest figure
+    worst_at: float  # the size with the largest residual
+    line_r2: float  # of the straight line, whichever shape was chosen, as `line_worst` is
     line_worst: float
 
     def at(self, size: float) -> float | None:
-        """Return what the shape says for a size; None where none fits."""
+        """Return the figure that the fit predicts for a size; None if no shape fits."""
         if self.shape == "none":
             return None
         return self.fixed + (self.slope * SHAPES[self.shape](size) if self.shape in SHAPES else 0.0)
 
     def to_json(self) -> dict[str, Any]:
-        """Return it as it is kept, with seven digits."""
+        """Return the fields as they are kept in JSON, with seven significant digits."""
         return {
             key: value if isinstance(value, str) else float(f"{value:.7g}")
             for key, value in asdict(self).items()
@@ -48,78 +50,81 @@
 
 @dataclass(slots=True, frozen=True)
 class _Line:
-    """Least squares through points of one shape."""
+    """The least-squares line through a series whose sizes are transformed by one shape."""
 
     fixed: float
     slope: float
-    squares: float
+    sum_of_squares: float  # of the residuals
     r2: float
     worst: float
     worst_at: float
 
     @property
     def fits(self) -> bool:
-        return self.r2 >= LEAST_R2 and self.worst <= MOST_RESIDUAL
+        return self.r2 >= MIN_R2 and self.worst <= MAX_RESIDUAL
 
 
-def _through(shape: str, sizes: Sequence[float], figures: Sequence[float]) -> _Line:
-    places = [SHAPES[shape](size) for size in sizes]
-    count = len(places)
-    mean_x, mean_y = sum(places) / count, sum(figures) / count
-    spread = sum((x - mean_x) ** 2 for x in places)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(places, figures, strict=True)) / spread
+def _fit_shape(shape: str, sizes: Sequence[float], figures: Sequence[float]) -> _Line:
+    transformed = [SHAPES[shape](size) for size in sizes]
+    count = len(transformed)
+    mean_x, mean_y = sum(transformed) / count, sum(figures) / count
+    variation_x = sum((x - mean_x) ** 2 for x in transformed)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(transformed, figures, strict=True)) / variation_x
     fixed = mean_y - slope * mean_x
-    off = [y - fixed - slope * x for x, y in zip(places, figures, strict=True)]
-    squares, whole = sum(one * one for one in off), sum((y - mean_y) ** 2 for y in figures)
+    residuals = [y - fixed - slope * x for x, y in zip(transformed, figures, strict=True)]
+    sum_of_squares, total_sum = sum(one * one for one in residuals), sum((y - mean_y) ** 2 for y in figures)
     largest = max(map(abs, figures)) or 1.0
-    number = max(range(count), key=lambda place: abs(off[place]))
+    worst = max(range(count), key=lambda index: abs(residuals[index]))
     return _Line(
         fixed,
         slope,
-        squares,
-        1 - squares / whole if whole else 1.0,
-        abs(off[number]) / largest,
-        sizes[number],
+        sum_of_squares,
+        1 - sum_of_squares / total_sum if total_sum else 1.0,
+        abs(residuals[worst]) / largest,
+        sizes[worst],
     )
 
 
 def fit(sizes: Sequence[float], figures: Sequence[float]) -> Fit:
-    """Fit a series; raises ValueError where there are fewer than four sizes.
+    """Fit a series. Raises ValueError unless there are four different sizes or more, with a figure for each.
 
-    A line is taken where it fits and no other shape is clearly nearer; where none fits that is what is told.
+    A straight line is chosen if it fits and no other shape is clearly better. If the best shape does not fit
+    either, the shape of the result is `none`.
     """
-    if len(set(sizes)) < LEAST_SIZES or len(sizes) != len(figures):
-        raise ValueError(f"a figure for each of {LEAST_SIZES} sizes or more is wanted")
-    lines = {shape: _through(shape, sizes, figures) for shape in SHAPES}
+    if len(set(sizes)) < MIN_SIZES or len(sizes) != len(figures):
+        raise ValueError(f"a figure for each of {MIN_SIZES} sizes or more is needed")
+    lines = {shape: _fit_shape(shape, sizes, figures) for shape in SHAPES}
     line, mean = lines["n"], sum(figures) / len(figures)
-    if max(figures) - min(figures) <= EVEN * abs(mean):
-        off = [abs(figure - mean) for figure in figures]
+    if max(figures) - min(figures) <= EVEN_RANGE * abs(mean):
+        residuals = [abs(figure - mean) for figure in figures]
         return Fit(
             "even",
             mean,
             0.0,
             line.r2,
-            max(off) / (max(map(abs, figures)) or 1.0),
-            sizes[off.index(max(off))],
+            max(residuals) / (max(map(abs, figures)) or 1.0),
+            sizes[residuals.index(max(residuals))],
             line.r2,
             line.worst,
         )
-    best = min(lines, key=lambda shape: lines[shape].squares)
-    clear = lines[best].squares * CLEARLY < line.squares and line.worst > LEAST_OFF
-    taken = "n" if line.fits and not clear else best
-    made = lines[taken]
+    best = min(lines, key=lambda shape: lines[shape].sum_of_squares)
+    clearly_better = (
+        lines[best].sum_of_squares * CLEARLY_BETTER < line.sum_of_squares and line.worst > GOOD_LINE_RESIDUAL
+    )
+    chosen_shape = "n" if line.fits and not clearly_better else best
+    chosen = lines[chosen_shape]
     return Fit(
-        taken if made.fits else "none",
-        made.fixed,
-        made.slope,
-        made.r2,
-        made.worst,
-        made.worst_at,
+        chosen_shape if chosen.fits else "none",
+        chosen.fixed,
+        chosen.slope,
+        chosen.r2,
+        chosen.worst,
+        chosen.worst_at,
         line.r2,
         line.worst,
     )
 
 
 def median(values: Sequence[float]) -> float:
-    """Return the middle of some figures; of an even number the lower of the two in the middle."""
+    """Return the median, of an even number of values the lower one in the middle; infinity for none."""
     return sorted(values)[(len(values) - 1) // 2] if values else inf
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -1,4 +1,4 @@
-"""Keyed windows, kept results, accounts of tenants and counters: bytes by how many there are."""
+"""Memory and processor time of idempotency keys, kept results, tenants' accounts and counters, by number."""
 
 import gc
 import tracemalloc
@@ -15,27 +15,28 @@
 from reelusher.tenancy.fair_queue import FairQueue
 from reelusher.tenancy.quota import Quota
 
-WINDOW_US, TAIL_US = 22_971_000, 7_700_000
-RESULT_BYTES = 1000
+# a key is kept for its window and then for the longest deadline, as a late retry may still use it
+WINDOW_US, LONGEST_DEADLINE_US = 22_971_000, 7_700_000
+RESULT_BYTES = 1000  # of the body of a kept result
 
 
-def bytes_of(make: Callable[[], Any]) -> tuple[float, Any]:
-    """Return the bytes that something leaves, by the allocator's count, and what it made."""
+def allocated_bytes(build: Callable[[], Any]) -> tuple[float, Any]:
+    """Return the bytes that remain allocated after a call, by `tracemalloc`, and the result of the call."""
     gc.collect()
     tracemalloc.start()
     try:
-        made = make()
+        result = build()
         gc.collect()
-        return float(tracemalloc.get_traced_memory()[0]), made
+        return float(tracemalloc.get_traced_memory()[0]), result
     finally:
         tracemalloc.stop()
 
 
 def window(size: int) -> Figures:
-    """Measure a table that keeps so many keys, with results and without, and a sweep (once a second)."""
+    """Measure a table of `size` idempotency keys: its memory, that of its results, and a sweep."""
 
-    def keep() -> IdempotencyTable:
-        table = IdempotencyTable(TAIL_US, 1 << 40)
+    def fill_table() -> IdempotencyTable:
+        table = IdempotencyTable(LONGEST_DEADLINE_US, 1 << 40)
         for number in range(size):
             table.put(
                 IdempotencyKey(f"tenant-{number % 100}", 1, f"key-{number:016x}"),
@@ -45,52 +46,56 @@
             )
         return table
 
-    def answered() -> None:
+    def store_results() -> None:
         for number in range(size):
             table.store_result(require(table.entry_of(number)), Result(b"%0*d" % (RESULT_BYTES, number)))
 
-    held, table = bytes_of(keep)
-    results, _ = bytes_of(answered)
+    table_bytes, table = allocated_bytes(fill_table)
+    result_bytes, _ = allocated_bytes(store_results)
     return {
-        "key_bytes": held / size,
-        "result_bytes": results / size,
+        "key_bytes": table_bytes / size,
+        "result_bytes": result_bytes / size,
         "sweep_ms": cpu_us_per_call(lambda: table.remove_expired(0, lambda holder: False)) / 1000,
     }
 
 
 def accounts(size: int) -> Figures:
-    """Measure the accounts of so many tenants, and the counters that each of them gets."""
+    """Measure the fair queue's accounts of `size` tenants, and the counters of each of them."""
 
-    def entitle() -> FairQueue:
-        shares = FairQueue(8, 65_536.0)
+    def create_accounts() -> FairQueue:
+        queue = FairQueue(8, 65_536.0)
         for number in range(size):
-            shares.set_quota(number, Quota())
-        return shares
+            queue.set_quota(number, Quota())
+        return queue
 
-    def asked() -> None:
+    def request_from_each() -> None:
         for number in range(size):
-            made.request_arrived(Request(number, 0, tenant=number), 0)
+            fair_queue.request_arrived(Request(number, 0, tenant=number), 0)
 
-    def count() -> Counters:
+    def count_for_each() -> Counters:
         counters = Counters()
         for number in range(size):
             counters.add_for(f"tenant-{number}", "served")
         return counters
 
-    held, made = bytes_of(entitle)
-    counted, counters = bytes_of(count)
-    asked()
+    account_bytes, fair_queue = allocated_bytes(create_accounts)
+    counter_bytes, counters = allocated_bytes(count_for_each)
+    request_from_each()
     return {
-        "account_bytes": held / size,
-        "counters_kb": counted / 1000,
+        "account_bytes": account_bytes / size,
+        "counters_kb": counter_bytes / 1000,
         "snapshot_ms": cpu_us_per_call(counters.snapshot) / 1000,
         "line_kb": len(str(counters.summary())) / 1000,
-        "period_us": cpu_us_per_call(lambda: made.period_elapsed(0)),
+        "period_us": cpu_us_per_call(lambda: fair_queue.period_elapsed(0)),
     }
 
 
 SCALES = [
-    partial(Scale, size_unit="keys", target=expected("node_requests_per_s") * (WINDOW_US + TAIL_US) / 1e6)(
+    partial(
+        Scale,
+        size_unit="keys",
+        target=expected("node_requests_per_s") * (WINDOW_US + LONGEST_DEADLINE_US) / 1e6,
+    )(
         "keys-window",
         "keys of keyed requests, kept for their window and the longest deadline",
         sizes=(1000, 2000, 4000, 8000, 16_000),
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -20,7 +20,7 @@
 from reelusher.fleet.membership.swim import Swim
 from reelusher.lab.capacity.budgets import expected
 from reelusher.lab.capacity.harness import Figures, Scale, cpu_us_per_call
-from reelusher.lab.capacity.keys import bytes_of
+from reelusher.lab.capacity.keys import allocated_bytes
 from reelusher.lab.fleet.members import cost_at_rest, time_to_detect_death
 
 DEATHS = 3
@@ -83,7 +83,7 @@
     def given() -> None:
         seal.seal(StateReply(swim.full_state()))
 
-    held, swim = bytes_of(take)
+    held, swim = allocated_bytes(take)
     return {
         "state_kb": len(data) / 1000,
         "table_kb": held / 1000,
