--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -1,4 +1,4 @@
-"""Membership: bytes and processor time of a member, a death known, and full states by the fleet's size."""
+"""Membership by fleet size: traffic and processor time of a member, failure detection, and state sync."""
 
 from functools import partial
 from random import Random
@@ -23,7 +23,7 @@
 from reelusher.lab.capacity.keys import allocated_bytes
 from reelusher.lab.fleet.members import cost_at_rest, time_to_detect_death
 
-DEATHS = 3
+DEATHS = 3  # of which the median detection time is measured
 
 
 def _updates(size: int) -> list[Update]:
@@ -41,7 +41,7 @@
 
 
 def rest(size: int) -> Figures:
-    """Measure members at rest, and the time until a death is known to 99 %."""
+    """Measure members at rest, and the time until 99 % of them know of a death."""
     sent, sent_bytes, core = cost_at_rest(size)
     return {
         "datagrams_per_s": sent,
@@ -51,45 +51,48 @@
     }
 
 
-def _exchanged(one: Swim, other: Swim, seal: MessageAuthenticator) -> float:
-    """Return the bytes, sealed, of all messages by which two members compare what they know."""
-    asked, digests = DigestRequest(one.own.address, one.digest()), other.compare_digest(one.digest())
-    said: list[object] = [asked, DigestReply(digests)]
+def _sync_bytes(requester: Swim, other: Swim, authenticator: MessageAuthenticator) -> float:
+    """Return the total size in bytes of the sealed messages of one state sync between two members."""
+    request, digests = (
+        DigestRequest(requester.own.address, requester.digest()),
+        other.compare_digest(requester.digest()),
+    )
+    messages: list[object] = [request, DigestReply(digests)]
     if digests:
-        buckets = one.differing_buckets(digests)
-        said += [
-            BucketsRequest(one.own.address, buckets, one.in_buckets(buckets)),
+        buckets = requester.differing_buckets(digests)
+        messages += [
+            BucketsRequest(requester.own.address, buckets, requester.in_buckets(buckets)),
             StateReply(other.in_buckets(buckets)),
         ]
-    return float(sum(len(seal.seal(message)) for message in said))
+    return float(sum(len(authenticator.seal(message)) for message in messages))
 
 
 def states(size: int) -> Figures:
-    """Measure a full state of so many members, the table that it makes, and an exchange by digests."""
+    """Measure the full state of `size` members, a member table with it, and a state sync by digests."""
     updates = _updates(size)
-    seal = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].address, 1)
-    data = seal.seal(StateRequest(updates[0].address, updates))
+    authenticator = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].address, 1)
+    data = authenticator.seal(StateRequest(updates[0].address, updates))
     restarted = [*updates[:-1], replace(updates[-1], incarnation=updates[-1].incarnation + 1)]
     peers = [Swim(updates[1], Random(number), 0.0) for number in range(2)]
-    for peer, known in zip(peers, (updates, restarted), strict=True):
-        peer.merge(known, 0.0)
+    for peer, peer_updates in zip(peers, (updates, restarted), strict=True):
+        peer.merge(peer_updates, 0.0)
 
-    def take() -> Swim:
+    def build_table() -> Swim:
         swim = Swim(updates[0], Random(1), 0.0)
         swim.merge(updates, 0.0)
         swim.gossip.broadcasts.clear()
         return swim
 
-    def given() -> None:
-        seal.seal(StateReply(swim.full_state()))
+    def reply_with_state() -> None:
+        authenticator.seal(StateReply(swim.full_state()))
 
-    held, swim = allocated_bytes(take)
+    table_bytes, swim = allocated_bytes(build_table)
     return {
         "state_kb": len(data) / 1000,
-        "table_kb": held / 1000,
-        "equal_bytes_per_s": 2 * _exchanged(swim, peers[0], seal) / (sum(SYNC_INTERVAL_S) / 2),
-        "restart_bytes_per_s": 2 * _exchanged(swim, peers[1], seal) / (sum(SYNC_INTERVAL_S) / 2),
-        "give_ms": cpu_us_per_call(given) / 1000,
+        "table_kb": table_bytes / 1000,
+        "equal_bytes_per_s": 2 * _sync_bytes(swim, peers[0], authenticator) / (sum(SYNC_INTERVAL_S) / 2),
+        "restart_bytes_per_s": 2 * _sync_bytes(swim, peers[1], authenticator) / (sum(SYNC_INTERVAL_S) / 2),
+        "give_ms": cpu_us_per_call(reply_with_state) / 1000,
         "merge_ms": cpu_us_per_call(lambda: swim.merge(updates, 0.0)) / 1000,
         "tick_us": cpu_us_per_call(lambda: swim.tick(0.0)),
     }
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -1,4 +1,4 @@
-"""An operator's file of any size, and a hosted node that is started with it."""
+"""An operator's file of any size, and a process of a hosted node that runs with it."""
 
 import contextlib
 import os
@@ -20,30 +20,30 @@
 from reelusher.net.sockets import connect
 
 TOKEN = "a-token-of-the-scale-tests"
-READY_MOST_S = 300.0
-LOOK_S = 0.01
-TICK_S = 1 / os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 300.0
+POLL_INTERVAL_S = 0.01
+CLOCK_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
 Address = tuple[str, int]
-ROUTED = expected("tenants") / expected("routes")  # one tenant in so many has a route of its own
+TENANTS_PER_ROUTE = expected("tenants") / expected("routes")
 
 
 def tenant(number: int, backend: str = "worker-0") -> dict[str, Any]:
-    """Return a tenant as an operator writes it: a host of its own, and one in six has a route beside it."""
-    made: dict[str, Any] = {
+    """Return a tenant as in an operator's file; each has its own host, and about one in six a route."""
+    fields: dict[str, Any] = {
         "name": f"tenant-{number}",
         "backend": backend,
         "hosts": [f"tenant-{number}.example"],
         "default_class": "day-view",
     }
-    if int(number / ROUTED) != int((number - 1) / ROUTED):
-        made["routes"] = [{"method": "POST", "path": "/visits", "class": "book-visit"}]
-    return made
+    if int(number / TENANTS_PER_ROUTE) != int((number - 1) / TENANTS_PER_ROUTE):
+        fields["routes"] = [{"method": "POST", "path": "/visits", "class": "book-visit"}]
+    return fields
 
 
 def operator_file(
     tenants: int, workers: list[Address], sockets: int = 4096, connections: int = 16
 ) -> dict[str, Any]:
-    """Return an operator's file with so many tenants and these workers; its ports are free ones."""
+    """Return an operator's file with a number of tenants and these workers; the ports are free ones."""
     return {
         "node": {"name": "hosted-1", "sockets": sockets, "memory_mb": 192},
         "ajp": {"listen": "127.0.0.1:0", "max_connections": min(10_000, sockets)},
@@ -62,38 +62,38 @@
 
 
 def config(tenants: int, workers: int = 1, **changes: Any) -> Config:
-    """Return the checked configuration of a node of that size."""
+    """Return the checked configuration of a node with these numbers of tenants and workers."""
     return merge(None, parse(operator_file(tenants, [("127.0.0.1", 1)] * workers, **changes)))
 
 
 def status_of(pid: int) -> dict[str, int]:
-    """Return what the kernel says of a process: resident bytes, threads, open descriptors."""
+    """Return the resident bytes, threads and open descriptors of a process."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
-    told = dict(line.split(":", 1) for line in lines)
+    fields = dict(line.split(":", 1) for line in lines)
     return {
-        "resident": int(told["VmRSS"].split()[0]) * 1024,
-        "threads": int(told["Threads"]),
+        "resident": int(fields["VmRSS"].split()[0]) * 1024,
+        "threads": int(fields["Threads"]),
         "descriptors": len(os.listdir(f"/proc/{pid}/fd")),
     }
 
 
 def processor_s(pid: int) -> float:
-    """Return the seconds of processor time that a process has taken."""
+    """Return the processor time of a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * TICK_S
+    return (int(fields[11]) + int(fields[12])) * CLOCK_TICK_S
 
 
 @dataclass(slots=True)
 class HostedNode:
-    """A node that runs."""
+    """A running node process and its addresses."""
 
     process: subprocess.Popen[bytes]
     ajp: Address
     admin: Address
-    ready_s: float  # from its start until it answered
+    ready_s: float  # from its start until its AJP front end answered
 
     def call(self, method: str, path: str, body: bytes = b"") -> http1.Message:
-        """Make a call of the administration API."""
+        """Call the administration API. Raises ConnectionError if no answer comes."""
         with connect(self.admin, 10.0) as sock:
             sock.settimeout(30.0)
             sock.sendall(http1.request(method, path, body, {"Authorization": f"Bearer {TOKEN}"}))
@@ -105,23 +105,23 @@
 
 
 def _addresses(log: Path) -> dict[str, Address]:
-    """Return where a node's log says that it listens."""
-    found = {}
+    """Return the addresses that a node's log names, `ajp` and `admin`, so far as it has started to listen."""
+    addresses = {}
     for line in log.read_text(errors="replace").splitlines():
-        for word, key in (
+        for message, key in (
             ("the ajp frontend listens on ", "ajp"),
             ("the administration API listens on ", "admin"),
         ):
-            if word in line:
-                host, _, port = line.rpartition(word)[2].strip().rpartition(":")
-                found[key] = host, int(port)
-    return found
+            if message in line:
+                host, _, port = line.rpartition(message)[2].strip().rpartition(":")
+                addresses[key] = host, int(port)
+    return addresses
 
 
-def _answers(place: Address) -> bool:
-    """Tell whether an AJP front answers a CPing."""
+def _answers_cping(address: Address) -> bool:
+    """Tell whether an AJP front end answers a CPing."""
     try:
-        with connect(place, 1.0) as sock:
+        with connect(address, 1.0) as sock:
             sock.settimeout(5.0)
             sock.sendall(ajp13.packet(ajp13.TO_CONTAINER, bytes([ajp13.CPING])))
             return bool(sock.recv(16))
@@ -131,11 +131,14 @@
 
 @contextlib.contextmanager
 def hosted_node(file: dict[str, Any], folder: Path) -> Iterator[HostedNode]:
-    """Run a node as operators do, until the block is left; it is told to leave by its id, then ended."""
+    """Run a node with an operator's file. Leaving the block stops it, with SIGKILL if SIGTERM takes too long.
+
+    Raises RuntimeError if the node exits or is not ready in time.
+    """
     path, log = folder / "operator.toml", folder / "node.log"
     path.write_text(tomli_w.dumps(file))
     began = time.monotonic()
-    environ = {key: one for key, one in os.environ.items() if not key.startswith("PROXY_")}
+    environ = {key: value for key, value in os.environ.items() if not key.startswith("PROXY_")}
     with log.open("wb") as out:
         process = subprocess.Popen(
             deploy_command("run"),
@@ -145,13 +148,13 @@
             stdout=out,
         )
     try:
-        places: dict[str, Address] = {}
-        while len(places) < 2 or not _answers(places["ajp"]):
-            if process.poll() is not None or time.monotonic() - began > READY_MOST_S:
+        addresses: dict[str, Address] = {}
+        while len(addresses) < 2 or not _answers_cping(addresses["ajp"]):
+            if process.poll() is not None or time.monotonic() - began > READY_TIMEOUT_S:
                 raise RuntimeError(f"the node is not ready: {log.read_text(errors='replace')[-500:]}")
-            time.sleep(LOOK_S)
-            places = _addresses(log)
-        yield HostedNode(process, places["ajp"], places["admin"], time.monotonic() - began)
+            time.sleep(POLL_INTERVAL_S)
+            addresses = _addresses(log)
+        yield HostedNode(process, addresses["ajp"], addresses["admin"], time.monotonic() - began)
     finally:
         process.send_signal(signal.SIGTERM)
         try:
--- a/reelusher/lab/capacity/starts.py
+++ b/reelusher/lab/capacity/starts.py
@@ -1,4 +1,4 @@
-"""A cold start of all and the return of a zone, by the model of `lab/fleet` on its virtual clock."""
+"""A cold start of a whole fleet and the return of a lost zone, simulated by `lab/fleet`."""
 
 import tempfile
 import time
@@ -11,20 +11,23 @@
 from reelusher.lab.fleet.plan import read
 
 PLANS = Path(model.__file__).parent / "plans"
-NODES = 6  # of the plan as it is
-SHORTER = {"cold.toml": "[run]\nseconds = 6\n", "zone-lost.toml": "[run]\nseconds = 16\n"}
+PLAN_NODES = 6  # nodes of a plan at scale 1
+SHORTENED_RUNS = {"cold.toml": "[run]\nseconds = 6\n", "zone-lost.toml": "[run]\nseconds = 16\n"}
 
 
-def started(plan: str, size: int) -> Figures:
-    """Play a plan at a size, and tell what came of it; raise where a rule was broken or not all came back."""
+def run_plan(plan: str, size: int) -> Figures:
+    """Simulate a plan with a number of nodes.
+
+    Raises RuntimeError if an invariant was violated, and TypeError if a node was never listed.
+    """
     began = time.process_time()
     with tempfile.TemporaryDirectory() as name:
-        shorter = Path(name) / "shorter.toml"
-        shorter.write_text(SHORTER[plan])
-        account = model.play(read([PLANS / "base.toml", PLANS / plan, shorter], size / NODES))
+        override = Path(name) / "shorter.toml"
+        override.write_text(SHORTENED_RUNS[plan])
+        account = model.play(read([PLANS / "base.toml", PLANS / plan, override], size / PLAN_NODES))
     figures = account.figures()
     if account.violations:
-        raise RuntimeError(f"a rule was broken: {account.violations[0]}")
+        raise RuntimeError(f"an invariant was violated: {account.violations[0]}")
     return {
         "listed_s": float(figures["all_listed_s"]),
         "most_reports": float(figures["reports_most_in_100ms"]),
@@ -48,7 +51,7 @@
     _OF(
         "start-all",
         "all nodes start cold within 0.2 s, with the load at the door, 6 s of it",
-        measure=partial(started, "cold.toml"),
+        measure=partial(run_plan, "cold.toml"),
         notes=(
             "the model of lab/fleet: the real core and decisions; interpreters take 0.4 s each",
             "most_reports: in 100 ms; served_worth: part of the worth asked for",
@@ -57,6 +60,6 @@
     _OF(
         "start-zone",
         "a zone of three is lost for 5 s and comes back cold, 16 s of load",
-        measure=partial(started, "zone-lost.toml"),
+        measure=partial(run_plan, "zone-lost.toml"),
     ),
 ]
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -1,4 +1,4 @@
-"""What else grows: the journal of tenants' state, what fresh nodes learn, claims of keys in an upgrade."""
+"""Other costs that grow: the tenants' journal, observations for a warm start, key locks during an upgrade."""
 
 import tempfile
 import time
@@ -20,66 +20,72 @@
 CHANGES = 50
 
 
-def _kept(may_run: bool) -> None:
-    """Hear that a key may be run."""
+def _require_may_run(may_run: bool) -> None:
+    """Raise RuntimeError unless a key may be run."""
     require(may_run, "a key may not be run")
 
 
-def _elsewhere(result: Result | None) -> None:
-    """Hear that another process has run a key."""
+def _fail_on_other_result(result: Result | None) -> None:
+    """Raise RuntimeError, as no other process can have run a key."""
     raise RuntimeError("there is no other process")
 
 
 def journal(size: int) -> Figures:
-    """Measure the tenants' state on disk: first snapshot, a change, its bytes, recovery."""
-    made = site.config(size)
+    """Measure the tenants' state on disk: its first snapshot, a change, its size and recovery."""
+    config = site.config(size)
     with tempfile.TemporaryDirectory() as name:
-        folder = LockedDirectory(Path(name))
-        store = TenantStore(folder)
+        directory = LockedDirectory(Path(name))
+        store = TenantStore(directory)
         began = time.monotonic()
-        store.import_tenants(require(made.operator).tenants)
+        store.import_tenants(require(config.operator).tenants)
         snapshot_s = time.monotonic() - began
         began = time.monotonic()
         for number in range(CHANGES):
             store.change(ChangeKind.SET_STATE, f"tenant-{number % size}", "operator", state="suspended")
         change_ms = (time.monotonic() - began) / CHANGES * 1000
-        folder.close()
-        kept = sum(path.stat().st_size for path in Path(name).iterdir())
+        directory.close()
+        kept_bytes = sum(path.stat().st_size for path in Path(name).iterdir())
         began = time.monotonic()
-        again = LockedDirectory(Path(name))
-        found = TenantStore(again)
+        reopened = LockedDirectory(Path(name))
+        recovered = TenantStore(reopened)
         recover_s = time.monotonic() - began
-        again.close()
-        require(len(found.state.tenants) == size, "tenants are lost")
-    return {"snapshot_s": snapshot_s, "change_ms": change_ms, "kept_mb": kept / 1e6, "recover_s": recover_s}
+        reopened.close()
+        require(len(recovered.state.tenants) == size, "tenants are lost")
+    return {
+        "snapshot_s": snapshot_s,
+        "change_ms": change_ms,
+        "kept_mb": kept_bytes / 1e6,
+        "recover_s": recover_s,
+    }
 
 
 def learning(size: int) -> Figures:
-    """Measure what a donor tells of so many workers, and what a fresh node makes of it."""
-    facts = [Observation(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
-    told = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).seal(
-        ObservationsReply(True, facts)
+    """Measure a donor's reply with an observation of each of `size` workers, and combining three of them."""
+    observations = [Observation(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
+    reply = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).seal(
+        ObservationsReply(True, observations)
     )
-    found = combine([facts] * 3, 1_700_000_000.0)
+    combined = combine([observations] * 3, 1_700_000_000.0)
     return {
-        "told_kb": len(told) / 1000,
-        "fits": float(len(told) <= MAX_STATE_BYTES),
-        "learnt": float(len(found)),
-        "weigh_ms": cpu_us_per_call(lambda: combine([facts[:MAX_OBSERVATIONS]] * 3, 1_700_000_000.0)) / 1000,
+        "told_kb": len(reply) / 1000,
+        "fits": float(len(reply) <= MAX_STATE_BYTES),
+        "learnt": float(len(combined)),
+        "weigh_ms": cpu_us_per_call(lambda: combine([observations[:MAX_OBSERVATIONS]] * 3, 1_700_000_000.0))
+        / 1000,
     }
 
 
 def claims(size: int) -> Figures:
-    """Measure claims of keys, a file each, and a look for those whose window is over."""
+    """Measure the locks of `size` keys, each of which is a file, and a sweep for expired ones."""
     with tempfile.TemporaryDirectory() as name:
         directory = KeyLockDirectory(Path(name) / "hosted-1.keys")
         began = time.process_time()
         for number in range(size):
             directory.create(IdempotencyKey("tenant-0", 1, f"key-{number}"), KeyLock(1_000_000, "0" * 32), 0)
-        each = (time.process_time() - began) / size * 1e6
+        lock_us = (time.process_time() - began) / size * 1e6
         files = sum(1 for path in next(Path(name).iterdir()).iterdir())
-        swept_ms = cpu_us_per_call(lambda: directory.remove_expired(0)) / 1000
-    return {"claim_us": each, "files": float(files), "sweep_ms": swept_ms}
+        sweep_ms = cpu_us_per_call(lambda: directory.remove_expired(0)) / 1000
+    return {"claim_us": lock_us, "files": float(files), "sweep_ms": sweep_ms}
 
 
 SCALES = [
