--- a/tests/test_capacity_model.py
+++ b/tests/test_capacity_model.py
@@ -1,4 +1,4 @@
-"""The model of hollow nodes at a small size: what it says must hold there too."""
+"""The simulated fleet at small sizes: propagation, partitions, shards and the traffic that it counts."""
 
 import json
 from math import inf
@@ -9,7 +9,7 @@
 from reelusher.fleet.membership.authentication import MessageAuthenticator
 from reelusher.fleet.membership.messages import Datagram, DatagramKind
 from reelusher.lab.capacity import fleet, hollow_fleet
-from reelusher.lab.capacity.fleet import spread, told
+from reelusher.lab.capacity.fleet import read_spread, to_json
 from reelusher.lab.capacity.hollow_fleet import (
     Fleet,
     Meter,
@@ -20,11 +20,11 @@
 from reelusher.lab.capacity.parts import QUANTUM_S, ShardedFleet, ShardFailedError
 
 
-def lost_of(model: Fleet) -> dict[str, int]:
+def inconsistency_counts(model: Fleet) -> dict[str, int]:
     return count_inconsistent_nodes(model, leader_rows(model), model.changes)
 
 
-def test_changes_are_everywhere_in_time_while_nodes_restart_and_a_rack_is_away() -> None:
+def test_changes_reach_all_nodes_in_time_while_nodes_restart_and_a_rack_is_cut_off() -> None:
     model = Fleet(120, 3)
     model.run(2.0)
     meter = Meter(model)
@@ -38,17 +38,17 @@
     model.run(16.0)
     figures = meter.figures()
     assert model.until(model.has_converged, 30) < 16
-    figures_of_spread = spread_figures([spread(model)])
-    assert figures_of_spread["changes"] == 20
+    propagation = spread_figures([read_spread(model)])
+    assert propagation["changes"] == 20
     assert len(model.steady) == 120 - 10 - 4
-    assert figures_of_spread["to_999_permille_most_s"] < 8
-    assert figures_of_spread["to_all_most_s"] < 16
-    assert lost_of(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
+    assert propagation["to_999_permille_most_s"] < 8
+    assert propagation["to_all_most_s"] < 16
+    assert inconsistency_counts(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
     assert model.reply_faults == {}
     assert figures["core_percent"] < 3.5
 
 
-def test_a_region_apart_with_changes_on_both_sides_is_level_soon_after_its_return() -> None:
+def test_a_cut_off_region_with_changes_on_both_sides_converges_soon_after_it_heals() -> None:
     model = Fleet(70, 5)
     model.run(2.0)
     region = {node.index for node in model.nodes if hollow_fleet.region_of(node.zone) == 2}
@@ -61,62 +61,65 @@
     assert not model.has_converged()
     model.isolate(set())
     assert model.until(model.has_converged, 30) < 16
-    assert lost_of(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
+    assert inconsistency_counts(model) == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
 
 
-def test_a_change_that_does_not_come_everywhere_is_told_so() -> None:
+def test_a_change_that_does_not_reach_a_node_is_reported() -> None:
     model = Fleet(20, 1)
     model.run(1.0)
     model.isolate({19})
     assert model.change(1)
     model.run(5.0)
-    figures_of_spread = spread_figures([spread(model)])
-    assert figures_of_spread["to_all_most_s"] == inf
-    assert figures_of_spread["past_16_s_for_all"] == 1
-    assert lost_of(model) == {"nodes_with_other_rows": 1, "nodes_not_at_the_last_change": 1}
+    propagation = spread_figures([read_spread(model)])
+    assert propagation["to_all_most_s"] == inf
+    assert propagation["past_16_s_for_all"] == 1
+    assert inconsistency_counts(model) == {"nodes_with_other_rows": 1, "nodes_not_at_the_last_change": 1}
 
 
-def steadily(parts: int) -> tuple[dict[str, float], dict[str, float]]:
-    """Play changes and nothing else with 120 nodes; return what was sent, and how changes spread."""
-    with ShardedFleet(120, 3, shard_count=parts) as model:
+def run_steady_changes(shard_count: int) -> tuple[dict[str, float], dict[str, float]]:
+    """Run changes without faults on 120 nodes; return the traffic and propagation figures."""
+    with ShardedFleet(120, 3, shard_count=shard_count) as model:
         model.run(2.0)
         model.each(fleet.begin_meter)
         model.each(fleet.begin_changes, 16.0, 4.0, 100, 0.0)
         model.run(20.0)
-        return fleet.measured(model), spread_figures(model.each(spread))
+        return fleet.read_figures(model), spread_figures(model.each(read_spread))
 
 
-def test_a_fleet_in_several_processes_tells_what_one_in_one_process_tells() -> None:
-    (sent, spread_told), (sent_by_parts, spread_by_parts) = steadily(1), steadily(7)
-    assert spread_by_parts["changes"] == spread_told["changes"] > 40
-    for what in ("datagrams_a_second", "sent_bytes_a_second_mean", "exchanges_a_second"):
-        assert sent_by_parts[what] == pytest.approx(sent[what], rel=0.1), what
-    assert spread_by_parts["to_all_median_s"] == pytest.approx(spread_told["to_all_median_s"], rel=0.15)
+def test_several_shards_give_the_same_figures_as_one() -> None:
+    (traffic, propagation), (sharded_traffic, sharded_propagation) = (
+        run_steady_changes(1),
+        run_steady_changes(7),
+    )
+    assert sharded_propagation["changes"] == propagation["changes"] > 40
+    for figure in ("datagrams_a_second", "sent_bytes_a_second_mean", "exchanges_a_second"):
+        assert sharded_traffic[figure] == pytest.approx(traffic[figure], rel=0.1), figure
+    assert sharded_propagation["to_all_median_s"] == pytest.approx(propagation["to_all_median_s"], rel=0.15)
 
 
-def test_in_several_processes_nothing_is_lost_while_nodes_restart_and_a_rack_is_away() -> None:
+def test_several_shards_lose_no_change_while_nodes_restart_and_a_rack_is_cut_off() -> None:
     with ShardedFleet(120, 3, shard_count=7) as model:
         model.run(2.0)
-        model.each(fleet.unsteady, set(range(110, 120)))
+        model.each(fleet.exclude_from_steady, set(range(110, 120)))
         model.each(fleet.begin_changes, 10.0, 2.0, 20, 4.0)
         model.run(2.0)
-        model.each(fleet.cut_off, set(range(110, 120)))
+        model.each(fleet.isolate, set(range(110, 120)))
         model.run(4.0)
-        model.each(fleet.cut_off, set())
+        model.each(fleet.isolate, set())
         model.run(6.0)
-        assert model.until(lambda: fleet.level(model), 30) < 16
-        assert model.until(lambda: fleet.agreed(model), 30) < 16
-        spreads = model.each(spread)
-        told_of = spread_figures(spreads)
-        assert told_of["changes"] > 10
-        assert told_of["steady_nodes"] == 120 - 10 - 2
-        assert told_of["to_999_permille_most_s"] < 8
-        assert told_of["to_all_most_s"] < 16
-        missing = fleet.missing(model, spreads)
-        assert missing == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
-
-
-def ways_between(model: Fleet) -> float:
+        assert model.until(lambda: fleet.has_converged(model), 30) < 16
+        assert model.until(lambda: fleet.memberships_agree(model), 30) < 16
+        spreads = model.each(read_spread)
+        propagation = spread_figures(spreads)
+        assert propagation["changes"] > 10
+        assert propagation["steady_nodes"] == 120 - 10 - 2
+        assert propagation["to_999_permille_most_s"] < 8
+        assert propagation["to_all_most_s"] < 16
+        counts = fleet.inconsistency_counts(model, spreads)
+        assert counts == {"nodes_with_other_rows": 0, "nodes_not_at_the_last_change": 0}
+
+
+def min_delay_between_shards(model: Fleet) -> float:
     return min(
         model.one_way_s[one.zone][other.zone]
         for one in model.local_nodes
@@ -125,55 +128,67 @@
     )
 
 
-@pytest.mark.parametrize("parts", [2, 3, 7])
-def test_no_way_between_two_parts_is_shorter_than_the_time_between_two_exchanges(parts: int) -> None:
-    with ShardedFleet(34, 1, shard_count=parts) as model:
-        assert min(model.each(ways_between)) >= QUANTUM_S
+@pytest.mark.parametrize("shard_count", [2, 3, 7])
+def test_no_delay_between_two_shards_is_shorter_than_the_quantum(shard_count: int) -> None:
+    with ShardedFleet(34, 1, shard_count=shard_count) as model:
+        assert min(model.each(min_delay_between_shards)) >= QUANTUM_S
 
 
-def fails(model: Fleet) -> None:
+def fail(model: Fleet) -> None:
     raise ValueError("a planted fault")
 
 
-def test_a_fault_in_one_part_is_told_with_its_number() -> None:
+def test_an_error_in_a_shard_is_raised_with_the_number_of_the_shard() -> None:
     with (
         ShardedFleet(20, 1, shard_count=2) as model,
         pytest.raises(ShardFailedError, match=r"part 0.*a planted fault"),
     ):
-        model.each(fails)
+        model.each(fail)
 
 
-def test_more_parts_than_regions_are_refused() -> None:
+def test_more_shards_than_regions_are_refused() -> None:
     with pytest.raises(ValueError, match="1 to 7 parts, not 8"):
         ShardedFleet(20, 1, shard_count=8)
 
 
-def test_the_model_counts_sealed_sizes() -> None:
+def test_the_simulation_counts_the_sizes_of_sealed_datagrams() -> None:
     model = Fleet(6, 1)
     model.run(4.0)
     node = model.nodes[0]
     assert 80 < node.sent_bytes / node.sent < 400
     message = Datagram(DatagramKind.PING, node.address, 9, "", [node.swim.own], node.replica.announce())
-    seal = MessageAuthenticator(
+    authenticator = MessageAuthenticator(
         b"a secret of sixteen", "reelusher", node.address, hollow_fleet.FIRST_INCARNATION_MS
     )
-    seal._number = 1 << 20
-    counted = len(model._encoder.encode(message)) + model._envelope
-    assert counted == pytest.approx(len(seal.seal(message)), abs=2)
+    authenticator._number = 1 << 20
+    counted_bytes = len(model._encoder.encode(message)) + model._envelope
+    assert counted_bytes == pytest.approx(len(authenticator.seal(message)), abs=2)
 
 
-def test_what_did_not_come_about_is_null_and_not_a_number() -> None:
-    assert told({"a": inf, "b": {"c": inf, "d": 1.5}}) == {"a": None, "b": {"c": None, "d": 1.5}}
+def test_an_infinite_figure_is_null_in_json() -> None:
+    assert to_json({"a": inf, "b": {"c": inf, "d": 1.5}}) == {"a": None, "b": {"c": None, "d": 1.5}}
 
 
-def test_a_play_is_written_with_its_command(
+def test_a_report_is_written_with_its_command(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(fleet, "FOLDER", tmp_path)
-    words = ["changes", "--size", "20", "--seconds", "3", "--rate", "2", "--restart", "0", "--name", "small"]
-    assert fleet.main(words) == 0
-    made = json.loads((tmp_path / "small.json").read_text())
-    assert made["command"] == "python -m reelusher.lab.capacity.fleet " + " ".join(words)
-    assert made["size"] == 20
-    assert made["figures"]["changes"] > 0
-    assert json.loads(capsys.readouterr().out) == made
+    arguments = [
+        "changes",
+        "--size",
+        "20",
+        "--seconds",
+        "3",
+        "--rate",
+        "2",
+        "--restart",
+        "0",
+        "--name",
+        "small",
+    ]
+    assert fleet.main(arguments) == 0
+    report = json.loads((tmp_path / "small.json").read_text())
+    assert report["command"] == "python -m reelusher.lab.capacity.fleet " + " ".join(arguments)
+    assert report["size"] == 20
+    assert report["figures"]["changes"] > 0
+    assert json.loads(capsys.readouterr().out) == report
