--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -236,8 +236,8 @@
         """Advance a node to the earliest visible step that matches; record a violation if none does."""
         history = self.history(name)
         steps = list(enumerate(history.steps))[floor:]
-        found = next((number for number, step in steps if step.may_be_visible and matches(step)), None)
-        if found is None:
+        reached = next((number for number, step in steps if step.may_be_visible and matches(step)), None)
+        if reached is None:
             allowed = ", ".join(
                 f"{step.op} {step.row}{'' if step.may_be_visible else ' (refused)'}" for _, step in steps[:4]
             )
@@ -246,10 +246,10 @@
             )
             return
         previous = history.min_step_index.get(node, 0)
-        if found > previous:
-            for step in history.steps[previous + 1 : found + 1]:
+        if reached > previous:
+            for step in history.steps[previous + 1 : reached + 1]:
                 step.shown_s.setdefault(node, now)
-            history.min_step_index[node] = found
+            history.min_step_index[node] = reached
 
     # Requests
 
@@ -301,16 +301,20 @@
             if history.last.acked_s is None:
                 self.violations.append(f"{name}: {history.last.op} never had a definite answer")
                 continue
-            wanted = history.last.revision
+            expected_revision = history.last.revision
             for node, rows in shown.items():
                 if rows.get(name) != history.last.row:
                     self.violations.append(
                         f"{node} shows {rows.get(name)} for {name} in the end, not {history.last.row}"
                     )
-                found = revisions.get(node, {}).get(name)
-                if history.last.row and wanted and (found is None or found < wanted):
+                revision = revisions.get(node, {}).get(name)
+                if (
+                    history.last.row
+                    and expected_revision
+                    and (revision is None or revision < expected_revision)
+                ):
                     self.violations.append(
-                        f"{node} has the revision {found} of {name} in the end, not {wanted}"
+                        f"{node} has the revision {revision} of {name} in the end, not {expected_revision}"
                     )
 
     def propagation_times_s(self, nodes: Iterable[str], writer_of: dict[str, str]) -> dict[str, list[float]]:
--- a/reelusher/lab/capacity/fit.py
+++ b/reelusher/lab/capacity/fit.py
@@ -34,7 +34,7 @@
     line_r2: float  # of the straight line, whichever shape was chosen, as `line_worst` is
     line_worst: float
 
-    def at(self, size: float) -> float | None:
+    def predict(self, size: float) -> float | None:
         """Return the figure that the fit predicts for a size; None if no shape fits."""
         if self.shape == "none":
             return None
--- a/reelusher/lab/capacity/keys.py
+++ b/reelusher/lab/capacity/keys.py
@@ -32,7 +32,7 @@
         tracemalloc.stop()
 
 
-def window(size: int) -> Figures:
+def measure_key_window(size: int) -> Figures:
     """Measure a table of `size` idempotency keys: its memory, that of its results, and a sweep."""
 
     def fill_table() -> IdempotencyTable:
@@ -59,7 +59,7 @@
     }
 
 
-def accounts(size: int) -> Figures:
+def measure_accounts(size: int) -> Figures:
     """Measure the fair queue's accounts of `size` tenants, and the counters of each of them."""
 
     def create_accounts() -> FairQueue:
@@ -100,7 +100,7 @@
         "keys of keyed requests, kept for their window and the longest deadline",
         sizes=(1000, 2000, 4000, 8000, 16_000),
         quick=(50, 100, 200, 400),
-        measure=window,
+        measure=measure_key_window,
         units={"key_bytes": "bytes", "result_bytes": "bytes", "sweep_ms": "ms"},
         notes=("results of 1,000 bytes; at 272 a second, were all of them keyed, 8,342 keys",),
     ),
@@ -109,7 +109,7 @@
         "accounts of tenants and their counters",
         sizes=(1000, 2000, 4000, 8000, 16_000),
         quick=(50, 100, 200, 400),
-        measure=accounts,
+        measure=measure_accounts,
         units={
             "account_bytes": "bytes",
             "counters_kb": "KB",
--- a/reelusher/lab/capacity/membership.py
+++ b/reelusher/lab/capacity/membership.py
@@ -40,7 +40,7 @@
     ]
 
 
-def rest(size: int) -> Figures:
+def measure_rest(size: int) -> Figures:
     """Measure members at rest, and the time until 99 % of them know of a death."""
     sent, sent_bytes, core = cost_at_rest(size)
     return {
@@ -67,7 +67,7 @@
     return float(sum(len(authenticator.seal(message)) for message in messages))
 
 
-def states(size: int) -> Figures:
+def measure_state_sync(size: int) -> Figures:
     """Measure the full state of `size` members, a member table with it, and a state sync by digests."""
     updates = _updates(size)
     authenticator = MessageAuthenticator(b"a secret of sixteen", "lab", updates[0].address, 1)
@@ -105,7 +105,7 @@
         "members at rest on a virtual clock, no datagram lost",
         sizes=(200, 800, 1800, 3600),
         quick=(4, 6, 8, 10),
-        measure=rest,
+        measure=measure_rest,
         repeats=1,
         units={"datagrams_per_s": "/s", "bytes_per_s": "B/s", "core": "", "death_known_s": "s"},
         notes=(
@@ -118,7 +118,7 @@
         "the full state of a fleet, and an exchange by digests each 15 to 30 s",
         sizes=(200, 800, 1800, 3600),
         quick=(10, 20, 30, 40),
-        measure=states,
+        measure=measure_state_sync,
         units={
             "state_kb": "KB",
             "table_kb": "KB",
--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -23,7 +23,7 @@
 
 
 class UnknownFigureError(Exception):
-    """A table refers to a figure that no report has."""
+    """The page refers to an unknown table or figure, or a figure has no linear fit where one is needed."""
 
 
 def format_number(value: float) -> str:
@@ -44,16 +44,20 @@
 
 def describe_fit(report: dict[str, Any], figure: str) -> str:
     """Return the fixed cost, slope and goodness of fit of a figure, and whether a line does not fit."""
-    found, unit = fit_of(report, figure), report["figures"][figure]["unit"]
-    if found is None:
+    fitted, unit = fit_of(report, figure), report["figures"][figure]["unit"]
+    if fitted is None:
         return "too few sizes"
-    quality = f"R² {found.r2:.4f}, worst {found.worst:.1%} at {format_number(found.worst_at)}"
-    if found.shape == "even":
-        return f"does not grow: {with_unit(found.fixed, unit)}; worst {found.worst:.1%}"
-    if found.shape == "none":
-        return f"nothing fits (line: R² {found.line_r2:.4f}, worst {found.line_worst:.1%})"
-    line = "" if found.shape == "n" else f"no line (R² {found.line_r2:.4f}, worst {found.line_worst:.1%}): "
-    return f"{line}{with_unit(found.fixed, unit)} + {with_unit(found.slope, unit)} · {found.shape}; {quality}"
+    quality = f"R² {fitted.r2:.4f}, worst {fitted.worst:.1%} at {format_number(fitted.worst_at)}"
+    if fitted.shape == "even":
+        return f"does not grow: {with_unit(fitted.fixed, unit)}; worst {fitted.worst:.1%}"
+    if fitted.shape == "none":
+        return f"nothing fits (line: R² {fitted.line_r2:.4f}, worst {fitted.line_worst:.1%})"
+    line = (
+        "" if fitted.shape == "n" else f"no line (R² {fitted.line_r2:.4f}, worst {fitted.line_worst:.1%}): "
+    )
+    return (
+        f"{line}{with_unit(fitted.fixed, unit)} + {with_unit(fitted.slope, unit)} · {fitted.shape}; {quality}"
+    )
 
 
 def figure_at(report: dict[str, Any], figure: str, size: float) -> tuple[float | None, float]:
@@ -62,11 +66,11 @@
     The figure is the measured median, or the value of the fit at another size, None if no shape fits. The
     ratio is 1 for each measured size.
     """
-    kept, sizes = report["figures"][figure], report["sizes"]
+    series, sizes = report["figures"][figure], report["sizes"]
     if size in sizes:
-        return kept["median"][sizes.index(size)], 1.0
-    found: Fit | None = fit_of(report, figure)
-    return (found.at(size) if found else None), size / max(sizes)
+        return series["median"][sizes.index(size)], 1.0
+    fitted: Fit | None = fit_of(report, figure)
+    return (fitted.predict(size) if fitted else None), size / max(sizes)
 
 
 def describe_figure_at(report: dict[str, Any], figure: str, size: float) -> str:
@@ -83,7 +87,7 @@
 
 def compare_sizes(report: dict[str, Any], figure: str, size: float, operator: str, other_size: float) -> str:
     """Return the ratio (`/`) or difference (`-`) of a figure at two sizes; both must have been measured."""
-    value, other = (figure_at(report, figure, one) for one in (size, other_size))
+    value, other = (figure_at(report, figure, played_size) for played_size in (size, other_size))
     if value[0] is None or other[0] is None or not {size, other_size} <= set(report["sizes"]):
         return "not played at both sizes"
     unit = report["figures"][figure]["unit"]
@@ -94,13 +98,13 @@
     )
 
 
-def _resolve_without_size(found: re.Match[str], reports: Reports) -> str | None:
+def _resolve_without_size(match: re.Match[str], reports: Reports) -> str | None:
     """Return a figure of a simulation, a derived or an expected one; None if it belongs to a scale test."""
-    name = found.group(1)
+    name = match.group(1)
     simulation, _, path = name.partition(".")
     if simulation in reports and "told" in reports[simulation]:
         if path not in reports[simulation]["told"]:
-            raise UnknownFigureError(found.group(0))
+            raise UnknownFigureError(match.group(0))
         return _format_value(reports[simulation]["told"][path])
     test, _, figure = name.rpartition(".")
     if test == "derived" and figure in DERIVED:
@@ -122,21 +126,21 @@
     def parse_size(size: str) -> float:
         return EXPECTED[size].value if size in EXPECTED else float(size)
 
-    def replacement(found: re.Match[str]) -> str:
-        name, size = found.group(1), found.group(2)
-        if (text := _resolve_without_size(found, reports)) is not None:
+    def replacement(match: re.Match[str]) -> str:
+        name, size = match.group(1), match.group(2)
+        if (text := _resolve_without_size(match, reports)) is not None:
             return text
         test, _, figure = name.rpartition(".")
         if test not in reports:
             return "not run"
         if figure not in reports[test]["figures"] or size is None:
-            raise UnknownFigureError(found.group(0))
-        if found.group(5):
-            kept, sizes = reports[test]["figures"][figure], reports[test]["sizes"]
-            return with_unit(kept[found.group(5)][sizes.index(parse_size(size))], kept["unit"])
-        if found.group(3):
+            raise UnknownFigureError(match.group(0))
+        if match.group(5):
+            series, sizes = reports[test]["figures"][figure], reports[test]["sizes"]
+            return with_unit(series[match.group(5)][sizes.index(parse_size(size))], series["unit"])
+        if match.group(3):
             return compare_sizes(
-                reports[test], figure, parse_size(size), found.group(3), parse_size(found.group(4))
+                reports[test], figure, parse_size(size), match.group(3), parse_size(match.group(4))
             )
         return describe_figure_at(reports[test], figure, parse_size(size))
 
@@ -150,14 +154,14 @@
 
 def _expected(_reports: Reports) -> str:
     return _table(
-        ("what", "size"), [(one.title, with_unit(one.value, one.unit)) for one in EXPECTED.values()]
+        ("what", "size"), [(item.title, with_unit(item.value, item.unit)) for item in EXPECTED.values()]
     )
 
 
 def _derived(_reports: Reports) -> str:
     return _table(
         ("what", "arithmetic", "figure"),
-        [(one.title, one.formula, with_unit(one.value, one.unit)) for one in DERIVED.values()],
+        [(item.title, item.formula, with_unit(item.value, item.unit)) for item in DERIVED.values()],
     )
 
 
@@ -170,8 +174,8 @@
     rows = []
     for report in reports.values():
         sizes = f"{', '.join(map(format_number, report['sizes']))} {report['of']}"
-        for index, (figure, kept) in enumerate(report["figures"].items()):
-            medians = ", ".join(map(format_number, kept["median"])) + f" {kept['unit']}".rstrip()
+        for index, (figure, series) in enumerate(report["figures"].items()):
+            medians = ", ".join(map(format_number, series["median"])) + f" {series['unit']}".rstrip()
             at_target = describe_figure_at(report, figure, report["target"]) if report["target"] else ""
             rows.append(
                 (
@@ -210,12 +214,14 @@
 
     The key `told` of a report has its figures without nesting, with dots between the names.
     """
-    found = {}
+    simulations = {}
     for path in sorted(folder.glob("*/*.json")):
         if path.parent.name != BEFORE:
             report = json.loads(path.read_text())
-            found[f"{path.parent.name}/{path.stem}"] = report | {"told": dict(_flatten(report["figures"]))}
-    return found
+            simulations[f"{path.parent.name}/{path.stem}"] = report | {
+                "told": dict(_flatten(report["figures"]))
+            }
+    return simulations
 
 
 def _format_value(value: Any) -> str:
@@ -262,10 +268,10 @@
 
 def _missing(reports: Reports) -> str:
     def slope(test: str, figure: str) -> tuple[float, float]:
-        found = fit_of(reports[test], figure)
-        if found is None or found.shape not in ("n", "even"):
+        fitted = fit_of(reports[test], figure)
+        if fitted is None or fitted.shape not in ("n", "even"):
             raise UnknownFigureError(f"no line through {test}.{figure}")
-        return found.fixed, found.slope
+        return fitted.fixed, fitted.slope
 
     return _table(
         ("", "missing", "breaks at", "arithmetic", "what it would be"),
@@ -318,10 +324,10 @@
     """Return a page with its tables written from the reports in a folder. Raises `UnknownFigureError`."""
     texts = tables(folder)
 
-    def replacement(found: re.Match[str]) -> str:
-        if found.group(2) not in texts:
-            raise UnknownFigureError(found.group(2))
-        return f"{found.group(1)}{texts[found.group(2)]}\n{found.group(3)}"
+    def replacement(match: re.Match[str]) -> str:
+        if match.group(2) not in texts:
+            raise UnknownFigureError(match.group(2))
+        return f"{match.group(1)}{texts[match.group(2)]}\n{match.group(3)}"
 
     return TABLE.sub(replacement, text)
 
--- a/reelusher/lab/capacity/reports.py
+++ b/reelusher/lab/capacity/reports.py
@@ -56,7 +56,7 @@
         )
 
 
-def report_rates(size: int) -> Figures:
+def measure_report_rates(size: int) -> Figures:
     """Measure the report rates of `size` nodes that start within two seconds; 2 % of the replies are lost."""
     simulation = _ReportSimulation(size)
     simulation.clock.run(STARTUP_S + RUN_S)
@@ -72,7 +72,7 @@
     }
 
 
-def handling(size: int) -> Figures:
+def measure_handling(size: int) -> Figures:
     """Measure a registry of `size` nodes: handling one report, and encoding the list of all nodes."""
     body = json.dumps({"status": "passing"}, separators=(",", ":")).encode()
     requests = [
@@ -115,7 +115,7 @@
         "reports of nodes by the cadence of pacing/cadence.py, virtual clock",
         sizes=(200, 800, 1800, 3600),
         quick=(10, 20, 40, 80),
-        measure=report_rates,
+        measure=measure_report_rates,
         repeats=1,
         units={
             "reports_per_s": "/s",
@@ -135,7 +135,7 @@
         "what a report and the whole list cost whoever keeps the list, with this codec",
         sizes=(200, 800, 1800, 3600),
         quick=(10, 20, 40, 80),
-        measure=handling,
+        measure=measure_handling,
         units={"report_bytes": "bytes", "take_us": "µs", "list_kb": "KB", "write_list_ms": "ms"},
         notes=("the list service is not this program: its sockets and its store are not in it",),
     ),
--- a/reelusher/lab/capacity/site.py
+++ b/reelusher/lab/capacity/site.py
@@ -61,9 +61,12 @@
     }
 
 
-def config(tenants: int, workers: int = 1, **changes: Any) -> Config:
-    """Return the checked configuration of a node with these numbers of tenants and workers."""
-    return merge(None, parse(operator_file(tenants, [("127.0.0.1", 1)] * workers, **changes)))
+def config(tenants: int, workers: int = 1, **options: Any) -> Config:
+    """Return the checked configuration of a node with these numbers of tenants and workers.
+
+    `options` are further arguments of `operator_file`.
+    """
+    return merge(None, parse(operator_file(tenants, [("127.0.0.1", 1)] * workers, **options)))
 
 
 def status_of(pid: int) -> dict[str, int]:
--- a/reelusher/lab/capacity/starts.py
+++ b/reelusher/lab/capacity/starts.py
@@ -15,7 +15,7 @@
 SHORTENED_RUNS = {"cold.toml": "[run]\nseconds = 6\n", "zone-lost.toml": "[run]\nseconds = 16\n"}
 
 
-def run_plan(plan: str, size: int) -> Figures:
+def measure_plan(plan: str, size: int) -> Figures:
     """Simulate a plan with a number of nodes.
 
     Raises RuntimeError if an invariant was violated, and TypeError if a node was never listed.
@@ -51,7 +51,7 @@
     _OF(
         "start-all",
         "all nodes start cold within 0.2 s, with the load at the door, 6 s of it",
-        measure=partial(run_plan, "cold.toml"),
+        measure=partial(measure_plan, "cold.toml"),
         notes=(
             "the model of lab/fleet: the real core and decisions; interpreters take 0.4 s each",
             "most_reports: in 100 ms; served_worth: part of the worth asked for",
@@ -60,6 +60,6 @@
     _OF(
         "start-zone",
         "a zone of three is lost for 5 s and comes back cold, 16 s of load",
-        measure=partial(run_plan, "zone-lost.toml"),
+        measure=partial(measure_plan, "zone-lost.toml"),
     ),
 ]
--- a/reelusher/lab/capacity/state.py
+++ b/reelusher/lab/capacity/state.py
@@ -30,7 +30,7 @@
     raise RuntimeError("there is no other process")
 
 
-def journal(size: int) -> Figures:
+def measure_journal(size: int) -> Figures:
     """Measure the tenants' state on disk: its first snapshot, a change, its size and recovery."""
     config = site.config(size)
     with tempfile.TemporaryDirectory() as name:
@@ -59,7 +59,7 @@
     }
 
 
-def learning(size: int) -> Figures:
+def measure_observations(size: int) -> Figures:
     """Measure a donor's reply with an observation of each of `size` workers, and combining three of them."""
     observations = [Observation(f"away:worker-{number}", 0.0, 1_700_000_000.0) for number in range(size)]
     reply = MessageAuthenticator(b"a secret of sixteen", "lab", "127.0.0.1:1", 1).seal(
@@ -75,7 +75,7 @@
     }
 
 
-def claims(size: int) -> Figures:
+def measure_key_locks(size: int) -> Figures:
     """Measure the locks of `size` keys, each of which is a file, and a sweep for expired ones."""
     with tempfile.TemporaryDirectory() as name:
         directory = KeyLockDirectory(Path(name) / "hosted-1.keys")
@@ -94,7 +94,7 @@
         "the journal of tenants' state in a folder",
         sizes=(1000, 4000, 16_000, 64_000),
         quick=(50, 100, 200, 400),
-        measure=journal,
+        measure=measure_journal,
         units={"snapshot_s": "s", "change_ms": "ms", "kept_mb": "MB", "recover_s": "s"},
         notes=("a change is synced; this machine's disk",),
     ),
@@ -103,7 +103,7 @@
         "what a fresh node learns of workers from three donors",
         sizes=(200, 1000, 4000, 16_000, 41_000),
         quick=(10, 20, 40, 80),
-        measure=learning,
+        measure=measure_observations,
         repeats=1,
         units={"told_kb": "KB", "fits": "", "learnt": "", "weigh_ms": "ms"},
         notes=("fits: 1 where the answer is within the 512 KB that an asker takes; past it none is",),
@@ -113,7 +113,7 @@
         "claims of keys while two processes of a node may serve, a file each",
         sizes=(500, 1000, 2000, 4000),
         quick=(10, 20, 40, 80),
-        measure=claims,
+        measure=measure_key_locks,
         repeats=3,
         units={"claim_us": "µs", "files": "", "sweep_ms": "ms"},
         notes=("a claim stays for its window and 20 s; on the platform's front only",),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -48,7 +48,7 @@
     assert shape == "even" or found.r2 > 0.999
     if not noise:
         assert found.fixed == pytest.approx(fixed, abs=1e-6 * max(series))
-        assert found.at(260_000) == pytest.approx(fixed + slope * shape_of(260_000))
+        assert found.predict(260_000) == pytest.approx(fixed + slope * shape_of(260_000))
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
 def test_a_series_that_no_shape_fits_gets_no_prediction(series: list[float]) -> None:
     found = fit(SIZES, series)
     assert found.shape == "none"
-    assert found.at(260_000) is None
+    assert found.predict(260_000) is None
 
 
 def test_a_line_does_not_fit_squares_and_its_residual_is_reported() -> None:
