--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -9,7 +9,7 @@
 from reelusher.lab.capacity.budgets import DERIVED, EXPECTED
 from reelusher.lab.capacity.fit import Fit
 from reelusher.lab.capacity.harness import FOLDER, fit_of, read_all
-from reelusher.lab.capacity.roles import ROLES, SHOWN, Row, missing_mechanisms
+from reelusher.lab.capacity.roles import DESIGN_TARGETS, ROLES, Row, missing_mechanisms
 
 PAGE = FOLDER.parent / "CAPACITY.md"
 BEFORE = "before"  # folder of the reports measured before the mechanism was built
@@ -314,7 +314,7 @@
                 row.budget,
                 row.source,
             )
-            for row in SHOWN
+            for row in DESIGN_TARGETS
         ],
     )
     return {**texts, **{f"role-{name}": _role_table(rows)(all_reports) for name, rows in ROLES.items()}}
--- a/reelusher/lab/capacity/roles.py
+++ b/reelusher/lab/capacity/roles.py
@@ -42,7 +42,7 @@
     mechanism: str
 
 
-NODE = (
+NODE_ROWS = (
     Row(
         "look-up of a request's tenant, 260,000 tenants",
         "before: [[before/tenants-table.look_up_us@tenants]]; now: [[tenants-table.look_up_us@tenants]]",
@@ -263,7 +263,7 @@
         "`upgrade-claims`",
     ),
 )
-CONTROL = (
+CONTROL_ROWS = (
     Row(
         "changes of configuration",
         "one each [[derived.change_every_s]]",
@@ -331,7 +331,7 @@
         "arithmetic",
     ),
 )
-LIST = (
+REGISTRY_ROWS = (
     Row(
         "reports of 3,600 nodes: all, for each of 6 machines",
         "[[list-reports.reports_per_s@3600]], [[list-reports.machine_per_s@3600]]",
@@ -389,7 +389,7 @@
         "`start-zone`",
     ),
 )
-AROUND = (
+PEER_ROWS = (  # callers and workers
     Row(
         "a caller: requests a second; back at the same node after, were it to ask all in turn",
         "[[derived.caller_requests_per_s]], [[derived.caller_returns_s]]",
@@ -440,7 +440,7 @@
     ),
 )
 _COPY, _FILE = "`tenants-node-copy`", "`tenants-node`"
-SHOWN: tuple[Row, ...] = (  # targets of the design and the measured results
+DESIGN_TARGETS: tuple[Row, ...] = (  # targets of the design and the measured results
     Row(
         "260,000 tenants in the copy: processor time of a request over that at 100",
         "[[tenants-node-copy.request_us@260000/100]], of tenants in use; of 2,000 that were not of late "
@@ -566,7 +566,7 @@
         "`fleet/region-hour-150`",
     ),
 )
-ROLES = {"node": NODE, "control": CONTROL, "list": LIST, "around": AROUND}
+ROLES = {"node": NODE_ROWS, "control": CONTROL_ROWS, "list": REGISTRY_ROWS, "around": PEER_ROWS}
 
 
 def missing_mechanisms(slope: Slope) -> list[MissingMechanism]:
