--- a/reelusher/lab/capacity/callers.py
+++ b/reelusher/lab/capacity/callers.py
@@ -18,8 +18,8 @@
 def measure_idle_connections(size: int) -> Figures:
     """Measure a node with `size` connections that have sent one CPing each and are idle since."""
     with tempfile.TemporaryDirectory() as name:
-        operator_file = site.value(10, [("127.0.0.1", 1)], sockets=8192)
-        with site.hosted(operator_file, Path(name)) as hosted:
+        operator_file = site.operator_file(10, [("127.0.0.1", 1)], sockets=8192)
+        with site.hosted_node(operator_file, Path(name)) as hosted:
             pid, status_before = hosted.process.pid, site.status_of(hosted.process.pid)
             socks = []
             for _ in range(size):
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -27,13 +27,13 @@
 from reelusher.lab.capacity.books import (
     ACTIVE,
     SUSPENDED,
-    WORKERS,
-    Books,
+    WORKER_COUNT,
     History,
+    HistoryChecker,
     Revision,
     Row,
     Step,
-    answers_for,
+    expected_answer,
     worker_of,
 )
 from reelusher.lab.capacity.hollow import loopback_hosts
@@ -109,7 +109,7 @@
         self.plan, self.folder = plan, folder
         self.loop = asyncio.get_running_loop()
         self.random = random.Random(plan.seed)
-        self.checker, self.net = Books(), FaultProxyNetwork(plan.seed)
+        self.checker, self.net = HistoryChecker(), FaultProxyNetwork(plan.seed)
         self.names = [f"n{number + 1}" for number in range(plan.nodes)]
         self.tenants = [f"t{number + 1}" for number in range(plan.tenants)]
         self.control = (
@@ -148,7 +148,7 @@
     def _on_task_done(self, task: "asyncio.Task[None]") -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.checker.broken.append(f"the run failed: {error!r}")
+            self.checker.violations.append(f"the run failed: {error!r}")
 
     async def until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         """Wait until a condition holds; return whether it did in time."""
@@ -168,7 +168,7 @@
     async def execute(self) -> None:
         """Run the plan; the checker then has the invariants that were violated."""
         self._measure_lag(self.loop.time())
-        workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKERS)]
+        workers = [NamedWorker(worker_of(number), 2.0) for number in range(WORKER_COUNT)]
         servers = [await asyncio.start_server(worker.serve, STAND_IN_HOST, 0) for worker in workers]
         addresses = {
             worker.name.decode(): server.sockets[0].getsockname()
@@ -218,7 +218,7 @@
             lambda: all(len(history.steps) > 2 or history.last.revision for history in histories),
             SETTLE_TIMEOUT_S,
         ):
-            self.checker.broken.append("not all tenants could be created before the first fault")
+            self.checker.violations.append("not all tenants could be created before the first fault")
         self.figures["all_made_s"] = round(self.loop.time() - began_s, 3)
 
     async def _configure_nodes(self) -> None:
@@ -251,7 +251,7 @@
         if not await wait_until_ready(
             addresses.admin, addresses.ajp, lambda: self.nodes.alive(name), START_TIMEOUT_S
         ):
-            self.checker.broken.append(f"{name} did not come up within {START_TIMEOUT_S:.0f} s")
+            self.checker.violations.append(f"{name} did not come up within {START_TIMEOUT_S:.0f} s")
             return
         self.state[name] = "up"
 
@@ -278,7 +278,7 @@
 
         while not all(await asyncio.gather(*map(sees, self.names))):
             if self.loop.time() - began_s > SETTLE_TIMEOUT_S:
-                self.checker.broken.append("not all nodes consider all others live")
+                self.checker.violations.append("not all nodes consider all others live")
                 return
             await asyncio.sleep(0.1)
         self.figures["hollow_joined_s" if simulated_count else "all_joined_s"] = round(
@@ -359,7 +359,7 @@
         member_count = self.plan.simulated_members
         while (status := await self._command_all(rows=wanted))["right"] < member_count:
             if self.loop.time() > deadline_s:
-                self.checker.broken.append(
+                self.checker.violations.append(
                     f"only {status['right']} of {member_count} simulated members have all changes"
                 )
                 break
@@ -422,10 +422,12 @@
         checker.counts["asked"] += 1
         try:
             status, worker = await self.callers[node].ask(
-                f"{name}.example", ANSWER_TIMEOUT_S + self.max_lag_s, lambda: checker.note_twice(node, name)
+                f"{name}.example",
+                ANSWER_TIMEOUT_S + self.max_lag_s,
+                lambda: checker.note_extra_answer(node, name),
             )
         except (NoAnswerError, NodeUnreachableError) as error:
-            checker.note_lost(node, name, began_s, self.loop.time(), str(error))
+            checker.note_unanswered(node, name, began_s, self.loop.time(), str(error))
             return None
         checker.note_answer(node, name, status, worker, floor, self.loop.time(), began_s)
         return status, worker
@@ -434,7 +436,7 @@
 
     async def _change_repeatedly(self, name: str) -> None:
         """Change a tenant repeatedly at random times."""
-        while self.changing and name not in self.checker.spoilt:
+        while self.changing and name not in self.checker.unverifiable:
             await self._change(name)
             if self.changing:
                 await asyncio.sleep(self.random.expovariate(self.plan.changes_per_s / len(self.tenants)))
@@ -478,15 +480,15 @@
             up = self.up()
             node = self.random.choice(up) if up else ""
             if node:
-                step.out = True
+                step.in_flight = True
                 self._kill_during(name, node)
                 method, path, body, headers = self._api_call_of(name, step, key)
                 try:
                     response = await self._call_api(node, method, path, body, headers)
                 except NodeUnreachableError:
-                    step.out = False
+                    step.in_flight = False
                 else:
-                    if await self._record_attempt(name, step, response) or name in checker.spoilt:
+                    if await self._record_attempt(name, step, response) or name in checker.unverifiable:
                         return
             await asyncio.sleep(self.random.uniform(*RETRY_PAUSE_RANGE_S))
 
@@ -494,7 +496,7 @@
         """Record the answer to an attempt at a change; return whether the change was made."""
         checker = self.checker
         if response is None or response.status in INDEFINITE_STATUSES:
-            checker.note_doubtful(name, response.status if response else 0)
+            checker.note_indeterminate(name, response.status if response else 0)
             return False
         if 200 <= response.status < 300:
             etag = response.headers.get("etag")
@@ -503,7 +505,9 @@
             elif etag:
                 self.etags[name] = etag
             else:
-                checker.broken.append(f"{name}: {step.op} was answered {response.status} without a revision")
+                checker.violations.append(
+                    f"{name}: {step.op} was answered {response.status} without a revision"
+                )
             checker.note_acked(name, revision_of(response.headers), self.loop.time())
             self._kill_after(name)
             return True
@@ -514,40 +518,42 @@
         ):
             return True
         if response.status == 404:
-            checker.spoilt.add(name)
-            checker.broken.append(
+            checker.unverifiable.add(name)
+            checker.violations.append(
                 f"{name}: {step.op} found no tenant, though its last change was acknowledged"
             )
-        if step.out:
+        if step.in_flight:
             checker.note_refused(name, response.status)
         return False
 
     async def _was_made_before(self, name: str, step: Step, status: int) -> bool:
         """Return whether an earlier attempt without a definite answer has already made the newest step."""
-        step.out = step.doubtful  # during this check only such an attempt can explain a node that shows it
+        step.in_flight = (
+            step.indeterminate
+        )  # during this check only such an attempt can explain a node that shows it
         if step.row is None:
             self.etags.pop(name, None)
-            self.checker.note_made_before(name, status)
+            self.checker.note_already_applied(name, status)
             self.checker.note_acked(name, None, self.loop.time())
             return True
-        if status == 412 and not step.doubtful:
-            self.checker.note_made_before(name, status)
+        if status == 412 and not step.indeterminate:
+            self.checker.note_already_applied(name, status)
             return False
 
         def showing() -> list[str]:
             return [node for node in self.up() if self.rows[node].get(name) == step.row]
 
         if not await self.until(lambda: bool(showing()), 5.0):
-            step.out = True
+            step.in_flight = True
             return False
         with contextlib.suppress(NodeUnreachableError, IndexError):
             response = await self._call_api(showing()[0], "GET", f"/v1/tenants/{name}")
             if response is not None and response.status == 200 and row_of(response.value) == step.row:
                 self.etags[name] = response.headers["etag"]
-                self.checker.note_made_before(name, status)
+                self.checker.note_already_applied(name, status)
                 self.checker.note_acked(name, revision_of(response.headers), self.loop.time())
                 return True
-        step.out = True
+        step.in_flight = True
         return False
 
     # Faults
@@ -583,22 +589,22 @@
 
     def _mark_away(self, name: str, state: str) -> None:
         self.state[name] = state
-        self.checker.note_away(name, self.loop.time())
+        self.checker.note_unavailable(name, self.loop.time())
 
     async def _restart_when_ended(self, name: str, loses_replica: bool = False) -> None:
         """Start a node again once its process has ended, and record that it is up."""
         if not await self.until(lambda: not self.nodes.alive(name), START_TIMEOUT_S):
-            self.checker.broken.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s")
+            self.checker.violations.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s")
             return
         await asyncio.sleep(self.random.uniform(0.0, 0.5))
         if loses_replica:
             self.fault_counts["copies_lost"] += 1
             self.nodes.delete_replica(name)
-            self.checker.forget(name)
+            self.checker.note_copy_lost(name)
             self.rows[name] = {}
         self.callers[name].close()
         await self._start_node(name)
-        self.checker.note_back(name, self.loop.time())
+        self.checker.note_available(name, self.loop.time())
 
     async def _pause(self, name: str, seconds: float) -> None:
         """Pause a process with SIGSTOP for a time."""
@@ -608,7 +614,7 @@
         await asyncio.sleep(seconds)
         self.nodes.send(name, signal.SIGCONT)
         self.state[name] = "up"
-        self.checker.note_back(name, self.loop.time())
+        self.checker.note_available(name, self.loop.time())
 
     async def _drain_and_restart(self, name: str) -> None:
         """Drain a process with SIGTERM and start it again."""
@@ -616,10 +622,10 @@
         self._mark_away(name, "leaving")
         self.nodes.send(name, signal.SIGTERM)
         if not await self.until(lambda: not self.nodes.alive(name), START_TIMEOUT_S):
-            self.checker.broken.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s of SIGTERM")
+            self.checker.violations.append(f"{name} did not end within {START_TIMEOUT_S:.0f} s of SIGTERM")
             return
         if (status := self.nodes.running[name].returncode) != 0:
-            self.checker.broken.append(f"{name} ended with status {status}")
+            self.checker.violations.append(f"{name} ended with status {status}")
         await self._restart_when_ended(name)
 
     async def _cut_off(self, zone: str, seconds: float) -> None:
@@ -644,10 +650,10 @@
             steady = [
                 node
                 for node in self.names
-                if not self.checker.was_away(node, healed_s - seconds, self.loop.time())
+                if not self.checker.was_unavailable(node, healed_s - seconds, self.loop.time())
             ]
             return all(
-                history.at.get(node, 0) >= number or history.steps[number].row is None
+                history.min_step_index.get(node, 0) >= number or history.steps[number].row is None
                 for node in steady
                 for history, number in targets
             )
@@ -655,7 +661,7 @@
         if await self.until(agreed, SETTLE_TIMEOUT_S):
             self.heal_times_s.append(self.loop.time() - healed_s)
         else:
-            self.checker.broken.append(
+            self.checker.violations.append(
                 f"{SETTLE_TIMEOUT_S:.0f} s after a cut of zone {zone} the sides do not agree"
             )
         self.checker.note_cut(self.names, self.loop.time(), False)
@@ -666,7 +672,7 @@
         began_s, max_away = self.loop.time(), max(1, min(self.plan.max_away, len(self.names) // 4))
         for number in range(self.plan.kills):
             if not await self.until(lambda: len(self.names) - len(self.up()) < max_away, 2 * START_TIMEOUT_S):
-                self.checker.broken.append("too many nodes stay down")
+                self.checker.violations.append("too many nodes stay down")
                 return
             if number % KILLS_PER_CUT == KILLS_PER_CUT // 2 and self.control and not self.cut_active:
                 zone = ZONES[number // KILLS_PER_CUT % len(ZONES)]
@@ -688,7 +694,7 @@
         deadline_s = self.loop.time() + COMMAND_TIMEOUT_S
         while (await self._command_all())["clock_s"] < until_s:
             if self.loop.time() > deadline_s:
-                self.checker.broken.append(
+                self.checker.violations.append(
                     f"simulated members took more than {COMMAND_TIMEOUT_S:.0f} s to gossip about a kill"
                 )
                 return
@@ -709,7 +715,7 @@
                 try:
                     await asyncio.wait_for(done, START_TIMEOUT_S)
                 except TimeoutError:
-                    self.checker.broken.append(
+                    self.checker.violations.append(
                         f"no change within {START_TIMEOUT_S:.0f} s at which to kill a node"
                     )
                     return
@@ -723,32 +729,32 @@
         if not await self.until(
             lambda: len(self.up()) == len(self.names) and not self.cut_active, 2 * START_TIMEOUT_S
         ):
-            checker.broken.append(f"not all nodes are up again: {self.state}")
+            checker.violations.append(f"not all nodes are up again: {self.state}")
         self.changing = False
         if not await self.until(
             lambda: all(
-                history.last.acked_s is not None or history.name in checker.spoilt
+                history.last.acked_s is not None or history.name in checker.unverifiable
                 for history in checker.histories.values()
             ),
             SETTLE_TIMEOUT_S,
         ):
-            checker.broken.append("not all changes have a definite answer although all nodes are up")
+            checker.violations.append("not all changes have a definite answer although all nodes are up")
         began_s = self.loop.time()
         settled: set[str] = set()
 
         def poll() -> bool:
             now = self.loop.time()
-            settled.update(node for node in self.up() if checker.settles(node, self.rows[node], now))
+            settled.update(node for node in self.up() if checker.has_final_rows(node, self.rows[node], now))
             return len(settled) == len(self.names)
 
         if not await self.until(poll, SETTLE_TIMEOUT_S):
-            checker.broken.append(f"{sorted(set(self.names) - settled)} show another table at the end")
+            checker.violations.append(f"{sorted(set(self.names) - settled)} show another table at the end")
         self.figures["settled_s"] = round(self.loop.time() - began_s, 3)
         self.requesting = False
         await asyncio.gather(*map(self._check_answers, self.up()))
         shown = {node: self.rows[node] for node in self.up()}
         revisions = dict(zip(shown, await asyncio.gather(*map(self._revisions, shown)), strict=True))
-        checker.close(shown, revisions)
+        checker.check_final_state(shown, revisions)
         resident_kb = median(map(self.nodes.resident_kb, self.up()))
         self.figures["resident_mb"] = round(resident_kb / 1024, 1)
         await self._end_simulated_members()
@@ -758,14 +764,14 @@
         """Check that a request for each tenant is answered as its last row, or its absence, demands."""
         for name, row in self.checker.expected().items():
             answer, deadline_s = None, self.loop.time() + SETTLE_TIMEOUT_S
-            while answer != answers_for(row) and self.loop.time() < deadline_s:
+            while answer != expected_answer(row) and self.loop.time() < deadline_s:
                 answer = await self._request(node, name)
                 if answer is not None and answer[0] != 503:
                     break
-                if answer != answers_for(row):
+                if answer != expected_answer(row):
                     await asyncio.sleep(0.1)  # a node may reject requests for a while, whatever the row
-            if answer != answers_for(row):
-                self.checker.broken.append(
+            if answer != expected_answer(row):
+                self.checker.violations.append(
                     f"{node} answers {answer} for {name} at the end, whose row is {row}"
                 )
 
@@ -785,15 +791,15 @@
             self._mark_away(name, "leaving")
             self.nodes.send(name, signal.SIGTERM)
         if not await self.until(lambda: not any(map(self.nodes.alive, draining)), START_TIMEOUT_S):
-            self.checker.broken.append("not all nodes ended in time")
+            self.checker.violations.append("not all nodes ended in time")
         for name in draining:
             if (status := self.nodes.running[name].poll()) != 0:
-                self.checker.broken.append(f"{name} ended with status {status}")
+                self.checker.violations.append(f"{name} ended with status {status}")
         for name in self.names:
-            self.checker.broken += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
+            self.checker.violations += [f"{name} logged: {line}" for line in self.nodes.error_lines(name)[:3]]
 
     def _report(self) -> None:
-        times = self.checker.in_force(self.names, self.leader_of)
+        times = self.checker.propagation_times_s(self.names, self.leader_of)
         percentiles_by_kind = {f"in_force_{kind}": percentiles(times_s) for kind, times_s in times.items()}
         self.figures |= {
             **self.fault_counts,
@@ -896,11 +902,13 @@
     width = max(map(len, figures))
     for name, value in figures.items():
         print(f"{name.ljust(width)}  {value}")
-    for line in run.checker.broken[:40]:
+    for line in run.checker.violations[:40]:
         print(f"broken: {line}")
     if args.json:
-        args.json.write_text(json.dumps({"figures": figures, "broken": run.checker.broken}, indent=1) + "\n")
-    return 1 if run.checker.broken else 0
+        args.json.write_text(
+            json.dumps({"figures": figures, "broken": run.checker.violations}, indent=1) + "\n"
+        )
+    return 1 if run.checker.violations else 0
 
 
 if __name__ == "__main__":
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -147,7 +147,7 @@
 
 
 def measure_added_latency(
-    hosted: site.Hosted, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
+    hosted: site.HostedNode, worker: site.Address, rate: float, seconds: float, hosts: Sequence[str]
 ) -> Figures:
     """Send requests to the stand-in worker directly, then through the node, at the same due times."""
     direct = measure_client(worker, rate, seconds, hosts, seed=1)
@@ -176,8 +176,8 @@
 def measure_at_rate(rate: int) -> Figures:
     """Measure a node with ten tenants at a rate in requests a second."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        operator_file = site.value(10, [worker.address], connections=64)
-        with site.hosted(operator_file, Path(name)) as hosted:
+        operator_file = site.operator_file(10, [worker.address], connections=64)
+        with site.hosted_node(operator_file, Path(name)) as hosted:
             return measure_added_latency(
                 hosted,
                 worker.address,
--- a/reelusher/lab/capacity/tenants.py
+++ b/reelusher/lab/capacity/tenants.py
@@ -117,7 +117,7 @@
 
     `cold`: also measure requests for so many tenants that hardly one of them was used recently.
     """
-    with site.hosted(operator_file, folder) as hosted:
+    with site.hosted_node(operator_file, folder) as hosted:
         pid = hosted.process.pid
         resident = site.status_of(pid)["resident"]
         change_times_ms = []
@@ -153,13 +153,15 @@
 def measure_node_with_file(size: int) -> Figures:
     """Measure a node with its tenants in the operator's file."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        return _measure_node(site.value(size, [worker.address]), size, Path(name), worker.address, cold=False)
+        return _measure_node(
+            site.operator_file(size, [worker.address]), size, Path(name), worker.address, cold=False
+        )
 
 
 def measure_node_with_replica(size: int) -> Figures:
     """Measure a node with its tenants in a local replica, as the only control member."""
     with tempfile.TemporaryDirectory() as name, StandInProcess() as worker:
-        operator_file, path = site.value(0, [worker.address]), Path(name) / "tenants.db"
+        operator_file, path = site.operator_file(0, [worker.address]), Path(name) / "tenants.db"
         del operator_file["tenants"]
         operator_file["replication"] = {"copy": str(path), "control": [operator_file["node"]["name"]]}
         fill_replica(path, size, "", (operator_file["node"]["name"],))
--- a/reelusher/lab/capacity/workers.py
+++ b/reelusher/lab/capacity/workers.py
@@ -34,7 +34,7 @@
     A node posts the gauges ten times a second.
     """
     began_s = time.process_time()
-    config = parse(site.value(1, [("127.0.0.1", 1)] * size))
+    config = parse(site.operator_file(1, [("127.0.0.1", 1)] * size))
     check_s = time.process_time() - began_s
     gc.collect()
     tracemalloc.start()
@@ -64,7 +64,7 @@
 
 def measure_threads(size: int) -> Figures:
     """Count the threads of a pool whose `size` workers are all in use, and the descriptors kept for them."""
-    pool = create_pool(tuple(parse(site.value(1, [("127.0.0.1", 1)] * size)).workers))
+    pool = create_pool(tuple(parse(site.operator_file(1, [("127.0.0.1", 1)] * size)).workers))
     threads_before = threading.active_count()
     release, started = threading.Event(), threading.Semaphore(0)
 
