--- a/reelusher/fleet/membership/failure_detector.py
+++ b/reelusher/fleet/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from reelusher.fleet.membership.messages import Datagram, DatagramKind, MemberState, Update
 
 PROBE_PERIOD_S = 0.4  # between the probes that one node starts
-MIN_ACK_TIMEOUT_S = 0.15  # shortest time-out, after which helpers are asked to probe the target too
+MIN_ACK_TIMEOUT_S = 0.15  # shortest time-out of an ack; after it, helpers are asked to probe the target too
 UNKNOWN_REGION_ACK_TIMEOUT_S = 0.3  # for another region whose round-trip time is not known
 ACK_TIMEOUT_RTT_MULTIPLE = 1.25  # ack time-out divided by the round-trip time
 MAX_ACK_TIMEOUT_S = 0.5
@@ -21,8 +21,9 @@
 MAX_REGIONS = 64  # regions whose round-trip times are remembered
 INDIRECT_PROBE_COUNT = 3  # helpers that are asked to probe a target
 NACK_TIMEOUT_FRACTION = 0.8  # fraction of `MIN_ACK_TIMEOUT_S` after which a helper sends a NACK
-MAX_LOCAL_HEALTH = 2  # with a higher limit, the smaller side of a partition detects late who is left
-FAILED_INDIRECT_PROBE_TTL_S = 2 * PROBE_PERIOD_S  # in which a helper whose probe failed joins a suspicion
+MAX_LOCAL_HEALTH = 2  # a higher limit delays the smaller side of a partition in detecting unreachable members
+# time after a failed indirect probe in which the helper joins a suspicion of the target
+FAILED_INDIRECT_PROBE_TTL_S = 2 * PROBE_PERIOD_S
 RECONNECTS_PER_PERIOD = 3.0  # pings to dead members per probe period, by all live members together
 
 
@@ -194,8 +195,8 @@
     def _fail_probe(self, probe: Probe, now: float) -> None:
         self._probe, self._previous_probe = None, probe
         # If helpers sent no NACK, this node may not be receiving, or a partition separates it from them and
-        # from the target. They are probed next; otherwise the smaller side of a partition would detect late
-        # who is left.
+        # from the target. They are probed next; otherwise the smaller side of a partition would take long
+        # to detect which members it can't reach.
         self.local_health.degrade(len(probe.silent_helpers) if probe.had_helpers else 1)
         for address in sorted(probe.silent_helpers):
             self._priority_targets.setdefault(address)
--- a/reelusher/fleet/membership/member_table.py
+++ b/reelusher/fleet/membership/member_table.py
@@ -87,7 +87,7 @@
         if not update.supersedes(member.update):
             return None
         previous = member.update.state
-        same_state = previous is update.state  # only the incarnation is newer, or also suspected
+        same_state = previous is update.state  # then only the incarnation is newer
         self._replace(member, Member(update, member.since_s if same_state else now, accusers))
         if same_state and update.state is MemberState.ALIVE:
             return None
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -224,7 +224,7 @@
         return len(collected)
 
     def notify_changed(self, names: Iterable[str]) -> None:
-        """Notify `on_change` of names that changed."""
+        """Call `on_change` with the names that changed, if there are any."""
         changed_names = list(names)
         if changed_names:
             self.on_change(changed_names)
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -92,7 +92,7 @@
     # Called from any thread
 
     def start(self, spawn: Callable[[str, Callable[[], object]], object]) -> None:
-        """Start the threads and the exchange of vectors; `spawn` starts a thread of a name."""
+        """Start the threads and the exchange of vectors; `spawn` starts a thread by name and function."""
         if self.store.damage_at_open:
             self._log_damage(self.store.damage_at_open)
         if self._fleet is not None:
--- a/reelusher/fleet/replication/sqlite_replica/database.py
+++ b/reelusher/fleet/replication/sqlite_replica/database.py
@@ -41,7 +41,7 @@
         """Lock the file without opening it. Raises `ReplicaError`."""
         self.path = path
         self.damage = ""  # why the file is corrupt; "" as long as no corruption was found
-        self.quarantined: list[Path] = []  # new paths of the damaged files, oldest first
+        self.quarantined: list[Path] = []  # new paths of the files renamed since the start, oldest first
         self.writer_lock = threading.RLock()  # held by the thread that uses `writer`
         self.writer: sqlite3.Connection | None = None
         self.lookup_pool: ConnectionPool = queue.LifoQueue()
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -201,7 +201,7 @@
             return count
 
     def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
-        """Delete tombstones stored before a time, but none of the newest `kept_indexes`; return how many."""
+        """Delete old tombstones and return how many; see `ReplicaStore`."""
         with self._transaction(durable=False) as (conn, writer):
             state = self._partitions.read(conn, partition)
             if state is None:
--- a/reelusher/fleet/replication/sqlite_replica/totals.py
+++ b/reelusher/fleet/replication/sqlite_replica/totals.py
@@ -17,7 +17,7 @@
     changed_lengths: set[int] = field(default_factory=set)  # keys of `prefix_lengths` that are to be stored
 
     def copy(self) -> "RowTotals":
-        """Return a copy that a transaction may change."""
+        """Return a copy that a transaction may change, with empty `changed_lengths`."""
         return RowTotals(self.count, self.guarantee, dict(self.prefix_lengths))
 
     def add_prefix(self, prefix: str, row_count: int) -> None:
--- a/reelusher/fleet/warm_start/observations.py
+++ b/reelusher/fleet/warm_start/observations.py
@@ -1,7 +1,8 @@
 """Which members to ask for observations, and how to combine what they report. Free of I/O.
 
-The subject of an observation is `run:CLASS` (the duration of a run divided by its hint), `call:below` (the
-mean duration of a downstream call in microseconds) or `away:WORKER` (1 if a worker is unreachable, else 0).
+The subject of an observation is `run:CLASS` (the mean run time of a class divided by its mean expected work),
+`call:below` (the mean duration of a downstream call in microseconds) or `away:WORKER` (1 if a worker is
+unreachable, else 0).
 """
 
 from collections.abc import Iterable, Sequence
--- a/reelusher/policy/admission.py
+++ b/reelusher/policy/admission.py
@@ -15,7 +15,7 @@
 # Read delay, as a fraction of the shortest objective, above which a worker counts as slow.
 UNHEALTHY_READ_DELAY_FRACTION = 0.7
 MAX_REJECTION_PROBABILITY = 0.9
-REJECTION_DECAY = 0.7  # fraction of the probability that remains one period after its cause has gone
+REJECTION_DECAY = 0.7  # fraction of the probability that remains after a period in which nothing raises it
 MIN_RETRY_AFTER_US = 100_000
 
 
@@ -26,7 +26,8 @@
         self._random = Random(seed)
         self.rejection_probability = 0.0  # for an arrival of the lowest priority
         self.overloaded = False  # waits exceed `MAX_WAIT_FRACTION` of the shortest objective
-        self._oldest_ages_us = (0, 0, 0)  # age of the oldest held request in each of the last three periods
+        # in each of the last three periods: age of the oldest held request, or longest read delay if longer
+        self._oldest_ages_us = (0, 0, 0)
         self._longest_read_delay_us = 0  # longest time before a request of this period was read
         self._arrivals = 0  # number of arrivals in this period
         self.recent_rate = 0.0  # moving average of arrivals per period
@@ -65,8 +66,9 @@
     ) -> None:
         """Set the rejection probability for the next period.
 
-        It rises while all clients are degraded and the age of the oldest held request still grows. It also
-        rises while waits are long, whatever the degraded fraction is.
+        It decays in each period. While waits are long, or all clients are degraded and waits still grow, it
+        is at least the wait as a fraction of the shortest objective, up to `MAX_REJECTION_PROBABILITY`. The
+        wait is the age of the oldest held request, or the longest read delay of the period if that is longer.
         """
         oldest_us = min((in_flight.arrived_us for in_flight in held), default=now_us)
         oldest_age_us = max(now_us - oldest_us, self._longest_read_delay_us)
@@ -102,6 +104,6 @@
     def retry_after_us(self, max_us: int) -> int:
         """Return how long a rejected caller should wait before it retries.
 
-        This is the age of the oldest held request, raised to `MIN_RETRY_AFTER_US` and limited to `max_us`.
+        This is the wait that `update` determined, at least `MIN_RETRY_AFTER_US` and at most `max_us`.
         """
         return min(max(MIN_RETRY_AFTER_US, self._oldest_ages_us[2]), max_us)
--- a/reelusher/policy/dependency_limiter.py
+++ b/reelusher/policy/dependency_limiter.py
@@ -59,7 +59,7 @@
         self._abandoned_until_us.append(now_us + self._abandoned_call_us)
 
     def observe(self, duration_us: int) -> None:
-        """Update the mean duration with that of a finished call."""
+        """Update the mean duration with that of a call that succeeded or timed out."""
         if self.mean_duration_us:
             self.mean_duration_us += NEWEST_WEIGHT * (duration_us - self.mean_duration_us)
         else:
--- a/reelusher/policy/run_time_estimator.py
+++ b/reelusher/policy/run_time_estimator.py
@@ -4,7 +4,7 @@
 from reelusher.policy.in_flight import InFlightRequest
 
 NEWEST_WEIGHT = 0.1  # weight of the newest run in the moving average of its class
-SAFETY_FACTOR = 1.3  # factor on the mean in an estimate, because half of all runs take longer than the mean
+SAFETY_FACTOR = 1.3  # factor on the mean in an estimate, as about half of all runs take longer than the mean
 # Largest estimate, as a fraction of the objective. A slow spell thus cannot cause all requests of a class to
 # be rejected.
 MAX_OBJECTIVE_FRACTION = 0.5
--- a/reelusher/policy/settings.py
+++ b/reelusher/policy/settings.py
@@ -84,8 +84,8 @@
     tenant_quotas: Sequence[float] = ()  # quota of each tenant as a fraction of the service
     over_quota_value_fraction: float = 1.0  # fraction of its value for a request beyond the quota
     goal_weight: float = 1.0  # weight of the value over the whole time in the service goal
-    worst_class_goal_weight: float = 0.0  # weight of the class that is served worst
-    worst_tenant_goal_weight: float = 0.0  # weight of the tenant that is served worst
+    worst_class_goal_weight: float = 0.0  # weight of the class that is served worst, in the same goal
+    worst_tenant_goal_weight: float = 0.0  # weight of the tenant that is served worst, in the same goal
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that no worker can run with."""
--- a/reelusher/policy/tenant_scheduler.py
+++ b/reelusher/policy/tenant_scheduler.py
@@ -34,7 +34,10 @@
         """Return the rejection probability of a tenant, given the one that applies to all without tenants."""
 
     def holding_changed(self, request: Request, held: int, change_kb: float) -> None:
-        """Count a request that starts (1) or ceases (-1) to be held, and the change of its memory."""
+        """Count a request that starts (1) or ceases (-1) to be held, and the change of its memory.
+
+        `held` is 0 where only the memory changes.
+        """
 
     def key_remembered(self, request: Request, until_us: int, entry_kb: float) -> None:
         """Count a remembered idempotency key."""
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -196,7 +196,8 @@
             if f"snapshot-{number}" in self._directory.file_names():  # the rename may not be durable
                 self.failure = f"snapshot-{number}: its name may not last: {error}"
             else:
-                self._changes_since_snapshot = 0  # retried after `compact_after` more changes
+                # retried after `compact_after` more changes, or with the next one if the journal is large
+                self._changes_since_snapshot = 0
             return False
         previous, self._snapshot_number = self._snapshot_number, number
         self._journal_bytes, self._changes_since_snapshot = len(MAGIC), 0
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -18,7 +18,9 @@
 T = TypeVar("T")
 ANY_METHOD = "*"
 ANY_HOST = ""  # the host of tenants without hosts of their own
-PREFIXES_PER_PART = 64  # mean that a host's table must not exceed: a change copies one part and their list
+# Mean size of the parts of a host's table above which it gets more parts. A change copies one part and the
+# tuple of all parts.
+PREFIXES_PER_PART = 64
 GROWTH_FACTOR = 4  # the number of parts is multiplied by this when they are too full
 MAX_SCANNED_ROUTES = 8  # with at most this many routes, a scan is faster than look-ups by length
 
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -80,8 +80,9 @@
     ) -> tuple[TenantRecord, bool]:
         """Add or replace a tenant; return its record and whether it is new.
 
-        `number` is passed where the table on the disk assigns numbers; otherwise the next one is assigned.
-        Raises `TenantStateError` while a tenant of this name is being removed.
+        `state` and `number` apply to a new tenant only; an existing one keeps its own. `number` is passed
+        where the table on the disk assigns numbers; otherwise the next one is assigned. Raises
+        `TenantStateError` while a tenant of this name is being removed.
         """
         existing = self._by_name.get(tenant.name)
         if existing is None:
--- a/tests/core/test_clock.py
+++ b/tests/core/test_clock.py
@@ -14,7 +14,7 @@
 
 
 def test_clock_offset_is_kept_when_the_clocks_were_not_read_together() -> None:
-    """A thread preempted between the two reads would treat its delay as a step and shift a window by it."""
+    """A delay of the thread between the two reads is not a step, and must not shift the expiry of keys."""
     times = iter([0, 0, 5_000_000])
     clock = Clock(lambda: 0, lambda: next(times))
     assert clock.unix_ahead_us() == 0
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -65,7 +65,7 @@
 def test_retries_elsewhere_are_discouraged_only_in_a_full_fleet() -> None:
     """Callers that retry rejected requests elsewhere raise the arrivals of every worker.
 
-    A worker that is slow while the fleet is not sees no more arrivals than usual.
+    If only one worker is slow, it gets no more arrivals than usual.
     """
     for arrivals_when_slow, expected in ((1, False), (3, True)):
         controller = started_controller()
--- a/tests/policy/test_generated_sequences.py
+++ b/tests/policy/test_generated_sequences.py
@@ -1,6 +1,7 @@
 """Generated event sequences under each deployment option, checked by a model.
 
-The model checks the four rules, and that each action is legal.
+The model checks that each request gets one answer in time, that nothing runs twice, that requests which
+arrive after the grace period of a drain do not run, and that each action is legal.
 """
 
 from hypothesis import given, seed
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,8 @@
-"""Boundary cases of the four rules that the controller must keep."""
+"""Boundary cases of the rules that the controller must keep.
+
+Each request gets one answer in time; nothing runs twice; requests that arrive after the grace period of a
+drain do not run; memory and calls in flight stay within their limits.
+"""
 
 from typing import Any
 
--- a/tests/tenancy/test_rate_limit.py
+++ b/tests/tenancy/test_rate_limit.py
@@ -24,7 +24,7 @@
     for demand, amount in zip(demands, allocated, strict=True):
         assert -1e-9 <= amount <= demand.maximum + 1e-9
         assert amount >= demand.minimum * min(1, capacity / total_minimum if total_minimum else 1) - 1e-6
-    # a flow with less than its maximum has no lower level than any flow with more than its minimum
+    # a flow below its maximum gets at least as much per weight as any flow above its minimum
     if total_minimum < capacity < total_demand:
         below_maximum = [
             amount / demand.weight
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -153,7 +153,7 @@
 
 
 def calls_per_datagram(size: int) -> float:
-    """Return the function calls per datagram in a fleet of `size` members with one suspect."""
+    """Return the profiler events (calls and returns) per datagram in a fleet of `size` with one suspect."""
     swim = Swim(make_update(1), Random(1), 0.0)
     swim.merge([make_update(number) for number in range(2, size + 1)], 0.0)
     swim.gossip.broadcasts.clear()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -850,7 +850,10 @@
 
 
 def run_steps(fleet: Replicas, steps: list[tuple[Any, ...]]) -> dict[str, tuple[int, bool]]:
-    """Run steps; return the index of the last acknowledged change of each name, and whether it removed it."""
+    """Run steps, and check that no index is assigned twice and that no position moves back.
+
+    Returns by name the index of its last acknowledged change, and whether that change removed the name.
+    """
     members, names = list(fleet.replicas), C1[:3] + C2[:3]
     acknowledged: dict[str, tuple[int, bool]] = {}
     assigned: set[tuple[str, int, int]] = set()
