--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -46,7 +46,7 @@
     status: Callable[[], dict[str, Any]]
     drain: Callable[[], bool]  # requests a drain; returns False if one was requested before
     fleet: "Membership | None" = None
-    tenant_api: TenantApi | None = None  # None: the API of a table that only this node has
+    tenant_api: TenantApi | None = None  # None: `AdminApi` creates one, for a table that is not replicated
 
 
 class AdminApi:
--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -68,7 +68,10 @@
         return addresses[0] if addresses else ""
 
     def query(self, name: str, target: str, default: Any) -> Any:
-        """Return the decoded reply of a member to a query about its state, or the default without one."""
+        """Return the decoded reply of a member to a query about its state, or the default without one.
+
+        Raises `ApiError` if several members have the name.
+        """
         assert self._fleet is not None
         request = ChangeRequest(self.live()[0].address, "GET", target, {})
         try:
--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -186,7 +186,7 @@
 
 
 def _changes_between(position: Position, ahead: Position | None) -> int | None:
-    """Return how many changes `ahead` is past a position: 0 without one, None if their terms differ."""
+    """Return how many changes `ahead` is past a position: 0 if it is None, None if the terms differ."""
     if ahead is None:
         return 0
     return ahead.log_index - position.log_index if ahead.term == position.term else None
--- a/reelusher/admin/replicated_api.py
+++ b/reelusher/admin/replicated_api.py
@@ -117,7 +117,10 @@
         return reply
 
     def _wait_for_copies(self, call: ApiCall, copies: int, reply: Reply) -> None:
-        """Wait until `copies` other members have the change. Raises `ApiError` when the time is up."""
+        """Wait until `copies` other members have the change.
+
+        Raises `ApiError` with status 504 when the time is up; the change has been made nevertheless.
+        """
         partition = self._replicated.partition_of(_tenant_name(call))
         position = self._replicated.position(partition)
         count = self._replicated.replication.wait_for_copies(partition, position, copies, COPIES_TIMEOUT_S)
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -121,7 +121,10 @@
         return sum(frontend.open_connections() for frontend in self.frontends.values())
 
     def divert_callers(self, divert: bool) -> None:
-        """Report the node as unhealthy to callers, or its own health again; from any thread."""
+        """Report the node as unhealthy to callers if `divert` is true, or else report its actual health.
+
+        Any thread may call this.
+        """
         if self.core.notices.diverting_callers is divert:
             return
         self.core.notices.diverting_callers = divert
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -164,7 +164,7 @@
             return self._send_buffer.send(lines.encode_json_line({"msg": "gauges", "cookie": cookie}))
 
     def _send_command(self, name: str, run_id: str, **fields: Any) -> None:
-        """Send a command, or keep it until the link is ready; it is resent until it is acknowledged."""
+        """Send a command, or keep it until the link is ready; each new link resends it until acknowledged."""
         line = lines.encode_json_line({"msg": name, "call": run_id, **fields})
         with self._lock:
             self._unacknowledged.add(run_id, line)
@@ -294,7 +294,11 @@
                     self._counters.add("runtime.sent_again", len(resent))
 
     def _on_load(self, message: dict[str, Any]) -> None:
-        """Handle the reply to a gauge request; the one made after `sync` follows all missed notices."""
+        """Handle the reply to a gauge request.
+
+        The reply to the request that followed `sync` comes after all missed notices, so that commands without
+        acknowledgement can be sent again.
+        """
         cookie = str(message["cookie"])
         if cookie == f"sync{self._link_count}":
             self._resend()
--- a/reelusher/codecs/ajp13.py
+++ b/reelusher/codecs/ajp13.py
@@ -15,7 +15,7 @@
 DEFAULT_PACKET_BYTES, MAX_PACKET_BYTES = 8192, 65536
 HEADER_BYTES = 4  # the header of a packet: magic and payload length
 BODY_OVERHEAD = 6  # bytes that a packet adds to a part of a request's body: header, part length
-CHUNK_OVERHEAD = 8  # bytes that a packet adds to a part of a response's body: the same, type, final zero
+CHUNK_OVERHEAD = 8  # bytes that a packet adds to a part of a response's body: header, type, part length, zero
 MAX_HEADERS = 128
 NULL = 0xFFFF  # the length that stands for a null string
 
--- a/reelusher/codecs/msgpack.py
+++ b/reelusher/codecs/msgpack.py
@@ -190,7 +190,8 @@
     """Encode the type byte and the length of a string, binary, array or map.
 
     Lengths up to `short_max` are part of the type byte `short_code`; `codes` are the type bytes before
-    lengths of one, two and four bytes, None where the type has no such form.
+    lengths of one, two and four bytes. Each code is None where the type has no such form. Raises ValueError
+    if the length is too large.
     """
     if short_code is not None and length <= short_max:
         return bytes([short_code | length])
--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -54,7 +54,7 @@
         return ConfigError(self.path(key), f"{expected} is wanted, not {self._value[key]!r:.60}")
 
     def string(self, key: str, default: str | None = None) -> str:
-        """Return a string that is not empty."""
+        """Return a string that is not empty. The default is not checked, and may be empty."""
         if default is not None and key not in self:
             return default
         value = self.raw(key)
@@ -112,7 +112,7 @@
         return CheckedTable(self._value.get(key, {}), self.path(key))
 
     def tables(self, key: str) -> list["CheckedTable"]:
-        """Return a list of tables; an empty one if the key is absent."""
+        """Return a list of tables; an empty list if the key is absent."""
         value = self._value.get(key, [])
         if not isinstance(value, list):
             raise self._error(key, "a list of tables")
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -59,7 +59,7 @@
 
 
 def _read_settings(value: Any) -> tuple[Settings, list[str], list[str]]:
-    """Return the settings, the fields of the gauges, and the names of the classes."""
+    """Return the settings, the fields of the gauges, and the names of the classes. Raises `ConfigError`."""
     try:
         settings, gauges = settings_from_parsed(value)
         names = [str(entry.get("name", index)) for index, entry in enumerate(value["categories"])]
@@ -84,7 +84,10 @@
 
 
 def parse(value: Any, environ: Mapping[str, str]) -> Platform:
-    """Validate the content of the file. Unknown keys are ignored, since the platform may add some."""
+    """Validate the content of the file. Raises `ConfigError`.
+
+    Unknown keys are ignored, since the platform may add some.
+    """
     table = CheckedTable(value)
     limits = table.table("limits")
     settings, gauges, names = _read_settings(table.raw("settings"))
--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -60,7 +60,7 @@
         )
 
     def no_later_than(self, other: "DrainSchedule") -> "DrainSchedule":
-        """Return the earlier time of each phase, since a phase may have begun already by either schedule."""
+        """Return this schedule with no phase later than in `other`, since it may have begun already."""
         return DrainSchedule(
             self.signal_s,
             min(self.notify_s, other.notify_s),
--- a/reelusher/frontends/ajp/__init__.py
+++ b/reelusher/frontends/ajp/__init__.py
@@ -1,1 +1,1 @@
-"""AJP13, the protocol of Apache and mod_jk."""
+"""The front end for AJP13, by which mod_jk and mod_proxy_ajp of Apache forward requests."""
--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -61,7 +61,7 @@
     host: str  # address of the web server
     since_s: float  # when it last became busy or idle
     busy: bool = False  # a request is open on it
-    protected: bool = False  # never evicted: that request has reached the core, or it is being closed
+    protected: bool = False  # never evicted: its request has reached the core, or it was evicted already
     tenant: str = ""  # tenant of its newest request
 
 
@@ -103,7 +103,7 @@
             return True, eviction
 
     def remove(self, sock: socket.socket) -> None:
-        """Remove a connection."""
+        """Remove a connection, and count it for its tenant no longer."""
         with self._lock:
             self._assign(self._slots.pop(sock), "")
 
@@ -141,7 +141,8 @@
 
         Nothing is evicted unless that host has at least two more than `host`. So no web server can keep the
         others out. Connections whose request has reached the core are protected; of the others, the one is
-        evicted that has been idle, or in the middle of a request, for the longest time.
+        evicted that has been idle, or in the middle of a request, for the longest time. Returns None if
+        nothing was evicted. The lock is held.
         """
         counts = Counter(slot.host for slot in self._slots.values())
         largest, count = counts.most_common(1)[0]
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -193,7 +193,11 @@
     # Requests
 
     def _answer(self, stream: PacketStream, forward: ajp13.ForwardedRequest) -> Answer:
-        """Return the answer to a request; raise `RequestError` if it can't be passed to the core."""
+        """Return the core's answer to a request, or a rejection by the front end itself.
+
+        Raises `RequestError` if the request gets an error response instead, and `MalformedError` or OSError
+        if its body can't be read.
+        """
         self._check_secret(forward)
         if self._schedule is not None and time.monotonic() >= self._schedule.reject_s:
             self._core.counters.add("drain.refused_at_the_door")
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -36,7 +36,7 @@
 SILENT_S = 1.5  # a connection without a complete message is sent `lastCall` after this time
 SILENT_CLOSE_S = 0.5  # and is closed this long after the notice
 MAX_FRAME_S = 2.0  # longest time from the first byte of a message to its last
-PARTIAL_PROTECTED_S = 0.4  # an incomplete message protects its connection from eviction for this long
+PARTIAL_PROTECTED_S = 0.4  # an incomplete message counts as use of its connection for this long
 MIN_IDLE_S = 0.1  # a connection that was opened or used less than this ago is not evicted
 EVICTION_DIVISOR = 16  # an eviction closes one in this many of the possible connections
 MAX_SPARE = 16  # connections beyond the limit, whose requests are rejected
@@ -123,7 +123,7 @@
         self._poller.close()
 
     def open_connections(self) -> int:
-        """Return how many connections callers hold."""
+        """Return how many connections callers hold, without the half-closed ones."""
         return len(self._connections)
 
     # Steps of a drain; they run on the poller's thread
@@ -459,8 +459,8 @@
         return False
     if connection.send_buffer.backlog and connection.send_buffer.stalled_for(now) <= MAX_FRAME_S:
         return False
-    protected_since_s = max(connection.last_used_s, connection.partial_since_s + PARTIAL_PROTECTED_S)
-    return now - protected_since_s > MIN_IDLE_S
+    in_use_until_s = max(connection.last_used_s, connection.partial_since_s + PARTIAL_PROTECTED_S)
+    return now - in_use_until_s > MIN_IDLE_S
 
 
 def _eviction_order(connection: Connection) -> tuple[int, float]:
--- a/reelusher/importer/httpd.py
+++ b/reelusher/importer/httpd.py
@@ -203,7 +203,7 @@
             self._omit(f"ProxyPass {path}: only balancer:// and ajp:// have a counterpart")
 
     def _omit_rewrite(self, path: str, target: str) -> None:
-        """Record an omission if the target of a ProxyPass has another path."""
+        """Record an omission if the path of a target differs from the one that its ProxyPass maps to it."""
         if (target.rstrip("/") or "/") != path:
             self._omit(f"ProxyPass {path} to {target or '/'}: paths are forwarded unchanged")
 
--- a/reelusher/net/listener.py
+++ b/reelusher/net/listener.py
@@ -70,7 +70,8 @@
         """Stop accepting.
 
         The accepting thread first accepts the connections in the backlog, since requests that were sent on
-        them must be read. Without a thread, the socket is closed at once.
+        them must be read; another thread that calls this waits for its end, for at most `MAX_STOP_S`. Without
+        an accepting thread, the socket is closed at once.
         """
         self._open = False
         if self._thread is None:
--- a/reelusher/net/poller.py
+++ b/reelusher/net/poller.py
@@ -44,7 +44,8 @@
         self._calls: queue.SimpleQueue[Callback] = queue.SimpleQueue()
         self._wakeup_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._epoll.register(self._wakeup_fd, select.EPOLLIN)
-        self._timers: list[tuple[float, int, float, Callback]] = []  # heap of: due, order, interval, callback
+        # heap; due time by the monotonic clock, order of creation, interval in seconds, callback
+        self._timers: list[tuple[float, int, float, Callback]] = []
         self._order = count()
         self._thread: threading.Thread | None = None
         self._closed = False
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -180,7 +180,7 @@
         self.parts.core.post(DrainRequested(now_us + int(remaining_s * 1e6), now_us - int(elapsed_s * 1e6)))
 
     def _lag_s(self) -> float:
-        """Return the scheduling lag of this process: that of its poller or of its event loop."""
+        """Return the scheduling lag of this process in seconds, the larger of its poller's and its core's."""
         return max(self.parts.poller_lag.lag_s(time.monotonic()), self.parts.core.lag_s())
 
 
--- a/reelusher/simulator/frames.py
+++ b/reelusher/simulator/frames.py
@@ -158,7 +158,7 @@
 
 
 def is_event(code: int) -> bool:
-    """Return whether a code is that of an event."""
+    """Return whether a code is that of an event for a controller; `CREATE` and `HALT` are not."""
     return code in READERS or code == DUE
 
 
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -43,7 +43,7 @@
         self._last_sequence = 0
         self._expiry_checked_s = time.monotonic()
 
-    # Methods that are called on the event loop's thread
+    # Methods that the event loop and the threads that start and stop the node call; they do not block
 
     def acquire(self, request: KeyLockRequest) -> None:
         """Lock a key, or wait for the result of its run in another process; see `KeyLockRequest`."""
--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -541,7 +541,7 @@
     assert [(orphan["tenant"], orphan["version"]) for orphan in report["orphans"]] == [(C2[2], "9.3")]
     assert nodes.call("c2", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 7})[2]["etag"] == '"16.4"'
     assert nodes.catches_up("c2", "c1")
-    nodes.stop_pulls("c2")  # it must not lead again without the leader's latest change
+    nodes.stop_pulls("c2")  # so that it lacks the next change of the leader, and must not lead without it
     nodes.call("c1", "PATCH", f"/v1/tenants/{C2[0]}", {"max_open": 8})
     status, value, _ = nodes.call("c2", "POST", path)
     assert (status, value["heard_of"], value["lost"]) == (503, "16.5", 1)
--- a/tests/pacing/test_report_schedule.py
+++ b/tests/pacing/test_report_schedule.py
@@ -51,7 +51,7 @@
 
 
 def simulate(nodes: int, seconds: float, outcome: Callable[[int], Callable[[float], str]]) -> list[Reporter]:
-    """Run nodes for some time; `outcome` returns the outcome function of each node by its number."""
+    """Run nodes for `seconds` of the virtual clock; `outcome` returns the `Reporter.outcome` of a node."""
     clock = VirtualLine()
     reporters = [Reporter(clock, seed, outcome(seed)) for seed in range(nodes)]
     clock.run(seconds)
