--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -53,7 +53,7 @@
     address: Address
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept connections; the constructor has bound the address already."""
 
     def close(self) -> None:
         """Close the listener and all connections at once."""
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -174,7 +174,7 @@
     # The link
 
     def _open(self) -> socket.socket | None:
-        """Return a link opened after a change of address, or a new one; None if connecting fails."""
+        """Return a link opened after a change of address, or a new one; None if it failed or is obsolete."""
         with self._lock:
             address = self._address
             next_link, self._next = self._next, None
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -36,8 +36,8 @@
 from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 SEND_TIMEOUT_S = 10.0  # a connection is closed if its web server takes no part of an answer for this long
-READ_TIMEOUT_S = 10.0  # a requested part of a body must arrive within this time
-DRAIN_POLL_S = 0.2  # poll interval of idle connections, and time for requests that cross the end of a drain
+READ_TIMEOUT_S = 10.0  # time limit of each read, of a packet that has begun or of a requested part of a body
+DRAIN_POLL_S = 0.2  # poll interval of idle connections; a drain polls each once more before it closes it
 MAX_REJECTED_CONNECTIONS = 8  # rejected connections that are read at a time; others are closed unread
 DESCRIPTORS = MAX_REJECTED_CONNECTIONS + 2  # plus the listener and a connection that is closed unread
 MAX_ANSWER_S = 3600.0  # no answer takes this long, since the core answers by the due time
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -35,7 +35,9 @@
 SWEEP_S = 0.1  # interval between checks of all connections
 SILENT_S = 1.5  # a connection without a complete message is sent `lastCall` after this time
 SILENT_CLOSE_S = 0.5  # and is closed this long after the notice
-MAX_FRAME_S = 2.0  # longest time from the first byte of a message to its last
+# longest time from the first byte of a message to its last; also, a backlog that has stalled for longer does
+# not protect its connection from eviction
+MAX_FRAME_S = 2.0
 PARTIAL_PROTECTED_S = 0.4  # an incomplete message counts as use of its connection for this long
 MIN_IDLE_S = 0.1  # a connection that was opened or used less than this ago is not evicted
 EVICTION_DIVISOR = 16  # an eviction closes one in this many of the possible connections
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -85,7 +85,10 @@
             logger.info("{}: member of the fleet at {}:{}", name, *parts.fleet.address)
 
     def is_ready(self) -> bool:
-        """Return whether this process is ready to serve; from any thread."""
+        """Return whether this process is ready to serve; from any thread.
+
+        If it is, this is recorded for earlier processes of the node, which may then hand over to it.
+        """
         parts = self.parts
         ready = (
             self._started
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -50,7 +50,7 @@
         self._tasks.put(lambda: self._acquire(request))
 
     def complete(self, key: IdempotencyKey, result: Result | None) -> None:
-        """Publish the result of the run of a locked key."""
+        """Publish the result of the run of a locked key to other processes; None if the run failed."""
         self._tasks.put(lambda: self.directory.finish(key, result))
 
     def release(self, key: IdempotencyKey) -> None:
@@ -113,7 +113,10 @@
         request.on_result_elsewhere(None)
 
     def _poll(self) -> None:
-        """Read the locks whose next poll is due, and remove expired locks every `EXPIRY_INTERVAL_S`."""
+        """Read the locks whose next poll is due, and remove expired locks at most every `EXPIRY_INTERVAL_S`.
+
+        This runs only when no task is queued.
+        """
         now_s = time.monotonic()
         while self._polls and self._polls[0][0] <= now_s:
             self._poll_request(heapq.heappop(self._polls)[2])
