--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -85,7 +85,10 @@
             logger.info("{}: member of the fleet at {}:{}", name, *parts.fleet.address)
 
     def is_ready(self) -> bool:
-        """Return whether this process is ready to serve; from any thread."""
+        """Return whether this process is ready to serve; from any thread.
+
+        If it is, this is recorded for earlier processes of the node, which may then hand over to it.
+        """
         parts = self.parts
         ready = (
             self._started
@@ -180,7 +183,7 @@
         self.parts.core.post(DrainRequested(now_us + int(remaining_s * 1e6), now_us - int(elapsed_s * 1e6)))
 
     def _lag_s(self) -> float:
-        """Return the scheduling lag of this process: that of its poller or of its event loop."""
+        """Return the scheduling lag of this process in seconds, the larger of its poller's and its core's."""
         return max(self.parts.poller_lag.lag_s(time.monotonic()), self.parts.core.lag_s())
 
 
--- a/reelusher/upgrade/key_locks.py
+++ b/reelusher/upgrade/key_locks.py
@@ -43,14 +43,14 @@
         self._last_sequence = 0
         self._expiry_checked_s = time.monotonic()
 
-    # Methods that are called on the event loop's thread
+    # Methods that the event loop and the threads that start and stop the node call; they do not block
 
     def acquire(self, request: KeyLockRequest) -> None:
         """Lock a key, or wait for the result of its run in another process; see `KeyLockRequest`."""
         self._tasks.put(lambda: self._acquire(request))
 
     def complete(self, key: IdempotencyKey, result: Result | None) -> None:
-        """Publish the result of the run of a locked key."""
+        """Publish the result of the run of a locked key to other processes; None if the run failed."""
         self._tasks.put(lambda: self.directory.finish(key, result))
 
     def release(self, key: IdempotencyKey) -> None:
@@ -113,7 +113,10 @@
         request.on_result_elsewhere(None)
 
     def _poll(self) -> None:
-        """Read the locks whose next poll is due, and remove expired locks every `EXPIRY_INTERVAL_S`."""
+        """Read the locks whose next poll is due, and remove expired locks at most every `EXPIRY_INTERVAL_S`.
+
+        This runs only when no task is queued.
+        """
         now_s = time.monotonic()
         while self._polls and self._polls[0][0] <= now_s:
             self._poll_request(heapq.heappop(self._polls)[2])
