--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -206,9 +206,10 @@
     def note_answer(
         self, node: str, name: str, status: int, worker: str, floor: int, now: float, began_s: float
     ) -> None:
-        """Check a request's answer, which must match a row of the tenant; 503 is allowed under any row.
+        """Count a request's answer, and check that it matches a row that the node may show.
 
-        `floor` is what `floor()` returned when the request was sent, at `began_s`.
+        503 is allowed under any row, and 500 is only counted. `floor` is what `floor()` returned when the
+        request was sent, at `began_s`.
         """
         self.counts[f"answers_{status}"] += 1
         if status == 503:
@@ -270,7 +271,7 @@
     # Final state
 
     def expected(self) -> dict[str, Row]:
-        """Return the rows that all nodes must show at the end, by tenant."""
+        """Return the rows that all nodes must show at the end, by tenant, without unverifiable tenants."""
         return {
             name: history.last.row
             for name, history in self.histories.items()
--- a/reelusher/lab/capacity/budgets.py
+++ b/reelusher/lab/capacity/budgets.py
@@ -12,9 +12,9 @@
 SOCKETS = 65_536  # a likely value of `node.sockets`
 PROBE_INTERVAL_S = 30.0  # mean time between a node's attempts at a worker that stays away: 20 to 40 s
 CONTAINER_MAX_CONNECTIONS = 8192  # that a servlet container usually accepts
-ROW_BYTES = 300  # of a tenant in a change; the operators' figure
-MAX_TENANTS_IN_MEMORY = 8192  # that a node caches of its copy
-LIST_ENTRY_BYTES = 47  # of a node in the service registry's list, as JSON
+ROW_BYTES = 300  # size of a tenant's row in a change; the operators' figure
+MAX_TENANTS_IN_MEMORY = 8192  # number of tenants of its replica that a node caches
+LIST_ENTRY_BYTES = 47  # size of a node's entry in the service registry's list, as JSON
 LINK_BYTES_PER_S = 125e6  # of a link of 1 Gbit/s
 
 
--- a/reelusher/lab/capacity/fleet.py
+++ b/reelusher/lab/capacity/fleet.py
@@ -90,7 +90,7 @@
 
 
 def read_error_counts(fleet: Fleet) -> tuple[dict[str, int], float]:
-    """Return the count of each fault in replies, and how often a node declared a reachable live one dead."""
+    """Return the number of segments not applied, by fault, and that of reachable live nodes declared dead."""
     return fleet.reply_faults, fleet.false_deaths
 
 
@@ -136,7 +136,7 @@
 
 
 def count_reply_faults(shards: ShardedFleet) -> dict[str, int]:
-    """Return how many replies were refused in all shards, by fault."""
+    """Return how many segments of replies to pulls were not applied in all shards, by fault."""
     totals: dict[str, int] = {}
     for faults, _ in shards.each(read_error_counts):
         for fault, count in faults.items():
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -434,7 +434,10 @@
         self.selector.register(sock, selectors.EVENT_READ, ("exchange", exchange))
 
     def _advance_exchange(self, exchange: Exchange) -> None:
-        """Send and receive as much of an exchange as its socket allows."""
+        """Send or receive once on the socket of an exchange, which is ready for it.
+
+        A complete frame is passed to `on_frame`. The exchange is closed after its last frame or a failure.
+        """
         try:
             if exchange.unsent:
                 exchange.unsent = exchange.unsent[exchange.sock.send(exchange.unsent) :]
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -280,7 +280,7 @@
         now = self.clock.now
         due_s = max(now, node.swim.next_tick_s())
         if now < node.due_s <= due_s or not node.up:
-            return  # a tick that is not later is already scheduled
+            return  # a tick at this time or earlier is scheduled already, or the node is down
         node.due_s = due_s
         self.clock.call_later(due_s - now, self._tick, node, due_s, node.swim)
 
@@ -328,7 +328,7 @@
         self._receive(self.nodes[index], message, len(data) + self._envelope)
 
     def _deduplicated(self, updates: Iterable[Update]) -> list[Update]:
-        """Return equal updates, one object of each for all nodes of this shard, which saves memory."""
+        """Replace updates by equal ones received before, so that all nodes of this shard share one object."""
         if len(self._shared_updates) > MAX_SHARED_UPDATES:
             self._shared_updates.clear()
         return [self._shared_updates.setdefault(update, update) for update in updates]
@@ -656,9 +656,10 @@
             self.clock.call_later(at_s - self.clock.now, self.change, random.randrange(TENANT_COUNT))
 
     def schedule_restarts(self, until_s: float, gap_s: float) -> None:
-        """Schedule restarts of nodes other than control members until a time, one every `gap_s` seconds.
+        """Schedule restarts until a time, at a random moment of each period of `gap_s` seconds.
 
-        Those nodes are no longer steady. All shards draw the same nodes and times; each restarts its own.
+        The restarted nodes are a random sample of at most a quarter of all nodes but control members, and are
+        no longer steady. All shards draw the same nodes and times; each restarts its own.
         """
         random = Random(f"{self.seed} restarts")
         count = int((until_s - self.clock.now) / gap_s)
@@ -778,7 +779,12 @@
 
 
 def figures_of(readings: Sequence[Reading]) -> dict[str, float]:
-    """Return traffic and processor use per node and second, mean and highest, from all shards' readings."""
+    """Return the figures of a fleet from the readings of all its shards.
+
+    Traffic is per node and second, in the mean; the bytes sent also at the 99th percentile and the highest.
+    `*_core_percent` is the mean processor use of a node in % of a core. Process time, memory and counts are
+    totals of the shards; `wall_seconds` is that of the slowest one.
+    """
     rows = [row for reading in readings for row in reading.rows]
     seconds, node_count = readings[0].seconds, len(rows)
 
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -64,8 +64,8 @@
 ANSWER_TIMEOUT_S = 12.0  # in which a request must be answered; its due time is 5 s
 RETRY_PAUSE_RANGE_S = 0.05, 0.3  # shortest and longest pause before a change is sent again
 SERIAL_BASE = 1_000_000  # a row's `max_open` is this plus its serial number
-# Moments of kills, in turn. "after" and "during" a change its leader is killed, "asked" kills the node that
-# the change was sent to, "any" kills any node at any time.
+# Moments of kills, in turn: "during" a change or "after" its acknowledgement the change's leader is killed;
+# "asked" kills the node that a change is sent to, during that change; "any" kills any running node at once.
 KILL_MOMENTS = ("after", "during", "asked", "after", "any")
 # number of kills for each pause, cut, restart and lost replica
 KILLS_PER_PAUSE, KILLS_PER_CUT, KILLS_PER_RESTART, KILLS_PER_LOST_REPLICA = 5, 20, 7, 9
@@ -103,7 +103,7 @@
 
 
 class FaultRun:
-    """One run of a plan."""
+    """One run of a `FaultRunPlan`: node processes under load, changes and faults, with a history checker."""
 
     def __init__(self, plan: FaultRunPlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -193,7 +193,7 @@
         self.downstream_calls[name].append((now - self.load_start_s, call_count))
 
     def record_run(self, now: float, node: str, run_id: str) -> None:
-        """Record a run, and check that a process runs a key only once within its window."""
+        """Record a run; a violation if no caller sent it, or a process runs a key twice in its window."""
         attempt = self.attempts.get(run_id)
         if attempt is None:
             self.violations.append(f"{node} ran {run_id}, which no caller sent")
--- a/reelusher/lab/fleet/plan.py
+++ b/reelusher/lab/fleet/plan.py
@@ -63,8 +63,7 @@
 class RegistryPlan:
     """The service registry.
 
-    Reports above its capacity are answered late; those for which more than a second's worth is queued are not
-    answered.
+    Reports above its capacity are answered late; while a second's worth is queued, further ones are ignored.
     """
 
     capacity: float = bounded(1000.0, 0.1)  # reports per second
--- a/reelusher/lab/fleet/virtual.py
+++ b/reelusher/lab/fleet/virtual.py
@@ -21,7 +21,7 @@
 
 
 class VirtualClock:
-    """Calls callbacks in the order of their due times, and those due at the same time in the order set."""
+    """Calls callbacks in the order of their due times; those due at the same time in the order scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -223,7 +223,7 @@
         self.address = transport.get_extra_info("sockname")
 
     def send_request(self, attempt: Attempt) -> None:
-        """Write an attempt."""
+        """Send an attempt on this connection, and set `attempt.sent_s` to now."""
         message_id, request = next(self.message_ids), attempt.request
         fields = {
             "txn": attempt.run_id,
--- a/reelusher/lab/load.py
+++ b/reelusher/lab/load.py
@@ -19,7 +19,7 @@
 from reelusher.lab.plan import Caller, Plan, Worker
 
 MAX_LATENCY_US = 120_000_000  # longer latencies are recorded as this
-FINAL_ANSWERS_S = 15.0  # wait for answers after the last request
+FINAL_ANSWERS_S = 15.0  # maximum wait for answers after the last request
 
 
 @dataclass(slots=True)
@@ -64,7 +64,10 @@
         self.began_s = 0.0
 
     async def play(self) -> None:
-        """Send requests until the end of the run, then wait for the outstanding ones."""
+        """Send requests until the end of the load, then wait `FINAL_ANSWERS_S` at most for their answers.
+
+        Requests that are still unanswered then are cancelled; they count as asked, but have no outcome.
+        """
         self.began_s = time.monotonic()
         due_s, end = self.caller.begins_s, min(self.plan.seconds, self.caller.ends_s)
         tasks = set[asyncio.Task[None]]()
@@ -100,7 +103,10 @@
             self.count("in_time", latency_us <= self.caller.aim_ms * 1000)
 
     def count(self, name: str, is_counted: bool) -> None:
-        """Increment a count, unless the request is part of the warm-up."""
+        """Add 1 to a count if `is_counted`.
+
+        It is false for a request that is due in the warm-up, and for the count `in_time` of a late answer.
+        """
         self.tally.counts[name] += is_counted
 
     async def attempt(self, data: bytes) -> int:
--- a/reelusher/lab/plan.py
+++ b/reelusher/lab/plan.py
@@ -25,7 +25,7 @@
     keeps: bool  # connections are kept open between requests
     retries: float  # probability that a rejected attempt is retried
     retry_ms: float
-    aim_ms: float  # answers within this time count as in time
+    aim_ms: float  # requests served within this time after they were due count as in time
     weight: float  # weight by which its fair share is measured
     begins_s: float
     ends_s: float
--- a/tests/golden/recordings.py
+++ b/tests/golden/recordings.py
@@ -31,7 +31,8 @@
 def key_tree(value: Any) -> Any:
     """Return the keys of a JSON value with the types of its leaves.
 
-    The objects of a list are merged into one, which has the keys of all of them.
+    The objects of a list are merged into one, which has the keys of all of them. A list with another element
+    is described by the first such element alone.
     """
     if isinstance(value, dict):
         return {key: key_tree(element) for key, element in value.items()}
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -73,7 +73,7 @@
 
 
 def request_answer(address: Address, method: str, path: str, value: Any, token: str = scenario.TOKEN) -> Any:
-    """Send a request; return status, header names and key tree of the answer, or the body of an error."""
+    """Send a request; return its answer's status, header names and key tree (of an error the whole body)."""
     connection = http.client.HTTPConnection(*address, timeout=15)
     connection.request(
         method, path, None if value is None else json.dumps(value), {"Authorization": f"Bearer {token}"}
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,7 +19,7 @@
 
 
 class KnownRedError(Exception):
-    """Raised if the list is malformed; the message names the line."""
+    """Raised for a malformed entry or one whose test does not exist; the message names the line."""
 
 
 class KnownRed(NamedTuple):
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -52,9 +52,10 @@
         self.reader: threading.Thread | None = None
 
     def expect(self, words: Words) -> None:
-        """Compare the next line of the inbox with the words; `*` stands for any word.
+        """Compare the next line of the inbox with the words; `*` stands for any word, `$X` for a named value.
 
-        The line may have more words than are expected. `nothing` expects that the inbox stays empty.
+        The line may have more words than are expected. `as X` at the end gives the name X to the second word
+        of the line. `nothing` expects that the inbox stays empty for `QUIET_S`.
         """
         if words == ["nothing"]:
             time.sleep(QUIET_S)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -194,7 +194,7 @@
         callers = front.max_connections + front.max_spare + front.max_half_closed
         callers += max_ajp_connections(node.config)
         assert callers == max_caller_connections(node.config)
-        # downstream service, operations, administration API, RPC front end, runtime, service registry
+        # AJP workers, downstream service, operations, administration API, RPC front end, runtime, registry
         assert 1024 - callers >= node.parts.worker_pool.executor._max_workers + 24 + 26 + 34 + 3 + 3 + 1
 
 
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_24_cold_nodes_on_a_virtual_clock_stay_within_their_budgets(seed: int) -> None:
-    """The real decisions without the influence of the machine, so that every window counts."""
+    """The real decision code on a virtual clock: the machine has no influence, so every window is checked."""
     history = model.play(parse({**PLAN, "run": {**PLAN["run"], "seed": seed}}))
     assert history.violations == []
     assert history.figures()["falls"] == 0
@@ -115,7 +115,10 @@
 
 @pytest.mark.parametrize("callers", [1, 3, 30, 100])
 def test_capacity_advertised_to_all_callers_of_a_cold_node_stays_within_its_budget(callers: int) -> None:
-    """Capacity was once divided by the callers seen so far: 48, 24 and 16 were advertised at one time."""
+    """Capacity was once divided by the number of callers seen so far.
+
+    The first three were advertised 48, 24 and 16, which were all valid at the same time.
+    """
     cores, ttl_us, now_us = 6, 1_000_000, 0
     node = started_controller(
         SAFE,
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -518,7 +518,8 @@
         cwd=ROOT,
         stderr=subprocess.DEVNULL,
         stdout=subprocess.DEVNULL,
-        # as at a terminal: a shell starts background jobs with SIGINT ignored
+        # The rig must receive SIGINT as at a terminal, also if this test runs as a background job of a shell,
+        # which has SIGINT ignored.
         preexec_fn=partial(signal.signal, signal.SIGINT, signal.SIG_DFL),
     )
     logs = [tmp_path / "n1.log", tmp_path / "n2.log"]
@@ -586,7 +587,7 @@
     for name in C:  # the nodes that return start warm with data from three members
         log = (tmp_path / f"{name}.log").read_text()
         assert re.search(r"warm start: 3 of \d+ members reported, [1-9]", log), log
-    # the paused node considers no other node dead after it resumes
+    # after it resumes, the paused node considers no member of zones a and b dead
     assert all(live >= A | B for at_s, name, live in membership.observations if name == "n5" and at_s > 20)
 
 
