--- a/reelusher/lab/capacity/books.py
+++ b/reelusher/lab/capacity/books.py
@@ -1,9 +1,10 @@
 """History of the changes and requests of a live run, and its checker. Free of I/O.
 
 A tenant has a history of steps, made one after another; each change is requested until it has a definite
-answer. Every row carries a serial number and names the worker of that number. So the row that a node shows,
-or the worker that answers a request, identifies the step that the node has reached. A node may advance in a
-history and never go back. All times are seconds of one clock.
+answer. Every row carries a serial number and names the worker of that number. So the row that a node shows
+identifies the step that the node has reached. The status and worker of an answer may match several steps, of
+which the earliest that the node may show counts. A node may advance in a history and never go back. All times
+are seconds of one clock.
 """
 
 from collections import Counter
@@ -11,7 +12,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
-# stand-in workers, which rows name in turn: an answer distinguishes rows whose serial numbers differ by less
+# Number of stand-in workers. Rows name them in turn, so an answer distinguishes active rows whose serial
+# numbers differ by less than this.
 WORKER_COUNT = 5
 ACTIVE, SUSPENDED = "active", "suspended"
 
@@ -163,7 +165,8 @@
     def note_already_applied(self, name: str, status: int) -> None:
         """Record that an attempt finds the newest step applied already.
 
-        Only an earlier attempt with an indeterminate outcome may have done that.
+        Only an earlier attempt with an indeterminate outcome may have done that. If there was none, this is a
+        violation, and the tenant's row is not verified from then on.
         """
         step = self.history(name).last
         step.in_flight = False
@@ -200,7 +203,7 @@
 
     def note_row(self, node: str, name: str, row: Row, floor: int, now: float) -> None:
         """Check the row that a node showed; `floor` is what `floor()` returned when the read was sent."""
-        if row is None or row[1] in (ACTIVE, SUSPENDED):  # while draining, a row matches no step
+        if row is None or row[1] in (ACTIVE, SUSPENDED):  # while a tenant drains, its row matches no step
             self._check(node, name, lambda step: step.row == row, f"shows {row}", floor, now)
 
     def note_answer(
@@ -322,7 +325,9 @@
         """Return the seconds from each change's answer until all nodes showed it, in two lists.
 
         Nodes that were unavailable or partitioned in that time are left out. `calm` has the changes whose
-        writer was available all along; the delay of those in `writer_away` is mostly that of its return.
+        writer was neither, from the first attempt until the last node showed them; the delay of those in
+        `writer_away` is mostly the time until their writer returned. `writer_of` has the writer of each
+        tenant. The five slowest changes are kept in `slowest`.
         """
         nodes = list(nodes)
         times_s: dict[str, list[float]] = {"calm": [], "writer_away": []}
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -60,7 +60,8 @@
 TCP_HEADER_BYTES = 52  # bytes of the IP and TCP headers of a packet
 HANDSHAKE_PACKETS = 6  # packets without data that open and close a connection, in both directions
 FIRST_INCARNATION_MS = 1_764_650_000_000  # incarnations are start times in Unix milliseconds
-RESTART_INTERVAL_S = 11.0  # between two restarts anywhere in the fleet: about 7,880 a day
+# between two restarts anywhere in the fleet, rounded: 7,600 restarts and 280 failures a day make 7,880
+RESTART_INTERVAL_S = 11.0
 DOWN_RANGE_S = 2.0, 6.0  # shortest and longest time for which a restarted node is down
 CHANGES_PER_S = 12_000 / 86_400  # 12,000 a day
 TENANT_JSON = b'{"name":"%s","backend":"w-1","hosts":["%s.example"],"prefix":"/","class":"shop"}' + b" " * 220
@@ -154,7 +155,10 @@
         shard: int = 0,
         shard_count: int = 1,
     ) -> None:
-        """Create the nodes of a shard: those whose region's number modulo `shard_count` is `shard`."""
+        """Create the fleet, and run the nodes of a shard: region number modulo `shard_count` equals `shard`.
+
+        `loss` is the fraction of datagrams lost; without `replicate` the nodes have no replicas.
+        """
         self.clock, self.loss = VirtualClock(), loss
         self.random = Random(f"{seed} {shard}") if shard_count > 1 else Random(seed)
         self.seed, self.shard, self.shard_count = seed, shard, shard_count
@@ -724,14 +728,17 @@
     control: int  # number of control members; their rows come first
     processor_s: float
     wall_s: float
-    swim_s: float  # of wall time, as `replica_s` is
-    replica_s: float
+    swim_s: float  # wall time spent in `Swim`
+    replica_s: float  # wall time spent in `Replica`
     peak_kb: int
     counts: dict[str, float]
 
 
 class Meter:
-    """Measures what the nodes send and what the simulation costs, from its creation on."""
+    """Measures what the nodes send and what the simulation costs, from its creation on.
+
+    Garbage collection is off from the creation until `read`.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self._began_s = fleet, fleet.clock.now
@@ -868,7 +875,10 @@
 
 
 def spread_figures(spreads: Sequence[Spread]) -> dict[str, float]:
-    """Return how long changes took to reach 99.9% of the steady nodes, and all; infinity if one did not."""
+    """Return the seconds that changes took to reach 99.9% of the steady nodes, and all of them.
+
+    A change that did not reach so many nodes counts as infinity.
+    """
     nearly_all: list[float] = []
     all_nodes: list[float] = []
     steady_count = spreads[0].steady
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -64,8 +64,9 @@
 ANSWER_TIMEOUT_S = 12.0  # in which a request must be answered; its due time is 5 s
 RETRY_PAUSE_RANGE_S = 0.05, 0.3  # shortest and longest pause before a change is sent again
 SERIAL_BASE = 1_000_000  # a row's `max_open` is this plus its serial number
-# Moments of kills, in turn: "during" a change or "after" its acknowledgement the change's leader is killed;
-# "asked" kills the node that a change is sent to, during that change; "any" kills any running node at once.
+# Moments of kills, in turn. "during" and "after" kill the leader of a tenant's partition, while the tenant is
+# being changed or right after the change is acknowledged; "asked" kills the node that a change is sent to,
+# while the change is in progress; "any" kills any running node at once.
 KILL_MOMENTS = ("after", "during", "asked", "after", "any")
 # number of kills for each pause, cut, restart and lost replica
 KILLS_PER_PAUSE, KILLS_PER_CUT, KILLS_PER_RESTART, KILLS_PER_LOST_REPLICA = 5, 20, 7, 9
@@ -85,7 +86,8 @@
     tenants: int = 40
     requests_per_s: float = 100.0  # in total
     changes_per_s: float = 8.0  # in total, without faults
-    max_away: int = 3  # nodes that are down at once
+    # no fault is begun while this many nodes, or a quarter of all if that is less, are away
+    max_away: int = 3
     replicated: bool = True
     seed: int = 1
 
@@ -472,7 +474,7 @@
         return "POST", f"{path}/{step.op}", None, precondition
 
     async def _change(self, name: str) -> None:
-        """Make a tenant's next change, retrying until there is a definite answer."""
+        """Make a tenant's next change; retry until its answer is definite or the tenant is unverifiable."""
         checker, history = self.checker, self.checker.history(name)
         step = checker.begin(name, *self._next_change(history), self.loop.time())
         key = f"{name}-{len(history.steps)}-{self.plan.seed}"
@@ -493,7 +495,10 @@
             await asyncio.sleep(self.random.uniform(*RETRY_PAUSE_RANGE_S))
 
     async def _record_attempt(self, name: str, step: Step, response: ApiResponse | None) -> bool:
-        """Record the answer to an attempt at a change; return whether the change was made."""
+        """Record the answer to an attempt at a change; return whether the change is known to be made.
+
+        Raises RuntimeError for a status such as 400 or 422, which no correct change gets.
+        """
         checker = self.checker
         if response is None or response.status in INDEFINITE_STATUSES:
             checker.note_indeterminate(name, response.status if response else 0)
@@ -527,7 +532,11 @@
         return False
 
     async def _was_made_before(self, name: str, step: Step, status: int) -> bool:
-        """Return whether an earlier attempt without a definite answer has already made the newest step."""
+        """Check whether the newest step is made already, and if so record that it is acknowledged.
+
+        A deletion that finds no tenant counts as made. If no earlier attempt was indeterminate, a step that
+        is made already is recorded as a violation, and so is any precondition that fails (412).
+        """
         step.in_flight = (
             step.indeterminate
         )  # during this check only such an attempt can explain a node that shows it
@@ -812,7 +821,10 @@
 
 
 def merged_statuses(statuses: Sequence[dict[str, Any]]) -> dict[str, Any]:
-    """Merge the statuses of several processes of simulated members; the slowest clock counts."""
+    """Merge the statuses of several processes of simulated members.
+
+    Values are summed, but of clocks the slowest counts, of lost time the most, and of `live_*` the extreme.
+    """
     combine = {"clock_s": min, "lost_s": max, "live_least": min, "live_most": max}
     return {
         key: combine.get(key, sum)([status.get(key, 0) for status in statuses])
@@ -834,7 +846,10 @@
 
 
 def run_plan(plan: FaultRunPlan, folder: Path | None = None) -> FaultRun:
-    """Run a plan. Logs and configurations of nodes go to `folder`, by default a temporary one."""
+    """Run a plan. Logs and configurations of nodes go to `folder`, by default a temporary one.
+
+    Raises SystemExit after SIGTERM, once all processes have ended.
+    """
 
     async def run_in(run_folder: Path) -> FaultRun:
         run, task = FaultRun(plan, run_folder), asyncio.current_task()
--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -15,7 +15,7 @@
 BEFORE = "before"  # folder of the reports measured before the mechanism was built
 TABLE = re.compile(r"(<!-- table (\S+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 REFERENCE = re.compile(r"\[\[([\w./-]+?)(?:@([\w.]+)(?:([/-])([\w.]+)|~(least|most))?)?\]\]")
-OMITTED_FIGURES = re.compile(  # of the table of simulations; the JSON files keep all
+OMITTED_FIGURES = re.compile(  # left out of the table of simulations; the JSON files have them
     r"(datagrams?_|header_|exchanges?_|virtual_|driver_|process_|wall_|membership_core|replica_core|sealing_core"
     r"|failed_pulls|turned_away|peak_|sent_bytes_a_second_99)"
 )
@@ -43,7 +43,7 @@
 
 
 def describe_fit(report: dict[str, Any], figure: str) -> str:
-    """Return the fixed cost, slope and goodness of fit of a figure, and whether a line does not fit."""
+    """Return the fixed cost, slope and goodness of fit of a figure as text, which says if no line fits."""
     fitted, unit = fit_of(report, figure), report["figures"][figure]["unit"]
     if fitted is None:
         return "too few sizes"
@@ -86,7 +86,7 @@
 
 
 def compare_sizes(report: dict[str, Any], figure: str, size: float, operator: str, other_size: float) -> str:
-    """Return the ratio (`/`) or difference (`-`) of a figure at two sizes; both must have been measured."""
+    """Return as text the ratio (`/`) or difference (`-`) of a figure at two sizes, if both were measured."""
     value, other = (figure_at(report, figure, played_size) for played_size in (size, other_size))
     if value[0] is None or other[0] is None or not {size, other_size} <= set(report["sizes"]):
         return "not played at both sizes"
@@ -120,7 +120,7 @@
     A reference is `[[test.figure@size]]`, its median at a size. With `@size/other` it is the ratio and with
     `@size-other` the difference of two sizes; with `@size~least` or `@size~most` it is the lowest or highest
     of the rounds. Others are `[[derived.name]]`, `[[expected.name]]` and `[[FOLDER/SIMULATION.figure]]`. A
-    size is a number or the name of an expected figure.
+    size is a number or the name of an expected figure. A scale test without a report gives "not run".
     """
 
     def parse_size(size: str) -> float:
