--- a/reelusher/lab/capacity/__init__.py
+++ b/reelusher/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: what a node, its fleet and those round it take at four sizes or more, and the slopes."""
+"""Scale tests: what a node, its fleet and the systems around it cost, and how that grows with the size."""
--- a/reelusher/lab/capacity/fill.py
+++ b/reelusher/lab/capacity/fill.py
@@ -101,7 +101,10 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Run the experiment. Raises RuntimeError if a node does not start or lacks a row for too long."""
+        """Run the experiment.
+
+        Raises RuntimeError if a node does not start or lacks a row for too long, or the writer rejects one.
+        """
         server = await asyncio.start_server(NamedWorker(WORKER, 2.0).serve, STAND_IN_HOST, 0)
         hosts = {name: address_of(0, number, 0)[0] for number, name in enumerate((WRITER, READER))}
         ports = set[int]()
--- a/reelusher/lab/capacity/fit.py
+++ b/reelusher/lab/capacity/fit.py
@@ -88,8 +88,9 @@
 def fit(sizes: Sequence[float], figures: Sequence[float]) -> Fit:
     """Fit a series. Raises ValueError unless there are four different sizes or more, with a figure for each.
 
-    A straight line is chosen if it fits and no other shape is clearly better. If the best shape does not fit
-    either, the shape of the result is `none`.
+    The shape is `even` if the range of the figures is at most `EVEN_RANGE` of their mean. Otherwise a
+    straight line is chosen if it fits and no other shape is clearly better, else the best shape, or `none` if
+    that does not fit either.
     """
     if len(set(sizes)) < MIN_SIZES or len(sizes) != len(figures):
         raise ValueError(f"a figure for each of {MIN_SIZES} sizes or more is needed")
--- a/reelusher/lab/capacity/hollow.py
+++ b/reelusher/lab/capacity/hollow.py
@@ -69,7 +69,7 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request and its reply over TCP, from a simulated member to a real one or the other way round."""
+    """A request and its reply over TCP, between a simulated member and one outside this process."""
 
     sock: socket.socket
     deadline_s: float
@@ -191,8 +191,8 @@
     def join(self, addresses: list[str]) -> None:
         """Exchange full states with each of these real nodes, and give the result to all members.
 
-        A different member contacts each node. Raises OSError if a node can't be reached or closes the
-        connection.
+        A different member contacts each node; nodes beyond the number of members are left out. Raises OSError
+        if a node can't be reached or closes the connection, and `RejectedMessageError` for an invalid reply.
         """
         joiners = list(self.members.values())[: len(addresses)]
         own_updates = [member.swim.own for member in self.members.values()]
@@ -525,7 +525,10 @@
 
 
 def serve(members: SimulatedMembers) -> None:
-    """Execute commands from standard input, one JSON object a line, and print a status after each."""
+    """Execute commands from standard input, one JSON object a line, until it ends.
+
+    Prints a JSON object with the number of members at first, and a status after each command.
+    """
     received = bytearray()
 
     def read() -> None:
@@ -613,7 +616,8 @@
 def _make_changes(members: SimulatedMembers, rate: float, until_s: float) -> list[float]:
     """Make `rate` changes a second until a time; return the sorted delays until each had reached all members.
 
-    A change that has not reached all members in time counts as infinity.
+    Delays are in seconds of the members' clock. A change that has not reached all members one maximum sync
+    interval after `until_s` counts as infinity.
     """
     random, due_s, count = Random(2), members.now, 0
     pending: list[tuple[str, int, float]] = []
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -53,7 +53,9 @@
 SAME_ZONE_DELAY_S, SAME_REGION_DELAY_S = 0.0005, 0.002
 REGION_DELAY_RANGE_S = 0.01, 0.1  # one-way delays between the two closest and the two furthest regions
 DELAY_JITTER = 0.2  # fraction by which a delay may exceed its minimum
-LOSS = 0.02  # fraction of datagrams lost, and of legs of an exchange delayed by a TCP retransmission
+# fraction of datagrams lost, and of legs of an exchange delayed by a TCP retransmission; of legs whose frame
+# fills n segments, 1 + n / 10 times as many are delayed
+LOSS = 0.02
 RETRANSMISSION_S = 0.2  # until TCP retransmits a lost segment
 UDP_HEADER_BYTES = 28  # bytes of the IP and UDP headers of a datagram
 TCP_SEGMENT_BYTES = 1448  # bytes of payload in one TCP packet
--- a/reelusher/lab/capacity/request.py
+++ b/reelusher/lab/capacity/request.py
@@ -119,7 +119,7 @@
 ) -> dict[str, Any]:
     """Run a client in a process of its own and return its counts and latencies.
 
-    Raises RuntimeError if a request failed or the client does not end.
+    Raises RuntimeError if a request failed, none was served or the client does not end.
     """
     requests = [
         ajp13.write_forward(
--- a/reelusher/lab/fleet/account.py
+++ b/reelusher/lab/fleet/account.py
@@ -1,4 +1,4 @@
-"""The history of a run and its checker: what callers, stand-ins and the registry saw, apart from the program.
+"""The history of a run and its checker: what callers and stand-ins observed, independently of the nodes.
 
 Times are seconds on the scheduler's clock, relative to the start of the load.
 """
@@ -14,7 +14,7 @@
 from reelusher.lab.fleet.census import MembershipObserver
 from reelusher.lab.fleet.plan import Plan, RequestClass
 
-# of an answer past its deadline: 80 ms by the settings of the nodes, the rest for sockets
+# how long after its deadline an answer may arrive: the nodes' `answer_slack_us`, 80 ms, and 50 ms for sockets
 ANSWER_SLACK_S = 0.08 + 0.05
 REPORT_SLOT_S = 0.1  # over which reports are counted
 MIN_LAG_S = 0.005  # smaller lags of the rig are not recorded
@@ -322,6 +322,8 @@
         """Return what happened in each second of the load.
 
         Requests count in the second in which they were created, attempts in that in which they were sent.
+        `held NAME` is the highest number of calls in progress at a downstream service that was recorded in
+        the second: a second in which no call began or ended has 0.
         """
         count = max(1, int(self.plan.run.seconds))
         series: dict[str, list[float]] = {
@@ -351,7 +353,8 @@
     def recovered_s(self, ends_s: float, before_s: float) -> float | None:
         """Return the seconds from the end of a fault until service has recovered for good; None: never.
 
-        Service has recovered when each second serves `RECOVERED_FRACTION` of the share served before.
+        Service has recovered when each later second, but for the last of the run, serves `RECOVERED_FRACTION`
+        of the mean share of worth that was served from second 1 to `before_s`.
         """
         series = self.series()
         shares = [
--- a/reelusher/lab/fleet/callers.py
+++ b/reelusher/lab/fleet/callers.py
@@ -122,7 +122,7 @@
         self.transport.send(self, attempt)
 
     def on_answer(self, attempt: Attempt, verdict: str, fields: dict[str, str], body: bytes) -> None:
-        """Handle an answer; its verdict is `served`, `refused` or `failed`."""
+        """Handle an answer; its verdict is `served`, `refused` or `failed`, or `again` for a second one."""
         now, request, node = self.scheduler.time(), attempt.request, attempt.node
         is_first = not attempt.verdicts
         self.history.record_answer(now, attempt, verdict, body)
--- a/reelusher/lab/fleet/relay.py
+++ b/reelusher/lab/fleet/relay.py
@@ -4,8 +4,9 @@
 
 TCP never loses a byte in the middle of a stream, so faults act on connections as follows: `cut` drops all
 data, and when it heals, connections that lost data are reset, as by a peer that gave up; `silent` withholds
-data until it heals; `loss` delays a chunk by a retransmission timeout. Datagrams are lost, duplicated and
-reordered for good. The sender of a datagram is identified by its loopback address.
+data until it heals; `reset` resets open and new connections; `loss` delays a chunk by a retransmission
+timeout. Datagrams are really lost, duplicated and reordered, and `cut`, `silent` and `reset` drop them. The
+sender of a datagram is identified by its loopback address.
 """
 
 import asyncio
@@ -302,7 +303,7 @@
         return proxy_address
 
     def transit_delay_s(self, direction: Direction, datagram: bool = False) -> float:
-        """Return the delay of a chunk or datagram from delays and, for a chunk, retransmissions."""
+        """Return the seconds by which faults delay a chunk or datagram; `loss` delays only chunks."""
         delay, loss = direction.active_fault("delay"), direction.active_fault("loss")
         delay_s = delay.ms / 1000 * self.random.uniform(0.9, 1.1) if delay else 0.0
         if loss and not datagram and self.random.random() < loss.part:
--- a/reelusher/lab/fleet/rig.py
+++ b/reelusher/lab/fleet/rig.py
@@ -127,7 +127,7 @@
         self.loop.call_at(now + LAG_CHECK_INTERVAL_S, self._measure_lag, now + LAG_CHECK_INTERVAL_S)
 
     def _measure_core_wait(self, name: str, previous_s: dict[str, float], since: float) -> None:
-        """Record how long the thread of a node that waited most had no core since the last reading."""
+        """Record the longest time for which any one thread of a node had no core since the last reading."""
         now, alive = self.loop.time(), self.processes.is_alive(name)
         waits = core_wait_s(self.processes.running[name].pid) if alive else {}
         if now > since:
--- a/reelusher/lab/fleet/services.py
+++ b/reelusher/lab/fleet/services.py
@@ -144,7 +144,7 @@
         )
 
     def call(self, reply: Callback) -> int:
-        """Begin a call and return its number, or 0 if it has failed at once.
+        """Begin a call and return its number, or 0 if it was rejected or failed at once.
 
         `reply` is called with `yes`, `notnow` or `failed`.
         """
@@ -258,7 +258,10 @@
         )
 
     def gauges(self) -> list[float]:
-        """Return the fraction of busy cores, the work on the cores, the memory in use, and open sockets."""
+        """Return the mean fraction of busy cores, the work on the cores, memory in use, and open sockets.
+
+        The memory is a fraction, a hundredth for each run, and the number of sockets is always 0.
+        """
         return [self._update_busy_mean(), float(self.active_work), min(1.0, len(self.jobs) / 100), 0.0]
 
     def _update_busy_mean(self) -> float:
--- a/reelusher/lab/fleet/wires.py
+++ b/reelusher/lab/fleet/wires.py
@@ -18,7 +18,8 @@
 
 MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol states
 MAX_KEPT_NOTICES = 4000  # of one runtime, for resending after a reconnect
-MAX_CROSSING_S = 0.05  # a request sent this shortly before a close may have crossed it, and never ran then
+# a request sent at most this long before the node closed may have arrived too late, and then it never ran
+MAX_CROSSING_S = 0.05
 VERDICTS = {"Full": "refused"}
 
 
