--- a/reelusher/lab/capacity/harness.py
+++ b/reelusher/lab/capacity/harness.py
@@ -29,7 +29,7 @@
     measure: Callable[[int], Figures]
     repeats: int = 3
     target: float = 0.0  # size that the operators expect; 0: none
-    cheap: bool = True  # starts no process and takes seconds, so that CI can run it
+    cheap: bool = True  # starts no node and takes seconds, so that CI can run it
     notes: tuple[str, ...] = field(default=())  # remarks on the figures
 
 
--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -664,8 +664,8 @@
     def schedule_restarts(self, until_s: float, gap_s: float) -> None:
         """Schedule restarts until a time, at a random moment of each period of `gap_s` seconds.
 
-        The restarted nodes are a random sample of at most a quarter of all nodes but control members, and are
-        no longer steady. All shards draw the same nodes and times; each restarts its own.
+        The restarted nodes are a random sample of at most a quarter of the nodes that are not control
+        members, and are no longer steady. All shards draw the same nodes and times; each restarts its own.
         """
         random = Random(f"{self.seed} restarts")
         count = int((until_s - self.clock.now) / gap_s)
@@ -689,7 +689,8 @@
     def memberships_agree(self) -> bool:
         """Return whether each live node of this shard considers exactly the live nodes live.
 
-        Compares counts, and three live nodes by their addresses.
+        Only checks the number of members that each considers live, and that these include the first three
+        live nodes.
         """
         live = [node for node in self.nodes if node.up]
         local_live = [node for node in self.local_nodes if node.up]
--- a/reelusher/lab/capacity/live.py
+++ b/reelusher/lab/capacity/live.py
@@ -53,7 +53,8 @@
 from reelusher.lab.fleet.rig import STAND_IN_HOST, address_of, free_port
 
 ZONES = ("a", "b", "c")
-# wait after a kill, for each simulated member of a process: the process gossips the news for all of them
+# wait after a kill, on the members' clock, for each simulated member of a process: the process gossips the
+# news of the kill for all of its members
 GOSSIP_S_PER_MEMBER = 0.01
 MAX_CONTROL_MEMBERS = 3
 POLL_INTERVAL_S = 0.2  # between two reads of one node's tenant table
@@ -85,7 +86,7 @@
     member_process_count: int = 1  # processes that run the simulated members
     tenants: int = 40
     requests_per_s: float = 100.0  # in total
-    changes_per_s: float = 8.0  # in total, without faults
+    changes_per_s: float = 8.0  # in total, if each were answered at once
     # no fault is begun while this many nodes, or a quarter of all if that is less, are away
     max_away: int = 3
     replicated: bool = True
@@ -638,7 +639,11 @@
         await self._restart_when_ended(name)
 
     async def _cut_off(self, zone: str, seconds: float) -> None:
-        """Cut a zone off from the others for a time, and measure how long both sides then take to agree."""
+        """Cut a zone off from the others for a time, and measure how long both sides then take to agree.
+
+        They agree when all nodes that were available since the cut have the changes that were acknowledged by
+        its end.
+        """
         self.fault_counts["cuts"] += 1
         inside = frozenset(name for name, addresses in self.addresses.items() if addresses.zone == zone)
         fault = Fault("cut", 0.0, 0.0, inside, frozenset(self.names) - inside)
@@ -848,7 +853,7 @@
 def run_plan(plan: FaultRunPlan, folder: Path | None = None) -> FaultRun:
     """Run a plan. Logs and configurations of nodes go to `folder`, by default a temporary one.
 
-    Raises SystemExit after SIGTERM, once all processes have ended.
+    Raises SystemExit after SIGTERM, once all node processes have ended.
     """
 
     async def run_in(run_folder: Path) -> FaultRun:
--- a/reelusher/lab/capacity/page.py
+++ b/reelusher/lab/capacity/page.py
@@ -12,7 +12,7 @@
 from reelusher.lab.capacity.roles import DESIGN_TARGETS, ROLES, Row, missing_mechanisms
 
 PAGE = FOLDER.parent / "CAPACITY.md"
-BEFORE = "before"  # folder of the reports measured before the mechanism was built
+BEFORE = "before"  # folder of reports from before a mechanism was built, for comparison
 TABLE = re.compile(r"(<!-- table (\S+) -->\n).*?(<!-- end of table -->)", re.DOTALL)
 REFERENCE = re.compile(r"\[\[([\w./-]+?)(?:@([\w.]+)(?:([/-])([\w.]+)|~(least|most))?)?\]\]")
 OMITTED_FIGURES = re.compile(  # left out of the table of simulations; the JSON files have them
--- a/reelusher/lab/capacity/wires.py
+++ b/reelusher/lab/capacity/wires.py
@@ -78,7 +78,10 @@
 
 
 async def wait_until_ready(admin: Address, ajp: Address, alive: Callable[[], bool], timeout_s: float) -> bool:
-    """Wait until a node that was started responds at both addresses; return whether it did in time."""
+    """Wait until a node that was started responds at both addresses.
+
+    Returns False if it does not in time, or if its process ends.
+    """
     deadline_s = asyncio.get_running_loop().time() + timeout_s
     while alive() and asyncio.get_running_loop().time() < deadline_s:
         with contextlib.suppress(NodeUnreachableError, OSError):
