--- a/reelusher/lab/capacity/hollow_fleet.py
+++ b/reelusher/lab/capacity/hollow_fleet.py
@@ -53,14 +53,17 @@
 SAME_ZONE_DELAY_S, SAME_REGION_DELAY_S = 0.0005, 0.002
 REGION_DELAY_RANGE_S = 0.01, 0.1  # one-way delays between the two closest and the two furthest regions
 DELAY_JITTER = 0.2  # fraction by which a delay may exceed its minimum
-LOSS = 0.02  # fraction of datagrams lost, and of legs of an exchange delayed by a TCP retransmission
+# fraction of datagrams lost, and of legs of an exchange delayed by a TCP retransmission; of legs whose frame
+# fills n segments, 1 + n / 10 times as many are delayed
+LOSS = 0.02
 RETRANSMISSION_S = 0.2  # until TCP retransmits a lost segment
 UDP_HEADER_BYTES = 28  # bytes of the IP and UDP headers of a datagram
 TCP_SEGMENT_BYTES = 1448  # bytes of payload in one TCP packet
 TCP_HEADER_BYTES = 52  # bytes of the IP and TCP headers of a packet
 HANDSHAKE_PACKETS = 6  # packets without data that open and close a connection, in both directions
 FIRST_INCARNATION_MS = 1_764_650_000_000  # incarnations are start times in Unix milliseconds
-RESTART_INTERVAL_S = 11.0  # between two restarts anywhere in the fleet: 7,880 a day
+# between two restarts anywhere in the fleet, rounded: 7,600 restarts and 280 failures a day make 7,880
+RESTART_INTERVAL_S = 11.0
 DOWN_RANGE_S = 2.0, 6.0  # shortest and longest time for which a restarted node is down
 CHANGES_PER_S = 12_000 / 86_400  # 12,000 a day
 TENANT_JSON = b'{"name":"%s","backend":"w-1","hosts":["%s.example"],"prefix":"/","class":"shop"}' + b" " * 220
@@ -154,7 +157,10 @@
         shard: int = 0,
         shard_count: int = 1,
     ) -> None:
-        """Create the nodes of a shard: those whose region's number modulo `shard_count` is `shard`."""
+        """Create the fleet, and run the nodes of a shard: region number modulo `shard_count` equals `shard`.
+
+        `loss` is the fraction of datagrams lost; without `replicate` the nodes have no replicas.
+        """
         self.clock, self.loss = VirtualClock(), loss
         self.random = Random(f"{seed} {shard}") if shard_count > 1 else Random(seed)
         self.seed, self.shard, self.shard_count = seed, shard, shard_count
@@ -280,7 +286,7 @@
         now = self.clock.now
         due_s = max(now, node.swim.next_tick_s())
         if now < node.due_s <= due_s or not node.up:
-            return  # a tick that is not later is already scheduled
+            return  # a tick at this time or earlier is scheduled already, or the node is down
         node.due_s = due_s
         self.clock.call_later(due_s - now, self._tick, node, due_s, node.swim)
 
@@ -328,7 +334,7 @@
         self._receive(self.nodes[index], message, len(data) + self._envelope)
 
     def _deduplicated(self, updates: Iterable[Update]) -> list[Update]:
-        """Return equal updates, one object of each for all nodes of this shard, which saves memory."""
+        """Replace updates by equal ones received before, so that all nodes of this shard share one object."""
         if len(self._shared_updates) > MAX_SHARED_UPDATES:
             self._shared_updates.clear()
         return [self._shared_updates.setdefault(update, update) for update in updates]
@@ -656,9 +662,10 @@
             self.clock.call_later(at_s - self.clock.now, self.change, random.randrange(TENANT_COUNT))
 
     def schedule_restarts(self, until_s: float, gap_s: float) -> None:
-        """Schedule restarts of nodes other than control members until a time, one every `gap_s` seconds.
+        """Schedule restarts until a time, at a random moment of each period of `gap_s` seconds.
 
-        Those nodes are no longer steady. All shards draw the same nodes and times; each restarts its own.
+        The restarted nodes are a random sample of at most a quarter of the nodes that are not control
+        members, and are no longer steady. All shards draw the same nodes and times; each restarts its own.
         """
         random = Random(f"{self.seed} restarts")
         count = int((until_s - self.clock.now) / gap_s)
@@ -682,7 +689,8 @@
     def memberships_agree(self) -> bool:
         """Return whether each live node of this shard considers exactly the live nodes live.
 
-        Compares counts, and three live nodes by their addresses.
+        Only checks the number of members that each considers live, and that these include the first three
+        live nodes.
         """
         live = [node for node in self.nodes if node.up]
         local_live = [node for node in self.local_nodes if node.up]
@@ -723,14 +731,17 @@
     control: int  # number of control members; their rows come first
     processor_s: float
     wall_s: float
-    swim_s: float  # of wall time, as `replica_s` is
-    replica_s: float
+    swim_s: float  # wall time spent in `Swim`
+    replica_s: float  # wall time spent in `Replica`
     peak_kb: int
     counts: dict[str, float]
 
 
 class Meter:
-    """Measures what the nodes send and what the simulation costs, from its creation on."""
+    """Measures what the nodes send and what the simulation costs, from its creation on.
+
+    Garbage collection is off from the creation until `read`.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self._began_s = fleet, fleet.clock.now
@@ -778,7 +789,12 @@
 
 
 def figures_of(readings: Sequence[Reading]) -> dict[str, float]:
-    """Return traffic and processor use per node and second, mean and highest, from all shards' readings."""
+    """Return the figures of a fleet from the readings of all its shards.
+
+    Traffic is per node and second, in the mean; the bytes sent also at the 99th percentile and the highest.
+    `*_core_percent` is the mean processor use of a node in % of a core. Process time, memory and counts are
+    totals of the shards; `wall_seconds` is that of the slowest one.
+    """
     rows = [row for reading in readings for row in reading.rows]
     seconds, node_count = readings[0].seconds, len(rows)
 
@@ -862,7 +878,10 @@
 
 
 def spread_figures(spreads: Sequence[Spread]) -> dict[str, float]:
-    """Return how long changes took to reach 99.9% of the steady nodes, and all; infinity if one did not."""
+    """Return the seconds that changes took to reach 99.9% of the steady nodes, and all of them.
+
+    A change that did not reach so many nodes counts as infinity.
+    """
     nearly_all: list[float] = []
     all_nodes: list[float] = []
     steady_count = spreads[0].steady
