--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -110,7 +110,8 @@
     def begin_request(self, sock: socket.socket, tenant: str, max_of_tenant: int) -> bool:
         """Protect a connection from eviction and assign it to a tenant.
 
-        Returns False if the tenant now has more than `max_of_tenant` connections; 0 means no limit.
+        Returns False if this newly assigned the connection, and the tenant now has more than `max_of_tenant`
+        connections; 0 means no limit. A connection that the tenant had already is never refused.
         """
         with self._lock:
             slot = self._slots[sock]
--- a/reelusher/frontends/ajp/frontend.py
+++ b/reelusher/frontends/ajp/frontend.py
@@ -86,7 +86,10 @@
         return len(self._connections)
 
     def _drain(self) -> None:
-        """Stop listening when it is time, end each connection after its request, and record their state."""
+        """From `notify_s` on, stop listening and record the state of all connections, until `close`.
+
+        The thread of each connection ends it after its request.
+        """
         while not self._closed:
             now, schedule = time.monotonic(), self._schedule
             if schedule is not None and now >= schedule.notify_s:
--- a/reelusher/frontends/ajp/request_mapping.py
+++ b/reelusher/frontends/ajp/request_mapping.py
@@ -17,7 +17,7 @@
 
 MAX_BODY_S = 30.0  # limit for a whole body, even if each part of it arrives in time
 MAX_KEY_CHARS = 128
-ERROR_RETRY_AFTER_S = 1  # sent for a request that is rejected without the core
+ERROR_RETRY_AFTER_S = 1  # the Retry-After of a 503 to a request that never reached the core
 REASONS = {
     400: "Bad Request",
     403: "Forbidden",
--- a/reelusher/frontends/operations.py
+++ b/reelusher/frontends/operations.py
@@ -1,7 +1,8 @@
 """The operations endpoint, for operators alone: HTTP/1.1, one call per connection; see docs/operation.md.
 
 Each call has its own thread and does not wait for the event loop, so an operator is answered however busy the
-node is, and however many connections are silent. A 2xx status means yes, a 4xx or 5xx status no.
+node is, and however many connections are silent. A 2xx status means that the call succeeded, and for the
+health check that the node is ready; a 4xx or 5xx status means the opposite.
 """
 
 import json
@@ -34,7 +35,7 @@
 
 
 def descriptors(sockets: int) -> int:
-    """Return how many descriptors it may hold: the listener, the calls, and one accepted while one ends."""
+    """Return how many descriptors it may hold: the listener, calls, and one accepted while another ends."""
     return max_calls(sockets) + 2
 
 
--- a/reelusher/frontends/rpc/connection.py
+++ b/reelusher/frontends/rpc/connection.py
@@ -13,12 +13,12 @@
 from reelusher.net.sockets import Address
 
 ANSWER, NOTICE = 1, 2  # message types of MessagePack-RPC; 0 is a request
-MAX_FRAME_BYTES = 1 << 14  # size limit of one request; its body and fields take a third of that
+MAX_FRAME_BYTES = 1 << 14  # size limit of one request; its body and fields take at most a third
 MAX_BACKLOG_BYTES = 1 << 18  # size limit of the answers that wait for a slow caller
 
 
 class Connection:
-    """One caller's connection. Only the poller's thread reads it; the event loop sends its answers."""
+    """One caller's connection. Only the poller's thread reads it; the event loop sends on it too."""
 
     def __init__(self, sock: socket.socket, budget: ByteBudget, peer: Address = ("", 0)) -> None:
         self.sock = sock
@@ -31,7 +31,7 @@
         self.last_used_s = time.monotonic()
         self.messages_read = 0
         self.bad_requests = 0
-        self.rejecting_since_s = 0.0  # when it began to reject all requests, until it ends; 0: it has not
+        self.rejecting_since_s = 0.0  # time since which all its requests are rejected; 0: they are not
         self.partial_since_s = 0.0  # when the present incomplete message began; 0: there is none
         self.last_call_s = 0.0  # when the caller was sent the notice `lastCall`; 0: it was not
         self.ended = False  # nothing more is read; it is closed once all requests are answered
@@ -79,7 +79,7 @@
         self.send_buffer.send(msgpack.pack([NOTICE, LAST_CALL_NOTICE, []]))
 
     def idle_s(self, now: float) -> float:
-        """Return for how many seconds no request has been open; 0 while one is."""
+        """Return the seconds since a message was last read or answered; 0 while a request is open."""
         with self.lock:
             return 0.0 if self.unanswered else now - self.last_used_s
 
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -70,8 +70,8 @@
     ) -> None:
         """Bind the address and listen.
 
-        `on_lag` is called with the delay of each timer of the poller, in seconds. With `shared`, another
-        process of the same user may listen on the address too.
+        `on_lag` is called on the poller's thread with the delay of each of its timers, in seconds. With
+        `shared`, another process of the same user may listen on the address too.
         """
         self.max_spare = min(MAX_SPARE, max(1, max_descriptors // DESCRIPTORS_PER_SPARE))
         self.max_half_closed = min(MAX_HALF_CLOSED, max(1, max_descriptors // DESCRIPTORS_PER_HALF_CLOSED))
@@ -106,11 +106,14 @@
         self._shutdown.follow(schedule)
 
     def drain_observation(self) -> DrainObservation | None:
-        """Return the latest observation of all connections."""
+        """Return the latest observation of all connections; None before the first one of a drain."""
         return self._shutdown.observation
 
     def close(self) -> None:
-        """Close the listener and all connections at once."""
+        """Close the listener and all connections, without waiting for open requests.
+
+        Once the poller is started, its thread does this, and this method returns before it is done.
+        """
         if self._poller.started:
             self._poller.call(self._close)
         else:
@@ -154,7 +157,10 @@
                 return
 
     def fail_open_requests(self, connection: Connection) -> None:
-        """Answer all open requests of a connection with an error, whatever their runs come to."""
+        """Answer all open requests of a connection with an error, whatever the outcome of their runs.
+
+        The core is told that it can't deliver answers to them any more.
+        """
         with connection.lock:
             open_requests = dict(connection.open_requests)
         reply = failed_reply(self._core.notices.advertised_capacity)
@@ -262,7 +268,8 @@
                 *connection.peer,
                 error,
             )
-            # open requests get an error: the caller may take an answer for that of another request
+            # open requests get an error: the caller may confuse message ids, and so assign an answer to the
+            # wrong request
             self.fail_open_requests(connection)
             self._end(connection, peer_closed=False)
             return False
@@ -347,7 +354,11 @@
         self._finish(connection)
 
     def _finish(self, connection: Connection) -> None:
-        """Close a connection if all answers are sent; otherwise the next sweep tries again."""
+        """Close or half-close a connection whose answers are all sent; otherwise the next sweep tries again.
+
+        It is closed if its caller has shut down its own writing side. Otherwise this node shuts down the
+        writing side, and reads and discards what still arrives.
+        """
         if connection.unanswered or (connection.send_buffer.backlog and not connection.send_buffer.closed):
             return
         if connection.peer_closed:
@@ -379,8 +390,8 @@
     def _close_idle(self, connection: Connection) -> None:
         """Read what an idle connection has received, and end it if it is still idle.
 
-        On a busy core, requests may have been received that are not read yet. A request that arrives between
-        this read and the shutdown is discarded, and its caller sends it again.
+        On a busy processor, received requests may still be unread. A request that arrives between this read
+        and the shutdown is discarded, and its caller sends it again.
         """
         self.read_pending(connection)
         if (
@@ -394,7 +405,7 @@
     # Periodic checks
 
     def _sweep(self) -> None:
-        """End connections that are silent, idle, or stuck in the middle of a message."""
+        """Resume accepting if it is paused, and apply the time limits to all connections."""
         if self._accept_paused:
             self._resume_accepting()
         now, connections = time.monotonic(), self.connections()
@@ -443,7 +454,7 @@
     def _end_rejecting(self, connection: Connection, now: float) -> None:
         """End a connection `LINGER_S` after it began to reject all requests."""
         if now - connection.rejecting_since_s > LINGER_S:
-            self.read_pending(connection)  # on a busy core, received requests may still be unread
+            self.read_pending(connection)  # on a busy processor, received requests may be unread
             if not connection.ended:
                 self._end(connection, peer_closed=False)
 
--- a/reelusher/frontends/rpc/half_closed.py
+++ b/reelusher/frontends/rpc/half_closed.py
@@ -1,4 +1,4 @@
-"""Half-closed connections: their answers are all sent, and their writing side is shut down.
+"""Half-closed connections: all answers are sent, and this node has shut down its writing side.
 
 Closing a socket with unread data resets the connection, and loses answers that are still on their way. So
 incoming data is first read and discarded for a while.
--- a/reelusher/frontends/rpc/idle_limits.py
+++ b/reelusher/frontends/rpc/idle_limits.py
@@ -23,11 +23,11 @@
 
 
 class IdleLimits(NamedTuple):
-    """The seconds after which a connection is ended."""
+    """The idle times after which a connection is sent the notice `lastCall`, and the time until its close."""
 
     used_once_s: float  # idle time of a connection that has carried one message
     idle_s: float  # idle time of a connection that has carried more
-    close_s: float  # time after the notice `lastCall`
+    close_s: float  # time from the notice until the connection is closed
 
 
 def idle_limits(
