--- a/reelusher/backends/ajp/exchange.py
+++ b/reelusher/backends/ajp/exchange.py
@@ -29,8 +29,9 @@
 ) -> Response:
     """Send a request and read its response.
 
-    Raises OSError if the connection fails, `MalformedError` for an invalid packet, ValueError for a response
-    of more than `max_response_bytes`.
+    A secret is added to the attributes of `forward`. Raises OSError if the connection fails, `MalformedError`
+    for an invalid packet, ValueError for a response of more than `max_response_bytes` or for a request whose
+    headers are too long for a packet, of which nothing is sent.
     """
     if secret:
         forward.attributes["secret"] = secret
--- a/reelusher/backends/ajp/worker_pool.py
+++ b/reelusher/backends/ajp/worker_pool.py
@@ -140,7 +140,10 @@
         self._pool.executor.submit(self._run, request, class_name)
 
     def stop(self, run_id: str) -> None:
-        """Stop a run by shutting its connection down."""
+        """Stop a run by shutting its connection down, and report it as cancelled.
+
+        A run that has no connection yet goes on, and is reported as cancelled when it ends.
+        """
         if run_id not in self._runs:
             return
         self._stopped.add(run_id)
--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -27,7 +27,7 @@
 MAX_BACKLOG_BYTES = 1 << 20
 READ_BYTES = 1 << 14
 MAX_CONNECTIONS = 24  # open at the same time; each needs a file descriptor
-MAX_CALLS_PER_CONNECTION = 500  # a connection remembers their run ids, so it is replaced then
+MAX_CALLS_PER_CONNECTION = 500  # since a connection remembers the run ids of all its calls
 MIN_TIME_LEFT_US = 1000  # a call with less time left is not sent
 OUTCOMES = {  # by status of a reply
     "yes": Outcome.OK,
@@ -84,7 +84,8 @@
     """Makes calls over a bounded number of connections; further calls wait for a free one.
 
     The event loop calls `call` and `cancel`, which don't block; each connection has a thread that opens and
-    reads it. Each call ends with a `CallFinished`, unless it is cancelled or the client is closed.
+    reads it. Each call ends with a `CallFinished`, unless it is cancelled, or still waits when the client is
+    closed.
     """
 
     def __init__(
@@ -107,7 +108,7 @@
         self._connection_count = 0  # connections whose thread has not ended
 
     def close(self) -> None:
-        """End all connections."""
+        """Drop the waiting calls and end all connections; calls in progress fail."""
         with self._lock:
             self._waiting.clear()
             for connection in [*self._idle, *self._busy.values()]:
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -55,9 +55,10 @@
     """Runs attempts on the runtime.
 
     The runtime reads a link in order, so its reply to a gauge request acknowledges all commands sent before
-    that request, and a notice acknowledges the commands for its run. All other commands are sent again on the
-    next link, once the missed notices have been read: there `sync` requests the notices again and is followed
-    by a gauge request, and the reply to that comes after them.
+    that request, and a notice acknowledges the commands for its run. Commands without acknowledgement are
+    sent again on the next link, but only after the missed notices, which may acknowledge them. There `sync`
+    requests the missed notices, a gauge request follows the notice `ready`, and the reply to it comes after
+    all missed notices.
     """
 
     def __init__(
@@ -266,7 +267,10 @@
             self._serial = serial  # only once handled, so that the next link repeats notices that were not
 
     def _on_ready(self, message: dict[str, Any]) -> None:
-        """Detect whether the runtime has restarted, and request the gauges that follow the missed notices."""
+        """Detect whether the runtime has restarted, and request gauges.
+
+        The reply to that request comes after all missed notices.
+        """
         started_s = time.monotonic() - float(message.get("duration", 0)) / 1000
         logger.info("runtime: ready, {}", message.get("how"))
         if self._runtime_started_s and started_s > self._runtime_started_s + MIN_RESTART_S:
--- a/reelusher/backends/unacknowledged_commands.py
+++ b/reelusher/backends/unacknowledged_commands.py
@@ -62,7 +62,7 @@
                 del self._sequences_by_run[command.run_id]
 
     def acknowledge_run(self, run_id: str) -> None:
-        """Drop all commands for a run, of which a notice has arrived."""
+        """Drop all commands for a run, since a notice of that run has arrived."""
         for sequence in self._sequences_by_run.pop(run_id, ()):
             del self._commands[sequence]
 
