--- a/reelusher/codecs/ajp13.py
+++ b/reelusher/codecs/ajp13.py
@@ -308,7 +308,7 @@
 
 
 def write_forward(request: ForwardedRequest) -> bytes:
-    """Encode a forwarded request as a packet."""
+    """Encode a forwarded request as a packet. Raises ValueError if it or one of its strings is too long."""
     code = METHOD_CODES.get(request.method, STORED_METHOD)
     attributes = dict(request.attributes)
     if code == STORED_METHOD:
@@ -337,7 +337,7 @@
 
 
 def read_body(payload: bytes) -> bytes:
-    """Decode a part of a request's body; an empty part ends the body."""
+    """Decode a part of a request's body; an empty part ends the body. Raises `MalformedError`."""
     if not payload:
         return b""
     reader = Reader(payload)
--- a/reelusher/codecs/lines.py
+++ b/reelusher/codecs/lines.py
@@ -1,6 +1,6 @@
 """The two line protocols: JSON objects of the runtime, and calls to the downstream service.
 
-On the wire, the downstream service is the vault, a call is `ask` and a cancellation is `unask`.
+On the wire, a call to the downstream service is `ask`, and its cancellation is `unask`.
 """
 
 import base64
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DownstreamReply:
-    """A reply to a downstream call; it has a body if the call succeeded."""
+    """A reply to a downstream call; the body is empty if it has none."""
 
     run_id: str
     status: str
@@ -74,7 +74,7 @@
 
 
 class DownstreamReplyDecoder:
-    """Decodes replies: a line each, which has a length and is followed by a body if the status is `yes`."""
+    """Decodes replies: a line each, and a body if that line has a length, which the status `yes` needs."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
--- a/reelusher/codecs/msgpack.py
+++ b/reelusher/codecs/msgpack.py
@@ -138,7 +138,7 @@
         return number
 
     def _read_value(self) -> Any:
-        """Read a value; of an array or a map with items, read only the header and return it as open."""
+        """Read a value; if it is an array or a map with items, read its header and return it as open."""
         code = self._buffer[self._position]
         self._position += 1
         if code < 0x80:
--- a/reelusher/drain/connection_shutdown.py
+++ b/reelusher/drain/connection_shutdown.py
@@ -128,14 +128,17 @@
     def _advance(
         self, connection: ConnectionT, state: ConnectionState, now: float, schedule: DrainSchedule
     ) -> None:
-        """Move one connection through the phases that it may enter now."""
+        """Move one connection through the phases that it may enter now.
+
+        From `shutdown_s` on, its received bytes are read first, and then its open requests are failed.
+        """
         if connection.phase is ConnectionPhase.SERVING:
             connection.phase = next_phase(connection.phase, state, now, schedule)
             connection.send_last_call(now)
         if now >= schedule.shutdown_s and state.unread_bytes:
             self._frontend.read_pending(connection)
             state = connection.state
-        if now >= schedule.shutdown_s and state.unanswered:  # the controller or its thread is too late
+        if now >= schedule.shutdown_s and state.unanswered:  # the controller or the event loop is too late
             self._frontend.fail_open_requests(connection)
             state = connection.state
         self._enter(connection, next_phase(connection.phase, state, now, schedule))
--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -98,8 +98,8 @@
 
     SERVING = 0
     NOTIFIED = 1  # its caller was asked to send nothing more
-    SHUT_DOWN = 2  # all requests are answered and flushed, and its writing side is shut down
-    CLOSED = 3  # its caller has closed it as well, or no time is left
+    SHUT_DOWN = 2  # its writing side is shut down, after its answers were sent or when no time was left
+    CLOSED = 3  # it was shut down, and `exit_s` has passed
 
 
 @dataclass(slots=True, frozen=True)
--- a/reelusher/net/poller.py
+++ b/reelusher/net/poller.py
@@ -1,7 +1,8 @@
 """One thread that waits for many sockets, runs a callback for each readable one, and runs timers.
 
-A thread for each connection costs much processor time when many connections come and go, and on a busy core
-each reader waits for all others. A single thread reads the sockets in turn, and knows when nothing is left.
+A thread for each connection costs much processor time when many connections come and go, and on a busy
+processor each reader waits for all others. A single thread reads the sockets in turn, and knows when nothing
+is left.
 """
 
 import contextlib
@@ -107,7 +108,7 @@
                 elif (callback := self._callbacks.get(fd)) is not None:
                     self._run_callback(callback)
                 if self._timers and self._timers[0][0] <= time.monotonic():
-                    break  # on a busy core a round may take seconds; the next poll returns the rest again
+                    break  # on a busy processor a round may take seconds; the next poll returns the rest
         self._release()
 
     def _run_calls(self) -> None:
--- a/reelusher/net/send_buffer.py
+++ b/reelusher/net/send_buffer.py
@@ -49,7 +49,8 @@
         self._lock = threading.Lock()
         self._has_writer = False
         self._released = False
-        self._progress_s = 0.0  # when the socket last took a part of the backlog, or when the backlog began
+        # when the writer last sent an entry of the backlog completely, or when the backlog began
+        self._progress_s = 0.0
         self.closed = False
 
     @property
@@ -58,14 +59,17 @@
         return self._backlog
 
     def stalled_for(self, now: float) -> float:
-        """Return for how many seconds the socket has taken nothing of the backlog; 0 if that is empty."""
+        """Return the seconds since an entry of the backlog was last sent completely; 0 if it is empty.
+
+        If none was, they are counted from the start of the backlog. An entry is what one `send` has queued.
+        """
         return now - self._progress_s if self._backlog else 0.0
 
     def send(self, data: bytes) -> bool:
         """Send data, and queue the part that the socket does not take now.
 
         Returns False if nothing was sent or queued; the connection is then closed. If a part was sent but the
-        rest exceeds a limit, the connection is closed too, but the result is True, since the peer may have
+        rest can't be queued, the connection is closed too, but the result is True, since the peer may have
         read that part; the thread that reads the connection sees its end.
         """
         with self._lock:
@@ -152,7 +156,10 @@
             return True
 
     def release(self) -> None:
-        """Close the socket, or let the writer close it that still uses it. The reader calls this last."""
+        """Shut the connection down and close the socket. The thread that reads it calls this last.
+
+        If a writer thread still uses the socket, that thread closes it when it ends.
+        """
         with self._lock:
             self._close()
             self._released = True
--- a/reelusher/upgrade/key_lock_directory.py
+++ b/reelusher/upgrade/key_lock_directory.py
@@ -14,7 +14,7 @@
 
 from reelusher.core.messages import IdempotencyKey, Result
 
-DIRECTORY_LOCK = "lock"  # name of the file that a process locks while it creates or removes the file of a key
+DIRECTORY_LOCK = "lock"  # a process locks this file to create the lock of a key or to remove an expired one
 NAME_BYTES = 16  # size of the digest that is the file name of a key
 DIRECTORY_MODE, FILE_MODE = 0o700, 0o600
 
@@ -79,7 +79,11 @@
             return existing
 
     def finish(self, key: IdempotencyKey, result: Result | None) -> None:
-        """Record the result of the run of a key; None means that the run failed."""
+        """Record the result of the run of a key; None means that the run failed.
+
+        Nothing is changed unless the lock exists and its run has not ended. Raises KeyLockError if the file
+        is malformed, and OSError if it can't be read or written.
+        """
         lock = self.read(key, 0)
         if lock is not None and lock.state is RunState.RUNNING:
             state = RunState.FAILED if result is None else RunState.SUCCEEDED
@@ -97,7 +101,7 @@
         self.path(key).unlink(missing_ok=True)
 
     def remove_expired(self, at_us: int) -> None:
-        """Remove the locks that had expired at `at_us` (Unix time)."""
+        """Remove the locks that had expired at `at_us` (Unix time); files that can't be read are left."""
         for path in self._folder.iterdir():
             if path.name == DIRECTORY_LOCK:
                 continue
