--- a/reelusher/backends/downstream_client.py
+++ b/reelusher/backends/downstream_client.py
@@ -142,7 +142,10 @@
     # Called with the lock held
 
     def _start_waiting(self) -> None:
-        """Start waiting calls as long as there is a connection for the next one."""
+        """Start waiting calls as long as there is a connection for the next one.
+
+        Calls end unsent if less than `MIN_TIME_LEFT_US` is left, or if no thread can be started for them.
+        """
         while self._waiting:
             pending = self._waiting[0]
             if pending.until_us - self._clock.now() < MIN_TIME_LEFT_US:
--- a/reelusher/backends/runtime.py
+++ b/reelusher/backends/runtime.py
@@ -141,7 +141,7 @@
         self._send_command("start", request.run_id, service=class_name, blob=lines.encode_body(request.body))
 
     def stop(self, run_id: str) -> None:
-        """Stop a run."""
+        """Stop a run: the preemption mode of the settings decides whether it ends or is paused."""
         self._send_command("stop", run_id)
 
     def resume(self, run_id: str) -> None:
--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -94,7 +94,10 @@
             return dict(self._slots)
 
     def try_add(self, sock: socket.socket, host: str) -> tuple[bool, Eviction | None]:
-        """Add a connection if there is room; return whether it was added, and the eviction that this took."""
+        """Add a connection if there is room; return whether it was added, and the eviction that this took.
+
+        An evicted connection counts until its thread removes it, so the table exceeds its limit for a moment.
+        """
         with self._lock:
             eviction = self._evict_for(host) if len(self._slots) >= self._max_connections else None
             if len(self._slots) >= self._max_connections and eviction is None:
--- a/reelusher/frontends/rpc/frontend.py
+++ b/reelusher/frontends/rpc/frontend.py
@@ -68,10 +68,12 @@
         on_lag: Callable[[float], None] = lambda lag_s: None,
         shared: bool = False,
     ) -> None:
-        """Bind the address and listen.
+        """Bind the address and listen. Raises OSError if that fails.
 
-        `on_lag` is called on the poller's thread with the delay of each of its timers, in seconds. With
-        `shared`, another process of the same user may listen on the address too.
+        `max_descriptors` limits all connections, beside the front end's own `DESCRIPTORS`;
+        `max_backlog_bytes` limits the answers that wait to be sent on all of them together. All
+        requests belong to `tenant`. `on_lag` is called on the poller's thread with the delay of each of its
+        timers, in seconds. With `shared`, another process of the same user may listen on the address too.
         """
         self.max_spare = min(MAX_SPARE, max(1, max_descriptors // DESCRIPTORS_PER_SPARE))
         self.max_half_closed = min(MAX_HALF_CLOSED, max(1, max_descriptors // DESCRIPTORS_PER_HALF_CLOSED))
