--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -145,8 +145,8 @@
     """Return the key by which connections are sorted when time is short, the cheapest first.
 
     An idle connection costs one system call, one with few unread bytes costs a rejection or two, and one with
-    unsent bytes has to wait until its caller reads them. In this order most connections are shut down completely before
-    the time is up, however long the others take.
+    unsent bytes has to wait until its caller reads them. In this order most connections are shut down
+    completely before the time is up, however long the others take.
     """
     return state.unsent_bytes, state.unread_bytes, state.unanswered
 
