--- a/reelusher/drain/schedule.py
+++ b/reelusher/drain/schedule.py
@@ -98,8 +98,8 @@
 
     SERVING = 0
     NOTIFIED = 1  # its caller was asked to send nothing more
-    SHUT_DOWN = 2  # all requests are answered and flushed, and its writing side is shut down
-    CLOSED = 3  # its caller has closed it as well, or no time is left
+    SHUT_DOWN = 2  # its writing side is shut down, after its answers were sent or when no time was left
+    CLOSED = 3  # it was shut down, and `exit_s` has passed
 
 
 @dataclass(slots=True, frozen=True)
@@ -145,8 +145,8 @@
     """Return the key by which connections are sorted when time is short, the cheapest first.
 
     An idle connection costs one system call, one with few unread bytes costs a rejection or two, and one with
-    unsent bytes has to wait for its reader. In this order most connections are shut down completely before
-    the time is up, however long the others take.
+    unsent bytes has to wait until its caller reads them. In this order most connections are shut down
+    completely before the time is up, however long the others take.
     """
     return state.unsent_bytes, state.unread_bytes, state.unanswered
 
--- a/reelusher/frontends/ajp/connection.py
+++ b/reelusher/frontends/ajp/connection.py
@@ -94,7 +94,10 @@
             return dict(self._slots)
 
     def try_add(self, sock: socket.socket, host: str) -> tuple[bool, Eviction | None]:
-        """Add a connection if there is room; return whether it was added, and the eviction that this took."""
+        """Add a connection if there is room; return whether it was added, and the eviction that this took.
+
+        An evicted connection counts until its thread removes it, so the table exceeds its limit for a moment.
+        """
         with self._lock:
             eviction = self._evict_for(host) if len(self._slots) >= self._max_connections else None
             if len(self._slots) >= self._max_connections and eviction is None:
@@ -110,7 +113,8 @@
     def begin_request(self, sock: socket.socket, tenant: str, max_of_tenant: int) -> bool:
         """Protect a connection from eviction and assign it to a tenant.
 
-        Returns False if the tenant now has more than `max_of_tenant` connections; 0 means no limit.
+        Returns False if this newly assigned the connection, and the tenant now has more than `max_of_tenant`
+        connections; 0 means no limit. A connection that the tenant had already is never refused.
         """
         with self._lock:
             slot = self._slots[sock]
