--- a/reelusher/policy/admission.py
+++ b/reelusher/policy/admission.py
@@ -66,9 +66,13 @@
     ) -> None:
         """Set the rejection probability for the next period.
 
-        It decays in each period. While waits are long, or all clients are degraded and waits still grow, it
-        is at least the wait as a fraction of the shortest objective, up to `MAX_REJECTION_PROBABILITY`. The
-        wait is the age of the oldest held request, or the longest read delay of the period if that is longer.
+        It decays in each period. While waits are long, or `all_degraded` is set and waits have grown over the
+        last three periods, it is at least the wait as a fraction of the shortest objective, up to
+        `MAX_REJECTION_PROBABILITY`. The wait is the age of the oldest held request, or the longest read delay
+        of the period if that is longer.
+
+        `all_degraded` says that G of `UtilizationLoop` is 1. While the worker is not `healthy`, the baseline
+        arrival rate is not updated.
         """
         oldest_us = min((in_flight.arrived_us for in_flight in held), default=now_us)
         oldest_age_us = max(now_us - oldest_us, self._longest_read_delay_us)
--- a/reelusher/policy/client_hints.py
+++ b/reelusher/policy/client_hints.py
@@ -10,8 +10,10 @@
 CAPACITY_RECOVERY_PER_CORE = 0.2  # capacity regained per core in a period without long waits
 MAX_CONNECTIONS_PER_CORE = 4.0  # open connections above which the idle time-out is shortened
 MIN_IDLE_TIMEOUT_US = 500_000
-MAX_CALLERS = 1_000  # above this number, half as many are forgotten, those not seen for longest
-REUSE_THRESHOLD = 0.8  # fraction of arrivals on reused connections above which the time-out is not shortened
+# Callers that are remembered. When there are more, half of this number are forgotten, those not seen for
+# longest.
+MAX_CALLERS = 1_000
+REUSE_THRESHOLD = 0.8  # fraction of arrivals on reused connections above which the time-out is lengthened
 REUSE_WEIGHT = 0.02  # weight of the newest arrival in the moving average of that fraction
 MIN_UNHEALTHY_US = 4_000_000  # shortest time for which health checks fail
 NEVER_SEEN_US = -(1 << 62)  # last-seen time of a caller that has not been seen
@@ -98,7 +100,10 @@
             self.last_seen_us = dict(by_last_seen[MAX_CALLERS // 2 :])
 
     def update(self, connections: float) -> int | None:
-        """Return the new time-out; None where it does not change."""
+        """Adapt the time-out to the number of open connections; return it, or None if it does not change.
+
+        It never exceeds that of the settings, and is at least `MIN_IDLE_TIMEOUT_US` unless that is lower.
+        """
         max_connections = MAX_CONNECTIONS_PER_CORE * self.settings.cores
         factor = 1.0
         if self._reused_fraction > REUSE_THRESHOLD or connections < max_connections / 2:
@@ -121,9 +126,10 @@
         self._unhealthy_until_us = 0
 
     def update(self, now_us: int, local_slowdown: bool, overloaded: bool) -> bool:
-        """Return whether the status changed.
+        """Update the status and return whether it changed.
 
-        `local_slowdown` says that requests are read late although no more arrive than usual.
+        `local_slowdown` says that requests are read late although no more arrive than usual. The status is
+        healthy again only after `MIN_UNHEALTHY_US` without a slowdown, and not while waits are long.
         """
         was_healthy = self.healthy
         if local_slowdown:
--- a/reelusher/policy/controller.py
+++ b/reelusher/policy/controller.py
@@ -228,8 +228,8 @@
         request = in_flight.request
         entry_kb = self.settings.key_entry_kb * keyed
         over_limit = self.memory_kb() + entry_kb > MAX_HELD_MEMORY_FRACTION * self.settings.memory_kb
-        # Hints expire while callers wait, and some callers ignore them, so a cold worker itself holds no more
-        # requests than it may run.
+        # Hints expire while callers wait, and some callers ignore them, so a cold worker also rejects
+        # arrivals while it has more requests in flight than its cores sustain.
         over_limit = over_limit or (self._is_warming_up() and len(self.in_flight) > self._max_runnable())
         probability = self.admission.probability_for(in_flight.request_class)
         if self._scheduler and not attached:
@@ -267,7 +267,8 @@
     def _is_out_of_time(self, in_flight: InFlightRequest) -> bool:
         """Return whether to answer a request now, without waiting for a result.
 
-        That is so if it is due, or if it is held, cannot meet its objective and has no value after it.
+        That is so if it is due within the reply margin, or if it is held, is unlikely to meet its objective
+        and has no value after it.
         """
         if self.now_us + self._reply_margin_us >= in_flight.due_us:
             return True
@@ -308,7 +309,10 @@
     # Runs
 
     def _start_held(self) -> None:
-        """Start held requests, the highest priority first, while concurrency and memory allow."""
+        """Start held requests while concurrency and memory allow.
+
+        The order is that of `_start_order`, in which a scheduler chooses among the tenants.
+        """
         running = len(self.in_flight.running)
         blocked_on_calls = len(self.in_flight.awaiting_call) + len(self.in_flight.calling)
         max_new_runs = int(self.concurrency.ceiling(self.now_us)) - blocked_on_calls - running
@@ -324,7 +328,10 @@
             self._start_by_tenant(scheduler, order, slots, borrowable, max_new_runs)
 
     def _start_order(self) -> Callable[[InFlightRequest], tuple[bool, float, int]]:
-        """Return the sort key of held requests: those that can meet their objective, by priority, first."""
+        """Return the sort key of held requests.
+
+        Those that can meet their objective come first; then the higher priority, then the earlier objective.
+        """
         can_meet_objective, now_us = self.run_times.can_meet_objective, self.now_us
         return lambda in_flight: (
             not can_meet_objective(in_flight, now_us),
@@ -438,9 +445,9 @@
             self._reject_or_fail(in_flight)
 
     def _make_calls(self) -> None:
-        """Make the calls that the quota allows, mandatory and high-priority ones first.
+        """Make the calls that the quota and the time left allow: mandatory ones first, then by priority.
 
-        Optional calls that it does not allow are skipped; mandatory ones go on waiting.
+        Optional calls that are not allowed are skipped; mandatory ones go on waiting.
         """
         waiting = [waiter for waiter in self.in_flight.awaiting_call.values() if not waiter.answered]
         if not waiting:
--- a/reelusher/policy/dependency_limiter.py
+++ b/reelusher/policy/dependency_limiter.py
@@ -8,8 +8,9 @@
 from reelusher.policy.timing import NEVER_US
 
 SAFE_QUOTA_FRACTION = 0.4  # mean number of calls in flight to stay under, as a fraction of the quota
-BURST_US = 250_000  # call time that may be used in advance, as a time at that mean
-MIN_DURATION_FACTOR = 2  # a call is made only with time for more than this multiple of the mean duration
+# No call is made while more excess call time has accumulated than calls at that mean use in this time.
+BURST_US = 250_000
+MIN_DURATION_FACTOR = 2  # a call is made only if it may last more than this multiple of the mean duration
 # A call may last this multiple of the mean duration, or this fraction of the spare call time if that is more.
 MAX_DURATION_FACTOR = 8
 MAX_SPARE_FRACTION = 0.25
--- a/reelusher/policy/in_flight.py
+++ b/reelusher/policy/in_flight.py
@@ -50,8 +50,8 @@
             due_us = now_us + request.time_left_us
         self.due_us = max(now_us, due_us)
         self.answered = False
-        self.started = False  # may have had an effect
-        self.call_retries = 0  # retries of calls that provably never ran
+        self.started = False  # its run was started, so it may have had an effect
+        self.call_retries = 0  # retries of rejected optional calls
         self.call_not_before_us = 0  # while it awaits its call: when the call may be made
         self.call_until_us = 0  # while it is calling: when the call is abandoned
 
--- a/reelusher/policy/settings.py
+++ b/reelusher/policy/settings.py
@@ -26,7 +26,7 @@
     """How callers read the value of `AdvertiseCapacity`."""
 
     NONE = "none"  # no hint is sent
-    MIN_RANK = "min_rank"  # they send only requests of at least this rank
+    MIN_RANK = "min_rank"  # they send only requests whose rank, 0 to 1, is at least this
     TOKENS = "tokens"  # each keeps at most this many requests in the worker
     BIAS = "bias"  # probability, 0 to 1, with which they choose this worker
 
@@ -65,7 +65,7 @@
     runnable_window_us: int  # window over which that mean is taken
     initial_speed: float  # speed of a cold worker, as a fraction of full speed
     warm_up_us: int  # time after which a worker is warm at the latest
-    drain_grace_us: int  # requests that arrive later than this after `Drain` must not run
+    drain_grace_us: int  # requests that arrive later than this after the request to drain must not run
     answer_slack_us: int = 0  # how long after its due time a reply still counts
     tick_us: int = 0  # shortest interval between two batches of events
     cold_start: bool = False  # the worker has just started and is cold
@@ -82,10 +82,10 @@
     health_checks_cost_work: bool = False  # each check costs work unless it is answered from a cache
     max_retry_after_us: int = 0  # longest Retry-After that callers follow; 0: they follow none
     tenant_quotas: Sequence[float] = ()  # quota of each tenant as a fraction of the service
-    over_quota_value_fraction: float = 1.0  # fraction of its value for a request beyond the quota
-    goal_weight: float = 1.0  # weight of the value over the whole time in the service goal
-    worst_class_goal_weight: float = 0.0  # weight of the class that is served worst, in the same goal
-    worst_tenant_goal_weight: float = 0.0  # weight of the tenant that is served worst, in the same goal
+    over_quota_value_fraction: float = 1.0  # fraction of its value that a request beyond the quota keeps
+    goal_weight: float = 1.0  # weight, in the service goal, of the value of all requests together
+    worst_class_goal_weight: float = 0.0  # weight, in the same goal, of the class that is served worst
+    worst_tenant_goal_weight: float = 0.0  # weight, in the same goal, of the tenant that is served worst
 
     def __post_init__(self) -> None:
         """Raise ValueError for values that no worker can run with."""
--- a/reelusher/policy/tenant_scheduler.py
+++ b/reelusher/policy/tenant_scheduler.py
@@ -31,7 +31,7 @@
         """
 
     def rejection_probability(self, tenant: int, probability: float) -> float:
-        """Return the rejection probability of a tenant, given the one that applies to all without tenants."""
+        """Return a tenant's rejection probability; `probability` would apply if there were no tenants."""
 
     def holding_changed(self, request: Request, held: int, change_kb: float) -> None:
         """Count a request that starts (1) or ceases (-1) to be held, and the change of its memory.
@@ -49,12 +49,12 @@
         """Count a run."""
 
     def run_ended(self, request: Request, duration_us: int, now_us: int) -> None:
-        """Stop counting a run."""
+        """Stop counting a run; a duration of 0 means unknown."""
 
     def borrowable_runs(self, tenant: int | None = None) -> int:
         """Return how many long runs of other tenants lend their concurrency slots to this one.
 
-        Without a tenant, return the largest number that any tenant may borrow.
+        Without a tenant, return an upper bound of the number that any tenant may borrow.
         """
 
     def order(self, held: Sequence[HasRequestT], now_us: int) -> Iterable[HasRequestT]:
--- a/reelusher/policy/utilization_loop.py
+++ b/reelusher/policy/utilization_loop.py
@@ -9,7 +9,7 @@
 TARGET_BUSY_FRACTION = 0.88  # utilization that the loop regulates the cores to
 PROPORTIONAL_GAIN = 0.25  # immediate change of G for one unit of error
 INTEGRAL_GAIN = 0.015  # change of G in each period for one unit of error
-EFFECTIVENESS_DECAY = 0.15  # fraction lost per period in which G = 1 leaves the cores above the target
+EFFECTIVENESS_DECAY = 0.15  # fraction lost per period with the cores above the target, multiplied by G
 EFFECTIVENESS_RECOVERY = 0.005  # regained per period in which the cores are not above the target
 MIN_EFFECTIVENESS = 0.1
 
@@ -19,9 +19,10 @@
 
 
 def client_hash(request: Request) -> float:
-    """Map the client of a request to a fixed number N in (0, 1]; clients with N <= G are degraded.
+    """Map the client of a request to a fixed number N in (0, 1].
 
-    The client is the subject of the request where it is known, else its caller.
+    Clients with N <= G, multiplied by its effectiveness, are degraded. The client is the subject of the
+    request where it is known, else its caller.
     """
     x = (request.subject or request.caller + 1) * HASH_MULTIPLIER & HASH_MASK
     x = (x ^ x >> 32) * HASH_MULTIPLIER & HASH_MASK
@@ -50,7 +51,7 @@
 
     @property
     def saturated(self) -> bool:
-        """Return whether all clients are degraded."""
+        """Return whether G is 1. All clients are then degraded, unless the effectiveness is below 1."""
         return self.degraded_fraction >= 1
 
     def degrades(self, request: Request) -> bool:
