--- a/reelusher/core/answers.py
+++ b/reelusher/core/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: each request gets exactly one, unless its caller has disconnected."""
+"""Final answers: each attempt gets exactly one, unless its caller has disconnected."""
 
 from reelusher.core.attempts import Attempt
 from reelusher.core.context import CoreContext
--- a/reelusher/core/counters.py
+++ b/reelusher/core/counters.py
@@ -86,7 +86,7 @@
             return dict(sorted(totals.items()))
 
     def warn(self, name: str, template: str, *values: object) -> None:
-        """Count a warning and log it, unless the same template was logged within `WARNING_INTERVAL_S`.
+        """Count a warning. Log it too, unless the same template was logged within `WARNING_INTERVAL_S`.
 
         A log line for each bad message would let its sender exhaust the processor time of the node.
         """
--- a/reelusher/core/deadline_guard.py
+++ b/reelusher/core/deadline_guard.py
@@ -10,7 +10,8 @@
 # An attempt is checked this long after its due time, or after half of the slack for answers if that is less:
 # the rest of the slack is left for the delivery of the answer. The time is rounded up to the next slot.
 MAX_CHECK_DELAY_US = 30_000
-STOP_MARGIN_US = 150_000  # latest check before the process is stopped; it is rounded up to a slot as well
+# The latest check is made this long before the process is stopped, rounded up to the next slot as well.
+STOP_MARGIN_US = 150_000
 
 
 class DeadlineGuard:
--- a/reelusher/core/deduplication.py
+++ b/reelusher/core/deduplication.py
@@ -120,7 +120,8 @@
     def lock_and_persist(self, attempt: Attempt, entry: IdempotencyEntry) -> None:
         """Lock a key and make it durable before the run of its original starts.
 
-        The outcome arrives as a message: `KeyPersisted`, or `RunFinished` if another process has run the key.
+        The outcome arrives as a message: `KeyPersisted`, or `RunFinished` if another process has locked the
+        key or its lock can't be read, since the key may then have run.
         """
         attempt.awaiting_key = True
         unix_ahead_us = self._context.clock.unix_ahead_us()  # other processes and incarnations use Unix time
@@ -174,7 +175,10 @@
             self.key_log.forget(entry.key)
 
     def record_end(self, attempt: Attempt, message: RunFinished) -> None:
-        """Store the result of an original and publish it to other processes, before the answer is given."""
+        """Store the result of an original and publish it to other processes, before the answer is given.
+
+        If the key never ran, its lock is released instead.
+        """
         entry = self.entry_of(attempt)
         if entry is None:
             return
--- a/reelusher/core/event_loop.py
+++ b/reelusher/core/event_loop.py
@@ -142,7 +142,7 @@
 
     @property
     def settings(self) -> Settings:
-        """The current settings, including replaced classes that open requests still use."""
+        """The current settings, including all replaced classes, since open requests may still use them."""
         return self._context.settings
 
     @property
@@ -186,7 +186,12 @@
         return observed
 
     def apply_warm_start(self, ratio_by_class: dict[str, float], call_duration_us: float) -> None:
-        """Use the times that other nodes have observed as initial estimates; on the event loop thread."""
+        """Use the times that other nodes have observed as initial estimates; on the event loop thread.
+
+        `ratio_by_class` holds run times as ratios of the expected work by class name, `call_duration_us` the
+        mean duration of a call in microseconds, or 0 if it is unknown. The controller receives them at the
+        end of the batch.
+        """
         indexed_names = enumerate(self.class_names)
         ratios = {index: ratio_by_class[name] for index, name in indexed_names if name in ratio_by_class}
         self._context.pending_events.append(WarmStartData(ratios, call_duration_us))
@@ -202,7 +207,7 @@
         }
 
     def lag_s(self) -> float:
-        """Return the recent delay of timers in seconds; on any thread."""
+        """Return the largest recent delay of timers, which decays with time, in seconds; on any thread."""
         return self._lag.lag_s(self.clock.now() / 1e6)
 
     # The thread and its queue
@@ -224,7 +229,8 @@
     def run_on_loop(self, function: Callable[[], Any], timeout_s: float = TASK_TIMEOUT_S) -> Any:
         """Run a function on the event loop thread between two batches, and return its result.
 
-        Raises TimeoutError if the function has not started in time; it will then never be run.
+        Raises TimeoutError if the function has not started in time; it will then never be run. An exception
+        that the function raises is raised here.
         """
         future: Future[Any] = Future()
         self.post(EventLoopTask(function, future))
@@ -249,7 +255,7 @@
                 return
 
     def begin(self) -> None:
-        """Let the controller set its first timer.
+        """Let the controller set its first timer, and set the one that removes expired idempotency keys.
 
         `run` calls this. Code that processes batches itself, without the thread, must call it first.
         """
--- a/reelusher/core/messages.py
+++ b/reelusher/core/messages.py
@@ -53,7 +53,8 @@
     class_index: int
     body: bytes
     received_us: int  # when it reached the machine, by the clock of the node
-    reply: Callable[[Answer], None]  # called once, on the event loop thread; must not block
+    # called on the event loop thread, once, or never if the caller has disconnected; must not block
+    reply: Callable[[Answer], None]
     tenant: str = ""
     tenant_number: int = 0  # 0: not a managed tenant, so its state is not checked
     caller: int = 0  # number of the caller, which many callers may share
@@ -141,7 +142,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GaugesReceived:
-    """The gauges that were requested with this cookie, in the order of the settings."""
+    """The gauges that were requested with this cookie, in the order of the core's `gauge_fields`."""
 
     cookie: str
     values: tuple[float, ...]
--- a/reelusher/core/notices.py
+++ b/reelusher/core/notices.py
@@ -8,7 +8,8 @@
     """Notices to callers. The event loop thread writes them unless noted otherwise; front ends read them."""
 
     healthy: bool = True  # according to the controller
-    handing_over: bool = False  # another process of this node takes over, so the node stays healthy
+    # another process of this node takes over, so the node stays healthy; set by the thread of the drain
+    handing_over: bool = False
     diverting_callers: bool = False  # operators set this, from other threads, to fail health checks
     advertised_capacity: float | None = None
     idle_timeout_us: int = 0
