--- a/reelusher/core/clock.py
+++ b/reelusher/core/clock.py
@@ -10,6 +10,8 @@
 class Clock:
     """A clock that starts at the Unix time of its creation and advances with the monotonic clock.
 
+    Any thread may call its methods.
+
     Unix times that other processes state are converted with `unix_ahead_us`, which follows steps of the
     system clock. Reading the system clock directly and only preventing it from going back would stop all
     timers for the length of a backward step.
--- a/reelusher/fleet/membership/authentication.py
+++ b/reelusher/fleet/membership/authentication.py
@@ -39,7 +39,10 @@
         self._seen: dict[str, tuple[int, int, int]] = {}
 
     def accept(self, sender: str, incarnation: int, number: int) -> bool:
-        """Record a number; return False if it was seen before, or is too old for the window to tell."""
+        """Record a number; return whether it is new.
+
+        Numbers that are too old for the window, or of an earlier incarnation of the sender, are not new.
+        """
         known_incarnation, highest, bitmap = self._seen.pop(sender, (incarnation, -1, 0))
         is_new = True
         if incarnation > known_incarnation:
--- a/reelusher/fleet/membership/failure_detector.py
+++ b/reelusher/fleet/membership/failure_detector.py
@@ -58,7 +58,7 @@
         return max(self._rtt_s_by_region.values(), default=0.0)
 
     def ack_timeout_s(self, address: str) -> float:
-        """Return how long the ack of a member may take, in seconds."""
+        """Return how long the ack of a member may take in seconds, while the local health is good."""
         member = self._table.members.get(address)
         region = member.update.region if member is not None else self._own_region
         rtt_s = self._rtt_s_by_region.get(region)
--- a/reelusher/fleet/membership/gossip.py
+++ b/reelusher/fleet/membership/gossip.py
@@ -104,7 +104,10 @@
         self._by_sent_count.clear()
 
     def _send_limit(self) -> int:
-        """Return how many times an update is sent: fewer if many are pending, or each would wait long."""
+        """Return how many times an update is sent.
+
+        If many updates are pending, each is sent fewer times, so that none waits long for its first sending.
+        """
         usual_limit = int(RETRANSMIT_MULTIPLIER * log2(self._table.fleet_size() + 1)) + MIN_RETRANSMITS
         return max(
             MIN_RETRANSMITS,
--- a/reelusher/fleet/membership/member_table.py
+++ b/reelusher/fleet/membership/member_table.py
@@ -10,8 +10,9 @@
 
 from reelusher.fleet.membership.messages import BUCKET_COUNT, MemberState, Update
 
-MAX_MEMBERS = 6144  # in all states; in a full table, a live member replaces the oldest dead one
-DEAD_TTL_S = 3600.0  # dead and left members are kept as long, so that old updates do not revive them
+# In all states. In a full table, a new live member replaces the one that has been dead or left for longest.
+MAX_MEMBERS = 6144
+DEAD_TTL_S = 3600.0  # dead and left members are kept this long, so that old updates do not revive them
 MAX_DEAD = 1024  # dead and left members; those longest in that state are dropped first
 
 
@@ -42,7 +43,10 @@
 
 
 def digest_of(update: Update) -> int:
-    """Return 63 bits for a live member's address and incarnation; a bucket's digest is their exclusive or."""
+    """Return a 63-bit hash of a live member's address and incarnation.
+
+    The digest of a bucket is the exclusive or of the hashes of its live members.
+    """
     data = f"{update.address} {update.incarnation}".encode()
     return int.from_bytes(blake2b(data, digest_size=8).digest()) >> 1
 
@@ -57,10 +61,10 @@
         self._probe_index = 0
         self.dead: list[str] = []  # addresses of dead members, without those that left
         self.digests = [0] * BUCKET_COUNT  # by bucket, over its live members
-        self.rejected = 0  # updates rejected since the table was full
+        self.rejected = 0  # number of updates that were rejected because the table was full
 
     def copy_from(self, other: "MemberTable", excluded: str) -> None:
-        """Take over the members of another table, except the one with the address `excluded`."""
+        """Copy the members of another table, except the one with the address `excluded`."""
         self.members = dict(other.members)
         self._probe_order, self.dead, self.digests = other.live(), list(other.dead), list(other.digests)
         self._replace(self.members[excluded], None)
@@ -79,7 +83,10 @@
         return list(self._probe_order)
 
     def apply(self, update: Update, now: float) -> MemberChange | None:
-        """Apply an update; return the change of state, or None if there is none."""
+        """Apply an update; return the change of state, or None if there is none.
+
+        A suspicion, death or departure in a newer incarnation counts as a change as well.
+        """
         member = self.members.get(update.address)
         accusers = (update.accuser,) if update.accuser else ()
         if member is None:
--- a/reelusher/fleet/membership/requests.py
+++ b/reelusher/fleet/membership/requests.py
@@ -29,7 +29,7 @@
 
 
 class NoReplyError(MemberRequestError):
-    """The request was sent, and no reply arrived: the member may have acted on it."""
+    """The connection was opened, but no valid reply arrived: the member may have acted on the request."""
 
 
 class RequestChannel:
@@ -54,7 +54,11 @@
     def request_once(
         self, address: str, request: Any, reply_type: type[T], timeout_s: float = REQUEST_TIMEOUT_S
     ) -> T:
-        """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`."""
+        """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`.
+
+        Opening the connection takes up to `REQUEST_TIMEOUT_S`; sending the request and receiving the reply
+        then take up to `timeout_s` each.
+        """
         data = self._codec.seal(request)
         try:
             sock = connect(address_of(address, "address"), REQUEST_TIMEOUT_S, (self._source_host, 0))
--- a/reelusher/fleet/membership/state_sync.py
+++ b/reelusher/fleet/membership/state_sync.py
@@ -32,7 +32,9 @@
 # after joining: if many members join at once, each knows only some of the others
 FIRST_SYNC_DELAY_S = 0.5, 3.0
 SYNC_PAUSE_S = 0.5, 1.5  # after each comparison
-LOST_SEED_WEIGHT = 3  # weight of choosing a seed that is not live; each live member has 1
+# Probability that a seed that is not live is chosen, multiplied by the fleet size. All members together thus
+# try about this many such seeds in each sync interval.
+LOST_SEED_WEIGHT = 3
 
 
 class StateSync:
--- a/reelusher/fleet/membership/suspicion.py
+++ b/reelusher/fleet/membership/suspicion.py
@@ -7,11 +7,13 @@
 from reelusher.fleet.membership.member_table import MemberTable
 from reelusher.fleet.membership.messages import MemberState
 
-MAX_CONFIRMATIONS = 3  # accusers beside the first with which a suspicion has its shortest duration
+MAX_CONFIRMATIONS = 3  # accusers besides the first at which a suspicion has its shortest duration
 MIN_SUSPICION_S = 0.5  # shortest duration, before the addition for the fleet size
 SUSPICION_PER_DOUBLING_S = 0.05  # added for each doubling of the fleet size
 MAX_SUSPICION_MULTIPLE = 3.0  # duration with a single accuser, divided by the shortest duration
-FINAL_PING_TIMEOUT_S = 0.2  # for the answer to the ping that an accuser sends before it declares a death
+# Shortest time-out of the answer to the ping that an accuser sends before it declares a death. Other members
+# wait twice as long in addition to the duration of the suspicion.
+FINAL_PING_TIMEOUT_S = 0.2
 
 
 @dataclass(slots=True)
@@ -57,7 +59,7 @@
         self.reschedule(address)
 
     def reschedule(self, address: str) -> None:
-        """Recompute when a suspicion is due, after something that this depends on has changed."""
+        """Recompute when a suspicion is due, after its start, accusers, final ping or fleet size changed."""
         suspicion = self._suspicions.get(address)
         if suspicion is not None:
             suspicion.due_s = self._end_s(address, suspicion.since_s)
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -203,8 +203,9 @@
     def _has_rejoined_recently(self, address: str, now: float) -> bool:
         """Return whether this node considered a member dead until at most `REJOIN_DISTRUST_S` ago.
 
-        The member's process may have been started during a partition. It then never learns that it was
-        considered dead, and has the deaths of all others from the members on its side of the partition.
+        Accusations by such a member are ignored: its process may have been started during a partition. It
+        then never learns that it was considered dead, and still broadcasts the deaths of all members on the
+        other side, which it has learned from the members on its own side.
         """
         while self._rejoined and now - next(iter(self._rejoined.values())) > REJOIN_DISTRUST_S:
             self._rejoined.popitem(last=False)
@@ -291,7 +292,7 @@
         return self._take_result()
 
     def leave(self) -> StepResult:
-        """Announce that this member leaves to enough members for all to learn of it."""
+        """Announce that this member leaves, to so many members that gossip brings it to all others."""
         self.own = replace(self.own, state=MemberState.LEFT)
         self.gossip.broadcasts.add(self.own)
         for recipient in self.table.sample(LEAVE_FANOUT):
--- a/reelusher/fleet/membership/udp_transport.py
+++ b/reelusher/fleet/membership/udp_transport.py
@@ -15,7 +15,10 @@
 
 
 def bind_udp_and_tcp(address: Address, bind_tcp: Callable[[Address], T]) -> tuple[socket.socket, T]:
-    """Bind a UDP socket and a TCP listener to one address; port 0 stands for a port free for both."""
+    """Bind a UDP socket and a TCP listener to one address; port 0 stands for a port free for both.
+
+    Raises OSError if the address can't be bound, or if no such port is found in `BIND_ATTEMPTS` attempts.
+    """
     for attempts_left in reversed(range(1 if address[1] else BIND_ATTEMPTS)):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
--- a/reelusher/fleet/warm_start/client.py
+++ b/reelusher/fleet/warm_start/client.py
@@ -13,7 +13,7 @@
 from reelusher.fleet.warm_start.observations import DONOR_COUNT, combine, select_donors
 from reelusher.net.threads import start_thread
 
-JOIN_TIMEOUT_S = 10.0  # after which the node starts without observations
+JOIN_TIMEOUT_S = 10.0  # after which only the members that are known by then are asked
 JOIN_POLL_S = 0.05
 MAX_MEMBERS_ASKED = 6  # including cold ones and those that don't reply
 
--- a/reelusher/fleet/warm_start/observations.py
+++ b/reelusher/fleet/warm_start/observations.py
@@ -16,7 +16,8 @@
 HALF_LIFE_S = {"run": 120.0, "call": 30.0, "away": 10.0}
 VALUE_BOUNDS = {"run": (1e-3, 1e9), "call": (1.0, 1e9), "away": (0.0, 1.0)}
 MAX_HALF_LIVES = 4  # age in half-lives past which an observation has no weight
-MIN_TOTAL_WEIGHT = 0.25  # of all donors together; an observation made just now has 1
+# Total weight of a subject's observations below which they are not used; an observation made just now has 1.
+MIN_TOTAL_WEIGHT = 0.25
 MAX_OBSERVATIONS = 512  # used of one donor; further ones are ignored
 MAX_CLOCK_SKEW_S = 5.0  # by which an observation may be in the future
 
@@ -46,7 +47,10 @@
 
 
 def weighted_median(values: Sequence[tuple[float, float]]) -> float:
-    """Return the weighted median of (value, weight) pairs; the lower one if two qualify."""
+    """Return the weighted median of (value, weight) pairs; the lower one if two qualify.
+
+    Raises ValueError if there are no pairs.
+    """
     half_weight, cumulative_weight = sum(weight for _, weight in values) / 2, 0.0
     for value, weight in sorted(values):
         cumulative_weight += weight
@@ -56,7 +60,10 @@
 
 
 def combine(reports: Iterable[Sequence[Observation]], now_s: float) -> dict[str, float]:
-    """Return by subject the weighted median of the values that several donors report."""
+    """Return by subject the weighted median of the values that the donors report.
+
+    Subjects whose total weight is below `MIN_TOTAL_WEIGHT` are left out.
+    """
     weighted: dict[str, list[tuple[float, float]]] = {}
     for report in reports:
         oldest_first = sorted(report[:MAX_OBSERVATIONS], key=lambda observation: observation.observed_s)
