--- a/reelusher/fleet/membership/change_log.py
+++ b/reelusher/fleet/membership/change_log.py
@@ -33,7 +33,7 @@
         return self._change_count > 0 and now - self._logged_s >= LOG_INTERVAL_S
 
     def write(self, now: float, fleet_size: int, duplicate_names: dict[str, list[str]]) -> None:
-        """Log the changes recorded so far, and a warning for each name that several live members have."""
+        """Log the changes since the last line, and a warning for each name that several live members have."""
         unlisted = self._change_count - len(self._descriptions)
         described = ", ".join(self._descriptions)
         self._change_count, self._descriptions, self._logged_s = 0, [], now
--- a/reelusher/fleet/membership/service.py
+++ b/reelusher/fleet/membership/service.py
@@ -52,7 +52,10 @@
     """A node's membership in its fleet. A node that reaches no other member serves alone."""
 
     def __init__(self, config: Fleet, name: str, random: Random, counters: Counters) -> None:
-        """Bind the sockets, so that an address in use is reported before anything starts."""
+        """Bind the sockets, so that an address in use is reported before anything starts.
+
+        Raises OSError if they can't be bound, and `ConfigError` if the secret can't be used.
+        """
         self._config, self._counters = config, counters
         incarnation = int(time.time() * 1000)
         own_address = "{}:{}".format(*config.advertise)
--- a/reelusher/fleet/membership/swim.py
+++ b/reelusher/fleet/membership/swim.py
@@ -39,7 +39,7 @@
 
 
 class Swim:
-    """The state machine of one member."""
+    """The state machine of one member. Not thread-safe."""
 
     def __init__(self, own: Update, random: Random, now: float) -> None:
         self.own = own
--- a/reelusher/fleet/membership/udp_transport.py
+++ b/reelusher/fleet/membership/udp_transport.py
@@ -47,7 +47,7 @@
             self._counters.add("fleet.send_failed")
 
     def receive(self, timeout_s: float) -> bytes | None:
-        """Return the next datagram; None if none arrives in time."""
+        """Return the next datagram; None if none arrives within `timeout_s`, or if receiving fails."""
         self._sock.settimeout(timeout_s)
         try:
             return self._sock.recvfrom(RECEIVE_BUFFER_BYTES)[0]
--- a/reelusher/policy/events.py
+++ b/reelusher/policy/events.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client of a request has disconnected, so nobody waits for it any longer."""
+    """Nobody waits for a request any longer: its client has disconnected, or the worker has answered it."""
 
     id: int
 
