--- a/reelusher/fleet/replication/leadership.py
+++ b/reelusher/fleet/replication/leadership.py
@@ -51,14 +51,18 @@
         on_accepted: Callable[[str, Position, float], None] = lambda partition, position, now: None,
         alone: bool = False,
     ) -> None:
-        """`on_accepted` gets the partition, position and time of each change. `alone`: there is no fleet."""
+        """`on_accepted` gets the partition, position and time of each change.
+
+        `alone`: there is no fleet, so that changes are accepted without a wait after the start.
+        """
         self.replica, self._counters, self._clock, self._on_accepted = replica, counters, clock, on_accepted
         self._settled = alone
         self._started_s = clock()
         self._lock = threading.Lock()
         self._observed: set[str] = set()  # addresses of members
         self._name_is_shared = False
-        self._quiet_since_s: dict[str, float] = {}  # by restored partition: when it last lacked changes
+        # by restored partition: when it last lacked changes or could not be written
+        self._quiet_since_s: dict[str, float] = {}
         replica.write_guard = self.write_refusal
 
     def leads(self, partition: str) -> bool:
@@ -96,7 +100,7 @@
         return position
 
     def observe(self, address: str) -> None:
-        """Record that a member announced its version vector; called for each datagram with a vector."""
+        """Record that a member announced its version vector; called for each vector that is accepted."""
         if self._settled or address in self._observed:
             return
         with self._lock:
--- a/reelusher/fleet/replication/messages.py
+++ b/reelusher/fleet/replication/messages.py
@@ -11,7 +11,8 @@
 
 MAX_SEGMENT_BYTES = 1 << 16  # total size of a segment's entries; a single entry may exceed it
 MAX_TENANT_BYTES = 48 << 10  # size of a tenant's JSON
-MAX_REPLY_BYTES = 4 * MAX_SEGMENT_BYTES  # total size of a reply's entries; half of what membership carries
+# total size of a reply's entries, which one entry may exceed; half of what membership carries
+MAX_REPLY_BYTES = 4 * MAX_SEGMENT_BYTES
 MAX_BASES = 256  # number of times that one partition can be taken over
 MAX_CONTROL_MEMBERS = 8
 MAX_ALTERNATIVES = 5
--- a/reelusher/fleet/replication/replica.py
+++ b/reelusher/fleet/replication/replica.py
@@ -11,14 +11,16 @@
 snapshot of one instant: between two segments, a name may lack an entry that was superseded by a later one,
 with an index up to `PartitionState.goal`, which has not arrived yet. Therefore
   - a replica continues into a later term only if `goal` lies within the history that both terms share;
-  - a replica continues with a sender's segment only if its `covered` reaches the sender's tombstone horizon:
-    its rows then reflect all removals whose tombstones the sender has collected.
+  - a replica continues with a segment past index 0 only if its own `covered` reaches the sender's tombstone
+    horizon, and the segment's `covered` reaches its own horizon: the rows of each of the two then reflect all
+    removals whose tombstones the other has collected.
 A replica that can't continue is refilled from index 0. It serves its old rows meanwhile; those that the
 refill did not renew are deleted at the end. Until then its position does not change, and it sends no segments
 of that partition.
 
-All times are seconds of a monotonic clock. Any thread may call `answer`. `apply_reply`, `accept`,
-`begin_term` and `collect_tombstones` write, one transaction at a time under a lock.
+Times are seconds of a monotonic clock, except `before_ms` (Unix time). Only the thread that pulls calls
+`apply_reply`; any thread may call `answer`, `accept`, `begin_term` and `collect_tombstones`. All of these but
+`answer` write, one transaction at a time under a lock.
 """
 
 import threading
@@ -68,7 +70,7 @@
     segments: int = 0
     entries: int = 0
     changed_names: list[str] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # counter suffixes, one for each segment not applied
+    faults: list[str] = field(default_factory=list)  # counter suffixes of rejected and stale segments
     divergent: dict[str, int] = field(default_factory=dict)  # number of rows set aside, by partition
     refills: list[str] = field(default_factory=list)  # partitions whose refill began
     store_error: str = ""
@@ -149,7 +151,11 @@
     # Applying replies
 
     def apply_reply(self, pull: Pull, reply: EntriesReply, now: float) -> PullResult:
-        """Apply the reply to a pull that is in flight, each segment in one transaction."""
+        """Apply the reply to a pull, each segment in one transaction; do nothing if the pull has ended.
+
+        If a segment's term requires a refill, further transactions enter the term first. An error of the
+        store is not raised but returned in the result.
+        """
         result = PullResult()
         if not self.pulls.end(pull):
             return result
@@ -278,7 +284,7 @@
         """Yield segments of a partition for a member at a position, up to about `max_bytes` of entries."""
         state = self.states[partition]
         if position >= (state.term, state.index) or state.cursor >= 0:
-            return  # during a refill, rows may be removed ones, or not part of the term's history
+            return  # during a refill, rows may be of removed tenants or not part of the term's history
         since = _continuation_index(state, position, covered)
         while max_bytes > 0:
             batch = self.store.read_batch(partition, since, min(max_bytes, MAX_SEGMENT_BYTES))
@@ -343,8 +349,8 @@
         """Take over a partition: begin a term that the member of this name leads.
 
         Raises `ReplicaError`, and `NotLeaderError` after `MAX_BASES` take-overs or, unless forced, if this
-        node may lack changes that others have. Members with changes past this node's index set them aside
-        when they enter the term.
+        node may not write at present or may lack changes that others have. Members with changes past this
+        node's index set them aside when they enter the term.
         """
         with self._write_lock:
             state = self.states[partition]
@@ -370,7 +376,7 @@
             return Position(term, state.index)
 
     def _check_may_lead(self, partition: str, state: PartitionState) -> None:
-        """Raise `NotLeaderError` if a new term could lose changes that other members have."""
+        """Raise `NotLeaderError` if this node may not write, or a new term could lose changes of others."""
         if state.cursor >= 0 or state.goal > state.index:
             raise NotLeaderError(f"stream {partition} is being refilled here")
         refusal = self.write_guard(partition)
@@ -380,7 +386,7 @@
             raise NotLeaderError(f"the copy was damaged, and nobody was heard yet who has stream {partition}")
 
     def collect_tombstones(self, before_ms: int) -> int:
-        """Delete tombstones stored before a time; return how many. Raises `ReplicaError`."""
+        """Delete tombstones stored before a Unix time; return how many. Raises `ReplicaError`."""
         count = 0
         for partition in self.control:
             with self._write_lock:
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -72,16 +72,19 @@
         """
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Copy rows past an index to the divergent rows and set their index to 0; return how many."""
+        """Copy rows past an index to the divergent rows, and store the state; return how many were copied.
+
+        The originals stay, with the index 0.
+        """
 
     def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
-        """Delete tombstones stored before a time; return how many.
+        """Delete tombstones that were stored before a Unix time, and advance the horizon; return how many.
 
         Those with one of the `kept_indexes` newest indexes are kept.
         """
 
     def notify_changed(self, names: Iterable[str]) -> None:
-        """Notify the listener that these names changed; no lock is held."""
+        """Notify the listener that these names changed. The caller must hold no lock of the replica."""
 
 
 @dataclass(slots=True)
@@ -191,7 +194,7 @@
         return dropped
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Copy rows past an index to the divergent rows and set their index to 0; return how many."""
+        """Copy rows past an index to the divergent rows, and store the state; see `ReplicaStore`."""
         rows = self._partitions[partition]
         names = [name for index, name in rows.by_index.items() if index > past_index]
         for name in names:
@@ -204,7 +207,7 @@
         return len(names)
 
     def collect(self, partition: str, before_ms: int, kept_indexes: int = MIN_KEPT_INDEXES) -> int:
-        """Delete old tombstones; return how many."""
+        """Delete old tombstones and return how many; see `ReplicaStore`."""
         rows = self._partitions.get(partition)
         if rows is None:
             return 0
--- a/reelusher/fleet/replication/replication_progress.py
+++ b/reelusher/fleet/replication/replication_progress.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class FullyReplicated:
-    """The newest change of a partition that all live members are known to have."""
+    """The last change that all live members were known to have while it was the newest of its partition."""
 
     position: Position
     known_since_s: float
@@ -156,7 +156,10 @@
             del self._vectors[address], self._announced_s[address]
 
     def _find_behind(self, addresses: Sequence[str], now: float) -> list[str]:
-        """Return members that lack a change after `GRACE_S`; record the changes that all members have."""
+        """Return members that lack a partition's newest change; record the newest changes that all have.
+
+        For `GRACE_S` after a change was made, members that lack it are left out.
+        """
         behind: dict[str, None] = {}
         for partition, position in self._led_positions():
             lacking = [address for address in addresses if not self._has(address, partition, position)]
--- a/reelusher/fleet/replication/segments.py
+++ b/reelusher/fleet/replication/segments.py
@@ -60,7 +60,9 @@
 def _horizon(state: PartitionState, segment: LogSegment) -> int:
     """Return the tombstone horizon after a segment.
 
-    The sender's horizon counts only if it is past `since`: the segment has no entries up to `since`.
+    A segment from index 0 sets it, since a refill replaces all rows. Later, the sender's horizon counts only
+    if it is past `since`: tombstones after `since` may then be missing. All entries up to `since` were
+    received before.
     """
     if not segment.since:
         return segment.horizon
--- a/reelusher/fleet/replication/sqlite_replica/integrity.py
+++ b/reelusher/fleet/replication/sqlite_replica/integrity.py
@@ -13,7 +13,7 @@
 
 
 def verify_positions(conn: sqlite3.Connection, path: Path, partitions: PartitionTable) -> None:
-    """Raise `DamagedReplicaError` if a row has an index past the position or refill of its partition."""
+    """Raise `DamagedReplicaError` if a row's index is past both the position and the refill's cursor."""
     for partition, state in partitions.read_all(conn).items():
         last_index = conn.execute(
             "SELECT max(number) FROM rows WHERE stream = ?", (partitions.ids[partition],)
@@ -39,7 +39,11 @@
 def recheck_rows(
     conn: sqlite3.Connection, checked_by: str, limit: int, check_tenant: TenantCheck
 ) -> RecheckResult:
-    """Check the next rows, by name, that were not yet checked since a refill or with these settings."""
+    """Check at most `limit` further rows, in the order of their names, and store which are unreadable.
+
+    Begin with the first row after `restart_recheck`, and if `checked_by`, which identifies the settings,
+    differs from that of the last check.
+    """
     after_name = _last_checked_name(conn, checked_by)
     if after_name is None:
         return RecheckResult([], False)
--- a/reelusher/fleet/replication/sqlite_replica/replica.py
+++ b/reelusher/fleet/replication/sqlite_replica/replica.py
@@ -1,6 +1,6 @@
 """The replica of the tenant table in a SQLite file, in WAL mode.
 
-Opening a file checks its header, schema, owner and positions, which takes a few reads however many rows there
+Opening a file checks its header, owner, totals and positions, which takes a few reads however many rows there
 are. The write-ahead log has checksums of its own. `check` reads all pages. The service calls it periodically,
 but not at the start, since reading 260,000 rows would delay each start.
 
@@ -61,7 +61,8 @@
         """
         self.path, self._fleet, self._wall_ms = path, fleet, wall_ms
         self.check_tenant = check_tenant
-        self.on_change: Callable[[list[str]], None] = lambda names: None  # called with no lock held
+        # called without a lock of the replica
+        self.on_change: Callable[[list[str]], None] = lambda names: None
         self.damage_at_open = ""  # why the file was replaced when it was opened; "" if it was not
         self.totals = RowTotals()  # replaced as a whole when a transaction is committed
         self._partitions = PartitionTable(path, control)
@@ -191,7 +192,7 @@
             return names
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
-        """Copy rows past an index to the divergent ones and give them the index 0; return how many."""
+        """Copy rows past an index to the divergent rows, and store the state; see `ReplicaStore`."""
         with self._transaction(durable=True) as (conn, writer):
             count = writer.set_aside_divergent(
                 self._partitions.ids[partition], past_index, state.term, self._wall_ms()
@@ -290,9 +291,10 @@
     # Checks, called by the service
 
     def recheck(self, checked_by: str, limit: int = 100) -> bool:
-        """Check at most `limit` rows not yet checked since a refill or with the present settings.
+        """Check at most `limit` further rows, in the order of their names; return whether rows are left.
 
-        `checked_by` identifies the settings. Return whether there are more such rows.
+        Begin with the first row again after entries were applied without audit, and with a new `checked_by`,
+        which identifies the settings. Raises `ReplicaError`.
         """
         with self._transaction(durable=False) as (conn, _):
             result = integrity.recheck_rows(conn, checked_by, limit, self.check_tenant)
@@ -300,7 +302,10 @@
         return result.more
 
     def check(self) -> bool:
-        """Read all pages, which takes long; return whether the file is intact."""
+        """Read all pages, which takes long; return whether the file is intact, and set `damage` if it is not.
+
+        Raises `ReplicaError` if the file can't be read for another reason than damage.
+        """
         with suppress(DamagedReplicaError), self.database.lookup_connection() as conn:
             fault = integrity.find_page_damage(conn)
             if not fault:
--- a/reelusher/fleet/replication/sqlite_replica/rows.py
+++ b/reelusher/fleet/replication/sqlite_replica/rows.py
@@ -96,7 +96,7 @@
 
 
 def candidate_prefixes(path: str, lengths: Iterable[int]) -> list[str]:
-    """Return the prefixes of a path that have one of these lengths and end at a segment, longest first."""
+    """Return the prefixes with one of these lengths that a path equals or lies under, longest first."""
     candidates = []
     for length in lengths:
         prefix = path[:length]
