--- a/reelusher/storage/directory.py
+++ b/reelusher/storage/directory.py
@@ -43,7 +43,10 @@
     """A directory of the file system, locked so that one process at a time uses it."""
 
     def __init__(self, path: Path) -> None:
-        """Create the directory if it does not exist, and lock it; raises `DirectoryLockedError`."""
+        """Create the directory if it does not exist, and lock it.
+
+        Raises `DirectoryLockedError` if another process uses it, or another `OSError`.
+        """
         path.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
         self._path = path
         self._directory_descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/reelusher/storage/journal.py
+++ b/reelusher/storage/journal.py
@@ -58,7 +58,10 @@
     # Recovery
 
     def recover(self) -> Recovery:
-        """Read the newest snapshot, if any, and the changes after it. Raises `JournalError`."""
+        """Read the newest snapshot, if any, and the changes after it; truncate an incomplete append.
+
+        Raises `JournalError`, and `OSError` if a file can't be read or written.
+        """
         snapshots, journals = self._file_numbers()
         snapshot = None
         if snapshots:
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -74,7 +74,10 @@
     def __init__(
         self, directory: Directory, now_us: Callable[[], int] = lambda: time.time_ns() // 1000
     ) -> None:
-        """Read the stored keys; raises `JournalError`. `now_us` returns Unix time in microseconds."""
+        """Read the stored keys; `now_us` returns Unix time in microseconds.
+
+        Raises `JournalError`, and `OSError` if a file can't be read or written.
+        """
         self._now_us = now_us
         self._records: dict[IdempotencyKey, KeyRecord] = {}
         self._journal = Journal(directory, self._encode_snapshot)
@@ -101,7 +104,10 @@
     def persist(
         self, key: IdempotencyKey, until_us: int, digest: bytes, done: Callable[[bool], None]
     ) -> None:
-        """Make a key durable; `done` receives whether that succeeded, on another thread."""
+        """Make a key durable until the Unix time `until_us`.
+
+        The thread of the log calls `done` with whether that succeeded.
+        """
         self._pending.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
     def forget(self, key: IdempotencyKey) -> None:
--- a/reelusher/tenancy/fair_queue.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -49,8 +49,8 @@
 class FairQueue:
     """Implements `TenantScheduler` for tenants known by number. Only the event loop thread calls it.
 
-    A tenant without a quota of its own has the default quota. With a single tenant, the decisions of the
-    controller are the same as without a fair queue.
+    A tenant without a quota of its own has the default quota. With a single tenant, if it has the default
+    quota, the decisions of the controller are the same as without a fair queue.
     """
 
     def __init__(self, cores: int, memory_kb: float) -> None:
@@ -146,9 +146,10 @@
 
         `keyed` requests have an idempotency key to remember; `used_kb` is the memory that all tenants use.
 
-        The memory of a tenant is limited to a multiple of the free memory (dynamic thresholds: Choudhury and
-        Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). A flood of one tenant therefore leaves memory
-        to others, and a tenant may use most of the memory while others use none.
+        If there are several tenants, the memory of each is limited to a multiple of the free memory (dynamic
+        thresholds: Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). A flood of one
+        tenant therefore leaves memory to others, and a tenant may use most of the memory while others use
+        none.
         """
         flow = self._flow(request.tenant)
         quota = flow.quota
@@ -231,7 +232,10 @@
         self._runs[request.id] = _Run(flow.tenant, request, now_us, work_us)
 
     def run_ended(self, request: Request, duration_us: int, now_us: int) -> None:
-        """Stop counting a run, and charge the work that it has taken; a duration of 0 means unknown."""
+        """Stop counting a run, and charge the work that it has taken.
+
+        A `duration_us` of 0 means unknown: the time since the start is charged, and no run time is learned.
+        """
         run = self._runs.pop(request.id, None)
         flow = self.flows.get(run.tenant) if run else None
         if run is None or flow is None:
--- a/reelusher/tenancy/flow_state.py
+++ b/reelusher/tenancy/flow_state.py
@@ -11,7 +11,7 @@
 IDLE_DEMAND_CORES = 1e-3  # a tenant with a lower demand is idle
 RUN_TIME_GAIN = 0.1  # weight of the newest run in the moving average of its class
 MIN_MEMORY_KB = 1e-6  # a smaller amount is a rounding error
-GUARANTEE_CREDIT_US = 200_000  # limit of the unused time that a guarantee catches up on once a slot is free
+GUARANTEE_CREDIT_US = 200_000  # a guarantee catches up on at most this much unused time once a slot is free
 
 
 class RunTimeMeans:
--- a/reelusher/tenancy/index.py
+++ b/reelusher/tenancy/index.py
@@ -4,8 +4,9 @@
 among these, the longest prefix that the request's path lies under decides, and among equal prefixes the first
 name. The class of the request is that of the tenant's first matching route.
 
-One thread changes the index. Others read it without a lock: they read immutable objects, which a change
-replaces in parts whose size does not grow with the number of tenants.
+One thread changes the index. Others read it without a lock: the tables of hosts are immutable, and a change
+replaces a table by a copy. Unless the table gets more parts, this copies one part, whose size does not grow
+with the number of tenants, and the tuple that refers to all parts.
 """
 
 from bisect import bisect_left, bisect_right, insort
--- a/reelusher/tenancy/lifecycle.py
+++ b/reelusher/tenancy/lifecycle.py
@@ -107,7 +107,10 @@
     def remove(
         self, name: str, now_us: int, drain_timeout_us: int = DEFAULT_DRAIN_TIMEOUT_US
     ) -> TenantRecord | None:
-        """Start to remove a tenant; a further call can bring its deadline forward, but not postpone it."""
+        """Start to remove a tenant and return it; None where there is none of this name.
+
+        A further call can bring the deadline forward, but not postpone it.
+        """
         record = self._by_name.get(name)
         if record is None:
             return None
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -120,7 +120,7 @@
         return tenant
 
     def check(self, tenant: Tenant) -> None:
-        """Raise `ConfigError` for a tenant with whose guarantee the sum of all guarantees exceeds 1."""
+        """Raise `ConfigError` if a tenant's guarantee would raise the sum of all guarantees above 1."""
         if not self._guarantee_fits(tenant):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
 
--- a/reelusher/tenancy/replicated.py
+++ b/reelusher/tenancy/replicated.py
@@ -28,7 +28,7 @@
 LOCK_TIMEOUT_S = 1.0  # longest wait of a change for others; a forwarded call waits a little longer
 DERIVED_KEYS = "state", "shadowed", "shadows", "unreadable"  # keys of answers that are no tenant fields
 MAX_GUARANTEE_SUM = 1 + 1e-8  # includes a rounding tolerance: guarantees are stored in billionths
-MAX_OVERLAPS = 20  # limit of the overlaps that are reported for one tenant
+MAX_OVERLAPS = 20  # limit, for one tenant, of the overlaps reported in each direction
 MAX_CHECKED_CHANGES = 100  # a batch of more changes is the bootstrap of a replica and is not checked
 MAX_ACTOR_LENGTH = 256  # characters of the name of a change's author
 
--- a/reelusher/tenancy/tenant_cache.py
+++ b/reelusher/tenancy/tenant_cache.py
@@ -1,4 +1,4 @@
-"""The cache of tenants that are in use, up to a limit, of the table on the disk. Free of I/O.
+"""Caches the tenants in use, up to a limit, of the table on the disk. All I/O is that of `TenantSource`.
 
 The thread that reads a request finds its tenant in the table of the request's host. Such tables are cached
 for hosts with few prefixes; for other hosts, the table on the disk is searched. The thread *pins* the tenant
--- a/reelusher/tenancy/tenant_store.py
+++ b/reelusher/tenancy/tenant_store.py
@@ -76,7 +76,7 @@
     ) -> None:
         """Read the stored state; without a directory, the state is kept in memory only.
 
-        Raises `JournalError`.
+        Raises `JournalError`, and `OSError` if a file can't be read or written.
         """
         self.state = StoredTenants()
         self.is_new = True  # whether there was no stored state
