--- a/reelusher/fleet/replication/pull_scheduler.py
+++ b/reelusher/fleet/replication/pull_scheduler.py
@@ -139,7 +139,10 @@
         return self.in_flight.until_s if self.in_flight else self.due_s
 
     def next_pull(self, now: float) -> Pull | None:
-        """Return the pull that is due, or None. `Replica.apply_reply` or `failed` ends it."""
+        """Return the pull that is due, or None while one is in flight or none is due.
+
+        `Replica.apply_reply` or `failed` ends a pull; a pull past its time-out is ended here, as failed.
+        """
         if self.in_flight is not None:
             if now < self.in_flight.until_s:
                 return None
--- a/reelusher/fleet/replication/replica_store.py
+++ b/reelusher/fleet/replication/replica_store.py
@@ -68,7 +68,8 @@
         """Write the entries that are newer than the rows of their names, and the state.
 
         `drop_older`: delete rows of older generations, since a refill is complete. `durable`: sync to disk
-        before returning. `audited`: add the entries to the audit trail. Returns the names that changed.
+        before returning. `audited`: add the entries to the audit trail, and remember their idempotency keys.
+        Returns the names that changed.
         """
 
     def set_aside_divergent(self, partition: str, past_index: int, state: PartitionState) -> int:
--- a/reelusher/fleet/replication/segments.py
+++ b/reelusher/fleet/replication/segments.py
@@ -46,6 +46,7 @@
 def advance(state: PartitionState, segment: LogSegment) -> AdvancedState:
     """Return the state after a segment that begins at `state.since` is applied."""
     through_index = segment.through_index
+    # rows up to `since` reflect removals up to `state.covered`, later ones those up to `segment.covered`
     common_covered = min(state.covered, segment.covered) if state.since else segment.covered
     covered = max(through_index, common_covered)
     goal = max(state.goal, segment.goal)
--- a/reelusher/fleet/replication/service.py
+++ b/reelusher/fleet/replication/service.py
@@ -31,7 +31,7 @@
 COLLECT_INTERVAL_S = 1800.0, 5400.0  # between collections of tombstones
 CHECK_INTERVAL_S = 6 * 3600.0, 18 * 3600.0  # between checks of all pages of the file
 ROWS_PER_RECHECK = 50  # per round of maintenance: at most 1 % of a core
-RECHECK_INTERVAL_S = 60.0  # pause after the last row was rechecked; before that, each round goes on
+RECHECK_INTERVAL_S = 60.0  # pause once no rows are left to recheck; until then, each round rechecks some
 RECREATE_INTERVAL_S = 2.0, 10.0  # between attempts to replace a damaged file
 
 
--- a/reelusher/fleet/replication/sqlite_replica/writes.py
+++ b/reelusher/fleet/replication/sqlite_replica/writes.py
@@ -31,7 +31,9 @@
     partition_id: int
     generation: int
     now_ms: int  # Unix time
-    audited: bool  # entries are audited and checked at once; otherwise `recheck_rows` checks them later
+    # entries are audited and checked at once, and their idempotency keys remembered; otherwise `recheck_rows`
+    # checks them later
+    audited: bool
 
 
 class RowWriter:
--- a/reelusher/storage/key_log.py
+++ b/reelusher/storage/key_log.py
@@ -111,7 +111,7 @@
         self._pending.put(PendingWrite(KeyRecord(*key, until_us, digest.hex()), done))
 
     def forget(self, key: IdempotencyKey) -> None:
-        """Withdraw a key whose request never ran. The loss of a withdrawal only makes its retries fail."""
+        """Withdraw a key whose request never ran. If the withdrawal is lost, retries of the request fail."""
         self._pending.put(PendingWrite(KeyRecord(*key, WITHDRAWN_US, ""), _ignore))
 
     def run(self) -> None:
--- a/reelusher/tenancy/fair_queue.py
+++ b/reelusher/tenancy/fair_queue.py
@@ -219,7 +219,8 @@
         flow = self._flow(request.tenant)
         work_us = self._estimate_us(flow, request)
         start_tag = max(self.virtual_time, flow.finish_tag)
-        # runs under a guarantee don't advance virtual time: a tag far ahead would cancel the lag of others
+        # Runs under a guarantee don't advance virtual time: their tags may be far ahead, and tenants that lag
+        # behind would lose the work that their lag entitles them to.
         if not flow.is_below_guarantee(now_us):
             self.virtual_time = start_tag
         flow.finish_tag = start_tag
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -227,7 +227,7 @@
     def _forget(self, removed: RemovedTenant) -> None:
         """Delete what remains of a removed tenant, and answer its requests in flight."""
         name, number = removed.record.tenant.name, removed.record.number
-        if removed.in_flight:  # the call searches the requests of all tenants
+        if removed.in_flight:  # `end_tenant_requests` searches the requests of all tenants
             self._core.requests.end_tenant_requests(number)
         self._fair_queue.remove(number)
         if self.lifecycle.get(name) is None:
