--- a/reelusher/tenancy/reader_pool.py
+++ b/reelusher/tenancy/reader_pool.py
@@ -11,7 +11,7 @@
 from reelusher.tenancy.tenant_source import TenantUnavailableError
 
 T = TypeVar("T")
-READER_THREADS = 3  # the replica has a database connection for each
+READER_THREADS = 3  # equals `LOOKUP_CONNECTIONS` of the replica, which API calls and checks use as well
 MAX_WAITING_READS = 64  # limit of concurrently waiting requests; further ones are rejected
 READ_TIMEOUT_S = 0.5  # a request that waits longer for its read is rejected
 
