--- a/reelusher/fleet/replication/segments.py
+++ b/reelusher/fleet/replication/segments.py
@@ -46,6 +46,7 @@
 def advance(state: PartitionState, segment: LogSegment) -> AdvancedState:
     """Return the state after a segment that begins at `state.since` is applied."""
     through_index = segment.through_index
+    # rows up to `since` reflect removals up to `state.covered`, later ones those up to `segment.covered`
     common_covered = min(state.covered, segment.covered) if state.since else segment.covered
     covered = max(through_index, common_covered)
     goal = max(state.goal, segment.goal)
@@ -60,7 +61,9 @@
 def _horizon(state: PartitionState, segment: LogSegment) -> int:
     """Return the tombstone horizon after a segment.
 
-    The sender's horizon counts only if it is past `since`: the segment has no entries up to `since`.
+    A segment from index 0 sets it, since a refill replaces all rows. Later, the sender's horizon counts only
+    if it is past `since`: tombstones after `since` may then be missing. All entries up to `since` were
+    received before.
     """
     if not segment.since:
         return segment.horizon
--- a/reelusher/tenancy/registry.py
+++ b/reelusher/tenancy/registry.py
@@ -120,7 +120,7 @@
         return tenant
 
     def check(self, tenant: Tenant) -> None:
-        """Raise `ConfigError` for a tenant with whose guarantee the sum of all guarantees exceeds 1."""
+        """Raise `ConfigError` if a tenant's guarantee would raise the sum of all guarantees above 1."""
         if not self._guarantee_fits(tenant):
             raise ConfigError("share.guarantee", "the guarantees of all shares add up to more than 1")
 
@@ -227,7 +227,7 @@
     def _forget(self, removed: RemovedTenant) -> None:
         """Delete what remains of a removed tenant, and answer its requests in flight."""
         name, number = removed.record.tenant.name, removed.record.number
-        if removed.in_flight:  # the call searches the requests of all tenants
+        if removed.in_flight:  # `end_tenant_requests` searches the requests of all tenants
             self._core.requests.end_tenant_requests(number)
         self._fair_queue.remove(number)
         if self.lifecycle.get(name) is None:
