--- a/reelusher/assembly/fleet.py
+++ b/reelusher/assembly/fleet.py
@@ -34,7 +34,10 @@
         self._parts, self._config, self._is_draining = parts, config, is_draining
 
     def reply(self) -> ObservationsReply:
-        """Return this node's observations; none while it is cold itself or draining."""
+        """Return this node's observations; none while it is cold itself or draining.
+
+        It waits for the event loop, so it must not be called on the event loop's thread.
+        """
         min_uptime_s = max(MIN_SHARING_UPTIME_S, self._config.settings.warm_up_us / 1e6)
         if time.monotonic() - self._parts.started_s < min_uptime_s or self._is_draining():
             return ObservationsReply(False, [])
@@ -45,7 +48,10 @@
         )
 
     def apply(self, observations: dict[str, float]) -> None:
-        """Apply the observations of warm members, which are given by subject, to this node."""
+        """Apply the observations of warm members, which are given by subject, to this node.
+
+        It waits for the event loop, so it must not be called on the event loop's thread.
+        """
         core, worker_pool = self._parts.core, self._parts.worker_pool
         run_times = {
             subject.removeprefix(RUN_TIME_PREFIX): value
--- a/reelusher/assembly/hosted.py
+++ b/reelusher/assembly/hosted.py
@@ -81,7 +81,7 @@
 
 
 def _recover_keys(parts: NodeParts, directory: Path) -> None:
-    """Restore the idempotency keys that earlier incarnations stored, and store new ones from now on."""
+    """Restore the idempotency keys that earlier processes of this node stored; store new ones from now on."""
     log = tenant_store.open_key_log(directory)
     for request_id, entry in enumerate(log.unexpired(), FIRST_RECOVERED_REQUEST_ID):
         digest = bytes.fromhex(entry.body_digest)
--- a/reelusher/assembly/parts.py
+++ b/reelusher/assembly/parts.py
@@ -71,7 +71,10 @@
         """Return the state of the node."""
 
     def request_drain(self, requested_s: float | None = None) -> bool:
-        """Request a drain; return False if one was requested before."""
+        """Request a drain; return False if one was requested before.
+
+        `requested_s` is the time by the monotonic clock from which the drain counts; None: from now.
+        """
 
 
 class NodeParts:
--- a/reelusher/config/checked_table.py
+++ b/reelusher/config/checked_table.py
@@ -99,7 +99,7 @@
         return value
 
     def strings(self, key: str, default: Sequence[str] | None = None) -> tuple[str, ...]:
-        """Return a list of strings, none of them empty."""
+        """Return the strings of a list as a tuple, none of them empty. The default is not checked."""
         if default is not None and key not in self:
             return tuple(default)
         value = self.raw(key)
--- a/reelusher/config/operator/file.py
+++ b/reelusher/config/operator/file.py
@@ -53,7 +53,7 @@
 def _require_no_other_tenants(
     replication: Replication, admin: Admin | None, tenants: tuple[Tenant, ...]
 ) -> None:
-    """Raise `ConfigError` if tenants, or keys, are also configured or stored outside the replicated table."""
+    """Raise `ConfigError` if the file has tenants, or a store of tenants or keys for this node alone."""
     if tenants:
         raise ConfigError("tenants", "with [replication] they are added through the administration API")
     if admin and admin.state_file:
--- a/reelusher/config/operator/fleet.py
+++ b/reelusher/config/operator/fleet.py
@@ -6,7 +6,8 @@
 from reelusher.config.checked_table import Address, CheckedTable, ConfigError, address_of
 from reelusher.config.operator.checks import require_distinct
 
-MAX_LABEL_LENGTH = 64  # characters of the names of fleet, zone and region, which each datagram carries
+# characters of the names of fleet, zone and region, which each datagram carries, and of control members
+MAX_LABEL_LENGTH = 64
 MAX_CONTROL_MEMBERS = 8  # members that write the replicated table; each datagram carries a position for each
 
 
--- a/reelusher/config/operator/tenants.py
+++ b/reelusher/config/operator/tenants.py
@@ -22,8 +22,8 @@
 class QuotaSettings:
     """A tenant's quota as operators write it.
 
-    Guarantee and ceiling are fractions of the capacity. For `held`, `running`, `memory_kb`, `keys` and
-    `connections`, 0 means no limit.
+    Guarantee and ceiling are fractions of the capacity; the work that the ceiling allows in `burst_ms` may be
+    taken at once. For `held`, `running`, `memory_kb`, `keys` and `connections`, 0 means no limit.
     """
 
     weight: float = 1.0
@@ -38,7 +38,7 @@
     classes: tuple[tuple[str, float], ...] = ()  # weight of each class among the tenant's classes
 
     def to_json(self) -> dict[str, Any]:
-        """Return the keys whose values differ from the standard quota."""
+        """Return the values that differ from the standard quota, by key."""
         changed = {
             key: value for key in QUOTA_KEYS if (value := getattr(self, key)) != getattr(STANDARD_QUOTA, key)
         }
--- a/reelusher/config/operator/workers.py
+++ b/reelusher/config/operator/workers.py
@@ -5,6 +5,7 @@
 from reelusher.config.checked_table import CheckedTable, ConfigError
 
 RUNTIME = "runtime"  # backend of tenants whose requests run on the platform's runtime
+# a disabled worker gets only requests of its own sessions, a stopped one gets none
 ACTIVATIONS = ("active", "disabled", "stopped")
 
 
--- a/reelusher/config/platform_config.py
+++ b/reelusher/config/platform_config.py
@@ -51,7 +51,7 @@
 
 
 def parse_seed(text: str, key: str) -> int:
-    """Parse a seed, a hexadecimal number. Raises a `ConfigError` that names `key`."""
+    """Parse a seed, a hexadecimal number, modulo 2 ** 64. Raises a `ConfigError` that names `key`."""
     try:
         return int(text, 16) % (1 << 64)
     except ValueError:
@@ -73,7 +73,7 @@
 
 
 def key_paths(value: Any, path: str = "") -> frozenset[str]:
-    """Return the paths of all keys; for a list of tables, those of the keys that all its entries have."""
+    """Return the paths of all keys; within a list of tables, only of the keys that all its entries have."""
     if isinstance(value, Mapping):
         children = [key_paths(child, f"{path}.{key}" if path else str(key)) for key, child in value.items()]
         return frozenset([path] if path else []).union(*children)
--- a/reelusher/config/platform_settings.py
+++ b/reelusher/config/platform_settings.py
@@ -33,7 +33,7 @@
 
 
 class SettingsError(Exception):
-    """A required key is missing or a value is invalid; the text names the key."""
+    """The text is not JSON, a required key is missing, or a value is invalid; the message names the key."""
 
 
 def required(table: Mapping[str, Any], key: str, path: str = "") -> Any:
@@ -70,7 +70,7 @@
 
 
 def settings_from_parsed(parsed: Any) -> tuple[Settings, list[str]]:
-    """Return what `settings_from_json` does, from JSON that is already parsed."""
+    """Return and raise the same as `settings_from_json`, for JSON that is already parsed."""
     worker, rules = required(parsed, "family_info"), required(parsed, "rules")
     limits, goal = parsed.get("limits", {}), parsed.get("goal", {})
     classes = _classes(required(parsed, "categories"), worker)
--- a/reelusher/node.py
+++ b/reelusher/node.py
@@ -133,7 +133,9 @@
         return True
 
     def drain(self) -> bool:
-        """Serve for the grace period, then answer all requests that were read; return False if any are left.
+        """Serve for the grace period, then answer all requests that were read.
+
+        Returns when the drain is over: False if any request has no answer by then.
 
         If a newer process of this node serves already, there is no grace period: callers move to it.
         """
@@ -214,7 +216,7 @@
 
 
 def main(watch: SignalWatch) -> int:
-    """Run a node until a signal, or until the administration API drains it; return the exit status."""
+    """Run a node until a signal or the administration API has drained it; return the exit status."""
     set_up_logging()
     try:
         node = Node(load())
--- a/reelusher/reload.py
+++ b/reelusher/reload.py
@@ -13,7 +13,7 @@
 
 MAX_PENDING_RELOADS = 2  # one in progress, and one that reads the newest file after it
 ADDRESSES = ("runtime", "vault", "directory")  # fields of `Platform`
-RELOADABLE = (*ADDRESSES, "settings", "gauges", "class_names", "paths")
+RELOADABLE = (*ADDRESSES, "settings", "gauges", "class_names", "paths")  # fields that a reload replaces
 
 
 class ReloadError(Exception):
@@ -104,7 +104,7 @@
 
 
 def _has_other_parts(current: Platform, new: Platform) -> bool:
-    """Return whether one of two configurations has a part that the other lacks."""
+    """Return whether one of them has a downstream service or a service registry that the other lacks."""
     return (current.vault is None) is not (new.vault is None) or (current.directory is None) is not (
         new.directory is None
     )
