--- a/reelusher/admin/api.py
+++ b/reelusher/admin/api.py
@@ -32,7 +32,7 @@
 MAX_CONNECTIONS = 32  # open at once; a further connection is closed right after it is accepted
 DESCRIPTORS = MAX_CONNECTIONS + 2  # those connections, the listener, and a connection being rejected
 OPERATOR_TOKEN_NAME = "operator"  # name in the audit trail of the token that is configured in clear text
-SOCKET_TIMEOUT_S = 30.0  # time limit for the next call to arrive on a connection, and for sending a reply
+SOCKET_TIMEOUT_S = 30.0  # time limit for the next bytes to arrive on a connection, and for sending a reply
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
         self._listener.start()
 
     def close(self) -> None:
-        """Stop accepting connections."""
+        """Stop accepting connections; those that are open are served on."""
         self._listener.stop()
 
     def _serve(self, sock: socket.socket, peer: Address) -> None:
@@ -212,7 +212,10 @@
 
 
 def _resource_and_name(path: str) -> tuple[str, str]:
-    """Return the resource of a path and the name in it; the name is empty where the path has none."""
+    """Return the resource of a path and the name in it, which is empty where the path has none.
+
+    Raises `ApiError` with status 404 for a path of another form.
+    """
     match path.strip("/").split("/"):
         case ["v1", "fleet", "changes"]:
             return "fleet/changes", ""
--- a/reelusher/admin/calls.py
+++ b/reelusher/admin/calls.py
@@ -37,7 +37,7 @@
 
 @contextmanager
 def errors_as_api_errors(method: str, target: str) -> Iterator[None]:
-    """Convert the errors that an invalid or impossible call raises to `ApiError`."""
+    """Convert the errors of a call that is invalid, impossible or can't be made durable to `ApiError`."""
     try:
         yield
     except ConfigError as error:
@@ -55,12 +55,15 @@
 
     actor: str  # name of the token that the call carries, for the audit trail
     name: str  # name of a tenant, worker, partition or member in the path; empty where there is none
-    body: Any  # decoded JSON; None where the call has no body
+    body: Any  # decoded JSON; None for calls that take no body
     query: Mapping[str, str]
     headers: Mapping[str, str]  # values by header name in lower case
 
     def integer(self, key: str, default: int, maximum: int, minimum: int = 0) -> int:
-        """Return an integer of the query, or the default. Raises `ApiError` if it is out of range."""
+        """Return an integer of the query, or the default.
+
+        Raises `ApiError` if it is no whole number from `minimum` to `maximum`.
+        """
         text = self.query.get(key, str(default))
         is_number = text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS
         if not (is_number and minimum <= int(text) <= maximum):
--- a/reelusher/admin/fleet_client.py
+++ b/reelusher/admin/fleet_client.py
@@ -14,8 +14,8 @@
 from reelusher.tenancy.replicated import MAX_ACTOR_LENGTH
 
 COPIES_TIMEOUT_S = 5.0  # time limit for other members to receive a change
-FORWARD_TIMEOUT_S = 4.0  # time limit of the leader for a forwarded call, without the wait for copies
-QUERY_TIMEOUT_S = 1.0  # time limit of a member for a query about its state
+FORWARD_TIMEOUT_S = 4.0  # time limit for the leader's reply to a forwarded call, without the wait for copies
+QUERY_TIMEOUT_S = 1.0  # time limit for a member's reply to a query about its state
 MAX_FORWARDED_CALLS = 8  # calls in progress at once; each uses a connection
 MAX_TARGET_LENGTH = 4096  # characters of the path and query of a forwarded call
 RETRY_AFTER_S = 2, 6  # range of the random Retry-After of calls that can't be served now
@@ -31,7 +31,11 @@
     def request_once(
         self, address: str, request: Any, reply_type: type[ChangeReply], timeout_s: float
     ) -> ChangeReply:
-        """Return the reply; raise `MemberUnreachableError` if nothing was sent, else `NoReplyError`."""
+        """Send a request and return the reply.
+
+        Raises `MemberUnreachableError` if nothing was sent, and `NoReplyError` if no valid reply arrived in
+        time: the member may then have acted on the request.
+        """
 
 
 class FleetClient:
@@ -44,7 +48,7 @@
         self._forwarding = threading.BoundedSemaphore(MAX_FORWARDED_CALLS)
 
     def live(self) -> list[Update]:
-        """Return the live members, this one first."""
+        """Return the live members, this one first; an empty list without a fleet."""
         return self._fleet.live() if self._fleet else []
 
     def is_live(self, name: str) -> bool:
@@ -68,7 +72,9 @@
         return addresses[0] if addresses else ""
 
     def query(self, name: str, target: str, default: Any) -> Any:
-        """Return the decoded reply of a member to a query about its state, or the default without one.
+        """Return the decoded reply of a member to a query about its state.
+
+        Returns `default` if the member is not live, does not reply in time, or replies with an error.
 
         Raises `ApiError` if several members have the name.
         """
--- a/reelusher/admin/partition_api.py
+++ b/reelusher/admin/partition_api.py
@@ -72,7 +72,7 @@
         }
 
     def _progress_reports(self) -> list[dict[str, Any]]:
-        """Return the progress reports of this node and of the other live leaders, one for each partition.
+        """Return the progress report of each partition that this node leads, or a live member that replies.
 
         A report counts the members that have the newest change of its partition.
         """
@@ -107,8 +107,8 @@
     def _take_over(self, call: ApiCall) -> Reply:
         """Make this member the leader of a partition, on an operator's order.
 
-        Raises `ApiError` if another member is ahead, unless the order is forced: then the changes that this
-        member lacks are lost.
+        Raises `ApiError` if another member is ahead, unless the call has force=true: then the changes that
+        this member lacks are lost.
         """
         table, partition = self._table, call.name
         force = self._check_take_over(call)
@@ -135,7 +135,7 @@
         return Reply(200, {**situation, "begins": format_position(term_start)})
 
     def _check_take_over(self, call: ApiCall) -> bool:
-        """Raise `ApiError` if this member can't become the leader; return whether changes may be lost."""
+        """Raise `ApiError` if this member can't become the leader; return whether the call has force=true."""
         table, partition, own = self._table, call.name, self._table.own_name
         members = ", ".join(table.replica.control)
         if partition not in table.replica.control:
@@ -160,7 +160,7 @@
         return None if ahead is not None and ahead <= self._table.position(partition) else ahead
 
     def _leader_position(self, partition: str) -> Position | None:
-        """Return the position that the leader of a partition reports; None if it does not reply."""
+        """Return the position that the leader of a partition reports; None without such a report."""
         position = self._fleet.query(self._table.leader(partition), POSITIONS_TARGET, {}).get(partition)
         return None if position is None else Position(*position)
 
--- a/reelusher/admin/tenant_api.py
+++ b/reelusher/admin/tenant_api.py
@@ -21,7 +21,7 @@
 DEFAULT_AUDIT_PAGE = 100
 MAX_CHANGE_NUMBER = 1 << 53  # JSON numbers represent all integers up to this exactly
 MAX_KEY_LENGTH = 128  # characters of an idempotency key
-DRY_RUN_REVISION = 0  # revision of a version that a dry run shows and nothing stores
+DRY_RUN_REVISION = 0  # revision of the version that a dry run shows, which is never stored
 
 
 class TenantApi:
--- a/reelusher/importer/__main__.py
+++ b/reelusher/importer/__main__.py
@@ -12,7 +12,11 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Import files: write TOML to standard output and omissions to standard error; return the exit status."""
+    """Import files: write TOML to standard output and omissions to standard error.
+
+    Returns the exit status: 2 if a file can't be read, 1 if the result is no valid operator's file or, with
+    --strict, if anything was left out, and 0 otherwise.
+    """
     parser = argparse.ArgumentParser("reelusher.importer", description="Write an operator's file.")
     parser.add_argument("--workers", action="append", default=[], metavar="FILE", help="a workers.properties")
     parser.add_argument("--httpd", action="append", default=[], metavar="FILE", help="an Apache file")
--- a/reelusher/importer/httpd.py
+++ b/reelusher/importer/httpd.py
@@ -11,16 +11,16 @@
 ACTIVATIONS = {"D": "stopped", "S": "stopped", "N": "disabled"}  # by status flag, if it has a counterpart
 METHODS = {"byrequests": "requests", "bybusyness": "busyness"}  # balancing methods by `lbmethod`
 DIRECTIVE = re.compile(r"\s*(\S+)\s*(.*)", re.DOTALL)
-# directives that are skipped without an omission
+# skipped without an omission, as are all directives whose names do not begin with proxy, jk or balancer
 IGNORED_DIRECTIVES = frozenset({"requestheader", "header", "servername", "listen", "loadmodule"})
 
 
 def _milliseconds(text: str) -> int:
-    """Convert a duration of Apache, in seconds unless it ends in `ms`."""
+    """Convert a duration of Apache, in seconds unless it ends in `ms`. Raises ValueError for other units."""
     return int(text[:-2]) if text.endswith("ms") else int(text) * 1000
 
 
-# key of a worker in an operator's file, and conversion of the value, by parameter of a member
+# for each parameter of a member, the key of a worker in an operator's file and the conversion of the value
 MEMBER_PARAMETERS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "loadfactor": ("factor", lambda text: max(1, round(float(text)))),
     "route": ("route", str),
--- a/reelusher/importer/jk.py
+++ b/reelusher/importer/jk.py
@@ -24,7 +24,7 @@
     return int(text) * 1000
 
 
-# key of a worker in an operator's file, and conversion of the value, by property of mod_jk
+# for each property of mod_jk, the key of a worker in an operator's file and the conversion of the value
 WORKER_PROPERTIES: dict[str, tuple[str, Callable[[str], Value]]] = {
     "host": ("host", str),
     "port": ("port", int),
@@ -42,7 +42,7 @@
     "activation": ("activation", _activation),
     "recover_time": ("recover_ms", _seconds_to_ms),
 }
-# keys that the importer leaves out where mod_jk has 0, which means no limit there
+# keys that are left out, with an omission, if the value is 0, which means no limit in mod_jk
 ZERO_MEANS_DEFAULT = frozenset({"reply_timeout_ms", "connect_timeout_ms", "connections"})
 
 
--- a/reelusher/importer/model.py
+++ b/reelusher/importer/model.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Omission:
-    """A setting that has no counterpart in an operator's file and was left out."""
+    """A part of an imported file that the operator's file does not reproduce, and why."""
 
     file: str
     line: int
@@ -30,10 +30,11 @@
     balancers: dict[str, dict[str, Any]] = field(default_factory=dict)
     tenants: dict[str, dict[str, Any]] = field(default_factory=dict)
     omissions: list[Omission] = field(default_factory=list)
-    listed_backends: list[tuple[str, str, int]] = field(default_factory=list)  # name, file and line of each
+    # the names in `worker.list`, each with the file and the line that list it
+    listed_backends: list[tuple[str, str, int]] = field(default_factory=list)
 
     def add_omission(self, file: str, line: int, reason: str) -> None:
-        """Record a setting that has no counterpart."""
+        """Record a part of an imported file that the operator's file does not reproduce."""
         self.omissions.append(Omission(file, line, reason))
 
     def mount(self, prefix: str, backend: str, file: str, line: int) -> None:
--- a/reelusher/pacing/backoff.py
+++ b/reelusher/pacing/backoff.py
@@ -15,7 +15,10 @@
     """
 
     def __init__(self, random: Random, base_s: float, cap_s: float) -> None:
-        """Draw the first delay from the base up to 1.5 times the base; no delay exceeds the cap."""
+        """Start at the base: the first delay is drawn from the base up to 1.5 times the base.
+
+        No delay exceeds the cap; a cap below the base is raised to it.
+        """
         self._random = random
         self._base_s = base_s
         self._cap_s = max(base_s, cap_s)
--- a/reelusher/pacing/report_schedule.py
+++ b/reelusher/pacing/report_schedule.py
@@ -24,14 +24,15 @@
 INITIAL_LOSS_RATE, MIN_LOSS_RATE, MAX_LOSS_RATE = 0.1, 0.01, 0.5
 LOSS_RATE_WEIGHT = 1 / 16  # weight of the latest attempt in the loss rate
 MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.12, 1.0  # bounds of the time-out for a reply
-SLOW_TIMEOUT_S = 0.25  # at this time-out the registry counts as overloaded: retries would add to its load
+SLOW_TIMEOUT_S = 0.25  # from this time-out on the registry counts as overloaded: retries add to its load
 
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 0.15  # bounds of the delay before an immediate retry
 MEAN_RETRY_DELAY_S = (MIN_RETRY_DELAY_S + MAX_RETRY_DELAY_S) / 2
 MAX_RETRIES, RETRIES_PER_SUCCESS = 16.0, 1.0  # budget of immediate retries, and what a success earns
 BACKOFF_BASE_S, BACKOFF_CAP_S = 0.25, 1.8  # delays during an outage, in which the registry drops no node
 MAX_RETRY_AFTER_S = 60.0  # a longer Retry-After is shortened to this
-MIN_CHANGE_DELAY_S, CHANGE_JITTER_S = 0.2, 0.1  # time between a report and that of a change, and its jitter
+# minimum time from the sending of the last successful report to that of a change, and its maximum jitter
+MIN_CHANGE_DELAY_S, CHANGE_JITTER_S = 0.2, 0.1
 
 
 class ReportFailure(Enum):
--- a/reelusher/pacing/retry_budget.py
+++ b/reelusher/pacing/retry_budget.py
@@ -19,7 +19,7 @@
         self._retries = min(self._max_retries, self._retries + self._earned_per_success)
 
     def try_acquire(self) -> bool:
-        """Spend one retry and return True, or return False if there is none."""
+        """Spend one retry and return True, or return False if less than one is left."""
         if self._retries < 1:
             return False
         self._retries -= 1
--- a/reelusher/pacing/token_bucket.py
+++ b/reelusher/pacing/token_bucket.py
@@ -23,7 +23,7 @@
         self._tokens -= tokens
 
     def try_take(self, now_s: float) -> bool:
-        """Take one token and return True, or return False if there is none."""
+        """Take one token and return True, or return False if less than one is available."""
         if self.available(now_s) < 1:
             return False
         self._tokens -= 1
--- a/reelusher/simulator/adapter.py
+++ b/reelusher/simulator/adapter.py
@@ -97,7 +97,10 @@
     def _create(
         self, instance_number: int, body: bytes, start: int, tail_start: int, location: str
     ) -> str | None:
-        """Create an instance; return None, or the error if it could not be created."""
+        """Create an instance; return None, or the error if its settings can't be used.
+
+        Raises `MalformedFrameError` if the settings do not lie within the frame.
+        """
         record = read_create(body, start)
         settings_start, settings_end = tail_start + record.offset, tail_start + record.offset + record.length
         if settings_end > len(body):
--- a/reelusher/simulator/frames.py
+++ b/reelusher/simulator/frames.py
@@ -1,8 +1,8 @@
 """Records of the simulator's wire format, and their conversion to events and from actions of the policy.
 
 Frames are little-endian without padding: a header, records of a fixed size, and a tail with the data of
-variable size. The names of records and fields on the wire (knock, dispatch, pin, …) are mapped to those of
-the policy in this module only.
+variable size. All times and durations are in microseconds. The names of records and fields on the wire
+(knock, dispatch, pin, …) are mapped to those of the policy in this module only.
 """
 
 import struct
