--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -82,5 +82,5 @@
 
 
 def max_count(times: list[float], span_s: float = 0.1) -> int:
-    """Return the largest number of times that fall into one of consecutive spans."""
+    """Return the largest number of times, in seconds, within one of the consecutive spans of `span_s`."""
     return max(Counter(int(time / span_s) for time in times).values())
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -112,7 +112,10 @@
         return self.replicas[leader].accept(partition, leader, entry(name, state=state, **fields))
 
     def request_entries(self, puller: str, sender: str) -> tuple[Pull, EntriesReply] | None:
-        """Return a pull and its reply, without any wait; None if the puller is not behind."""
+        """Return a pull and its reply; None if the puller is not behind.
+
+        The clock advances by 60 s and the puller forgets what it avoids, so that nothing delays the pull.
+        """
         self.now += 60.0
         receiver, source = self.replicas[puller], self.replicas[sender]
         receiver.pulls.peers_ahead.clear()
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -167,9 +167,9 @@
 
 
 def platform_config(environment: dict[str, Any], suffix: str = "", **changes: Any) -> dict[str, Any]:
-    """Return the platform's configuration of a node that uses the stand-ins, for `2` the second ones.
+    """Return the platform's configuration of a node that uses the stand-ins.
 
-    `changes` replace keys of the configuration.
+    The suffix `2` selects runtime2, vault2 and catalog2; `changes` replace keys of the configuration.
     """
     addresses = {name: "{}:{}".format(*environment[name + suffix].address) for name in SERVERS}
     return {
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -185,7 +185,7 @@
 def test_unread_request_is_answered_when_the_time_of_its_connection_is_over(
     environment: dict[str, Any], state: str
 ) -> None:
-    """On a busy core the check of the time limits may run before the read; it closed the connection."""
+    """On a busy core the time limits may be checked before received bytes are read: the request was lost."""
     frontend, peer, data = (
         caller_frontend(environment),
         Peer(environment["node"].node),
@@ -436,7 +436,7 @@
 
 
 def test_corrupted_notice_is_requested_again(environment: dict[str, Any]) -> None:
-    """It was acknowledged as received, so its run never ended for the node and occupied a core."""
+    """Acknowledged as received, the notice was lost: its run never ended for the node and occupied a core."""
     runtime, peer = environment["runtime"], Peer(environment["node"].node)
     peer.send(1)
     runtime.expect(["start", "*", "as", "X"])
@@ -535,7 +535,7 @@
 
 
 def test_partly_sent_message_counts_as_sent() -> None:
-    """The downstream client sends a call again after False, although it may have run."""
+    """If `send` returned False, the downstream client would send a call again that may have run."""
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     send_buffer = SendBuffer(near, limit=1000)
@@ -575,7 +575,7 @@
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(listener_module, "start_thread", fail_to_start)
-    for number in range(3):  # each would occupy its slot forever
+    for number in range(3):  # each would keep its slot if the failure did not free it
         with socket.create_connection(listener.address, parties.EXPECT_TIMEOUT_S) as sock:
             assert sock.recv(1) == b""
             assert len(failed) == number + 1
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -186,7 +186,7 @@
 
 
 def test_the_reserve_covers_the_descriptors_of_all_parts() -> None:
-    """With all parts enabled, the descriptors they may hold and those of callers don't exceed the limit."""
+    """The descriptors that the parts of a scenario's node and its callers may hold don't exceed the limit."""
     with tempfile.TemporaryDirectory() as folder, scenario_environment(folder, {"sockets": "1024"}) as world:
         node: Node = world["node"].node
         front = node.parts.frontends["platform"]
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -66,7 +66,7 @@
     history = RunHistory(parse(PLAN))
     history.record_core_wait("n1", 10.0, 10.1, 0.025)
     history.record_core_wait("n1", 10.1, 10.2, 0.0)
-    history.record_core_wait("n1", 10.2, 10.3, 7.0)  # of a thread that is older than the interval
+    history.record_core_wait("n1", 10.2, 10.3, 7.0)  # longer than the interval: its thread waited before too
     history.begin_load(10.0)
     assert history.core_waits["n1"] == [pytest.approx((0.0, 0.1, 0.25)), pytest.approx((0.2, 0.3, 1.0))]
 
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_24_cold_nodes_on_a_virtual_clock_stay_within_their_budgets(seed: int) -> None:
-    """The real decisions without the influence of the machine, so that every window counts."""
+    """Nodes decide as real ones do, but without the influence of the machine, so every window is checked."""
     history = model.play(parse({**PLAN, "run": {**PLAN["run"], "seed": seed}}))
     assert history.violations == []
     assert history.figures()["falls"] == 0
@@ -98,9 +98,9 @@
 def test_24_cold_processes_stay_within_the_budgets_of_the_service_and_of_each_node(tmp_path: Path) -> None:
     """Half of the nodes are killed during the load, and return cold with a fresh share of the calls.
 
-    Twelve interpreters that start at once on a few cores leave some nodes without a core for a second, and
-    what these hold meanwhile says nothing about the nodes. When it was counted, this test failed on an idle
-    machine in two of three runs.
+    Twelve interpreters that start at once on a few cores leave some nodes without a core for a second. The
+    attempts that those hold meanwhile say nothing about the nodes, so they are discounted. When they were
+    counted, this test failed on an idle machine in two of three runs.
     """
     plan = parse(PLAN)
     history = play(plan, tmp_path)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -468,7 +468,7 @@
     os.set_blocking(process.stderr.fileno(), False)
     try:
         command_line, log = Path(f"/proc/{process.pid}/cmdline"), b""
-        # Until then the shell has set no trap; while `exec` replaces the process, the file reads as empty.
+        # Until the interpreter runs, the shell may not have set its trap; during `exec` the file is empty.
         while command_line.read_bytes().split(b"\0")[0] != sys.executable.encode():
             assert process.poll() is None
         deadline_s = time.monotonic() + 60
@@ -547,7 +547,7 @@
 
 
 def test_call_refused_at_the_old_address_is_sent_to_the_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A refused connection shows that nothing ran; a reload changed the address while it was being opened."""
+    """A refused connection shows that nothing ran; here a reload changes the address during the attempt."""
     messages: queue.SimpleQueue[Message] = queue.SimpleQueue()
     with socket.create_server(("127.0.0.1", 0)) as listener:
         client = downstream_client.DownstreamClient(("127.0.0.1", 1), messages.put, Counters(), Clock())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -86,7 +86,7 @@
         with contextlib.suppress(OSError, ValueError, queue.Empty):
             while self.runtime.inbox.get(timeout=deadline - time.monotonic()) != "sync 0":
                 pass
-            if self.has_late_runtime:  # it is ready only now; the node must have stayed connected
+            if self.has_late_runtime:  # the runtime is ready only now; the node must have stayed connected
                 time.sleep(LATE_S)
                 self.runtime.write(b'{"msg":"ready","how":"cold","duration":0}\n')
             while time.monotonic() < deadline:
@@ -104,7 +104,7 @@
 
 @contextlib.contextmanager
 def fleet(case: str, count: int) -> Iterator[tuple[list[Machine], Any]]:
-    """Return the machines, whose processes are not started yet, and their service registry."""
+    """Yield the machines, whose processes are not started yet, and their service registry."""
     with tempfile.TemporaryDirectory() as name:
         folder, port = Path(name), free_port([f"127.0.3.{number + 1}" for number in range(count)])
         with socket.create_server(("127.0.0.1", 0)) as unused:
@@ -142,7 +142,10 @@
 
 
 def start_all(machines: list[Machine]) -> list[float]:
-    """Start the processes at once; return the seconds until each was ready, in ascending order."""
+    """Start the processes at once; return the seconds until each was ready, in ascending order.
+
+    A process that was not ready in time counts with twice `READY_S`.
+    """
     for machine in machines:
         machine.start()
     threads = [threading.Thread(target=machine.wait_until_ready) for machine in machines]
@@ -154,7 +157,11 @@
 
 
 def restart(case: str, count: int = COUNT) -> tuple[list[float], list[float]]:
-    """Restart all processes at once, then one alone; return the seconds until they were ready, in order."""
+    """Restart all processes at once, then one alone; return the seconds until they were ready, for each case.
+
+    Each list is in ascending order. For the restart of all, a process is ready only when its first report has
+    reached the service registry, if that answers.
+    """
     with fleet(case, count) as (machines, registry):
         start_all(machines)
         for machine in machines:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -689,7 +689,7 @@
 def test_rows_superseded_by_entries_lost_in_a_take_over_are_restored(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A sender leaves out a superseded entry; a take-over that drops the later entry makes it the newest."""
+    """A superseded entry, which senders leave out, is valid again if a take-over drops the later entry."""
     fleet = Replicas(2, folder)
     for name in C1[:4]:
         fleet.change(name)
