--- a/reelusher/pacing/report_schedule.py
+++ b/reelusher/pacing/report_schedule.py
@@ -31,7 +31,7 @@
 MAX_RETRIES, RETRIES_PER_SUCCESS = 16.0, 1.0  # budget of immediate retries, and what a success earns
 BACKOFF_BASE_S, BACKOFF_CAP_S = 0.25, 1.8  # delays during an outage, in which the registry drops no node
 MAX_RETRY_AFTER_S = 60.0  # a longer Retry-After is shortened to this
-# minimum time from the sending of the last successful report to that of a change, and its maximum jitter
+# minimum time from sending the last successful report to reporting a change, and the maximum jitter
 MIN_CHANGE_DELAY_S, CHANGE_JITTER_S = 0.2, 0.1
 
 
