--- a/reelusher/policy/tenant_scheduler.py
+++ b/reelusher/policy/tenant_scheduler.py
@@ -18,7 +18,8 @@
 class TenantScheduler(Protocol):
     """Accounts for the use of each tenant and orders their requests. Times are whole microseconds.
 
-    With a single tenant, the controller makes the same decisions as without a scheduler.
+    With a single tenant, if it has the default quota, the controller makes the same decisions as without a
+    scheduler.
     """
 
     def request_arrived(self, request: Request, now_us: int) -> None:
