--- a/tests/admin/test_replicated_api.py
+++ b/tests/admin/test_replicated_api.py
@@ -164,7 +164,11 @@
         return wait_until(lambda: self.positions(first) == self.positions(second))
 
     def tenant_of(self, at: str, host: str) -> str:
-        """Return the name of the tenant that a node serves a host for, an empty string, or `REJECTED`."""
+        """Return the name of the tenant to which a node assigns requests for a host.
+
+        It is an empty string if there is no such tenant or it is not active, and `REJECTED` if the look-up
+        raises `TenantUnavailableError`.
+        """
         frontend = self.all[at].parts.frontends["ajp"]
         assert isinstance(frontend, AjpFrontend)
         try:
@@ -202,7 +206,10 @@
 
 @pytest.fixture(scope="module")
 def pair(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Nodes]:
-    """Return two nodes, each the leader of a tenant with a guarantee; tests must not change their tenants."""
+    """Return two nodes, each the leader of a partition with one tenant; tests must not change the tenants.
+
+    Both tenants have a guarantee.
+    """
     with running_nodes(tmp_path_factory.mktemp("pair")) as running:
         running.start("c1", "c2")
         for name, fraction in ((C1[0], 0.1), (C2[1], 0.2)):
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -54,7 +54,7 @@
     """Guards that held the attempt kept each body until its deadline: memory grew with the request rate."""
     harness, answers = CoreHarness(), []
 
-    def reply(answer: Answer) -> None:  # proxy for the request, which alone refers to it
+    def reply(answer: Answer) -> None:  # only the request refers to it: it is freed with it
         answers.append(answer.verdict)
 
     watched = weakref.ref(reply)
--- a/tests/core_harness.py
+++ b/tests/core_harness.py
@@ -19,7 +19,7 @@
 
 
 class Backend:
-    """A stand-in for the runner and the dependency that records its commands."""
+    """Stands in for the runner and the dependency, and records the commands of the core."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[Any, ...]] = []
--- a/tests/drain/test_node_drain.py
+++ b/tests/drain/test_node_drain.py
@@ -80,8 +80,8 @@
 def test_signal_delivered_to_a_thread_that_blocks_none_drains_the_node(tmp_path: Path) -> None:
     """Guard against SIGTERM ending the node at once, with all its open requests.
 
-    Signals bypass the mask of the program's threads if another thread blocks none; those of the fleet's bench
-    did so.
+    The masks of the program's threads have no effect on a signal if another thread does not block it. This
+    happened in the fleet's bench.
     """
     with program(tmp_path, 1000, ("-c", PROGRAM_WITH_FOREIGN_THREAD)) as process:
         process.send_signal(signal.SIGHUP)
--- a/tests/drain/test_poller_during_drain.py
+++ b/tests/drain/test_poller_during_drain.py
@@ -1,4 +1,4 @@
-"""Guarantees that drains rely on: the timely timers and calls of the poller, and complete send buffers."""
+"""What drains rely on: timers and calls of the poller run on time, and send buffers are sent completely."""
 
 import socket
 import threading
@@ -53,7 +53,8 @@
 def test_poller_runs_calls_before_it_reads_ready_sockets() -> None:
     """Guard against a drain that starts late.
 
-    A drain that was requested while the poller was busy ran only after the sockets that were ready by then.
+    A drain that was requested while the poller was busy began only after all sockets that were ready by then
+    had been read.
     """
     poller, order, finished = Poller("test-poller", Counters()), list[str](), threading.Event()
     near, far = socket.socketpair()
--- a/tests/pacing/test_report_schedule.py
+++ b/tests/pacing/test_report_schedule.py
@@ -17,7 +17,8 @@
     """A node that reports to the registry on a virtual clock.
 
     `outcome` returns the outcome of an attempt at a given time: "counts" (success), "lost" (no reply), "away"
-    (the registry is unavailable), or the seconds until a successful reply.
+    (the registry is unavailable), or, as a decimal number, the seconds until a successful reply. A reply that
+    takes longer than the time-out of the schedule counts as lost.
     """
 
     def __init__(self, clock: VirtualClock, seed: int, outcome: Callable[[float], str]) -> None:
@@ -103,7 +104,8 @@
     recovery_times_s = [
         min(time_s for time_s in reporter.succeeded if time_s >= 26) - 26 for reporter in reporters
     ]
-    assert max(recovery_times_s) < 2.0  # before a registration that was kept over the outage would expire
+    # below `REGISTRATION_TTL_S`, after which a registration that was kept during the outage would expire
+    assert max(recovery_times_s) < 2.0
 
 
 def test_slow_registry_is_waited_for_and_receives_no_additional_reports() -> None:
--- a/tests/policy/test_dependency_limiter.py
+++ b/tests/policy/test_dependency_limiter.py
@@ -23,7 +23,7 @@
 
 
 def at_call(controller: Controller, now_us: int, request: Request) -> list[Action]:
-    """Run a request up to its first call and return the actions on that."""
+    """Run a request up to its first call, and return the actions that the controller takes for the call."""
     assert ids(controller.handle(now_us, [request]), Run) == [request.id]
     return controller.handle(now_us, [CallNeeded(request.id)])
 
--- a/tests/policy/test_generated_sequences.py
+++ b/tests/policy/test_generated_sequences.py
@@ -77,7 +77,7 @@
     def __init__(self, settings: Settings, tenants: int = 0) -> None:
         """Give each of several `tenants` a quota from `QUOTAS`; 0 means no scheduler.
 
-        A single tenant must get the same decisions as without a scheduler.
+        A single tenant has the default quota, and must get the same decisions as without a scheduler.
         """
         self.settings = settings
         self.tenants = max(1, tenants)
--- a/tests/policy/test_run_time_estimator.py
+++ b/tests/policy/test_run_time_estimator.py
@@ -14,7 +14,7 @@
 
 
 def test_small_requests_do_not_distort_the_estimate_of_large_ones() -> None:
-    """Fixed waits make a small request take many times its expected work; large ones do not."""
+    """A wait of 100 ms in each run is 100 times the work of a small request, a quarter of a large one's."""
     controller = started_controller()
     for n, (work_us, duration_us) in enumerate([(1_000, 101_000), (400_000, 500_000)] * 200, 1):
         controller.handle(n, [Request(n, 0, expected_work_us=work_us)])
--- a/tests/storage/faulty_directory.py
+++ b/tests/storage/faulty_directory.py
@@ -18,8 +18,8 @@
 class FaultyDirectory:
     """A directory in memory. At a given step, it simulates a crash of the process, or a call fails.
 
-    After a crash, changes that were not synced are there in part: of the data, any prefix, with the rest
-    missing or zeros; of the changes to names, any prefix. A file that was never synced is empty, and one of
+    Unsynced changes survive a crash in part: a random prefix of the unsynced data, with the rest missing or
+    zeros, and a random prefix of the changes to names. A file that was never synced is empty, and a file in
     which synced bytes were changed has its synced contents.
     """
 
--- a/tests/tenancy/simulated_node.py
+++ b/tests/tenancy/simulated_node.py
@@ -38,7 +38,7 @@
     work_us: float = 100_000.0  # duration of each run
     class_index: int = 0
     hint: bool = False  # whether requests state their expected work
-    retries: float = 0.0  # probability that a rejected request is retried after 50 ms
+    retries: float = 0.0  # probability that a rejected or failed attempt is retried after 50 ms
     starts_us: int = 0
     ends_us: int = 1 << 60
     held_kb: float = 16.0
@@ -140,7 +140,11 @@
                         self.schedule(self.now_us + 50_000, partial(self.arrive, tenant, False))
 
     def in_time_fraction(self, tenant: int) -> float:
-        """Return the fraction of a tenant's requests that were answered within the latency objective."""
+        """Return the number of a tenant's attempts served within 500 ms, divided by that of its requests.
+
+        The 500 ms count from the arrival of the attempt, also for a retry; they are the latency objective of
+        the first two classes.
+        """
         return self.counts[tenant]["in_time"] / max(1, self.counts[tenant]["requests"])
 
     def utilization(self) -> float:
--- a/tests/tenancy/test_fair_queue.py
+++ b/tests/tenancy/test_fair_queue.py
@@ -27,7 +27,7 @@
     assert with_flood.in_time_fraction(1) >= 0.95 * alone.in_time_fraction(1)
     assert with_flood.utilization() > 0.95
     without_quotas = SharedNode(None, {1: Demand(8.0), 2: Demand(flood, retries=retries)}).run(duration_us)
-    assert without_quotas.in_time_fraction(1) < 0.8  # shows that the load is high enough for the test to fail
+    assert without_quotas.in_time_fraction(1) < 0.8  # without quotas, the flood does harm tenant 1
 
 
 def test_overloaded_tenants_share_in_proportion_to_their_weights() -> None:
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -188,7 +188,8 @@
         try:
             found: Match | None = self.wait_for(self.run_in_thread(look_up))
         finally:
-            self.run_event_loop()  # adds a tenant that was put in the cache: the look-up doesn't wait for it
+            # the event loop adds the tenant that the look-up put in the cache, which does not wait for that
+            self.run_event_loop()
         return found
 
     def post(self, request_id: str, match: Match, class_index: int = 0, key: str = "") -> None:
--- a/tests/upgrade/test_key_locks.py
+++ b/tests/upgrade/test_key_locks.py
@@ -84,7 +84,7 @@
     assert receives(processes.acquire(0), True)
     waiting = processes.acquire(1, due_s=3)
     assert not receives_anything(waiting)
-    processes.now_us += 4 * SECOND_US  # the process that locked the key is gone, and may have run it
+    processes.now_us += 4 * SECOND_US  # past the due time; the other process may have run the key
     assert receives(waiting, None)
     processes.locks[0].complete(KEY, None)
     assert receives(processes.acquire(1), None)
