--- a/tests/tenancy/test_rate_limit.py
+++ b/tests/tenancy/test_rate_limit.py
@@ -73,7 +73,7 @@
     while limit.conforms(10_000) and taken < 1000:
         limit.charge(10, 10_000)
         taken += 10
-    assert taken == 60  # the burst and the charge that exceeds it, regardless of the idle time before
+    assert taken == 60  # the burst of 50 and the charge of 10 that exceeds it, after any idle time
     limit.charge(-30, 10_000)
     assert limit.conforms(10_000)
     assert limit.tat_us == 10_060
--- a/tests/tenancy/test_tenant_cache.py
+++ b/tests/tenancy/test_tenant_cache.py
@@ -188,7 +188,7 @@
         try:
             found: Match | None = self.wait_for(self.run_in_thread(look_up))
         finally:
-            # the event loop adds the tenant that the look-up put in the cache, which does not wait for that
+            # the event loop adds a tenant that the look-up put in the cache; the look-up doesn't wait for it
             self.run_event_loop()
         return found
 
--- a/tests/upgrade/test_handover.py
+++ b/tests/upgrade/test_handover.py
@@ -69,7 +69,10 @@
     stop, lost_requests, answered = threading.Event(), [], []
 
     def call(caller: int) -> None:
-        """Send one request after the other; reconnect after every third one and after a last call."""
+        """Send one request after the other; reconnect after every third one and after a last call.
+
+        By a last call, the node asks a caller to send nothing more on a connection.
+        """
         number, sock, decoder = 0, None, msgpack.Decoder(1 << 14)
         while not stop.is_set():
             number += 1
