--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -1,6 +1,7 @@
 """Record all golden data anew: `PYTHONPATH=.:tests .venv/bin/python -m golden.record`.
 
-To be run only after an intended change of an external format, since the tests compare the program with it.
+Run this only after an intended change of an external format, since the tests compare the program with these
+data.
 """
 
 import json
--- a/tests/golden/test_interfaces.py
+++ b/tests/golden/test_interfaces.py
@@ -168,8 +168,9 @@
 
 
 def counter_names() -> list[str]:
-    """Return the string constants in counter names of the program, each with the method that it is passed to.
+    """Return the counter names in the program's source, without its `lab`, as "METHOD: NAME".
 
+    METHOD is the method that the name is passed to. Of a name built from parts, each constant part is listed.
     The names must not change, since scripts read the counters by name.
     """
     names = set()
--- a/tests/golden/test_stored_data.py
+++ b/tests/golden/test_stored_data.py
@@ -84,7 +84,7 @@
 
 
 def write_keys(folder: Path) -> None:
-    """Write a key log with keys that are live, expired and forgotten."""
+    """Write a key log with keys that expire after one window or two, and one that is forgotten."""
     directory = LockedDirectory(folder)
     log = KeyLog(directory, lambda: START_US)
     done: list[bool] = []
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -112,7 +112,11 @@
         return self.replicas[leader].accept(partition, leader, entry(name, state=state, **fields))
 
     def request_entries(self, puller: str, sender: str) -> tuple[Pull, EntriesReply] | None:
-        """Return a pull and its reply, without any wait; None if the puller is not behind."""
+        """Return a pull and its reply, which is not applied; None if the puller is not behind the sender.
+
+        The clock advances by 60 s, and the puller forgets which members were ahead and which it avoids, so
+        that it pulls from the sender at once.
+        """
         self.now += 60.0
         receiver, source = self.replicas[puller], self.replicas[sender]
         receiver.pulls.peers_ahead.clear()
@@ -128,7 +132,10 @@
         return None if exchange is None else self.replicas[puller].apply_reply(*exchange, self.now)
 
     def settle(self, *members: str, max_rounds: int = 200) -> None:
-        """Let these members, or all, pull from each other until no replica changes any more."""
+        """Let these members, or all, pull from each other until a round applies no segment.
+
+        Raises AssertionError if that takes more than `max_rounds` rounds.
+        """
         participants = members or tuple(self.replicas)
         for _ in range(max_rounds):
             progressed = False
--- a/tests/test_fleet_ramp.py
+++ b/tests/test_fleet_ramp.py
@@ -1,8 +1,9 @@
-"""What all processes of a fleet send to a cold server stays within its budget while capacity ramps up.
+"""The load on a cold node or downstream service stays within its budget while capacity ramps up.
 
-The budget N is what the settings allow at the time. The mean over any window of the settings' length may
-exceed it by 2 sqrt(N) + 2, which allows for random variation. The length is `fall_us` for a node and
-`calls_over_us` for a downstream service.
+The load is the number of open attempts at a node or of calls in progress at a downstream service, and the
+budget N is the number that the settings allow at the time. The mean load over any window may exceed N by
+2 sqrt(N) + 2, which allows for random variation. The window's length comes from the settings: `fall_us` for a
+node and `calls_over_us` for a downstream service.
 """
 
 from collections.abc import Callable, Sequence
@@ -74,7 +75,10 @@
 def over_budget(
     history: RunHistory, attempts_of: Callable[[str], Sequence[tuple[float, float]]]
 ) -> list[tuple[str, float, float]]:
-    """Return the windows in which a node's open attempts exceed its budget: node, start, and mean."""
+    """Return the windows in which a node's mean of open attempts exceeds its budget and random variation.
+
+    Each is a tuple of the node, the start of the window in seconds, and the mean.
+    """
     started_s = dict.fromkeys(history.plan.node_names(), history.nodes_start_s) | history.process_end_s
     excesses = []
     for node in history.plan.node_names():
@@ -87,7 +91,10 @@
 
 @pytest.mark.parametrize("seed", [3, 4, 5])
 def test_24_cold_nodes_on_a_virtual_clock_stay_within_their_budgets(seed: int) -> None:
-    """The real decision code on a virtual clock: the machine has no influence, so every window is checked."""
+    """The real decision code on a virtual clock.
+
+    The speed of the machine has no influence, so open attempts count in full.
+    """
     history = model.play(parse({**PLAN, "run": {**PLAN["run"], "seed": seed}}))
     assert history.violations == []
     assert history.figures()["falls"] == 0
@@ -98,9 +105,9 @@
 def test_24_cold_processes_stay_within_the_budgets_of_the_service_and_of_each_node(tmp_path: Path) -> None:
     """Half of the nodes are killed during the load, and return cold with a fresh share of the calls.
 
-    Twelve interpreters that start at once on a few cores leave some nodes without a core for a second, and
-    what these hold meanwhile says nothing about the nodes. When it was counted, this test failed on an idle
-    machine in two of three runs.
+    Twelve interpreters that start at once on a few cores leave some nodes without a core for a second. The
+    attempts that are open at these nodes meanwhile wait for the machine, so they are discounted. When they
+    were counted in full, this test failed on an idle machine in two of three runs.
     """
     plan = parse(PLAN)
     history = play(plan, tmp_path)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -164,7 +164,10 @@
         return node
 
     def serve_requests(self, node: Node) -> None:
-        """Have a node serve two requests, one of which is assigned to the unreachable worker first."""
+        """Have a node serve two requests.
+
+        One of them is assigned to the unreachable worker first, unless the node suspects that worker.
+        """
         web = parties.Web(
             {"places": {"ajp": node.parts.frontends["ajp"].address}, "count": itertools.count(1)}
         )
@@ -200,7 +203,7 @@
     assert wait_until(
         lambda: all(len(node.parts.fleet.live()) == 2 for node in hosted.nodes if node.parts.fleet)
     )
-    assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # found by a failed attempt
+    assert hosted.nodes[0].parts.counters.snapshot()["workers.unreachable"] == 1  # a connection was refused
     fresh = hosted.start("c")
     assert wait_until(lambda: "learning.believed" in warm_start_counters(fresh))
     assert warm_start_counters(fresh)["learning.believed"] == 3  # both workers and a run time
--- a/tests/test_live_changes.py
+++ b/tests/test_live_changes.py
@@ -16,7 +16,10 @@
 
 
 def checker_of(*rows: Row, name: str = "t") -> HistoryChecker:
-    """Return a checker with the history of one tenant that had these rows, one second apart."""
+    """Return a checker with the history of one tenant that had these rows.
+
+    The changes begin one second apart, the first at 0 s, and each is acknowledged after 0.5 s.
+    """
     checker = HistoryChecker()
     for number, row in enumerate(rows):
         checker.begin(name, "put", row, float(number)).in_flight = True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -422,7 +422,7 @@
 
 def test_distant_members_with_loss_are_hardly_ever_suspected() -> None:
     fleet = SimulatedFleet(60, 2)
-    fleet.latency_s, fleet.loss = (0.09, 0.12), 0.02  # an answer takes longer than 0.15 s
+    fleet.latency_s, fleet.loss = (0.09, 0.12), 0.02  # a round trip exceeds the shortest ack time-out, 0.15 s
     fleet.run(10)
     refutations_before = sum(swim.refutations for swim in fleet.swims.values())
     sent_before = fleet.sent
@@ -635,7 +635,10 @@
 def test_updates_are_sent_less_often_when_many_are_pending(
     update_count: int, min_sends: int, max_mean_sends: float
 ) -> None:
-    """A region that loses all others broadcasts 3,000 deaths: sent 28 times each, they waited for minutes."""
+    """A region that is cut off from all others broadcasts 3,000 deaths.
+
+    When each was sent 28 times, updates waited for minutes.
+    """
     swim = Swim(make_update(1), Random(1), 0.0)
     swim.merge([make_update(2 + number) for number in range(20)], 0.0)
     swim.gossip.broadcasts.clear()
@@ -703,9 +706,9 @@
 @pytest.mark.parametrize("detection_s", [2, 3, 4])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_restarts_during_a_partition_cause_hardly_any_false_deaths(seed: int, detection_s: float) -> None:
-    """Members restarted in the minority receive the deaths of all others while these are broadcast.
+    """A member that restarts in the minority receives the deaths of the majority and broadcasts them too.
 
-    When they were believed after the partition, they caused 66 to 359 false deaths.
+    When such members were believed after the partition, they caused 66 to 359 false deaths.
     """
     fleet = SimulatedFleet(100, seed)
     fleet.run(3)
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -154,7 +154,10 @@
 
 
 def restart(case: str, count: int = COUNT) -> tuple[list[float], list[float]]:
-    """Restart all processes at once, then one alone; return the seconds until they were ready, in order."""
+    """Restart all processes at once, then the first alone; return the seconds until ready, ascending.
+
+    The first report to the service registry counts only in the restart of all, not in that of one alone.
+    """
     with fleet(case, count) as (machines, registry):
         start_all(machines)
         for machine in machines:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -259,7 +259,10 @@
     ],
 )
 def test_interval_between_pulls_follows_bytes_not_partitions(rows: int, min_s: float, max_s: float) -> None:
-    """Six partitions with one change each gave six segments, and a wait of 1.2 s as after six full ones."""
+    """The interval once followed the number of segments, one for each partition with changes.
+
+    After six segments with one change each, a replica waited 1.2 s, as long as after six full ones.
+    """
     control = tuple(f"c{number}" for number in range(1, 7))
     fleet = Replicas(1, None, control)
     for partition in control:
@@ -446,7 +449,10 @@
 
 
 def miss_collected_removal(fleet: Replicas) -> None:
-    """Let n1 miss the removal of a name whose tombstone the others then collect."""
+    """Let n1 miss the removal of a name whose tombstone the others then collect.
+
+    Afterwards c1 makes one more change, which no other member has.
+    """
     for name in C1[:5]:
         fleet.change(name)
     fleet.settle()
@@ -689,7 +695,10 @@
 def test_rows_superseded_by_entries_lost_in_a_take_over_are_restored(
     folder: Path | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A sender leaves out a superseded entry; a take-over that drops the later entry makes it the newest."""
+    """A sender leaves out an entry that a later one supersedes.
+
+    If a take-over drops the later entry, the earlier one is the newest again and must be pulled.
+    """
     fleet = Replicas(2, folder)
     for name in C1[:4]:
         fleet.change(name)
@@ -773,8 +782,9 @@
 ) -> tuple[list[float], list[int]]:
     """Return the times in seconds until members had all changes, and the numbers of pulls they answered.
 
-    Both are sorted. Each member pings another at random five times in 2 s and gets a reply; both datagrams
-    carry the vector. A pull and its reply take 20 ms.
+    Both are sorted; members that lack a change after 60 s are missing from the times. Each member pings
+    another one, chosen at random, five times in 2 s and gets a reply. Both datagrams carry the vector, and
+    `loss` is the fraction of these vectors that is lost. A pull and its reply take 20 ms.
     """
     random, control = Random(seed), ("c1", "c2", "c3", "c4", "c5", "c6", "c7", "c8")
     names = [*control, *(f"n{number}" for number in range(size - len(control)))]
@@ -903,7 +913,10 @@
 
 @contextlib.contextmanager
 def small_fleet(max_bytes: int, files: bool) -> Iterator[Replicas]:
-    """Yield five members whose segments and replies have at most `max_bytes` of entries."""
+    """Yield five members that limit segments and replies to about `max_bytes` of entries.
+
+    Each segment has at least one entry, whatever the limit.
+    """
     with pytest.MonkeyPatch.context() as patch, tempfile.TemporaryDirectory() as directory:
         patch.setattr(replica_module, "MAX_SEGMENT_BYTES", max_bytes)
         patch.setattr(replica_module, "MAX_REPLY_BYTES", max_bytes)
--- a/tests/test_sqlite_replica.py
+++ b/tests/test_sqlite_replica.py
@@ -55,7 +55,7 @@
 
 
 def put(store: SqliteReplica | MemoryReplicaStore, *entries: LogEntry, **options: Any) -> list[str]:
-    """Write entries of partition c1 in one transaction; its position is the index of the last entry."""
+    """Write entries of partition c1 and set its index to that of the last one; return the changed names."""
     return store.apply("c1", entries, state_at(entries[-1].index), **options)
 
 
