--- a/tests/golden/test_decisions.py
+++ b/tests/golden/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions of the simulator's adapter for recorded seeds, compared byte for byte."""
+"""The decisions of the simulator's adapter for fixed seeds, compared by a digest of all its replies."""
 
 import os
 import struct
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -38,7 +38,7 @@
 
 
 def test_run_counts_the_outcome_of_each_request_and_latency_includes_waiting() -> None:
-    """One slot of 40 ms gets 50 requests per second: the queue grows, and latencies must grow with it."""
+    """One slot of 40 ms gets 55 requests per second: the queue grows, and latencies must grow with it."""
 
     async def run() -> dict[str, Any]:
         stand_in = StandIn(Worker(("127.0.0.1", 0), 1, 40.0))
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -915,7 +915,7 @@
 def small_fleet(max_bytes: int, files: bool) -> Iterator[Replicas]:
     """Yield five members that limit segments and replies to about `max_bytes` of entries.
 
-    Each segment has at least one entry, whatever the limit.
+    A single entry may exceed the limit.
     """
     with pytest.MonkeyPatch.context() as patch, tempfile.TemporaryDirectory() as directory:
         patch.setattr(replica_module, "MAX_SEGMENT_BYTES", max_bytes)
