--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
 def tick(
     controller: Controller, now_us: int, busy: float | None = None, runnable: float | None = None
 ) -> list[Action]:
-    """Process one tick with gauges: the busy share of the CPU and the number of runnable threads."""
+    """Process one tick with gauges: the busy fraction of the cores and the number of runnable requests."""
     return controller.handle(now_us, [Tick(0, Gauges(busy, runnable))])
 
 
